--- a/crates/gateway/src/counter_log.rs
+++ b/crates/gateway/src/counter_log.rs
@@ -3,9 +3,9 @@
 
 use crate::lasting::Lasting;
 use fennelbeam_env::{Span, Time};
-use fennelbeam_policy::api::Settings;
 use fennelbeam_quota::bound::{beyond, Failure, Quota};
 use fennelbeam_quota::{CounterReport, CounterState, Lent};
+use policy::api::Settings;
 use std::fmt;
 
 const SECOND: Span = 1_000_000_000;
--- a/crates/gateway/src/hosts/tests.rs
+++ b/crates/gateway/src/hosts/tests.rs
@@ -2,7 +2,7 @@
 use crate::call;
 use crate::config::{sample, Config};
 use fennelbeam_env::Real;
-use fennelbeam_policy::api::RequestId;
+use policy::api::RequestId;
 use serde_json::json;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
--- a/crates/gateway/src/keep.rs
+++ b/crates/gateway/src/keep.rs
@@ -3,7 +3,7 @@
 //! not run twice is lost. So the spans that connections were found alive and dead after are evidence, of each host by
 //! itself and of all together for those that have shown none.
 
-use fennelbeam_policy::api::{Span, Time};
+use policy::api::{Span, Time};
 
 const MS: Span = 1_000_000;
 /// Trusted for this long at the least.
--- a/crates/gateway/src/lag.rs
+++ b/crates/gateway/src/lag.rs
@@ -1,7 +1,7 @@
 //! How far the gateway is behind: how long ago what it takes up now came in. A machine that gives it too little of a
 //! core shows here, and nowhere else: hosts, counter and clients all seem slow then.
 
-use fennelbeam_policy::api::{Span, Time};
+use policy::api::{Span, Time};
 
 const MS: Span = 1_000_000;
 /// What is older than this when it is taken up is told of: a sixth of the shortest aim of a usual site.
--- a/crates/gateway/src/losses.rs
+++ b/crates/gateway/src/losses.rs
@@ -1,7 +1,7 @@
 //! Requests that were not answered within their aim, and why: a line for each at a bounded rate, and each minute what
 //! all of them were worth, by cause. A request is lost for one cause only, so the parts add up to the whole.
 
-use fennelbeam_policy::api::{HostId, Outcome, Span, Time, Why};
+use policy::api::{HostId, Outcome, Span, Time, Why};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -1,7 +1,7 @@
 //! When a log speaks of a peer that is away: at once, then ever more rarely, and once when it is back. A peer
 //! that comes and goes all night does not fill the log either.
 
-use fennelbeam_policy::api::{Span, Time};
+use policy::api::{Span, Time};
 
 const SECOND: Span = 1_000_000_000;
 /// The second line about an outage comes after this, each further one after twice as long.
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,10 +1,10 @@
 //! The operators' pools, routes and quota policies as they are in force at this gateway.
 
 use fennelbeam_lang::model::Operators;
-use fennelbeam_policy::api::{Limit, Plan, Request, Route};
 use fennelbeam_route::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
 use fennelbeam_settings::Site;
 use fennelbeam_sites::{PlanError, SiteSet};
+use policy::api::{Limit, Plan, Request, Route};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -204,7 +204,7 @@
     }
 
     fn request() -> Request {
-        Request { customer: fennelbeam_policy::api::CustomerId(1), ..Request::default() }
+        Request { customer: policy::api::CustomerId(1), ..Request::default() }
     }
 
     fn number(routing: &mut Routing) -> u32 {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -12,7 +12,7 @@
 use crate::unanswered::Unanswered;
 use anyhow::{Context as _, Result};
 use fennelbeam_env::{Env, Listener, Span};
-use fennelbeam_policy::policy::Policy;
+use policy::policy::Policy;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::pin::pin;
--- a/crates/gateway/src/shortage.rs
+++ b/crates/gateway/src/shortage.rs
@@ -2,7 +2,7 @@
 //! the others lack: where hosts turn new ones away, ours are given back after use. Those who hold one are not turned
 //! away there, so what one host shows is taken to hold for all.
 
-use fennelbeam_policy::api::{Span, Time};
+use policy::api::{Span, Time};
 
 const MS: Span = 1_000_000;
 /// A connection that ends so soon after it came up, and before an answer, was turned away: a host that holds as many as
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -2,10 +2,8 @@
 //! is put into the lines of hosts that the decision module is told. Without sites nothing is done and nothing falls
 //! due.
 
-use fennelbeam_policy::api::{
-    Ended, HostEntry, HostState, ListKind, Request, RequestId, Settings, Time, Why,
-};
 use fennelbeam_sites::{Fleet, Plan, SiteSet, Sites, Turn};
+use policy::api::{Ended, HostEntry, HostState, ListKind, Request, RequestId, Settings, Time, Why};
 
 /// The sites of this gateway.
 pub(crate) struct Watch {
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -1,6 +1,6 @@
 //! What falls due in a gateway, each at its own time. What is over is taken out again, so that nobody is woken for it.
 
-use fennelbeam_policy::api::Time;
+use policy::api::Time;
 use std::collections::BTreeSet;
 
 /// Things that fall due, the earliest first; of one moment in their own order, so that all is the same each time.
--- a/crates/gateway/tests/room/counter.rs
+++ b/crates/gateway/tests/room/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{name, post, tariff, Manner, Plan, Room};
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_policy::names::EPOCH;
+use policy::names::EPOCH;
 use serde_json::json;
 
 /// A call takes over 60 bytes: a network of 32 holds it in the middle of its writing, as no socket does.
--- a/crates/gateway/tests/room/units.rs
+++ b/crates/gateway/tests/room/units.rs
@@ -7,8 +7,8 @@
 use fennelbeam_env::Span;
 use fennelbeam_gateway::Signal;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_policy::names::EPOCH;
 use fennelbeam_sim::{Cut, What};
+use policy::names::EPOCH;
 use serde_json::json;
 use std::collections::BTreeMap;
 
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -54,11 +54,9 @@
         assert_eq!((told.aim, told.deadline), (class.aim, class.deadline));
         assert_eq!((told.worth, told.late_worth), (class.worth, class.late_worth));
         let effect = match class.effect {
-            Effect::Safe => fennelbeam_policy::api::Effect::Safe,
-            Effect::Keyed(window) => {
-                fennelbeam_policy::api::Effect::Keyed(fennelbeam_policy::api::Scope::All, window)
-            }
-            Effect::Unsafe => fennelbeam_policy::api::Effect::Unsafe,
+            Effect::Safe => policy::api::Effect::Safe,
+            Effect::Keyed(window) => policy::api::Effect::Keyed(policy::api::Scope::All, window),
+            Effect::Unsafe => policy::api::Effect::Unsafe,
         };
         assert_eq!(told.effect, effect);
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,8 +4,8 @@
 //! [`api::Action`]s it gets back. The library does no I/O, reads no clock and has no global state.
 //!
 //! ```
-//! use fennelbeam_policy::api::*;
-//! use fennelbeam_policy::policy::Policy;
+//! use policy::api::*;
+//! use policy::policy::Policy;
 //!
 //! let class = Class { aim: 500_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
 //! let settings = Settings { classes: vec![class], plans: vec![Plan::default()], ..Settings::default() };
--- a/crates/policy/tests/answers.rs
+++ b/crates/policy/tests/answers.rs
@@ -1,7 +1,7 @@
 //! Final answers, effects, drains, cold and silent hosts, and odd input.
 mod common;
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 
 fn open() -> Settings {
     let mut settings = settings();
--- a/crates/policy/tests/circle.rs
+++ b/crates/policy/tests/circle.rs
@@ -1,7 +1,7 @@
 //! One of many gateways works with few of many hosts, and with others when these are gone.
 mod common;
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 use std::collections::BTreeSet;
 
 const HOSTS: u64 = 200;
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -2,8 +2,8 @@
 mod common;
 use common::cold::*;
 use common::*;
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::policy::Policy;
+use policy::api::*;
+use policy::policy::Policy;
 
 const SEEDS: u64 = 20;
 const FEW: u64 = 3; // where many gateways make a run long
--- a/crates/policy/tests/common/cold.rs
+++ b/crates/policy/tests/common/cold.rs
@@ -1,8 +1,8 @@
 //! A small closed world for cold starts: gateways, hosts that share their cores among what they hold, and the
 //! rule by which a cold host falls over. A stand-in with the figures of the operators' site, not a model of it.
 use super::{Dice, MS};
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::policy::Policy;
+use policy::api::*;
+use policy::policy::Policy;
 use std::collections::{BTreeMap, VecDeque};
 
 pub const HOSTS: u64 = 10;
--- a/crates/policy/tests/common/counter.rs
+++ b/crates/policy/tests/common/counter.rs
@@ -2,7 +2,7 @@
 //!
 //! What it can be asked beside what a gateway asks is what was truly added: the sum over the lives of a name.
 use super::MS;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 use std::collections::BTreeMap;
 
 /// How it fails.
--- a/crates/policy/tests/common/load.rs
+++ b/crates/policy/tests/common/load.rs
@@ -1,6 +1,6 @@
 //! A load on one gateway's decisions, in time of its own.
 use super::*;
-use fennelbeam_policy::policy::Policy;
+use policy::policy::Policy;
 use std::collections::{BTreeMap, VecDeque};
 
 const ANSWERS_IN: Span = 20 * MS;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -6,9 +6,9 @@
 pub mod site;
 pub mod world;
 
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::names;
-use fennelbeam_policy::policy::Policy;
+use policy::api::*;
+use policy::names;
+use policy::policy::Policy;
 use std::collections::BTreeMap;
 
 pub const MS: Span = 1_000_000;
--- a/crates/policy/tests/common/site.rs
+++ b/crates/policy/tests/common/site.rs
@@ -2,9 +2,9 @@
 //! customers with habits, and a referee. All in virtual time; a world is a function of its description.
 use super::counter::{Counter, Trouble};
 use super::{class, entry, Dice, MS};
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::names;
-use fennelbeam_policy::policy::Policy;
+use policy::api::*;
+use policy::names;
+use policy::policy::Policy;
 use std::collections::BTreeMap;
 
 pub const START: Time = 1_000_000 * MS;
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -1,7 +1,7 @@
 //! Hosts whose cores each do one attempt at a time, that may be slow or swallow requests, in time of their own, and a
 //! gateway alone in front of them.
 use super::*;
-use fennelbeam_policy::policy::Policy;
+use policy::policy::Policy;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/crates/policy/tests/cost.rs
+++ b/crates/policy/tests/cost.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::load::Load;
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 
 /// What one request costs once so many customers are known.
 fn cost(customers: u64, hosts: u64) -> f64 {
--- a/crates/policy/tests/crossings.rs
+++ b/crates/policy/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Events that cross, told in one order or the other: what the module decides and keeps is the same.
 mod common;
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 use std::collections::BTreeMap;
 
 /// One gateway, which alone adds to the counter.
--- a/crates/policy/tests/doubt.rs
+++ b/crates/policy/tests/doubt.rs
@@ -4,9 +4,9 @@
 use common::counter::{Fault, Trouble};
 use common::site::{Customer, Habit, Kill, Plot, Site, START};
 use common::*;
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::names;
 use fennelbeam_quota::bound::{beyond, Failure, Quota, BLOCK_S};
+use policy::api::*;
+use policy::names;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -403,7 +403,7 @@
 }
 
 /// Of each kind of failure the customer that came nearest to what is stated, over so many worlds; a table for
-/// the design note: `DOUBT_WORLDS=200 cargo test --release -p fennelbeam-policy --test doubt -- --ignored`.
+/// the design note: `DOUBT_WORLDS=200 cargo test --release -p policy --test doubt -- --ignored`.
 #[test]
 #[ignore = "prints a table"]
 fn how_far_each_failure_goes() {
--- a/crates/policy/tests/hanging.rs
+++ b/crates/policy/tests/hanging.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::world::{alone, HostSpec, World, USUAL};
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 
 /// Lognormal, about 38 ms in the median, now and then five times as long.
 fn work(dice: &mut Dice) -> Span {
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -4,7 +4,7 @@
 use cap::Cap;
 use common::load::Load;
 use common::*;
-use fennelbeam_policy::customers_within;
+use policy::customers_within;
 use std::alloc::System;
 use std::sync::Mutex;
 
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Pools and routes: where requests go, what a full or deserted pool holds up, and limits of routes.
 mod common;
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 use std::collections::BTreeSet;
 
 const A: u64 = 1;
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -3,9 +3,9 @@
 use common::counter::{Fault, Trouble};
 use common::site::{Customer, Habit, Plot, Site, START};
 use common::*;
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::names;
 use fennelbeam_quota::{Ration, Set};
+use policy::api::*;
+use policy::names;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Sends a request and answers its call with the total that other gateways leave.
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The five rules under random legal events, with a fixed seed.
 mod common;
 use common::*;
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::policy::Policy;
+use policy::api::*;
+use policy::policy::Policy;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -250,7 +250,7 @@
     let mut gateways: Vec<_> = (0..200)
         .map(|seed| {
             let mut g = Harness::new(open.clone(), 20);
-            g.policy = fennelbeam_policy::policy::Policy::new(open.clone(), seed);
+            g.policy = policy::policy::Policy::new(open.clone(), seed);
             g.list(ListKind::Full, (1..=20).map(entry).collect());
             g
         })
--- a/crates/policy/tests/session.rs
+++ b/crates/policy/tests/session.rs
@@ -1,8 +1,8 @@
 //! The module decides the same on every machine and in every build: the digest of a fixed session is pinned.
 mod common;
 use common::*;
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::policy::Policy;
+use policy::api::*;
+use policy::policy::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 
 const LENGTH: Span = 40_000 * MS;
--- a/crates/policy/tests/shed.rs
+++ b/crates/policy/tests/shed.rs
@@ -1,7 +1,7 @@
 //! What operators' plan for lost hosts refuses: which, at once, with the time to come back, and nothing else.
 mod common;
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 
 const ASKED: u64 = 1_000;
 
--- a/crates/policy/tests/sizes.rs
+++ b/crates/policy/tests/sizes.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::world::{alone, HostSpec, World, USUAL};
 use common::*;
-use fennelbeam_policy::api::*;
+use policy::api::*;
 
 /// A host of one core does 12.5 a second, one of eight 100; 95 a second are 0.84 of both together, and an even share
 /// would be four times what the small one can do.
--- a/crates/policy/tests/slots.rs
+++ b/crates/policy/tests/slots.rs
@@ -2,8 +2,8 @@
 mod common;
 use common::load::Load;
 use common::*;
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::policy::fuzzy;
+use policy::api::*;
+use policy::policy::fuzzy;
 
 /// Table 1 of the paper, rows E and columns dE, with terms as the paper names them.
 const TABLE: [[&str; 5]; 5] = [
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 
 mod reader;
 
-use fennelbeam_policy::api::*;
+use policy::api::*;
 use reader::{Reader, Result};
 use serde_json::Value;
 
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -2,7 +2,7 @@
 //! the key in full.
 
 use crate::SettingsError;
-use fennelbeam_policy::api::Span;
+use policy::api::Span;
 use serde_json::{Map, Value};
 use std::fmt::Display;
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,8 +1,8 @@
 //! Translation between the simulator's wire and the module's interface. Nothing is decided here.
 
-use fennelbeam_policy::api::*;
-use fennelbeam_policy::policy::Policy;
 use fennelbeam_settings::{SettingsError, Site};
+use policy::api::*;
+use policy::policy::Policy;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
--- a/crates/site-model/src/figures.rs
+++ b/crates/site-model/src/figures.rs
@@ -1,7 +1,7 @@
 //! What a played loss comes to, in one row.
 
-use fennelbeam_policy::api::Time;
 use fennelbeam_sites::State;
+use policy::api::Time;
 
 use crate::setting::{Setting, SECOND};
 use crate::world::Played;
--- a/crates/site-model/src/setting.rs
+++ b/crates/site-model/src/setting.rs
@@ -1,7 +1,7 @@
 //! What is played.
 
-use fennelbeam_policy::api::{Span, Time};
 use fennelbeam_sites::{Ladder, Plan, Rung, Site, Taker};
+use policy::api::{Span, Time};
 
 /// One second, in nanoseconds.
 pub(crate) const SECOND: Span = 1_000_000_000;
--- a/crates/sites/src/compile.rs
+++ b/crates/sites/src/compile.rs
@@ -4,7 +4,7 @@
 
 use fennelbeam_lang::kinds::{MOST_SHEDS, MOST_SITES};
 use fennelbeam_lang::model::{self, At, Operators, Origin};
-use fennelbeam_policy::api::Span;
+use policy::api::Span;
 
 use crate::plan::{Ladder, Plan, Rung, Site, Taker, Told};
 
--- a/crates/sites/src/course.rs
+++ b/crates/sites/src/course.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use fennelbeam_policy::api::{HostId, RequestId, Span, Time};
+use policy::api::{HostId, RequestId, Span, Time};
 
 use crate::verdict::{Tally, SECOND};
 
--- a/crates/sites/src/ladder.rs
+++ b/crates/sites/src/ladder.rs
@@ -1,6 +1,6 @@
 //! What is refused first: a level that follows what is given up for want of slots, and what it means for each cell.
 
-use fennelbeam_policy::api::{Span, Why};
+use policy::api::{Span, Why};
 
 use crate::plan::Ladder;
 use crate::verdict::SECOND;
--- a/crates/sites/src/plan.rs
+++ b/crates/sites/src/plan.rs
@@ -1,6 +1,6 @@
 //! The operators' plan for the loss of a site, with names resolved to the numbers that the platform counts by.
 
-use fennelbeam_policy::api::Span;
+use policy::api::Span;
 
 /// Sites, a bit each, in the order of the plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/sites/src/said.rs
+++ b/crates/sites/src/said.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use fennelbeam_policy::api::Time;
+use policy::api::Time;
 
 use crate::course::State;
 use crate::plan::Told;
--- a/crates/sites/src/shares.rs
+++ b/crates/sites/src/shares.rs
@@ -1,6 +1,6 @@
 //! Where a request may go while a site is not whole.
 
-use fennelbeam_policy::api::RequestId;
+use policy::api::RequestId;
 
 use crate::chance::unit;
 use crate::course::Course;
--- a/crates/sites/src/sites.rs
+++ b/crates/sites/src/sites.rs
@@ -3,9 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fennelbeam_policy::api::{
-    Ended, HostEntry, HostId, HostState, ListKind, Outcome, RequestId, Span, Time, Why,
-};
+use policy::api::{Ended, HostEntry, HostId, HostState, ListKind, Outcome, RequestId, Span, Time, Why};
 
 use crate::chance::unit;
 use crate::course::{Course, Look, Ramped, State};
--- a/crates/sites/src/verdict.rs
+++ b/crates/sites/src/verdict.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use fennelbeam_policy::api::{HostId, Span, Time};
+use policy::api::{HostId, Span, Time};
 
 pub(crate) const MILLISECOND: Span = 1_000_000;
 pub(crate) const SECOND: Span = 1_000 * MILLISECOND;
--- a/crates/sites/tests/sites/verdicts.rs
+++ b/crates/sites/tests/sites/verdicts.rs
@@ -1,8 +1,8 @@
 //! What a site is held for, by what is seen of it.
 
 use crate::common::{entry, plan, site_of, Bench, Ends, HOSTS, MILLISECOND, OK, SECOND, SILENT};
-use fennelbeam_policy::api::{HostState, ListKind, Outcome, Span, Time};
 use fennelbeam_sites::{Fleet, Plan, Sites, State, Told};
+use policy::api::{HostState, ListKind, Outcome, Span, Time};
 use State::{CutOff, Doubtful, Lost, Slow, Whole};
 
 /// A number that looks random, from 0 to 1, for each host and moment.
@@ -242,7 +242,7 @@
     let turn = bench.sites.tick(bench.now).unwrap();
     assert!(turn.hosts.len() as u64 >= HOSTS - 1, "what was withheld is let go: {turn:?}");
     assert!(bench.sites.due() == Time::MAX && bench.sites.tick(bench.now).is_none());
-    assert!((0..3 * HOSTS).all(|host| !bench.sites.is_withheld(fennelbeam_policy::api::HostId(host))));
+    assert!((0..3 * HOSTS).all(|host| !bench.sites.is_withheld(policy::api::HostId(host))));
 }
 
 #[test]
