--- a/crates/fennelbeam/src/main.rs
+++ b/crates/fennelbeam/src/main.rs
@@ -14,7 +14,7 @@
 use clap::Parser;
 use command::{Command, CommandLine, Files, LogFormat, Serve};
 use fennelbeam_gateway::{Config, Signal, Site, MIN_SOCKETS};
-use fennelbeam_quota::bound::{beyond, Failure, Quota};
+use quota::bound::{beyond, Failure, Quota};
 use source::Source;
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
--- a/crates/fennelbeam/tests/pages.rs
+++ b/crates/fennelbeam/tests/pages.rs
@@ -1,7 +1,7 @@
 //! The operators' pages on counter failures say what the program says.
 
-use fennelbeam_quota::bound::{beyond, Failure, Quota};
-use fennelbeam_quota::CounterState;
+use quota::bound::{beyond, Failure, Quota};
+use quota::CounterState;
 use std::process::Command;
 
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
--- a/crates/fennelbeam/tests/quota.rs
+++ b/crates/fennelbeam/tests/quota.rs
@@ -5,9 +5,9 @@
 
 use fennelbeam_env::Real;
 use fennelbeam_model::scenario::{CounterFault, CounterSpec};
-use fennelbeam_quota::bound::{beyond, Failure, Quota};
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
+use quota::bound::{beyond, Failure, Quota};
 use serde_json::Value;
 use sockets::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/src/counter_log.rs
+++ b/crates/gateway/src/counter_log.rs
@@ -3,9 +3,9 @@
 
 use crate::lasting::Lasting;
 use fennelbeam_env::{Span, Time};
-use fennelbeam_quota::bound::{beyond, Failure, Quota};
-use fennelbeam_quota::{CounterReport, CounterState, Lent};
 use policy::api::Settings;
+use quota::bound::{beyond, Failure, Quota};
+use quota::{CounterReport, CounterState, Lent};
 use std::fmt;
 
 const SECOND: Span = 1_000_000_000;
--- a/crates/policy/src/account.rs
+++ b/crates/policy/src/account.rs
@@ -3,8 +3,8 @@
 //! left of the quota [`Store`] knows.
 
 use crate::api::Time;
-use fennelbeam_quota::{Adder, Contact, Late, Ration, Store, Terms, RETRY};
 use libm::exp;
+use quota::{Adder, Contact, Late, Ration, Store, Terms, RETRY};
 
 const SECOND: f64 = 1e9;
 const RATE_SPAN: f64 = 4.0; // seconds that what is let in here looks back
--- a/crates/policy/src/counting.rs
+++ b/crates/policy/src/counting.rs
@@ -8,7 +8,7 @@
 use crate::pace::Due;
 use crate::policy::Policy;
 use crate::quotas::CALL_ODDS;
-use fennelbeam_quota::{Contact, CounterReport, Late, Pulse};
+use quota::{Contact, CounterReport, Late, Pulse};
 
 const CROWDED: f64 = 0.4; // a counter's answer that takes this share of the time-out: it has no room left
 const LOOKED_THROUGH: usize = 64; // customers looked through in a step for what a new counter forgot
@@ -159,7 +159,7 @@
 }
 
 impl Account {
-    /// The customer asks for these units, whatever becomes of that; `usual`, `since` as for [`fennelbeam_quota::Ration::asked`].
+    /// The customer asks for these units, whatever becomes of that; `usual`, `since` as for [`quota::Ration::asked`].
     pub fn ask(&mut self, now: Time, units: f64, usual: f64, since: Time) {
         match &mut self.ration {
             Some(ration) => ration.asked(now, units, usual, since),
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -3,7 +3,7 @@
 use crate::account::Account;
 use crate::api::{Plan, RequestId, Time};
 use crate::customers::House;
-use fennelbeam_quota::{Contact, Rest, Set, Terms};
+use quota::{Contact, Rest, Set, Terms};
 use smallvec::SmallVec;
 use std::collections::VecDeque;
 
--- a/crates/policy/src/customers.rs
+++ b/crates/policy/src/customers.rs
@@ -365,7 +365,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_quota::Set;
+    use quota::Set;
 
     const S: Time = 1_000_000_000;
 
@@ -453,7 +453,7 @@
     #[test]
     fn whoever_comes_again_finds_its_quota_as_it_left_it() {
         let mut customers = customers(full(10));
-        let mut contact = fennelbeam_quota::Contact::new(0, 1);
+        let mut contact = quota::Contact::new(0, 1);
         let mut use_up = |customers: &mut Customers, id: u64, units: f64| {
             let customer = customers.meet(S, CustomerId(id), |house| new(S, house)).unwrap();
             let account = &mut customer.stores[0];
--- a/crates/policy/src/names.rs
+++ b/crates/policy/src/names.rs
@@ -34,12 +34,12 @@
     count_name(customer, LATE, at / EPOCH)
 }
 
-/// What the gateways of a rationed customer are asked for in a window, see [`fennelbeam_quota::Ration`].
+/// What the gateways of a rationed customer are asked for in a window, see [`quota::Ration`].
 pub fn asked(customer: CustomerId, window: u64) -> CountName {
     count_name(customer, ASKED, window)
 }
 
-/// The pulse of a group of gateways, see [`fennelbeam_quota::Hearing`].
+/// The pulse of a group of gateways, see [`quota::Hearing`].
 pub fn pulse(group: u32, at: Time) -> CountName {
-    count_name(ALL, 1 + group as usize, at / fennelbeam_quota::PULSE_EPOCH)
+    count_name(ALL, 1 + group as usize, at / quota::PULSE_EPOCH)
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -16,7 +16,7 @@
 use crate::pools::Pools;
 use crate::quotas::IN_VAIN;
 use crate::slots::PERIOD;
-use fennelbeam_quota::{Contact, Set};
+use quota::{Contact, Set};
 use std::collections::HashMap;
 
 pub use crate::fuzzy::fuzzy;
--- a/crates/policy/tests/doubt.rs
+++ b/crates/policy/tests/doubt.rs
@@ -4,12 +4,12 @@
 use common::counter::{Fault, Trouble};
 use common::site::{Customer, Habit, Kill, Plot, Site, START};
 use common::*;
-use fennelbeam_quota::bound::{beyond, Failure, Quota, BLOCK_S};
 use policy::api::*;
 use policy::names;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
+use quota::bound::{beyond, Failure, Quota, BLOCK_S};
 
 /// After a failure all is as it was within so long.
 const SETTLED_IN: Span = 5_000 * MS;
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -3,9 +3,9 @@
 use common::counter::{Fault, Trouble};
 use common::site::{Customer, Habit, Plot, Site, START};
 use common::*;
-use fennelbeam_quota::{Ration, Set};
 use policy::api::*;
 use policy::names;
+use quota::{Ration, Set};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Sends a request and answers its call with the total that other gateways leave.
@@ -672,7 +672,7 @@
     }
     for beats in 0..80 {
         for group in 0..50 {
-            let at = START + beats * fennelbeam_quota::PULSE_EPOCH;
+            let at = START + beats * quota::PULSE_EPOCH;
             assert!(all.insert(names::pulse(group, at)), "pulse of group {group}, epoch {beats}");
         }
     }
--- a/crates/rehearse/src/stated.rs
+++ b/crates/rehearse/src/stated.rs
@@ -1,7 +1,7 @@
 //! What the history of a scenario's run is held to: the terms of its site, and the units beyond a quota that are
 //! stated in advance for what fails in it.
 //!
-//! The statement of error (`fennelbeam-quota`, `bound`) speaks of one failure of the counter. A scenario may have
+//! The statement of error (`quota`, `bound`) speaks of one failure of the counter. A scenario may have
 //! several and other things beside them, so allowances add up:
 //!
 //! - one for a whole counter (blocks leased ahead, and a request at each gateway),
@@ -21,7 +21,7 @@
 use fennelbeam_history::{Bound, Terms};
 use fennelbeam_model::scenario::{CounterFault, Event, LinkEnd, PlanSpec, Scenario, Side, Site};
 use fennelbeam_model::Span;
-use fennelbeam_quota::bound::{beyond, Failure, Quota, BLOCK_S};
+use quota::bound::{beyond, Failure, Quota, BLOCK_S};
 
 /// Terms for the history of a run of this scenario, in virtual time or on sockets.
 pub fn stated(scenario: &Scenario, on_sockets: bool) -> Terms {
--- a/crates/rehearse/tests/quota/mix.rs
+++ b/crates/rehearse/tests/quota/mix.rs
@@ -5,8 +5,8 @@
 use fennelbeam_judge::{CustomerFigures, Verdict};
 use fennelbeam_model::scenario::{PlanSpec, Scenario};
 use fennelbeam_model::{file, Time, SECOND};
-use fennelbeam_quota::bound::{beyond, Failure, Quota, LENT, SAVED};
 use fennelbeam_rehearse::{play_virtual, VirtualOptions};
+use quota::bound::{beyond, Failure, Quota, LENT, SAVED};
 use std::collections::BTreeMap;
 
 /// When the first request is due: two seconds after an epoch of the counter's names has begun.
--- a/crates/rehearse/tests/quota/table.rs
+++ b/crates/rehearse/tests/quota/table.rs
@@ -4,7 +4,7 @@
 use fennelbeam_judge::Verdict;
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
-use fennelbeam_quota::bound::{beyond, Failure, Quota};
+use quota::bound::{beyond, Failure, Quota};
 
 /// One customer of 25 units a second and a burst of 46, through three gateways; hosts that never bind.
 pub const SITE: &str = "
