--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -16,7 +16,7 @@
     ready: Vec<HostId>,
     by_pool: BTreeMap<usize, Vec<HostId>>,
     by_cell: BTreeMap<(u32, u32), Vec<HostId>>,
-    /// Those among them that this gateway works with, see [`fennelbeam_subset`]: all, or its circle.
+    /// Those among them that this gateway works with, see [`subset`]: all, or its circle.
     near: Vec<HostId>,
     /// Circles in which all hosts are once.
     circles: f64,
@@ -114,8 +114,8 @@
         self.ready = ready.into_iter().map(|host| host.entry.id).collect();
         let numbers: Vec<u64> = self.ready.iter().map(|id| id.0).collect();
         let (me, gateways) = (me as usize, gateways.max(1) as usize);
-        self.circles = fennelbeam_subset::circles(numbers.len(), gateways) as f64;
-        let circle = fennelbeam_subset::circle(&numbers, me, gateways);
+        self.circles = subset::circles(numbers.len(), gateways) as f64;
+        let circle = subset::circle(&numbers, me, gateways);
         self.near = circle.into_iter().map(|index| self.ready[index]).collect();
         let far = 1.0 / self.circles();
         self.by_id.values_mut().for_each(|host| host.near = far);
