--- a/crates/fennelbeam/src/config/mod.rs
+++ b/crates/fennelbeam/src/config/mod.rs
@@ -8,8 +8,8 @@
 
 use anyhow::{Context as _, Result};
 use clap::Subcommand;
-use fennelbeam_gateway::Site;
 use fennelbeam_lang::Diagnostic;
+use gateway::Site;
 use std::path::Path;
 use std::process::ExitCode;
 
--- a/crates/fennelbeam/src/main.rs
+++ b/crates/fennelbeam/src/main.rs
@@ -13,7 +13,7 @@
 use anyhow::{Context as _, Result};
 use clap::Parser;
 use command::{Command, CommandLine, Files, LogFormat, Serve};
-use fennelbeam_gateway::{Config, Signal, Site, MIN_SOCKETS};
+use gateway::{Config, Signal, Site, MIN_SOCKETS};
 use quota::bound::{beyond, Failure, Quota};
 use source::Source;
 use std::ffi::OsString;
@@ -77,7 +77,7 @@
     for key in &config.unknown {
         tracing::warn!("configuration: `{key}` is skipped, this version does not know it");
     }
-    fennelbeam_gateway::serve(clock::start(), config, move || source.read(), signals).await
+    gateway::serve(clock::start(), config, move || source.read(), signals).await
 }
 
 /// SIGHUP and SIGTERM, in the order of their coming.
--- a/crates/fennelbeam/src/operators.rs
+++ b/crates/fennelbeam/src/operators.rs
@@ -2,12 +2,12 @@
 
 use crate::output::path_text;
 use crate::plan;
-use fennelbeam_gateway::Site;
 use fennelbeam_lang::diagnostic::{Place, Spot};
 use fennelbeam_lang::loader::Fs;
 use fennelbeam_lang::model::{Operators, Origin};
 use fennelbeam_lang::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
 use fennelbeam_route::{tighten, Facts, InForce, Problem, Quota, RouteError, Routes};
+use gateway::Site;
 use std::path::Path;
 
 /// What the platform's settings say, as far as checks of the operators' files need it.
@@ -150,7 +150,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_gateway::Config;
+    use gateway::Config;
 
     const EXAMPLE: &[u8] = include_bytes!("../../../deploy/example.json");
 
--- a/crates/fennelbeam/src/plan/mod.rs
+++ b/crates/fennelbeam/src/plan/mod.rs
@@ -6,11 +6,11 @@
 use crate::operators;
 use anyhow::Result;
 use clap::Subcommand;
-use fennelbeam_gateway::Site;
 use fennelbeam_lang::model::Operators;
 use fennelbeam_lang::{Diagnostic, Dimension};
 use fennelbeam_sites::fit::{outcome, Fit, Loss, Mix, Outcome, Refusal};
 use fennelbeam_sites::{Facts, Plan, PlanError, SiteSet, Told};
+use gateway::Site;
 use std::ffi::OsString;
 use std::process::ExitCode;
 
--- a/crates/fennelbeam/src/plan/show.rs
+++ b/crates/fennelbeam/src/plan/show.rs
@@ -7,10 +7,10 @@
 use crate::output::{complain, one_line, path_text, print};
 use anyhow::{bail, Context as _, Result};
 use clap::Args;
-use fennelbeam_gateway::Site;
 use fennelbeam_lang::Dimension;
 use fennelbeam_sites::fit::{losses, Fit, Loss, Mix, Outcome};
 use fennelbeam_sites::{Plan, Told};
+use gateway::Site;
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
--- a/crates/fennelbeam/src/source.rs
+++ b/crates/fennelbeam/src/source.rs
@@ -2,8 +2,8 @@
 
 use crate::operators;
 use anyhow::{Context as _, Result};
-use fennelbeam_gateway::{Config, Site};
 use fennelbeam_lang::{big_changes, FileSet};
+use gateway::{Config, Site};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, OnceLock, PoisonError};
 
--- a/crates/fennelbeam/tests/crash.rs
+++ b/crates/fennelbeam/tests/crash.rs
@@ -1,8 +1,8 @@
 //! A gateway dies at a few points of its program among two others, on real sockets: no rule is broken by it. All
 //! points are swept by hand (see docs/history.md).
 
-use fennelbeam_gateway::CrashPoint;
 use fennelbeam_rehearse::Death;
+use gateway::CrashPoint;
 use std::path::Path;
 
 #[test]
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -1,6 +1,6 @@
 //! Configurations that cannot be used: each is refused with one message that names the key.
 
-use fennelbeam_gateway::Config;
+use gateway::Config;
 use serde_json::{json, Value};
 
 fn example() -> Value {
--- a/crates/gateway/tests/room/routes.rs
+++ b/crates/gateway/tests/room/routes.rs
@@ -2,10 +2,10 @@
 
 use crate::support::{entry, get, list, name, post, served, tariff, Client, Manner, Peer, Plan, Room, Seen};
 use fennelbeam_env::Span;
-use fennelbeam_gateway::Signal;
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::Cut;
+use gateway::Signal;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/gateway/tests/room/stop.rs
+++ b/crates/gateway/tests/room/stop.rs
@@ -5,10 +5,10 @@
     END,
 };
 use fennelbeam_env::Span;
-use fennelbeam_gateway::Signal;
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::What;
+use gateway::Signal;
 use std::collections::BTreeMap;
 
 /// When SIGTERM comes, and for how long after it new connections are taken.
--- a/crates/gateway/tests/room/stopping.rs
+++ b/crates/gateway/tests/room/stopping.rs
@@ -2,8 +2,8 @@
 
 use crate::support::{command, get, name, Client, Manner, Plan, Room, BROKEN, END};
 use fennelbeam_env::Span;
-use fennelbeam_gateway::Signal;
 use fennelbeam_model::{MS, SECOND};
+use gateway::Signal;
 use std::collections::BTreeSet;
 
 const TERM: Span = 500 * MS;
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -3,7 +3,6 @@
 
 use bytes::{Bytes, BytesMut};
 use fennelbeam_env::{Env, Listener, Reader, Span, Stream, Time, Writer};
-use fennelbeam_gateway::{serve, Config, Signal};
 use fennelbeam_lang::{load, loader::Memory};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
@@ -11,6 +10,7 @@
 use fennelbeam_sim::{
     Machine, MachineId, Packet, Place, ProcessId, Sim, SimConfig, SimEnv, SimReader, SimStream, What,
 };
+use gateway::{serve, Config, Signal};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/gateway/tests/room/units.rs
+++ b/crates/gateway/tests/room/units.rs
@@ -5,9 +5,9 @@
     bulk, entry, list, name, post, tariff, Client, Manner, Peer, Plan, Room, Seen, CLIENT, HERE, HOST,
 };
 use fennelbeam_env::Span;
-use fennelbeam_gateway::Signal;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Cut, What};
+use gateway::Signal;
 use policy::names::EPOCH;
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/crates/rehearse/examples/crash_sweep.rs
+++ b/crates/rehearse/examples/crash_sweep.rs
@@ -7,8 +7,8 @@
 //! `[SEED [AT ONCE [POINT FROM TO]]]` may follow the program: the last three play that point alone, once for each time
 //! from FROM to TO that the gateway may come there. Ends with status 1 where a rule broke, or a gateway did not die.
 
-use fennelbeam_gateway::CrashPoint;
 use fennelbeam_rehearse::{Death, Played};
+use gateway::CrashPoint;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Mutex;
--- a/crates/rehearse/src/deaths.rs
+++ b/crates/rehearse/src/deaths.rs
@@ -6,10 +6,10 @@
 use crate::play::{play_real, Played, RealOptions};
 use crate::real::Special;
 use anyhow::{bail, Result};
-use fennelbeam_gateway::CrashPoint;
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_model::{Span, MS};
+use gateway::CrashPoint;
 use std::path::Path;
 
 /// A gateway that has died is back after this.
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -4,7 +4,6 @@
 
 use anyhow::{anyhow, bail, Context, Result};
 use clap::Parser;
-use fennelbeam_gateway::Operators;
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{
@@ -13,6 +12,7 @@
 };
 use fennelbeam_report::{html, json, progress, speed_line, table, Heading};
 use fennelbeam_sim::What;
+use gateway::Operators;
 use std::fs::File;
 use std::io::{self, BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
--- a/crates/rehearse/src/operators.rs
+++ b/crates/rehearse/src/operators.rs
@@ -1,11 +1,11 @@
 //! Operators' files for the gateways of a rehearsal.
 
 use anyhow::{bail, Context, Result};
-use fennelbeam_gateway::{check_operators, Config, Operators};
 use fennelbeam_lang::loader::{Fs, Memory};
 use fennelbeam_lang::{load, Loaded, Severity};
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_model::settings::{document, Start};
+use gateway::{check_operators, Config, Operators};
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
--- a/crates/rehearse/src/plan.rs
+++ b/crates/rehearse/src/plan.rs
@@ -2,10 +2,10 @@
 
 use anyhow::{bail, ensure, Context, Result};
 use clap::Parser;
-use fennelbeam_gateway::{check_operators, Config, Site};
 use fennelbeam_lang::{load, loader::Fs, Severity};
 use fennelbeam_site_model::{play, Back, Down, Figures, Loss, Setting};
 use fennelbeam_sites::{Facts, Plan};
+use gateway::{check_operators, Config, Site};
 use policy::api::{Effect, Span, Time};
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/rehearse/src/virtual_time.rs
+++ b/crates/rehearse/src/virtual_time.rs
@@ -3,9 +3,9 @@
 use crate::stage::{lock, Exit, Post, Signal, Stage};
 use anyhow::Result;
 use fennelbeam_env::{Env, Span, Time};
-use fennelbeam_gateway::{serve, Config, Operators};
 use fennelbeam_model::scenario::{LinkFault, NetworkSpec, Site};
 use fennelbeam_sim::{Cut, CutId, Machine, MachineId, Place, ProcessId, Sim, SimConfig, SimEnv};
+use gateway::{serve, Config, Operators};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -27,7 +27,7 @@
     /// Its configuration document, which may be another one at a reload.
     pub document: Document,
     /// What it is told from outside.
-    pub signals: UnboundedReceiver<fennelbeam_gateway::Signal>,
+    pub signals: UnboundedReceiver<gateway::Signal>,
 }
 
 /// A gateway's configuration document.
@@ -70,7 +70,7 @@
 struct Running {
     env: SimEnv,
     incarnation: u32,
-    signals: UnboundedSender<fennelbeam_gateway::Signal>,
+    signals: UnboundedSender<gateway::Signal>,
     document: Document,
 }
 
@@ -216,8 +216,8 @@
                     .into_iter()
                     .for_each(|it| self.sim.stop(it.env.process_id(), signal == Signal::Stop));
             }
-            Signal::Reload => fennelbeam_gateway::Signal::Reload,
-            Signal::Terminate => fennelbeam_gateway::Signal::Terminate,
+            Signal::Reload => gateway::Signal::Reload,
+            Signal::Terminate => gateway::Signal::Terminate,
         };
         if let Some(running) = self.running.get(&gateway) {
             // One that has ended takes none.
--- a/crates/rehearse/tests/fleet.rs
+++ b/crates/rehearse/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! The days of a whole fleet, at a tenth of their size and a quarter of their length.
 
-use fennelbeam_gateway::Signal;
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::{Scenario, Timed};
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_rehearse::{play_virtual, GatewayMaker, Played, VirtualOptions};
+use gateway::Signal;
 use std::sync::{Arc, Mutex};
 
 const GATEWAYS: u32 = 30;
--- a/crates/rehearse/tests/pools.rs
+++ b/crates/rehearse/tests/pools.rs
@@ -2,12 +2,12 @@
 //!
 //! In CI few seeds are played; `SEEDS=30 cargo test --release -p fennelbeam-rehearse --test pools` plays more.
 
-use fennelbeam_gateway::Operators;
 use fennelbeam_lang::{load, loader::Memory};
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use fennelbeam_sim::{Packet, What};
+use gateway::Operators;
 use std::sync::{Arc, Mutex};
 
 /// Orders have the hosts of building 1 to themselves, reads those of the others.
--- a/crates/rehearse/tests/site_loss.rs
+++ b/crates/rehearse/tests/site_loss.rs
@@ -2,10 +2,10 @@
 //!
 //! In CI few seeds are played; `SEEDS=30 cargo test --release -p fennelbeam-rehearse --test site_loss` plays more.
 
-use fennelbeam_gateway::Operators;
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{operators_of, play_virtual, Played, VirtualOptions};
+use gateway::Operators;
 
 const PLAN: &str = include_str!("../../../scenarios/site-lost.fb");
 
--- a/crates/rehearse/tests/wrongdoers/proxy.rs
+++ b/crates/rehearse/tests/wrongdoers/proxy.rs
@@ -4,11 +4,11 @@
 use anyhow::{bail, Context, Result};
 use bytes::{Bytes, BytesMut};
 use fennelbeam_env::{Env, Listener, Span, Time};
-use fennelbeam_gateway::{Lifecycle, Member, Membership, Signal};
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_rehearse::{Document, GatewayMaker, GatewayStart};
 use fennelbeam_resp::{decode, fill, put_bulk, put_header, Frame, RespError};
 use fennelbeam_sim::{SimEnv, SimStream};
+use gateway::{Lifecycle, Member, Membership, Signal};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
