--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -1,8 +1,8 @@
 //! What a gateway's memory goes to. One budget, made of `limits.memory_mb`, that all who keep something for a request,
 //! a connection or a customer are held to; what is said of it to operators is said from here.
 
-use fennelbeam_resp::MAX_VALUE;
 use policy::customers_within;
+use resp::MAX_VALUE;
 
 /// The program, its runtime and its buffers, and what the allocator leaves unused.
 const PROGRAM: usize = 6 << 20;
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -2,9 +2,9 @@
 
 use crate::host_line::Text;
 use bytes::{Buf, Bytes, BytesMut};
-use fennelbeam_resp::{self as resp, Frame};
 use fennelbeam_settings::Site;
 use policy::api::{CustomerId, Effect, Request, RequestId, Span};
+use resp::{self as resp, Frame};
 
 const MS: Span = 1_000_000;
 /// Names in a call's list that mean something here, in the order in which `values` takes them apart.
--- a/crates/gateway/src/host_line.rs
+++ b/crates/gateway/src/host_line.rs
@@ -5,7 +5,7 @@
 use crate::messages::{ConnId, HostEvent, Input};
 use bytes::{Buf, Bytes, BytesMut};
 use fennelbeam_env::{Env, Sleep, Span, Stream, Time, Writer};
-use fennelbeam_resp::{self as resp, Frame, RespError};
+use resp::{self as resp, Frame, RespError};
 use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -5,8 +5,8 @@
 use crate::membership::Membership;
 use crate::reload::Reload;
 use bytes::Bytes;
-use fennelbeam_resp::{Frame, RespError};
 use policy::api::{CountName, HostId, Outcome, Request, RequestId, Span, Time};
+use resp::{Frame, RespError};
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedSender;
 
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -6,11 +6,11 @@
 use fennelbeam_lang::{load, loader::Memory};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_resp::{decode, put_bulk, put_header, Frame};
 use fennelbeam_sim::{
     Machine, MachineId, Packet, Place, ProcessId, Sim, SimConfig, SimEnv, SimReader, SimStream, What,
 };
 use gateway::{serve, Config, Signal};
+use resp::{decode, put_bulk, put_header, Frame};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -7,7 +7,7 @@
 use crate::stats::{End, Kind, Stats};
 use bytes::BytesMut;
 use fennelbeam_model::scenario::ClassSpec;
-use fennelbeam_resp::{decode, put_bulk, put_header, Frame};
+use resp::{decode, put_bulk, put_header, Frame};
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/load/src/counter.rs
+++ b/crates/load/src/counter.rs
@@ -2,7 +2,7 @@
 //! quotas.
 
 use bytes::BytesMut;
-use fennelbeam_resp::{decode, put_bulk, Frame};
+use resp::{decode, put_bulk, Frame};
 use std::collections::HashMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/load/src/hosts.rs
+++ b/crates/load/src/hosts.rs
@@ -2,7 +2,7 @@
 //! in work at once as it has cores. When an answer is due is known the moment its command has come.
 
 use bytes::{BufMut, BytesMut};
-use fennelbeam_resp::{decode, put_bulk, put_header, Frame};
+use resp::{decode, put_bulk, put_header, Frame};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/load/src/relay.rs
+++ b/crates/load/src/relay.rs
@@ -2,7 +2,7 @@
 //! pipelined connections each. What it costs is the floor that any proxy of this kind pays on this runtime.
 
 use bytes::BytesMut;
-use fennelbeam_resp::{decode, put_bulk, put_header, Frame};
+use resp::{decode, put_bulk, put_header, Frame};
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/standins/src/client/call.rs
+++ b/crates/standins/src/client/call.rs
@@ -7,7 +7,7 @@
 use fennelbeam_model::seen::Got;
 use fennelbeam_model::traffic::Arrival;
 use fennelbeam_model::MS;
-use fennelbeam_resp::{self as resp, Frame};
+use resp::{self as resp, Frame};
 
 /// Writes commands.
 pub(super) struct Caller {
--- a/crates/standins/src/client/front.rs
+++ b/crates/standins/src/client/front.rs
@@ -8,7 +8,7 @@
 use fennelbeam_env::{Env, Span, Time};
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_resp::{Frame, RespError};
+use resp::{Frame, RespError};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tokio::io::AsyncWriteExt;
--- a/crates/standins/src/client/line.rs
+++ b/crates/standins/src/client/line.rs
@@ -7,7 +7,7 @@
 use fennelbeam_env::{Env, Span, Time};
 use fennelbeam_model::seen::{Got, What};
 use fennelbeam_model::MS;
-use fennelbeam_resp::{self as resp, Frame, RespError};
+use resp::{self as resp, Frame, RespError};
 use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::oneshot;
--- a/crates/standins/src/counter/command.rs
+++ b/crates/standins/src/counter/command.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use fennelbeam_model::counter::Amount;
 use fennelbeam_model::{Span, MS};
-use fennelbeam_resp::Frame;
+use resp::Frame;
 
 const LONGEST_NAME: usize = 64;
 
--- a/crates/standins/src/counter/desk.rs
+++ b/crates/standins/src/counter/desk.rs
@@ -10,7 +10,7 @@
 use fennelbeam_model::scenario::CounterFault;
 use fennelbeam_model::seen::What;
 use fennelbeam_model::{Span, Time};
-use fennelbeam_resp as resp;
+use resp;
 use std::collections::BTreeMap;
 
 /// Connections that a gateway may have; further ones are reset.
--- a/crates/standins/src/host/answer.rs
+++ b/crates/standins/src/host/answer.rs
@@ -3,7 +3,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use fennelbeam_model::draw;
 use fennelbeam_model::rng::Rng;
-use fennelbeam_resp::{put_bulk, put_header};
+use resp::{put_bulk, put_header};
 
 /// What a host sends at the most of a value that it said to be huge, and then falls silent.
 const HUGE_SENT: usize = 64 * 1024;
@@ -136,7 +136,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_resp::{decode, Frame};
+    use resp::{decode, Frame};
 
     /// The first answer that a reader makes of it, if any.
     fn read(answer: &Answer) -> Option<Frame> {
--- a/crates/standins/src/host/command.rs
+++ b/crates/standins/src/host/command.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use fennelbeam_model::scenario::{ClassSpec, Effect};
 use fennelbeam_model::{Span, MS};
-use fennelbeam_resp::Frame;
+use resp::Frame;
 
 /// The longest list of names and values.
 const MAX_LIST: usize = 1024;
--- a/crates/standins/src/host/connection.rs
+++ b/crates/standins/src/host/connection.rs
@@ -4,7 +4,7 @@
 use super::Shared;
 use bytes::BytesMut;
 use fennelbeam_env::{Env, Reader, Sleep, Stream, Time, Writer};
-use fennelbeam_resp::{decode, fill, RespError, MAX_FRAME};
+use resp::{decode, fill, RespError, MAX_FRAME};
 use std::io;
 use std::pin::pin;
 use std::sync::Arc;
--- a/crates/standins/src/host/state.rs
+++ b/crates/standins/src/host/state.rs
@@ -12,7 +12,7 @@
 use fennelbeam_model::scenario::{ClassSpec, HostSpec, Mishap};
 use fennelbeam_model::seen::{Dealt, What};
 use fennelbeam_model::{Span, Time};
-use fennelbeam_resp::Frame;
+use resp::Frame;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use tokio::sync::Notify;
--- a/crates/standins/tests/client/gateway.rs
+++ b/crates/standins/tests/client/gateway.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use fennelbeam_env::{Env, Listener, Span, Stream, Task, Writer};
 use fennelbeam_model::draw;
-use fennelbeam_resp::{self as resp, Frame};
+use resp::{self as resp, Frame};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
