--- a/crates/report/examples/page.rs
+++ b/crates/report/examples/page.rs
@@ -1,4 +1,4 @@
-//! Writes a page and prints a table of a made-up night, to look at: `cargo run -p fennelbeam-report --example
+//! Writes a page and prints a table of a made-up night, to look at: `cargo run -p report --example
 //! page -- page.html`.
 
 #[path = "../tests/common/mod.rs"]
@@ -7,11 +7,11 @@
 fn main() -> std::io::Result<()> {
     let (verdict, heading) = common::night();
     let file = std::env::args().nth(1).unwrap_or_else(|| "page.html".into());
-    std::fs::write(&file, fennelbeam_report::html(&verdict, &heading))?;
-    print!("{}", fennelbeam_report::table(&verdict, &heading));
-    if let Some(line) = fennelbeam_report::speed_line(&heading) {
+    std::fs::write(&file, report::html(&verdict, &heading))?;
+    print!("{}", report::table(&verdict, &heading));
+    if let Some(line) = report::speed_line(&heading) {
         println!("\n{line}");
     }
-    println!("{}", fennelbeam_report::progress(24.0, 60.0, 3011, 3120, 37.0));
+    println!("{}", report::progress(24.0, 60.0, 3011, 3120, 37.0));
     Ok(())
 }
--- a/crates/report/tests/bounds.rs
+++ b/crates/report/tests/bounds.rs
@@ -4,7 +4,7 @@
 
 use fennelbeam_judge::*;
 use fennelbeam_model::rng::Rng;
-use fennelbeam_report::{html, json, table, Heading};
+use report::{html, json, table, Heading};
 
 const EVIL: &str = "</title></script><script>alert('\"&')</script><!--";
 
--- a/crates/report/tests/common/mod.rs
+++ b/crates/report/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use fennelbeam_judge::*;
 use fennelbeam_model::rng::Rng;
-use fennelbeam_report::Heading;
+use report::Heading;
 
 /// Seconds of the night.
 const SECONDS: u32 = 60;
--- a/crates/report/tests/expected.rs
+++ b/crates/report/tests/expected.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use fennelbeam_judge::*;
-use fennelbeam_report::{html, json, table, Heading};
+use report::{html, json, table, Heading};
 use std::path::Path;
 
 fn expect(name: &str, actual: &str) {
