--- a/crates/odds/src/lib.rs
+++ b/crates/hedging/src/lib.rs
@@ -5,7 +5,7 @@
 //! counts is that some answer comes in the time left and each further attempt has a price. No I/O, no clock, no chance.
 //!
 //! ```
-//! use fennelbeam_odds::{Left, Times};
+//! use hedging::{Left, Times};
 //!
 //! let mut times = Times::default();
 //! (0..1_000).for_each(|n| times.answered(0.02 + 0.00004 * f64::from(n)));
--- a/crates/policy/src/class.rs
+++ b/crates/policy/src/class.rs
@@ -6,7 +6,7 @@
 use crate::pools::Waiting;
 use crate::room::Usual;
 use crate::strain::Ease;
-use fennelbeam_odds::{Silence, Times};
+use hedging::{Silence, Times};
 
 #[derive(Default)]
 pub(crate) struct ClassState {
--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/host.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Fleet;
 use crate::pace::{seconds, Pace, SECOND};
 use crate::room::Room;
-use fennelbeam_odds::Silence;
+use hedging::Silence;
 use libm::exp;
 
 const COLD_OUT: f64 = 2.0; // attempts out at a cold host, from all gateways, before it has answered any
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -3,7 +3,7 @@
 use crate::api::*;
 use crate::due::STEP;
 use crate::pace::{MS, SECOND};
-use fennelbeam_odds::Left;
+use hedging::Left;
 use smallvec::SmallVec;
 
 /// Time that the last bytes of a further attempt have to reach its host, at the least; of a long window a tenth.
