--- a/crates/lang/examples/large.rs
+++ b/crates/config-language/examples/large.rs
@@ -1,10 +1,10 @@
-//! How long it takes to check large file sets: `cargo run --release -p fennelbeam-lang --example large`.
+//! How long it takes to check large file sets: `cargo run --release -p config-language --example large`.
 
 use std::path::Path;
 use std::time::Instant;
 
-use fennelbeam_lang::loader::Memory;
-use fennelbeam_lang::{diff, format, load, FileSet, Platform, PlatformPlan};
+use config_language::loader::Memory;
+use config_language::{diff, format, load, FileSet, Platform, PlatformPlan};
 
 /// Routes of a file: 1,000 of them are 140 KiB.
 const PER_FILE: usize = 1000;
--- a/crates/lang/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -12,7 +12,7 @@
 //! `docs/operators-language.md` is the page for those who write such files.
 //!
 //! ```
-//! use fennelbeam_lang::{load, loader::Memory};
+//! use config_language::{load, loader::Memory};
 //!
 //! let files = Memory::default().with("site.fb", "quota policy \"night\" {\n  plan = \"premium\"\n  rate = 30\n}\n");
 //! let loaded = load("site.fb".as_ref(), &files, None);
--- a/crates/lang/tests/broken.rs
+++ b/crates/config-language/tests/broken.rs
@@ -8,8 +8,8 @@
 use std::path::Path;
 
 use common::{messages, platform};
-use fennelbeam_lang::load;
-use fennelbeam_lang::loader::Memory;
+use config_language::load;
+use config_language::loader::Memory;
 
 const TABLE: &str = include_str!("broken.txt");
 
--- a/crates/lang/tests/checks.rs
+++ b/crates/config-language/tests/checks.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use common::{messages, platform, read, set};
-use fennelbeam_lang::loader::Memory;
-use fennelbeam_lang::model::Operators;
-use fennelbeam_lang::{load, Severity, MOST_DEPTH, MOST_FILES, MOST_ITEMS};
+use config_language::loader::Memory;
+use config_language::model::Operators;
+use config_language::{load, Severity, MOST_DEPTH, MOST_FILES, MOST_ITEMS};
 
 fn checked(text: &str) -> Vec<String> {
     messages(&load(Path::new("site.fb"), &Memory::default().with("site.fb", text), Some(&platform())))
@@ -274,7 +274,7 @@
     let Operators { sites, takeovers, sheds, .. } = set(text).operators;
     let [a, b] = &sites[..] else { panic!("{sites:?}") };
     assert_eq!(a.zones.value, ["building-1", "building-2"]);
-    let figure = |at: &Option<fennelbeam_lang::model::At<f64>>| at.as_ref().map(|at| at.value);
+    let figure = |at: &Option<config_language::model::At<f64>>| at.as_ref().map(|at| at.value);
     assert_eq!([&a.capacity, &a.load, &a.headroom].map(figure), [Some(600.0), Some(400.0), Some(0.1)]);
     assert_eq!(a.ramp.as_ref().unwrap().value, 45_000_000_000);
     assert_eq!((&b.capacity, &b.ramp, &b.told), (&None, &None, &None));
--- a/crates/lang/tests/common/mod.rs
+++ b/crates/config-language/tests/common/mod.rs
@@ -5,8 +5,8 @@
 
 use std::path::Path;
 
-use fennelbeam_lang::loader::Memory;
-use fennelbeam_lang::{load, FileSet, Loaded, Platform, PlatformPlan};
+use config_language::loader::Memory;
+use config_language::{load, FileSet, Loaded, Platform, PlatformPlan};
 
 pub fn platform() -> Platform {
     let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
--- a/crates/lang/tests/files.rs
+++ b/crates/config-language/tests/files.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 
 use common::{messages, platform};
-use fennelbeam_lang::load;
-use fennelbeam_lang::loader::{Fs, LoadError, Loader, MOST_BYTES};
+use config_language::load;
+use config_language::loader::{Fs, LoadError, Loader, MOST_BYTES};
 
 struct Folder(tempfile::TempDir);
 
--- a/crates/lang/tests/further.rs
+++ b/crates/config-language/tests/further.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 
 use common::messages;
-use fennelbeam_lang::diagnostic::{Diagnostic, Report};
-use fennelbeam_lang::kind::{Key, Kind, Registry, Shape, View};
-use fennelbeam_lang::loader::Memory;
-use fennelbeam_lang::{big_changes, diff, format, load_with, show, Dimension, FileSet, Loaded};
+use config_language::diagnostic::{Diagnostic, Report};
+use config_language::kind::{Key, Kind, Registry, Shape, View};
+use config_language::loader::Memory;
+use config_language::{big_changes, diff, format, load_with, show, Dimension, FileSet, Loaded};
 
 /// Levels of reduced service: what a later subsystem may want.
 #[derive(Debug)]
@@ -109,7 +109,7 @@
         told("service level", "level"),
         ["site.fb:1:1: error: unknown block `level` (help: did you mean `service level`?)"]
     );
-    let without = fennelbeam_lang::load(Path::new("site.fb"), &Memory::default().with("site.fb", TEXT), None);
+    let without = config_language::load(Path::new("site.fb"), &Memory::default().with("site.fb", TEXT), None);
     assert!(messages(&without)[0].contains("unknown block `service level`"));
 }
 
--- a/crates/lang/tests/grammar.rs
+++ b/crates/config-language/tests/grammar.rs
@@ -5,8 +5,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fennelbeam_lang::kind::Registry;
-use fennelbeam_lang::{format, UNITS};
+use config_language::kind::Registry;
+use config_language::{format, UNITS};
 
 const GRAMMAR: &str = include_str!("../../../docs/operators-language.ebnf");
 const PAGE: &str = include_str!("../../../docs/operators-language.md");
@@ -366,8 +366,8 @@
     assert!(examples.len() >= 3, "{}", examples.len());
     for example in examples {
         assert!(Grammar::new().takes(&example), "{example}");
-        let files = fennelbeam_lang::loader::Memory::default().with("site.fb", example.as_str());
-        let loaded = fennelbeam_lang::load("site.fb".as_ref(), &files, Some(&common::platform()));
+        let files = config_language::loader::Memory::default().with("site.fb", example.as_str());
+        let loaded = config_language::load("site.fb".as_ref(), &files, Some(&common::platform()));
         assert_eq!(common::messages(&loaded), [""; 0], "{example}");
         assert_eq!(format(&example, "site.fb").unwrap(), example);
     }
--- a/crates/lang/tests/properties.rs
+++ b/crates/config-language/tests/properties.rs
@@ -4,9 +4,9 @@
 
 use std::path::Path;
 
-use fennelbeam_lang::loader::Memory;
-use fennelbeam_lang::model::Operators;
-use fennelbeam_lang::{diff, format, load, show, FileSet, Loaded};
+use config_language::loader::Memory;
+use config_language::model::Operators;
+use config_language::{diff, format, load, show, FileSet, Loaded};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/lang/tests/tools.rs
+++ b/crates/config-language/tests/tools.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 
 use common::{platform, set, sets};
-use fennelbeam_lang::loader::Memory;
-use fennelbeam_lang::{big_changes, diff, load, show};
+use config_language::loader::Memory;
+use config_language::{big_changes, diff, load, show};
 
 const POOLS: &str = "pool \"north\" {\n  zones = [\"building-1\", \"building-2\"]\n}\npool \"all\" {}\n";
 
--- a/crates/fennelbeam/src/config/check.rs
+++ b/crates/fennelbeam/src/config/check.rs
@@ -5,7 +5,7 @@
 use crate::output::{complain, path_text, print};
 use anyhow::{Context as _, Result};
 use clap::Args;
-use fennelbeam_lang::{big_changes, Diagnostic, FileSet, Severity};
+use config_language::{big_changes, Diagnostic, FileSet, Severity};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
--- a/crates/fennelbeam/src/config/diff.rs
+++ b/crates/fennelbeam/src/config/diff.rs
@@ -5,7 +5,7 @@
 use crate::output::{complain, print};
 use anyhow::{Context as _, Result};
 use clap::Args;
-use fennelbeam_lang::{diff, Diagnostic, FileSet, Severity};
+use config_language::{diff, Diagnostic, FileSet, Severity};
 use std::path::{Path, PathBuf};
 
 /// The words of `config diff`.
--- a/crates/fennelbeam/src/config/fmt.rs
+++ b/crates/fennelbeam/src/config/fmt.rs
@@ -6,8 +6,8 @@
 use anyhow::Result;
 use clap::error::ErrorKind;
 use clap::{Args, Command};
-use fennelbeam_lang::loader::{Fs, LoadError, Loader, Memory, MOST_BYTES};
-use fennelbeam_lang::{format, load, Diagnostic};
+use config_language::loader::{Fs, LoadError, Loader, Memory, MOST_BYTES};
+use config_language::{format, load, Diagnostic};
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
--- a/crates/fennelbeam/src/config/mod.rs
+++ b/crates/fennelbeam/src/config/mod.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context as _, Result};
 use clap::Subcommand;
-use fennelbeam_lang::Diagnostic;
+use config_language::Diagnostic;
 use gateway::Site;
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/fennelbeam/src/config/show.rs
+++ b/crates/fennelbeam/src/config/show.rs
@@ -5,7 +5,7 @@
 use crate::output::{complain, one_line, print};
 use anyhow::{Context as _, Result};
 use clap::Args;
-use fennelbeam_lang::{show, Dimension};
+use config_language::{show, Dimension};
 use fennelbeam_route::{Figure, InForce, Source};
 use std::path::PathBuf;
 
--- a/crates/fennelbeam/src/operators.rs
+++ b/crates/fennelbeam/src/operators.rs
@@ -2,10 +2,10 @@
 
 use crate::output::path_text;
 use crate::plan;
-use fennelbeam_lang::diagnostic::{Place, Spot};
-use fennelbeam_lang::loader::Fs;
-use fennelbeam_lang::model::{Operators, Origin};
-use fennelbeam_lang::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
+use config_language::diagnostic::{Place, Spot};
+use config_language::loader::Fs;
+use config_language::model::{Operators, Origin};
+use config_language::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
 use fennelbeam_route::{tighten, Facts, InForce, Problem, Quota, RouteError, Routes};
 use gateway::Site;
 use std::path::Path;
@@ -95,7 +95,7 @@
 
 /// Reads and checks a file and all that it includes, as [`load`], and keeps all that there is to say.
 pub fn check(path: &Path, site: Option<&Site>) -> Checked {
-    let loaded = fennelbeam_lang::load(path, &Fs, site.map(platform).as_ref());
+    let loaded = config_language::load(path, &Fs, site.map(platform).as_ref());
     let mut diagnostics = loaded.diagnostics;
     let Some((set, site)) = loaded.set.as_ref().zip(site) else {
         return Checked { set: loaded.set, diagnostics };
--- a/crates/fennelbeam/src/plan/show.rs
+++ b/crates/fennelbeam/src/plan/show.rs
@@ -7,7 +7,7 @@
 use crate::output::{complain, one_line, path_text, print};
 use anyhow::{bail, Context as _, Result};
 use clap::Args;
-use fennelbeam_lang::Dimension;
+use config_language::Dimension;
 use fennelbeam_sites::fit::{losses, Fit, Loss, Mix, Outcome};
 use fennelbeam_sites::{Plan, Told};
 use gateway::Site;
--- a/crates/fennelbeam/src/source.rs
+++ b/crates/fennelbeam/src/source.rs
@@ -2,7 +2,7 @@
 
 use crate::operators;
 use anyhow::{Context as _, Result};
-use fennelbeam_lang::{big_changes, FileSet};
+use config_language::{big_changes, FileSet};
 use gateway::{Config, Site};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, OnceLock, PoisonError};
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,7 +3,7 @@
 use crate::budget::Budget;
 use crate::membership::Membership;
 use anyhow::{anyhow, ensure, Context, Result};
-use fennelbeam_lang::model::Operators;
+use config_language::model::Operators;
 use fennelbeam_settings::{unknown_keys, Site};
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::call;
+use config_language::{load, loader::Memory};
 use fennelbeam_env::{Listener, Real};
-use fennelbeam_lang::{load, loader::Memory};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_sim::{Place, Sim, SimConfig, SimEnv};
 use resp::Frame;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -36,8 +36,8 @@
 
 pub use budget::Budget;
 pub use config::{Config, MIN_SOCKETS};
+pub use config_language::model::Operators;
 pub use crash::CrashPoint;
-pub use fennelbeam_lang::model::Operators;
 pub use fennelbeam_settings::Site;
 pub use membership::{Lifecycle, Member, Membership};
 pub use routing::check_operators;
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,7 +1,7 @@
 //! What of a configuration that was read again a gateway takes without a start, and what it does not.
 
 use crate::routing::Unusable;
-use fennelbeam_lang::model::Operators;
+use config_language::model::Operators;
 use serde_json::Value;
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,6 +1,6 @@
 //! The operators' pools, routes and quota policies as they are in force at this gateway.
 
-use fennelbeam_lang::model::Operators;
+use config_language::model::Operators;
 use fennelbeam_route::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
 use fennelbeam_settings::Site;
 use fennelbeam_sites::{PlanError, SiteSet};
@@ -188,7 +188,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_lang::{load, loader::Memory};
+    use config_language::{load, loader::Memory};
 
     fn operators(text: &str) -> Operators {
         load("site.fb".as_ref(), &Memory::default().with("site.fb", text), None).set.unwrap().operators
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -2,8 +2,8 @@
 //! pass in turns; what peers read is noted with its moment.
 
 use bytes::{Bytes, BytesMut};
+use config_language::{load, loader::Memory};
 use fennelbeam_env::{Env, Listener, Reader, Span, Stream, Time, Writer};
-use fennelbeam_lang::{load, loader::Memory};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{
--- a/crates/rehearse/examples/site_fleet.rs
+++ b/crates/rehearse/examples/site_fleet.rs
@@ -7,8 +7,8 @@
 //! hand that the site is lost, half a second late, and take it back as it comes back.
 
 use anyhow::{bail, Context, Result};
+use config_language::model::At;
 use fennelbeam_env::{Env, Time};
-use fennelbeam_lang::model::At;
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{operators_of, play_virtual, GatewayMaker, Played, VirtualOptions};
--- a/crates/rehearse/src/operators.rs
+++ b/crates/rehearse/src/operators.rs
@@ -1,8 +1,8 @@
 //! Operators' files for the gateways of a rehearsal.
 
 use anyhow::{bail, Context, Result};
-use fennelbeam_lang::loader::{Fs, Memory};
-use fennelbeam_lang::{load, Loaded, Severity};
+use config_language::loader::{Fs, Memory};
+use config_language::{load, Loaded, Severity};
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_model::settings::{document, Start};
 use gateway::{check_operators, Config, Operators};
--- a/crates/rehearse/src/plan.rs
+++ b/crates/rehearse/src/plan.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{bail, ensure, Context, Result};
 use clap::Parser;
-use fennelbeam_lang::{load, loader::Fs, Severity};
+use config_language::{load, loader::Fs, Severity};
 use fennelbeam_site_model::{play, Back, Down, Figures, Loss, Setting};
 use fennelbeam_sites::{Facts, Plan};
 use gateway::{check_operators, Config, Site};
--- a/crates/rehearse/tests/pools.rs
+++ b/crates/rehearse/tests/pools.rs
@@ -2,7 +2,7 @@
 //!
 //! In CI few seeds are played; `SEEDS=30 cargo test --release -p fennelbeam-rehearse --test pools` plays more.
 
-use fennelbeam_lang::{load, loader::Memory};
+use config_language::{load, loader::Memory};
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
--- a/crates/route/examples/look_up.rs
+++ b/crates/route/examples/look_up.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use fennelbeam_lang::model::{At, Operators, Origin, Pool, Route};
+use config_language::model::{At, Operators, Origin, Pool, Route};
 use fennelbeam_route::{Facts, Routes};
 
 const CUSTOMERS: u64 = 1 << 33;
--- a/crates/route/src/error.rs
+++ b/crates/route/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a file set cannot be put in force.
 
-use fennelbeam_lang::model::Origin;
+use config_language::model::Origin;
 
 use crate::{MOST_POOLS, MOST_RANGES, MOST_ROUTES};
 
--- a/crates/route/src/groups.rs
+++ b/crates/route/src/groups.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use fennelbeam_lang::model::At;
+use config_language::model::At;
 
 use crate::{Problem, RouteError};
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -3,7 +3,7 @@
 //! looked up.
 //!
 //! ```
-//! use fennelbeam_lang::model::{At, Operators, Origin, Pool, Route};
+//! use config_language::model::{At, Operators, Origin, Pool, Route};
 //! use fennelbeam_route::{Facts, HostFacts, Routes};
 //!
 //! fn at<T>(value: T) -> At<T> {
--- a/crates/route/src/pools.rs
+++ b/crates/route/src/pools.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{BitOr, BitOrAssign};
 
-use fennelbeam_lang::model::{At, Pool};
+use config_language::model::{At, Pool};
 
 use crate::{Facts, Problem, RouteError};
 
--- a/crates/route/src/quota.rs
+++ b/crates/route/src/quota.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use fennelbeam_lang::model::{At, Operators, Origin, QuotaPolicy};
+use config_language::model::{At, Operators, Origin, QuotaPolicy};
 
 use crate::{Problem, RouteError};
 
--- a/crates/route/src/routes.rs
+++ b/crates/route/src/routes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
-use fennelbeam_lang::model::{Operators, Route};
+use config_language::model::{Operators, Route};
 
 use crate::groups::{Groups, Names};
 use crate::pools::Pools;
@@ -262,7 +262,7 @@
 
 /// What each route chooses.
 fn choices(routes: &[Route], pools: &BTreeMap<&str, PoolMask>) -> Result<Box<[Choice]>, RouteError> {
-    let find = |pool: &fennelbeam_lang::model::At<String>| {
+    let find = |pool: &config_language::model::At<String>| {
         let mask = pools.get(pool.value.as_str()).copied();
         mask.ok_or_else(|| Problem::UnknownPool(pool.value.clone()).at(&pool.origin))
     };
@@ -279,7 +279,7 @@
 
 #[cfg(test)]
 mod tests {
-    use fennelbeam_lang::model::{At, Origin, Pool};
+    use config_language::model::{At, Origin, Pool};
 
     use super::*;
 
--- a/crates/route/src/sites.rs
+++ b/crates/route/src/sites.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use fennelbeam_lang::model::{At, Operators, Pool};
+use config_language::model::{At, Operators, Pool};
 
 use crate::pools::Pools;
 use crate::{Facts, PoolMask, Problem, RouteError, MOST_POOLS};
--- a/crates/route/tests/routes/brute.rs
+++ b/crates/route/tests/routes/brute.rs
@@ -2,7 +2,7 @@
 
 use std::ops::RangeInclusive;
 
-use fennelbeam_lang::model::{At, Route};
+use config_language::model::{At, Route};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
--- a/crates/route/tests/routes/common.rs
+++ b/crates/route/tests/routes/common.rs
@@ -2,7 +2,7 @@
 
 use std::ops::RangeInclusive;
 
-use fennelbeam_lang::model::{At, Operators, Origin, Pool, QuotaPolicy, Route};
+use config_language::model::{At, Operators, Origin, Pool, QuotaPolicy, Route};
 use fennelbeam_route::{Facts, Routes};
 
 /// A value that stands in some line.
--- a/crates/route/tests/routes/errors.rs
+++ b/crates/route/tests/routes/errors.rs
@@ -1,6 +1,6 @@
 //! What is not put in force.
 
-use fennelbeam_lang::model::{Operators, Pool, Route};
+use config_language::model::{Operators, Pool, Route};
 use fennelbeam_route::{Problem, Routes, MOST_RANGES, MOST_ROUTES};
 
 use super::common::*;
--- a/crates/route/tests/routes/order.rs
+++ b/crates/route/tests/routes/order.rs
@@ -1,6 +1,6 @@
 //! Which route is chosen.
 
-use fennelbeam_lang::model::Route;
+use config_language::model::Route;
 use fennelbeam_route::{Choice, PoolMask, Routes};
 
 use super::common::*;
--- a/crates/route/tests/routes/pools.rs
+++ b/crates/route/tests/routes/pools.rs
@@ -1,6 +1,6 @@
 //! Which pools hosts are in.
 
-use fennelbeam_lang::model::Pool;
+use config_language::model::Pool;
 use fennelbeam_route::{HostFacts, PoolMask, Problem, Routes};
 
 use super::common::*;
--- a/crates/route/tests/routes/quota.rs
+++ b/crates/route/tests/routes/quota.rs
@@ -1,6 +1,6 @@
 //! What policies leave of a quota.
 
-use fennelbeam_lang::model::{Operators, QuotaPolicy};
+use config_language::model::{Operators, QuotaPolicy};
 use fennelbeam_route::{tighten, InForce, Problem, Quota, RouteError, Source};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
--- a/crates/route/tests/routes/reload.rs
+++ b/crates/route/tests/routes/reload.rs
@@ -1,6 +1,6 @@
 //! One version after the other.
 
-use fennelbeam_lang::model::Operators;
+use config_language::model::Operators;
 use fennelbeam_route::{HostFacts, PoolMask, Problem, RouteError, Routes};
 
 use super::common::*;
--- a/crates/sites/src/compile.rs
+++ b/crates/sites/src/compile.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use fennelbeam_lang::kinds::{MOST_SHEDS, MOST_SITES};
-use fennelbeam_lang::model::{self, At, Operators, Origin};
+use config_language::kinds::{MOST_SHEDS, MOST_SITES};
+use config_language::model::{self, At, Operators, Origin};
 use policy::api::Span;
 
 use crate::plan::{Ladder, Plan, Rung, Site, Taker, Told};
--- a/crates/sites/tests/plans.rs
+++ b/crates/sites/tests/plans.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use fennelbeam_lang::loader::Memory;
-use fennelbeam_lang::model::Operators;
+use config_language::loader::Memory;
+use config_language::model::Operators;
 use fennelbeam_sites::fit::{losses, outcome, Fit, Mix, Outcome};
 use fennelbeam_sites::{Facts, Plan, SiteSet, Taker, Told, RAMP};
 
@@ -12,7 +12,7 @@
 }
 
 fn operators(text: &str) -> Operators {
-    let loaded = fennelbeam_lang::load(Path::new("site.fb"), &Memory::default().with("site.fb", text), None);
+    let loaded = config_language::load(Path::new("site.fb"), &Memory::default().with("site.fb", text), None);
     let messages: Vec<String> = loaded.diagnostics.iter().map(|found| found.one_line()).collect();
     loaded.set.unwrap_or_else(|| panic!("{messages:#?}\n{text}")).operators
 }
@@ -95,13 +95,13 @@
         (
             changed(|o| {
                 o.takeovers[0].share =
-                    Some(fennelbeam_lang::model::At { value: 1.5, origin: Default::default() })
+                    Some(config_language::model::At { value: 1.5, origin: Default::default() })
             }),
             "11:8: the shares of site `a` are not between nothing and the whole",
         ),
         (
             changed(|o| {
-                o.sites[0].told = Some(fennelbeam_lang::model::At {
+                o.sites[0].told = Some(config_language::model::At {
                     value: "gone".into(),
                     origin: o.sites[0].name.origin.clone(),
                 })
