--- a/crates/fennelbeam/src/config/show.rs
+++ b/crates/fennelbeam/src/config/show.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context as _, Result};
 use clap::Args;
 use config_language::{show, Dimension};
-use fennelbeam_route::{Figure, InForce, Source};
+use routing::{Figure, InForce, Source};
 use std::path::PathBuf;
 
 /// The words of `config show`.
--- a/crates/fennelbeam/src/operators.rs
+++ b/crates/fennelbeam/src/operators.rs
@@ -6,8 +6,8 @@
 use config_language::loader::Fs;
 use config_language::model::{Operators, Origin};
 use config_language::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
-use fennelbeam_route::{tighten, Facts, InForce, Problem, Quota, RouteError, Routes};
 use gateway::Site;
+use routing::{tighten, Facts, InForce, Problem, Quota, RouteError, Routes};
 use std::path::Path;
 
 /// What the platform's settings say, as far as checks of the operators' files need it.
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,10 +1,10 @@
 //! The operators' pools, routes and quota policies as they are in force at this gateway.
 
 use config_language::model::Operators;
-use fennelbeam_route::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
 use fennelbeam_settings::Site;
 use fennelbeam_sites::{PlanError, SiteSet};
 use policy::api::{Limit, Plan, Request, Route};
+use routing::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/route/examples/look_up.rs
+++ b/crates/routing/examples/look_up.rs
@@ -1,10 +1,10 @@
-//! Time and memory of the tables: `cargo run --release -p fennelbeam-route --example look_up`.
+//! Time and memory of the tables: `cargo run --release -p routing --example look_up`.
 
 use std::hint::black_box;
 use std::time::Instant;
 
 use config_language::model::{At, Operators, Origin, Pool, Route};
-use fennelbeam_route::{Facts, Routes};
+use routing::{Facts, Routes};
 
 const CUSTOMERS: u64 = 1 << 33;
 const CLASSES: usize = 6;
--- a/crates/route/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! ```
 //! use config_language::model::{At, Operators, Origin, Pool, Route};
-//! use fennelbeam_route::{Facts, HostFacts, Routes};
+//! use routing::{Facts, HostFacts, Routes};
 //!
 //! fn at<T>(value: T) -> At<T> {
 //!     At { value, origin: Origin::default() }
--- a/crates/route/tests/routes/common.rs
+++ b/crates/routing/tests/routes/common.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 
 use config_language::model::{At, Operators, Origin, Pool, QuotaPolicy, Route};
-use fennelbeam_route::{Facts, Routes};
+use routing::{Facts, Routes};
 
 /// A value that stands in some line.
 pub fn at<T>(line: u32, value: T) -> At<T> {
--- a/crates/route/tests/routes/errors.rs
+++ b/crates/routing/tests/routes/errors.rs
@@ -1,7 +1,7 @@
 //! What is not put in force.
 
 use config_language::model::{Operators, Pool, Route};
-use fennelbeam_route::{Problem, Routes, MOST_RANGES, MOST_ROUTES};
+use routing::{Problem, Routes, MOST_RANGES, MOST_ROUTES};
 
 use super::common::*;
 
--- a/crates/route/tests/routes/order.rs
+++ b/crates/routing/tests/routes/order.rs
@@ -1,7 +1,7 @@
 //! Which route is chosen.
 
 use config_language::model::Route;
-use fennelbeam_route::{Choice, PoolMask, Routes};
+use routing::{Choice, PoolMask, Routes};
 
 use super::common::*;
 
--- a/crates/route/tests/routes/pools.rs
+++ b/crates/routing/tests/routes/pools.rs
@@ -1,7 +1,7 @@
 //! Which pools hosts are in.
 
 use config_language::model::Pool;
-use fennelbeam_route::{HostFacts, PoolMask, Problem, Routes};
+use routing::{HostFacts, PoolMask, Problem, Routes};
 
 use super::common::*;
 
--- a/crates/route/tests/routes/quota.rs
+++ b/crates/routing/tests/routes/quota.rs
@@ -1,9 +1,9 @@
 //! What policies leave of a quota.
 
 use config_language::model::{Operators, QuotaPolicy};
-use fennelbeam_route::{tighten, InForce, Problem, Quota, RouteError, Source};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
+use routing::{tighten, InForce, Problem, Quota, RouteError, Source};
 
 use super::common::*;
 
--- a/crates/route/tests/routes/reload.rs
+++ b/crates/routing/tests/routes/reload.rs
@@ -1,7 +1,7 @@
 //! One version after the other.
 
 use config_language::model::Operators;
-use fennelbeam_route::{HostFacts, PoolMask, Problem, RouteError, Routes};
+use routing::{HostFacts, PoolMask, Problem, RouteError, Routes};
 
 use super::common::*;
 
