--- a/crates/fennelbeam/src/plan/mod.rs
+++ b/crates/fennelbeam/src/plan/mod.rs
@@ -8,9 +8,9 @@
 use clap::Subcommand;
 use config_language::model::Operators;
 use config_language::{Diagnostic, Dimension};
-use fennelbeam_sites::fit::{outcome, Fit, Loss, Mix, Outcome, Refusal};
-use fennelbeam_sites::{Facts, Plan, PlanError, SiteSet, Told};
 use gateway::Site;
+use site_failover::fit::{outcome, Fit, Loss, Mix, Outcome, Refusal};
+use site_failover::{Facts, Plan, PlanError, SiteSet, Told};
 use std::ffi::OsString;
 use std::process::ExitCode;
 
--- a/crates/fennelbeam/src/plan/show.rs
+++ b/crates/fennelbeam/src/plan/show.rs
@@ -8,10 +8,10 @@
 use anyhow::{bail, Context as _, Result};
 use clap::Args;
 use config_language::Dimension;
-use fennelbeam_sites::fit::{losses, Fit, Loss, Mix, Outcome};
-use fennelbeam_sites::{Plan, Told};
 use gateway::Site;
 use serde_json::{json, Value};
+use site_failover::fit::{losses, Fit, Loss, Mix, Outcome};
+use site_failover::{Plan, Told};
 use std::path::PathBuf;
 
 /// The words of `plan show`.
@@ -123,9 +123,9 @@
     })
 }
 
-fn takers(plan: &Plan, site: &fennelbeam_sites::Site) -> String {
+fn takers(plan: &Plan, site: &site_failover::Site) -> String {
     let name =
-        |taker: &fennelbeam_sites::Taker| format!("{} {}", plan.sites[taker.site].name, percent(taker.share));
+        |taker: &site_failover::Taker| format!("{} {}", plan.sites[taker.site].name, percent(taker.share));
     let mut parts: Vec<String> = site.takers.iter().map(name).collect();
     let open = 1.0 - site.takers.iter().map(|taker| taker.share).sum::<f64>();
     if open > 1e-9 {
@@ -210,7 +210,7 @@
 
 fn document(words: &Words, plan: &Plan, losses: &[Loss], platform: &Site) -> Value {
     let name = |number: usize| plan.sites[number].name.as_str();
-    let site = |site: &fennelbeam_sites::Site| {
+    let site = |site: &site_failover::Site| {
         let zones: Vec<&String> =
             site.zones.iter().filter_map(|zone| platform.zones.get(*zone as usize)).collect();
         let takers = site.takers.iter().map(|taker| json!({"site": name(taker.site), "share": taker.share}));
@@ -225,7 +225,7 @@
             "takers": takers.collect::<Vec<_>>(),
         })
     };
-    let shed = |rung: &fennelbeam_sites::Rung| {
+    let shed = |rung: &site_failover::Rung| {
         let cells: Vec<String> = rung.cells.iter().map(|cell| cell_name(plan, platform, *cell)).collect();
         json!({"name": rung.name, "floor": rung.floor, "requests": cells})
     };
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -2,9 +2,9 @@
 
 use config_language::model::Operators;
 use fennelbeam_settings::Site;
-use fennelbeam_sites::{PlanError, SiteSet};
 use policy::api::{Limit, Plan, Request, Route};
 use routing::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
+use site_failover::{PlanError, SiteSet};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
     /// What the platform grants, tightened by the operators.
     plans: Vec<Plan>,
     /// What to do when a whole site is lost.
-    sites: fennelbeam_sites::Plan,
+    sites: site_failover::Plan,
     /// Numbers of the routes, by place. One that is there by its name in the next version keeps its number, so
     /// that its limit counts what is out of both.
     numbers: Vec<u32>,
@@ -39,7 +39,7 @@
     /// The first version.
     pub fn new(site: Arc<Site>, operators: &Operators) -> Result<Routing, Unusable> {
         let plans = site.settings.plans.clone();
-        let sites = fennelbeam_sites::Plan::default();
+        let sites = site_failover::Plan::default();
         let routes = Routes::default();
         let numbers = Vec::new();
         let mut routing =
@@ -55,8 +55,8 @@
             Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones, machines: &site.kinds };
         let plans = plans(site, operators)?;
         let facts_of_sites =
-            fennelbeam_sites::Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones };
-        let sites = fennelbeam_sites::Plan::compile(operators, &facts_of_sites)?;
+            site_failover::Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones };
+        let sites = site_failover::Plan::compile(operators, &facts_of_sites)?;
         let routes = Routes::compile_after(&self.routes, self.in_use(), operators, &facts)?;
         self.number(&routes);
         self.plans = plans;
@@ -93,7 +93,7 @@
     }
 
     /// What to do when a whole site is lost.
-    pub fn sites(&self) -> &fennelbeam_sites::Plan {
+    pub fn sites(&self) -> &site_failover::Plan {
         &self.sites
     }
 
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -2,8 +2,8 @@
 //! is put into the lines of hosts that the decision module is told. Without sites nothing is done and nothing falls
 //! due.
 
-use fennelbeam_sites::{Fleet, Plan, SiteSet, Sites, Turn};
 use policy::api::{Ended, HostEntry, HostState, ListKind, Request, RequestId, Settings, Time, Why};
+use site_failover::{Fleet, Plan, SiteSet, Sites, Turn};
 
 /// The sites of this gateway.
 pub(crate) struct Watch {
--- a/crates/rehearse/src/plan.rs
+++ b/crates/rehearse/src/plan.rs
@@ -3,9 +3,9 @@
 use anyhow::{bail, ensure, Context, Result};
 use clap::Parser;
 use config_language::{load, loader::Fs, Severity};
-use fennelbeam_sites::{Facts, Plan};
 use gateway::{check_operators, Config, Site};
 use policy::api::{Effect, Span, Time};
+use site_failover::{Facts, Plan};
 use site_failover_model::{play, Back, Down, Figures, Loss, Setting};
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/site-failover-model/examples/site_loss.rs
+++ b/crates/site-failover-model/examples/site_loss.rs
@@ -1,8 +1,8 @@
 //! Prints what the design note of the loss of a site states. `cargo run --release -p site-failover-model --example
 //! site_loss -- detection|alarms|returns|fleet|ladder|log`.
 
-use fennelbeam_sites::State;
 use policy::api::Time;
+use site_failover::State;
 use site_failover_model::{calm, play, Back, Calm, Down, Played, Setting, Spill};
 
 const SECOND: Time = 1_000_000_000;
--- a/crates/site-failover-model/src/calm.rs
+++ b/crates/site-failover-model/src/calm.rs
@@ -1,8 +1,8 @@
 //! Ordinary days, cheaply: one gateway, three sites, no queues. What is counted is whether anything moves load.
 
 use fennelbeam_model::rng::Rng;
-use fennelbeam_sites::{Fleet, Plan, Said, Site, Sites, State};
 use policy::api::{Ended, HostEntry, HostId, ListKind, Outcome, RequestId, Span, Time};
+use site_failover::{Fleet, Plan, Said, Site, Sites, State};
 
 use crate::setting::{MILLISECOND, SECOND};
 
--- a/crates/site-failover-model/src/figures.rs
+++ b/crates/site-failover-model/src/figures.rs
@@ -1,7 +1,7 @@
 //! What a played loss comes to, in one row.
 
-use fennelbeam_sites::State;
 use policy::api::Time;
+use site_failover::State;
 
 use crate::setting::{Setting, SECOND};
 use crate::world::Played;
--- a/crates/site-failover-model/src/gateway.rs
+++ b/crates/site-failover-model/src/gateway.rs
@@ -1,8 +1,8 @@
 //! A gateway: its controller, and a simple stand-in for the decision module.
 
 use fennelbeam_model::rng::Rng;
-use fennelbeam_sites::{SiteSet, Sites, State, Turn};
 use policy::api::{HostEntry, HostId, Span, Time};
+use site_failover::{SiteSet, Sites, State, Turn};
 
 use crate::host::Host;
 use crate::setting::{MILLISECOND, SECOND};
--- a/crates/site-failover-model/src/setting.rs
+++ b/crates/site-failover-model/src/setting.rs
@@ -1,7 +1,7 @@
 //! What is played.
 
-use fennelbeam_sites::{Ladder, Plan, Rung, Site, Taker};
 use policy::api::{Span, Time};
+use site_failover::{Ladder, Plan, Rung, Site, Taker};
 
 /// One second, in nanoseconds.
 pub(crate) const SECOND: Span = 1_000_000_000;
--- a/crates/site-failover-model/src/world.rs
+++ b/crates/site-failover-model/src/world.rs
@@ -4,8 +4,8 @@
 use std::collections::BinaryHeap;
 
 use fennelbeam_model::rng::Rng;
-use fennelbeam_sites::{Fleet, Plan, Said, SiteSet, Sites, State};
 use policy::api::{Ended, HostId, ListKind, Outcome, RequestId, Span, Time, Why};
+use site_failover::{Fleet, Plan, Said, SiteSet, Sites, State};
 
 use crate::gateway::{entry, Gateway};
 use crate::host::Host;
--- a/crates/site-failover-model/tests/fleets.rs
+++ b/crates/site-failover-model/tests/fleets.rs
@@ -1,6 +1,6 @@
 //! What many gateways, each deciding alone, come to together.
 
-use fennelbeam_sites::State;
+use site_failover::State;
 use site_failover_model::{calm, play, Back, Calm, Down, Figures, Played, Setting, Spill};
 
 const SECOND: u64 = 1_000_000_000;
--- a/crates/sites/tests/plans.rs
+++ b/crates/site-failover/tests/plans.rs
@@ -4,8 +4,8 @@
 
 use config_language::loader::Memory;
 use config_language::model::Operators;
-use fennelbeam_sites::fit::{losses, outcome, Fit, Mix, Outcome};
-use fennelbeam_sites::{Facts, Plan, SiteSet, Taker, Told, RAMP};
+use site_failover::fit::{losses, outcome, Fit, Mix, Outcome};
+use site_failover::{Facts, Plan, SiteSet, Taker, Told, RAMP};
 
 fn names(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
--- a/crates/sites/tests/sites/common.rs
+++ b/crates/site-failover/tests/sites/common.rs
@@ -1,7 +1,7 @@
 //! One gateway with its controller and three sites, played by hand.
 
-use fennelbeam_sites::{Fleet, Ladder, Plan, Rung, Said, Site, Sites, State, Taker};
 use policy::api::{Ended, HostEntry, HostId, HostState, ListKind, Outcome, RequestId, Span, Time};
+use site_failover::{Fleet, Ladder, Plan, Rung, Said, Site, Sites, State, Taker};
 
 pub const SECOND: Span = 1_000_000_000;
 pub const MILLISECOND: Span = 1_000_000;
--- a/crates/sites/tests/sites/returns.rs
+++ b/crates/site-failover/tests/sites/returns.rs
@@ -1,8 +1,8 @@
 //! How a site that was lost comes back, and what is refused meanwhile.
 
 use crate::common::{plan, site_of, Bench, Doubt, Return, HOSTS, MILLISECOND, OK, SECOND, SILENT};
-use fennelbeam_sites::{Fleet, SiteSet, Sites, State};
 use policy::api::{HostId, HostState, Outcome, RequestId, Span, Time, Why};
+use site_failover::{Fleet, SiteSet, Sites, State};
 use State::{Lost, Returning, Trying, Whole};
 
 fn lost(site: usize) -> impl Fn(Time, u64) -> (Outcome, Span) {
--- a/crates/sites/tests/sites/verdicts.rs
+++ b/crates/site-failover/tests/sites/verdicts.rs
@@ -1,8 +1,8 @@
 //! What a site is held for, by what is seen of it.
 
 use crate::common::{entry, plan, site_of, Bench, Ends, HOSTS, MILLISECOND, OK, SECOND, SILENT};
-use fennelbeam_sites::{Fleet, Plan, Sites, State, Told};
 use policy::api::{HostState, ListKind, Outcome, Span, Time};
+use site_failover::{Fleet, Plan, Sites, State, Told};
 use State::{CutOff, Doubtful, Lost, Slow, Whole};
 
 /// A number that looks random, from 0 to 1, for each host and moment.
