--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::host_line::Text;
 use bytes::{Buf, Bytes, BytesMut};
-use fennelbeam_settings::Site;
+use platform_settings::Site;
 use policy::api::{CustomerId, Effect, Request, RequestId, Span};
 use resp::{self as resp, Frame};
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -9,7 +9,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use bytes_utils::SegmentedBuf;
 use fennelbeam_env::{Env, Listener, Stream, Writer};
-use fennelbeam_settings::Site;
+use platform_settings::Site;
 use policy::api::{RequestId, Span, Time};
 use resp::{self as resp, Frame, RespError};
 use std::collections::VecDeque;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -4,7 +4,7 @@
 use crate::membership::Membership;
 use anyhow::{anyhow, ensure, Context, Result};
 use config_language::model::Operators;
-use fennelbeam_settings::{unknown_keys, Site};
+use platform_settings::{unknown_keys, Site};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,7 +20,7 @@
 use bytes::Bytes;
 use config_language::model::Operators;
 use fennelbeam_env::{Env, Sleep};
-use fennelbeam_settings::Site;
+use platform_settings::Site;
 use policy::api::*;
 use policy::policy::Policy;
 use quota::CounterReport;
--- a/crates/gateway/src/hosts.rs
+++ b/crates/gateway/src/hosts.rs
@@ -12,7 +12,7 @@
 use crate::shortage::Shortage;
 use bytes::Bytes;
 use fennelbeam_env::{Env, Task};
-use fennelbeam_settings::Site;
+use platform_settings::Site;
 use policy::api::{Ended, HostEntry, HostId, HostState, ListKind, Outcome, Span, Time};
 use resp::{Frame, RespError};
 use routing::HostFacts;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -38,7 +38,7 @@
 pub use config::{Config, MIN_SOCKETS};
 pub use config_language::model::Operators;
 pub use crash::CrashPoint;
-pub use fennelbeam_settings::Site;
 pub use membership::{Lifecycle, Member, Membership};
+pub use platform_settings::Site;
 pub use routing::check_operators;
 pub use serve::{serve, Signal};
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,7 +1,7 @@
 //! The operators' pools, routes and quota policies as they are in force at this gateway.
 
 use config_language::model::Operators;
-use fennelbeam_settings::Site;
+use platform_settings::Site;
 use policy::api::{Limit, Plan, Request, Route};
 use routing::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
 use site_failover::{PlanError, SiteSet};
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -4,7 +4,7 @@
 use fennelbeam_model::scenario::{Effect, Scenario};
 use fennelbeam_model::settings::{building, document, machine_type, settings, Start};
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_settings::Site;
+use platform_settings::Site;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
--- a/crates/settings/tests/broken.rs
+++ b/crates/platform-settings/tests/broken.rs
@@ -1,6 +1,6 @@
 //! Settings that cannot be used: each is refused with one message that names the key.
 
-use fennelbeam_settings::Site;
+use platform_settings::Site;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,6 +1,6 @@
 //! Translation between the simulator's wire and the module's interface. Nothing is decided here.
 
-use fennelbeam_settings::{SettingsError, Site};
+use platform_settings::{SettingsError, Site};
 use policy::api::*;
 use policy::policy::Policy;
 use std::collections::BTreeMap;
