--- a/crates/fennelbeam/src/clock.rs
+++ b/crates/fennelbeam/src/clock.rs
@@ -2,7 +2,7 @@
 //! what gateways do whose machines disagree: with the feature `told-clock`, which no release has (`.ci/run` checks
 //! that), `FENNELBEAM_CLOCK=-2000` starts it 2,000 ms behind. Its timers go on as ever.
 
-use fennelbeam_env::Real;
+use runtime::Real;
 
 /// The machine's.
 #[cfg(not(feature = "told-clock"))]
@@ -18,5 +18,5 @@
     let Ok(ahead) = std::env::var("FENNELBEAM_CLOCK") else { return real };
     // A test that asks for what there is not is to end at once, rather than to show nothing.
     let ahead: i64 = ahead.parse().expect("FENNELBEAM_CLOCK is a number of milliseconds");
-    Real::showing(fennelbeam_env::Env::now(&real).saturating_add_signed(ahead * MS))
+    Real::showing(runtime::Env::now(&real).saturating_add_signed(ahead * MS))
 }
--- a/crates/fennelbeam/tests/quota.rs
+++ b/crates/fennelbeam/tests/quota.rs
@@ -3,11 +3,11 @@
 #[expect(dead_code, reason = "other tests use the rest")]
 mod sockets;
 
-use fennelbeam_env::Real;
 use fennelbeam_model::scenario::{CounterFault, CounterSpec};
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
 use quota::bound::{beyond, Failure, Quota};
+use runtime::Real;
 use serde_json::Value;
 use sockets::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/src/counter_log.rs
+++ b/crates/gateway/src/counter_log.rs
@@ -2,10 +2,10 @@
 //! word meanwhile, and how far quotas may be overrun by then. Never a line for a request.
 
 use crate::lasting::Lasting;
-use fennelbeam_env::{Span, Time};
 use policy::api::Settings;
 use quota::bound::{beyond, Failure, Quota};
 use quota::{CounterReport, CounterState, Lent};
+use runtime::{Span, Time};
 use std::fmt;
 
 const SECOND: Span = 1_000_000_000;
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::call;
 use config_language::{load, loader::Memory};
-use fennelbeam_env::{Listener, Real};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_sim::{Place, Sim, SimConfig, SimEnv};
 use resp::Frame;
+use runtime::{Listener, Real};
 use serde_json::json;
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/gateway/src/host_line.rs
+++ b/crates/gateway/src/host_line.rs
@@ -4,8 +4,8 @@
 use crate::crash::{self, CrashPoint};
 use crate::messages::{ConnId, HostEvent, Input};
 use bytes::{Buf, Bytes, BytesMut};
-use fennelbeam_env::{Env, Sleep, Span, Stream, Time, Writer};
 use resp::{self as resp, Frame, RespError};
+use runtime::{Env, Sleep, Span, Stream, Time, Writer};
 use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
--- a/crates/gateway/src/host_line/tests.rs
+++ b/crates/gateway/src/host_line/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use fennelbeam_env::Real;
+use runtime::Real;
 use std::io::Write;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
--- a/crates/gateway/src/hosts/tests.rs
+++ b/crates/gateway/src/hosts/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::call;
 use crate::config::{sample, Config};
-use fennelbeam_env::Real;
 use policy::api::RequestId;
+use runtime::Real;
 use serde_json::json;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
--- a/crates/gateway/src/lasting.rs
+++ b/crates/gateway/src/lasting.rs
@@ -1,6 +1,6 @@
 //! What is worth a line in the log: a state that lasts, once.
 
-use fennelbeam_env::{Span, Time};
+use runtime::{Span, Time};
 
 /// How far apart looks are. What does not last from one to the next is not told: after a start and after an outage
 /// of the counter it takes some seconds until the other gateways are heard.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
 //! The network side of the gateway: a library that the program and rehearsals drive. Everything here carries
-//! out what the decision module asks for, over any [`fennelbeam_env::Env`].
+//! out what the decision module asks for, over any [`runtime::Env`].
 //!
 //! One request's way: `clients` takes a command off a connection and reads it (`call`); the gateway
 //! (`gateway`) tells the decision module, which wants an attempt; `hosts` puts that on a connection; what comes
--- a/crates/gateway/src/serve/tests.rs
+++ b/crates/gateway/src/serve/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use fennelbeam_env::Real;
 use policy::api::{Action, Event, Settings, Time};
+use runtime::Real;
 use serde_json::json;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
--- a/crates/gateway/tests/room/attempt_ends.rs
+++ b/crates/gateway/tests/room/attempt_ends.rs
@@ -8,9 +8,9 @@
     HOST,
 };
 use bytes::Bytes;
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::What;
+use runtime::Span;
 use serde_json::Value;
 
 /// Up to when a request may be answered, since it came.
--- a/crates/gateway/tests/room/clients.rs
+++ b/crates/gateway/tests/room/clients.rs
@@ -1,9 +1,9 @@
 //! Clients that say nothing, or take nothing.
 
 use crate::support::{command, get, name, served, Client, Manner, Plan, Room, CLIENT, END, HOST};
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::What;
+use runtime::Span;
 
 /// When the gateway has the connection of a client that asks for it at the start.
 const ACCEPTED: Span = 3 * CLIENT;
--- a/crates/gateway/tests/room/connections.rs
+++ b/crates/gateway/tests/room/connections.rs
@@ -5,9 +5,9 @@
 use crate::support::{
     entry, get, list, name, post, served, Client, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE, HOST,
 };
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::Cut;
+use runtime::Span;
 use serde_json::Value;
 
 /// All connections between the gateway and a host are reset.
--- a/crates/gateway/tests/room/discovery.rs
+++ b/crates/gateway/tests/room/discovery.rs
@@ -3,9 +3,9 @@
 use crate::support::{
     bulk, entry, list, name, post, tariff, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE, HOST,
 };
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
 use gateway::Signal;
+use runtime::Span;
 use serde_json::json;
 
 /// Between asking for a connection on one machine and a question that is there.
--- a/crates/gateway/tests/room/drain.rs
+++ b/crates/gateway/tests/room/drain.rs
@@ -4,8 +4,8 @@
 //! where a gateway lags behind its traffic: that takes a real clock.
 
 use crate::support::{entry, get, list, name, Client, Manner, Peer, Plan, Room, CLIENT, HERE};
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
+use runtime::Span;
 
 const HOSTS: usize = 20;
 const CLIENTS: usize = 125;
--- a/crates/gateway/tests/room/host_crossings.rs
+++ b/crates/gateway/tests/room/host_crossings.rs
@@ -5,9 +5,9 @@
     command, entry, get, list, name, post, served, Client, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE,
     HOST,
 };
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::Cut;
+use runtime::Span;
 
 pub fn calls(host: &Peer) -> Vec<Seen> {
     host.seen().into_iter().filter(|seen| seen.text.starts_with("CALL")).collect()
--- a/crates/gateway/tests/room/hosts.rs
+++ b/crates/gateway/tests/room/hosts.rs
@@ -1,9 +1,9 @@
 //! Hosts that die, hang or close halfway.
 
 use crate::support::{bulk, name, served, Manner, Peer, Plan, Room, CLIENT, END, HOST};
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::Cut;
+use runtime::Span;
 
 /// The host to which the one command has gone, and the other one.
 fn asked(room: &Room) -> (&Peer, &Peer) {
--- a/crates/gateway/tests/room/routes.rs
+++ b/crates/gateway/tests/room/routes.rs
@@ -1,11 +1,11 @@
 //! Pools, routes and quota policies of the operators' files, also when those are read again in service.
 
 use crate::support::{entry, get, list, name, post, served, tariff, Client, Manner, Peer, Plan, Room, Seen};
-use fennelbeam_env::Span;
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::Cut;
 use gateway::Signal;
+use runtime::Span;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/gateway/tests/room/stop.rs
+++ b/crates/gateway/tests/room/stop.rs
@@ -4,11 +4,11 @@
     chunk, command, entry, get, list, name, post, served, Manner, Plan, Room, Seen, BROKEN, CHUNKED, CLIENT,
     END,
 };
-use fennelbeam_env::Span;
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::What;
 use gateway::Signal;
+use runtime::Span;
 use std::collections::BTreeMap;
 
 /// When SIGTERM comes, and for how long after it new connections are taken.
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -3,7 +3,6 @@
 
 use bytes::{Bytes, BytesMut};
 use config_language::{load, loader::Memory};
-use fennelbeam_env::{Env, Listener, Reader, Span, Stream, Time, Writer};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{
@@ -11,6 +10,7 @@
 };
 use gateway::{serve, Config, Signal};
 use resp::{decode, put_bulk, put_header, Frame};
+use runtime::{Env, Listener, Reader, Span, Stream, Time, Writer};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/gateway/tests/room/units.rs
+++ b/crates/gateway/tests/room/units.rs
@@ -4,11 +4,11 @@
 use crate::support::{
     bulk, entry, list, name, post, tariff, Client, Manner, Peer, Plan, Room, Seen, CLIENT, HERE, HOST,
 };
-use fennelbeam_env::Span;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Cut, What};
 use gateway::Signal;
 use policy::names::EPOCH;
+use runtime::Span;
 use serde_json::json;
 use std::collections::BTreeMap;
 
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -9,13 +9,13 @@
 use crate::spec::Spec;
 use crate::stats::{Counts, Latency, Stats};
 use anyhow::{Context, Result};
-use fennelbeam_env::Real;
 use fennelbeam_model::agent::{Member, Registry};
 use fennelbeam_model::scenario::{PlanSpec, Scenario};
 use fennelbeam_model::seen::Told;
 use fennelbeam_model::settings::{building, document, machine_type, Start};
 use fennelbeam_standins::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fennelbeam_standins::Recorder;
+use runtime::Real;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use std::fs;
@@ -187,7 +187,7 @@
 
     /// The configuration of the gateway.
     fn document(&self, listen: SocketAddr, seed: u64) -> serde_json::Value {
-        let now = fennelbeam_env::Env::now(&Real::start());
+        let now = runtime::Env::now(&Real::start());
         let known = self
             .registry
             .list(now, 0)
--- a/crates/rehearse/examples/site_fleet.rs
+++ b/crates/rehearse/examples/site_fleet.rs
@@ -8,11 +8,11 @@
 
 use anyhow::{bail, Context, Result};
 use config_language::model::At;
-use fennelbeam_env::{Env, Time};
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{operators_of, play_virtual, GatewayMaker, Played, VirtualOptions};
 use gateway::{serve, Config, Operators};
+use runtime::{Env, Time};
 use std::sync::Arc;
 
 const PLAN: &str = include_str!("../../../scenarios/site-lost.fb");
--- a/crates/rehearse/src/counter.rs
+++ b/crates/rehearse/src/counter.rs
@@ -1,9 +1,9 @@
 //! The site's counter, wherever it runs: as tasks of this process, or as a process of its own.
 
 use crate::real::CounterProcess;
-use fennelbeam_env::{Env, Span};
 use fennelbeam_model::scenario::{CounterFault, Event};
 use fennelbeam_standins::counter::CounterStandIn;
+use runtime::{Env, Span};
 use std::io;
 use std::net::SocketAddr;
 
--- a/crates/rehearse/src/director.rs
+++ b/crates/rehearse/src/director.rs
@@ -7,12 +7,12 @@
 use crate::stage::{Post, Signal, Stage};
 use anyhow::Result;
 use faults::{Flapping, Gap};
-use fennelbeam_env::{Span, Time};
 use fennelbeam_model::agent::Notice;
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::scenario::{Event, Side, Which};
 use fennelbeam_model::seen::{Seen, Told, What};
 use fennelbeam_model::{MS, SECOND};
+use runtime::{Span, Time};
 use std::collections::BTreeMap;
 
 /// Loads are taken this often.
--- a/crates/rehearse/src/real/counter.rs
+++ b/crates/rehearse/src/real/counter.rs
@@ -7,13 +7,13 @@
 
 use crate::counter::act;
 use crate::stage::lock;
-use fennelbeam_env::{Env, Real, Span, Time};
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_model::seen::{Seen, What};
 use fennelbeam_model::MS;
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
+use runtime::{Env, Real, Span, Time};
 use rustix::process::{kill_process, Pid, Signal};
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
--- a/crates/rehearse/src/real/lag.rs
+++ b/crates/rehearse/src/real/lag.rs
@@ -1,7 +1,7 @@
 //! Whether the machine was quick enough for a run to be judged.
 
-use fennelbeam_env::{Span, Time};
 use fennelbeam_model::MS;
+use runtime::{Span, Time};
 
 /// Stand-ins, clients and judge share a thread. When it comes late by more than the rules allow sockets for
 /// (`fennelbeam_judge`: 50 ms), a broken rule may be its doing: what it sees late looks like a gateway's lateness.
--- a/crates/rehearse/src/stage.rs
+++ b/crates/rehearse/src/stage.rs
@@ -2,10 +2,10 @@
 //! in one process; the real one starts the release program once per gateway on loopback sockets.
 
 use crate::counter::CounterOf;
-use fennelbeam_env::{Env, Span, Time};
 use fennelbeam_model::scenario::{LinkFault, Scenario};
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
+use runtime::{Env, Span, Time};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/rehearse/src/virtual_time.rs
+++ b/crates/rehearse/src/virtual_time.rs
@@ -2,10 +2,10 @@
 
 use crate::stage::{lock, Exit, Post, Signal, Stage};
 use anyhow::Result;
-use fennelbeam_env::{Env, Span, Time};
 use fennelbeam_model::scenario::{LinkFault, NetworkSpec, Site};
 use fennelbeam_sim::{Cut, CutId, Machine, MachineId, Place, ProcessId, Sim, SimConfig, SimEnv};
 use gateway::{serve, Config, Operators};
+use runtime::{Env, Span, Time};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::future::Future;
--- a/crates/rehearse/tests/fleet.rs
+++ b/crates/rehearse/tests/fleet.rs
@@ -71,7 +71,7 @@
     let starts = Arc::new(Mutex::new(Vec::new()));
     let seen = starts.clone();
     let gateway: GatewayMaker = Arc::new(move |mut start| {
-        seen.lock().unwrap().push(fennelbeam_env::Env::now(&start.env));
+        seen.lock().unwrap().push(runtime::Env::now(&start.env));
         Box::pin(async move {
             while !matches!(start.signals.recv().await, None | Some(Signal::Terminate)) {}
             Ok(())
--- a/crates/rehearse/tests/wrongdoers/proxy.rs
+++ b/crates/rehearse/tests/wrongdoers/proxy.rs
@@ -3,12 +3,12 @@
 
 use anyhow::{bail, Context, Result};
 use bytes::{Bytes, BytesMut};
-use fennelbeam_env::{Env, Listener, Span, Time};
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_rehearse::{Document, GatewayMaker, GatewayStart};
 use fennelbeam_sim::{SimEnv, SimStream};
 use gateway::{Lifecycle, Member, Membership, Signal};
 use resp::{decode, fill, put_bulk, put_header, Frame, RespError};
+use runtime::{Env, Listener, Span, Time};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/sim/examples/pingpong.rs
+++ b/crates/sim/examples/pingpong.rs
@@ -2,10 +2,10 @@
 //!
 //! `cargo run --release -p fennelbeam-sim --example pingpong [EXCHANGES [CONNECTIONS]]`
 
-use fennelbeam_env::{Env, Listener};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Halt, Place, Sim, SimConfig, SimEnv, SimListener, SimStream};
+use runtime::{Env, Listener};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Instant;
--- a/crates/sim/src/digest.rs
+++ b/crates/sim/src/digest.rs
@@ -1,7 +1,7 @@
 //! What passed on the wires: one hash over all of it, and each of it for those who want to see.
 
 use bytes::Bytes;
-use fennelbeam_env::Time;
+use runtime::Time;
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::fmt;
 use std::hash::Hasher;
--- a/crates/sim/src/env.rs
+++ b/crates/sim/src/env.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use crate::slab::Key;
 use crate::timers::{Clock, SimSleep};
-use fennelbeam_env::{Env, Span, Task, Time};
+use runtime::{Env, Span, Task, Time};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/sim/src/executor.rs
+++ b/crates/sim/src/executor.rs
@@ -5,7 +5,7 @@
 use crate::process::ProcessId;
 use crate::shared::{lock, Shared};
 use crate::slab::{Key, Slab};
-use fennelbeam_env::Time;
+use runtime::Time;
 use std::collections::VecDeque;
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,11 +1,11 @@
 //! A simulated machine room: machines, processes and the network between them, in virtual time of nanoseconds.
 //!
-//! Code that is generic over [`fennelbeam_env::Env`] runs in a process of it ([`SimEnv`]) as it runs in a real
+//! Code that is generic over [`runtime::Env`] runs in a process of it ([`SimEnv`]) as it runs in a real
 //! one. Everything happens on the thread that calls [`Sim::run_until`], and the same seed gives the same run,
 //! to the byte and to the nanosecond; [`Sim::digest`] is one number to compare runs by.
 //!
 //! ```
-//! use fennelbeam_env::{Env, Listener};
+//! use runtime::{Env, Listener};
 //! use fennelbeam_model::{scenario::NetworkSpec, SECOND};
 //! use fennelbeam_sim::{Place, Sim, SimConfig};
 //! use tokio::io::AsyncWriteExt;
--- a/crates/sim/src/net/links.rs
+++ b/crates/sim/src/net/links.rs
@@ -6,8 +6,8 @@
 use crate::digest::What;
 use crate::slab::Key;
 use crate::timers::Event;
-use fennelbeam_env::{Span, Time};
 use fennelbeam_model::scenario::LinkWay;
+use runtime::{Span, Time};
 use std::collections::BTreeSet;
 
 /// A fault that is in force on links.
--- a/crates/sim/src/net/mod.rs
+++ b/crates/sim/src/net/mod.rs
@@ -15,11 +15,11 @@
 use crate::timers::{Agenda, Event};
 use crate::wakes::Wakes;
 use connection::{Conn, Side};
-use fennelbeam_env::{Span, Time};
 use fennelbeam_model::scenario::NetworkSpec;
 use links::{LinkFaultId, LinkState};
 use opening::ListenerState;
 use place::{CutId, CutState, MachineState};
+use runtime::{Span, Time};
 use std::collections::BTreeMap;
 
 /// From a machine to itself, before jitter.
--- a/crates/sim/src/net/place.rs
+++ b/crates/sim/src/net/place.rs
@@ -2,7 +2,7 @@
 
 use super::{Room, LOOPBACK};
 use crate::slab::Key;
-use fennelbeam_env::Span;
+use runtime::Span;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
--- a/crates/sim/src/net/stream.rs
+++ b/crates/sim/src/net/stream.rs
@@ -5,7 +5,7 @@
 use crate::process::ProcessId;
 use crate::shared::Shared;
 use crate::slab::Key;
-use fennelbeam_env::{Listener, Reader, Stream, Time, Writer};
+use runtime::{Listener, Reader, Stream, Time, Writer};
 use std::future::poll_fn;
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
--- a/crates/sim/src/shared.rs
+++ b/crates/sim/src/shared.rs
@@ -10,7 +10,7 @@
 use crate::timers::Agenda;
 use crate::watchdog::Progress;
 use crate::{Action, SimConfig};
-use fennelbeam_env::Time;
+use runtime::Time;
 use std::collections::BTreeMap;
 use std::mem;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/sim/src/sim.rs
+++ b/crates/sim/src/sim.rs
@@ -10,8 +10,8 @@
 use crate::panics;
 use crate::process::ProcessId;
 use crate::shared::{lock, Shared};
-use fennelbeam_env::Time;
 use fennelbeam_model::scenario::NetworkSpec;
+use runtime::Time;
 use std::net::IpAddr;
 use std::sync::Arc;
 
--- a/crates/sim/src/timers.rs
+++ b/crates/sim/src/timers.rs
@@ -3,7 +3,7 @@
 use crate::net::connection::Side;
 use crate::shared::Shared;
 use crate::slab::Key;
-use fennelbeam_env::{Sleep, Time};
+use runtime::{Sleep, Time};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/sim/tests/room/descriptors.rs
+++ b/crates/sim/tests/room/descriptors.rs
@@ -1,8 +1,8 @@
 //! Limits on descriptors.
 
 use crate::support::{note_what_comes, pair};
-use fennelbeam_env::{Env, Listener, Stream};
 use fennelbeam_model::{MS, SECOND};
+use runtime::{Env, Listener, Stream};
 use std::io;
 
 const EMFILE: Option<i32> = Some(24);
--- a/crates/sim/tests/room/faults.rs
+++ b/crates/sim/tests/room/faults.rs
@@ -1,10 +1,10 @@
 //! Processes, machines and wires that fail.
 
 use crate::support::{echo, network, note_what_comes, pair, pair_in, Pair, CLIENT, START};
-use fennelbeam_env::{Env, Listener, Stream};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Cut, What};
+use runtime::{Env, Listener, Stream};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/crates/sim/tests/room/halts.rs
+++ b/crates/sim/tests/room/halts.rs
@@ -1,9 +1,9 @@
 //! Runs that cannot go on.
 
 use crate::support::{pair, START};
-use fennelbeam_env::Env;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Halt, Watchdog};
+use runtime::Env;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
--- a/crates/sim/tests/room/http.rs
+++ b/crates/sim/tests/room/http.rs
@@ -1,11 +1,11 @@
 //! A library that knows nothing of this, over a simulated connection.
 
 use crate::support::pair;
-use fennelbeam_env::Env;
 use fennelbeam_model::SECOND;
 use http_body_util::{BodyExt, Empty};
 use hyper::{body::Bytes, client::conn::http1, Request};
 use hyper_util::rt::TokioIo;
+use runtime::Env;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[test]
--- a/crates/sim/tests/room/links.rs
+++ b/crates/sim/tests/room/links.rs
@@ -1,10 +1,10 @@
 //! Links that fail one way or both, and processes that stand still.
 
 use crate::support::*;
-use fennelbeam_env::Env;
 use fennelbeam_model::scenario::LinkWay;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{LinkFault, Sim};
+use runtime::Env;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// The host answers each byte with the next letter and notes it; the client asks for one each 100 ms.
--- a/crates/sim/tests/room/network.rs
+++ b/crates/sim/tests/room/network.rs
@@ -1,10 +1,10 @@
 //! Connections as they should be.
 
 use crate::support::{echo, network, note_what_comes, pair, pair_in, CLIENT, START};
-use fennelbeam_env::{Env, Listener, Stream, Writer};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Place, What};
+use runtime::{Env, Listener, Stream, Writer};
 use std::io::ErrorKind;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/crates/sim/tests/room/repeat.rs
+++ b/crates/sim/tests/room/repeat.rs
@@ -1,10 +1,10 @@
 //! The same seed gives the same run.
 
 use crate::support::{echo, network, pair, pair_in, Pair, START};
-use fennelbeam_env::{Env, Listener};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Cut, Packet};
+use runtime::{Env, Listener};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Four clients in exchanges with one host through jitter, a cut and the death of the host.
--- a/crates/sim/tests/room/support.rs
+++ b/crates/sim/tests/room/support.rs
@@ -1,9 +1,9 @@
 //! Rooms to test in.
 
-use fennelbeam_env::{Env, Listener, Time};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Machine, Packet, Place, Sim, SimConfig, SimEnv, SimListener, SimStream, What};
+use runtime::{Env, Listener, Time};
 use std::fmt::Display;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/sim/tests/room/tasks.rs
+++ b/crates/sim/tests/room/tasks.rs
@@ -1,9 +1,9 @@
 //! Tasks, timers and scripts.
 
 use crate::support::{pair, START};
-use fennelbeam_env::{Env, Sleep, Task};
 use fennelbeam_model::{MS, SECOND};
 use fennelbeam_sim::{Place, Sim, SimConfig};
+use runtime::{Env, Sleep, Task};
 use std::pin::pin;
 use std::sync::{Arc, Weak};
 
--- a/crates/standins/src/agent.rs
+++ b/crates/standins/src/agent.rs
@@ -5,13 +5,13 @@
 
 use crate::Recorder;
 use bytes::BytesMut;
-use fennelbeam_env::{Env, Listener, Span, Stream, Task, Time, Writer};
 use fennelbeam_model::agent::{Entry, Line, Member, Notice, Registry, Watch};
 use fennelbeam_model::scenario::DiscoveryFault;
 use fennelbeam_model::seen::What;
 use fennelbeam_model::MS;
 use http::Request;
 use resp;
+use runtime::{Env, Listener, Span, Stream, Task, Time, Writer};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -21,13 +21,13 @@
 
 use crate::Recorder;
 use call::Caller;
-use fennelbeam_env::{Env, Span, Time};
 use fennelbeam_model::draw::Draws;
 use fennelbeam_model::scenario::{Site, Traffic};
 use fennelbeam_model::traffic::{Arrivals, Behaviour, Deal, Lean, Scale};
 use front::Front;
 use open::{Hold, Open};
 use rude::Rude;
+use runtime::{Env, Span, Time};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/standins/src/client/call.rs
+++ b/crates/standins/src/client/call.rs
@@ -1,13 +1,13 @@
 //! Commands as clients write them, and answers as they read them.
 
 use bytes::{Bytes, BytesMut};
-use fennelbeam_env::Span;
 use fennelbeam_model::draw::{self, Draws, TRY_BITS};
 use fennelbeam_model::scenario::{Effect, Site};
 use fennelbeam_model::seen::Got;
 use fennelbeam_model::traffic::Arrival;
 use fennelbeam_model::MS;
 use resp::{self as resp, Frame};
+use runtime::Span;
 
 /// Writes commands.
 pub(super) struct Caller {
--- a/crates/standins/src/client/rude.rs
+++ b/crates/standins/src/client/rude.rs
@@ -1,10 +1,10 @@
 //! Clients that are a burden: they ask and never read, or connect and say nothing.
 
 use super::{lock, Crowd};
-use fennelbeam_env::{Env, Task};
 use fennelbeam_model::draw;
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::traffic::Arrival;
+use runtime::{Env, Task};
 use std::future::pending;
 use std::ops::Range;
 use std::sync::{Arc, Mutex};
--- a/crates/standins/src/host.rs
+++ b/crates/standins/src/host.rs
@@ -14,10 +14,10 @@
 
 use crate::Recorder;
 use connection::Connection;
-use fennelbeam_env::{Env, Listener, Sleep, Span, Stream, Task, Time, Writer};
 use fennelbeam_model::draw::Draws;
 use fennelbeam_model::scenario::{ClassSpec, HostSpec, Mishap, RulesSpec};
 use fennelbeam_model::MS;
+use runtime::{Env, Listener, Sleep, Span, Stream, Task, Time, Writer};
 use state::State;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/standins/src/host/connection.rs
+++ b/crates/standins/src/host/connection.rs
@@ -3,8 +3,8 @@
 use super::state::{ConnId, Signals};
 use super::Shared;
 use bytes::BytesMut;
-use fennelbeam_env::{Env, Reader, Sleep, Stream, Time, Writer};
 use resp::{decode, fill, RespError, MAX_FRAME};
+use runtime::{Env, Reader, Sleep, Stream, Time, Writer};
 use std::io;
 use std::pin::pin;
 use std::sync::Arc;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for the outside systems: hosts, the counter, discovery and clients. They speak the platform's
-//! protocols over any [`fennelbeam_env::Env`], on loopback sockets or on a simulated network, keep what they
+//! protocols over any [`runtime::Env`], on loopback sockets or on a simulated network, keep what they
 //! decide in the I/O-free model, and write down what passes on the wires.
 
 pub mod agent;
--- a/crates/standins/tests/agent.rs
+++ b/crates/standins/tests/agent.rs
@@ -4,7 +4,6 @@
 #[path = "client/memory.rs"]
 mod memory;
 
-use fennelbeam_env::{Env, Real, Span, Time};
 use fennelbeam_model::agent::{Member, Notice, Registry};
 use fennelbeam_model::scenario::{DiscoveryFault, DiscoverySpec};
 use fennelbeam_model::seen::{Seen, Told, What};
@@ -12,6 +11,7 @@
 use fennelbeam_standins::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fennelbeam_standins::Recorder;
 use memory::Memory;
+use runtime::{Env, Real, Span, Time};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/standins/tests/client/gateway.rs
+++ b/crates/standins/tests/client/gateway.rs
@@ -1,9 +1,9 @@
 //! Gateways that do as a script tells them.
 
 use bytes::BytesMut;
-use fennelbeam_env::{Env, Listener, Span, Stream, Task, Writer};
 use fennelbeam_model::draw;
 use resp::{self as resp, Frame};
+use runtime::{Env, Listener, Span, Stream, Task, Writer};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/standins/tests/client/main.rs
+++ b/crates/standins/tests/client/main.rs
@@ -4,7 +4,6 @@
 mod gateway;
 mod memory;
 
-use fennelbeam_env::{Env, Real, Time};
 use fennelbeam_model::draw::{self, Draws};
 use fennelbeam_model::scenario::{Effect, Site, Traffic};
 use fennelbeam_model::seen::{Got, Seen, What};
@@ -13,6 +12,7 @@
 use fennelbeam_standins::Recorder;
 use gateway::{Act, Command, Gateway};
 use memory::Memory;
+use runtime::{Env, Real, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
--- a/crates/standins/tests/client/memory.rs
+++ b/crates/standins/tests/client/memory.rs
@@ -1,6 +1,6 @@
 //! Connections within the process, on a clock that stands still while anything moves.
 
-use fennelbeam_env::{Env, Listener, Reader, Real, RealTask, Span, Stream, Time, Writer};
+use runtime::{Env, Listener, Reader, Real, RealTask, Span, Stream, Time, Writer};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io;
--- a/crates/standins/tests/counter.rs
+++ b/crates/standins/tests/counter.rs
@@ -1,11 +1,11 @@
 //! The stand-in counter on loopback sockets.
 
-use fennelbeam_env::Real;
 use fennelbeam_model::scenario::{CounterFault, CounterSpec};
 use fennelbeam_model::seen::{Seen, What};
 use fennelbeam_model::SECOND;
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
+use runtime::Real;
 use std::io;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/standins/tests/host.rs
+++ b/crates/standins/tests/host.rs
@@ -1,7 +1,6 @@
 //! A stand-in host on loopback sockets: each row of the protocol's table, and the ways in which hosts fail.
 
 use bytes::BytesMut;
-use fennelbeam_env::{Env, Real, Time};
 use fennelbeam_model::draw::{self, Draws};
 use fennelbeam_model::scenario::{ClassSpec, Effect, HostSpec, RulesSpec, Site, Traffic};
 use fennelbeam_model::seen::{Dealt, Seen, What};
@@ -9,6 +8,7 @@
 use fennelbeam_standins::host::{HostConfig, HostStandIn, Settled};
 use fennelbeam_standins::Recorder;
 use resp::{decode, fill, Frame, RespError};
+use runtime::{Env, Real, Time};
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
