--- a/crates/fennelbeam/tests/platform.rs
+++ b/crates/fennelbeam/tests/platform.rs
@@ -105,7 +105,7 @@
     assert_eq!(words[..3], ["exec", "target/release/fennelbeam", "serve"], "{run}");
     assert!(!run.contains([';', '&', '|', '$', '`', '\n']), "one command and no shell beside it: {run}");
     let sim = value("sim");
-    assert_eq!(sim, "exec target/release/fennelbeam-simhost");
+    assert_eq!(sim, "exec target/release/simulator-adapter");
 }
 
 #[cfg(target_os = "linux")]
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! Hosts decision modules on the simulator's wire: standard input to standard output.
-use fennelbeam_simhost::{Adapter, WireError};
+use simulator_adapter::{Adapter, WireError};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
@@ -38,7 +38,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("fennelbeam-simhost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The adapter: frames in and out, and plain messages on malformed input.
-use fennelbeam_simhost::Adapter;
+use simulator_adapter::Adapter;
 
 fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let size = 16 + 56 * records.len() + tail.len();
