--- a/crates/gateway/src/clients/tests.rs
+++ b/crates/gateway/src/clients/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use fennelbeam_model::SECOND;
-use fennelbeam_sim::{Place, Sim, SimConfig, SimEnv};
 use runtime::{Real, Writer};
+use simulated_runtime::{Place, Sim, SimConfig, SimEnv};
 use std::pin::Pin;
 use std::sync::Mutex;
 use std::task::Waker;
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use fennelbeam_model::scenario::NetworkSpec;
-use fennelbeam_sim::{Place, ProcessId, Sim, SimConfig, SimEnv, SimStream};
 use runtime::{Listener, Real};
+use simulated_runtime::{Place, ProcessId, Sim, SimConfig, SimEnv, SimStream};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncReadExt;
--- a/crates/gateway/tests/room/attempt_ends.rs
+++ b/crates/gateway/tests/room/attempt_ends.rs
@@ -9,9 +9,9 @@
 };
 use bytes::Bytes;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::What;
 use runtime::Span;
 use serde_json::Value;
+use simulated_runtime::What;
 
 /// Up to when a request may be answered, since it came.
 const AIM: Span = 8 * SECOND;
--- a/crates/gateway/tests/room/clients.rs
+++ b/crates/gateway/tests/room/clients.rs
@@ -2,8 +2,8 @@
 
 use crate::support::{command, get, name, served, Client, Manner, Plan, Room, CLIENT, END, HOST};
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::What;
 use runtime::Span;
+use simulated_runtime::What;
 
 /// When the gateway has the connection of a client that asks for it at the start.
 const ACCEPTED: Span = 3 * CLIENT;
--- a/crates/gateway/tests/room/connections.rs
+++ b/crates/gateway/tests/room/connections.rs
@@ -6,9 +6,9 @@
     entry, get, list, name, post, served, Client, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE, HOST,
 };
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::Cut;
 use runtime::Span;
 use serde_json::Value;
+use simulated_runtime::Cut;
 
 /// All connections between the gateway and a host are reset.
 pub fn reset(room: &Room, host: &Peer) {
--- a/crates/gateway/tests/room/host_crossings.rs
+++ b/crates/gateway/tests/room/host_crossings.rs
@@ -6,8 +6,8 @@
     HOST,
 };
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::Cut;
 use runtime::Span;
+use simulated_runtime::Cut;
 
 pub fn calls(host: &Peer) -> Vec<Seen> {
     host.seen().into_iter().filter(|seen| seen.text.starts_with("CALL")).collect()
--- a/crates/gateway/tests/room/hosts.rs
+++ b/crates/gateway/tests/room/hosts.rs
@@ -2,8 +2,8 @@
 
 use crate::support::{bulk, name, served, Manner, Peer, Plan, Room, CLIENT, END, HOST};
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::Cut;
 use runtime::Span;
+use simulated_runtime::Cut;
 
 /// The host to which the one command has gone, and the other one.
 fn asked(room: &Room) -> (&Peer, &Peer) {
--- a/crates/gateway/tests/room/lists.rs
+++ b/crates/gateway/tests/room/lists.rs
@@ -7,9 +7,9 @@
     chunk, entry, list, Client, Manner, Order, Peer, Plan, Room, Says, CHUNKED, END, HERE, HOST,
 };
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::Cut;
 use runtime::Span;
 use serde_json::Value;
+use simulated_runtime::Cut;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/crates/gateway/tests/room/repeat.rs
+++ b/crates/gateway/tests/room/repeat.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{entry, get, list, Client, Manner, Peer, Plan, Room};
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Cut, What};
+use simulated_runtime::{Cut, What};
 
 const HOSTS: usize = 30;
 const CLIENTS: usize = 5;
--- a/crates/gateway/tests/room/routes.rs
+++ b/crates/gateway/tests/room/routes.rs
@@ -3,10 +3,10 @@
 use crate::support::{entry, get, list, name, post, served, tariff, Client, Manner, Peer, Plan, Room, Seen};
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::Cut;
 use gateway::Signal;
 use runtime::Span;
 use serde_json::json;
+use simulated_runtime::Cut;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Reads go to the first two hosts, all else to the others.
--- a/crates/gateway/tests/room/stop.rs
+++ b/crates/gateway/tests/room/stop.rs
@@ -6,9 +6,9 @@
 };
 use fennelbeam_model::rng::Rng;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::What;
 use gateway::Signal;
 use runtime::Span;
+use simulated_runtime::What;
 use std::collections::BTreeMap;
 
 /// When SIGTERM comes, and for how long after it new connections are taken.
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -5,13 +5,13 @@
 use config_language::{load, loader::Memory};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{
-    Machine, MachineId, Packet, Place, ProcessId, Sim, SimConfig, SimEnv, SimReader, SimStream, What,
-};
 use gateway::{serve, Config, Signal};
 use resp::{decode, put_bulk, put_header, Frame};
 use runtime::{Env, Listener, Reader, Span, Stream, Time, Writer};
 use serde_json::{json, Value};
+use simulated_runtime::{
+    Machine, MachineId, Packet, Place, ProcessId, Sim, SimConfig, SimEnv, SimReader, SimStream, What,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/gateway/tests/room/units.rs
+++ b/crates/gateway/tests/room/units.rs
@@ -5,11 +5,11 @@
     bulk, entry, list, name, post, tariff, Client, Manner, Peer, Plan, Room, Seen, CLIENT, HERE, HOST,
 };
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Cut, What};
 use gateway::Signal;
 use policy::names::EPOCH;
 use runtime::Span;
 use serde_json::json;
+use simulated_runtime::{Cut, What};
 use std::collections::BTreeMap;
 
 /// How long a call to the counter may take.
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -10,9 +10,9 @@
     become_process, only, play_real, play_virtual, random_fleet, random_scenario, read_operators, Checked,
     Ground, OnPacket, Played, Progress, RealOptions, RunTrace, Swarm, VirtualOptions,
 };
-use fennelbeam_sim::What;
 use gateway::Operators;
 use report::{html, json, progress, speed_line, table, Heading};
+use simulated_runtime::What;
 use std::fs::File;
 use std::io::{self, BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
--- a/crates/rehearse/src/virtual_time.rs
+++ b/crates/rehearse/src/virtual_time.rs
@@ -3,10 +3,10 @@
 use crate::stage::{lock, Exit, Post, Signal, Stage};
 use anyhow::Result;
 use fennelbeam_model::scenario::{LinkFault, NetworkSpec, Site};
-use fennelbeam_sim::{Cut, CutId, Machine, MachineId, Place, ProcessId, Sim, SimConfig, SimEnv};
 use gateway::{serve, Config, Operators};
 use runtime::{Env, Span, Time};
 use serde_json::Value;
+use simulated_runtime::{Cut, CutId, Machine, MachineId, Place, ProcessId, Sim, SimConfig, SimEnv};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io;
@@ -262,10 +262,10 @@
 
     fn fail_links(&mut self, pairs: &[(Post, Post)], fault: &LinkFault, span: Span) -> io::Result<()> {
         let fault = match fault {
-            LinkFault::Hold(way) => fennelbeam_sim::LinkFault::Hold(*way),
-            LinkFault::Cut(way) => fennelbeam_sim::LinkFault::Cut(*way),
-            LinkFault::Slow(from, to) => fennelbeam_sim::LinkFault::Slow(*from, *to),
-            LinkFault::Narrow(rate) => fennelbeam_sim::LinkFault::Narrow(rate * KIB),
+            LinkFault::Hold(way) => simulated_runtime::LinkFault::Hold(*way),
+            LinkFault::Cut(way) => simulated_runtime::LinkFault::Cut(*way),
+            LinkFault::Slow(from, to) => simulated_runtime::LinkFault::Slow(*from, *to),
+            LinkFault::Narrow(rate) => simulated_runtime::LinkFault::Narrow(rate * KIB),
             LinkFault::Reset | LinkFault::Flap(_) => return Ok(()),
         };
         let id = self.sim.begin_link(self.machines(pairs), fault);
--- a/crates/rehearse/tests/hard_cases.rs
+++ b/crates/rehearse/tests/hard_cases.rs
@@ -4,8 +4,8 @@
 use bytes::BytesMut;
 use fennelbeam_model::file;
 use fennelbeam_rehearse::{play_virtual, GatewayMaker, OnPacket, Played, VirtualOptions};
-use fennelbeam_sim::{Packet, What};
 use resp::decode;
+use simulated_runtime::{Packet, What};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::Command;
 use std::sync::{Arc, Mutex};
--- a/crates/rehearse/tests/pools.rs
+++ b/crates/rehearse/tests/pools.rs
@@ -6,8 +6,8 @@
 use fennelbeam_model::file;
 use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
-use fennelbeam_sim::{Packet, What};
 use gateway::Operators;
+use simulated_runtime::{Packet, What};
 use std::sync::{Arc, Mutex};
 
 /// Orders have the hosts of building 1 to themselves, reads those of the others.
--- a/crates/rehearse/tests/quota/ledger.rs
+++ b/crates/rehearse/tests/quota/ledger.rs
@@ -5,8 +5,8 @@
 use fennelbeam_model::scenario::{PlanSpec, Site};
 use fennelbeam_model::{draw, Time, SECOND};
 use fennelbeam_rehearse::OnPacket;
-use fennelbeam_sim::{Packet, What};
 use resp::{decode, Frame};
+use simulated_runtime::{Packet, What};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
--- a/crates/sim/examples/pingpong.rs
+++ b/crates/simulated-runtime/examples/pingpong.rs
@@ -1,11 +1,11 @@
 //! How fast it goes: exchanges between clients and a host, in messages a second of real time.
 //!
-//! `cargo run --release -p fennelbeam-sim --example pingpong [EXCHANGES [CONNECTIONS]]`
+//! `cargo run --release -p simulated-runtime --example pingpong [EXCHANGES [CONNECTIONS]]`
 
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Halt, Place, Sim, SimConfig, SimEnv, SimListener, SimStream};
 use runtime::{Env, Listener};
+use simulated_runtime::{Halt, Place, Sim, SimConfig, SimEnv, SimListener, SimStream};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Instant;
--- a/crates/sim/src/lib.rs
+++ b/crates/simulated-runtime/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use runtime::{Env, Listener};
 //! use fennelbeam_model::{scenario::NetworkSpec, SECOND};
-//! use fennelbeam_sim::{Place, Sim, SimConfig};
+//! use simulated_runtime::{Place, Sim, SimConfig};
 //! use tokio::io::AsyncWriteExt;
 //!
 //! let sim = Sim::new(SimConfig { seed: 1, start: 0, network: NetworkSpec::default() });
--- a/crates/sim/tests/room/faults.rs
+++ b/crates/simulated-runtime/tests/room/faults.rs
@@ -3,8 +3,8 @@
 use crate::support::{echo, network, note_what_comes, pair, pair_in, Pair, CLIENT, START};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Cut, What};
 use runtime::{Env, Listener, Stream};
+use simulated_runtime::{Cut, What};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/crates/sim/tests/room/halts.rs
+++ b/crates/simulated-runtime/tests/room/halts.rs
@@ -2,8 +2,8 @@
 
 use crate::support::{pair, START};
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Halt, Watchdog};
 use runtime::Env;
+use simulated_runtime::{Halt, Watchdog};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
--- a/crates/sim/tests/room/links.rs
+++ b/crates/simulated-runtime/tests/room/links.rs
@@ -3,8 +3,8 @@
 use crate::support::*;
 use fennelbeam_model::scenario::LinkWay;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{LinkFault, Sim};
 use runtime::Env;
+use simulated_runtime::{LinkFault, Sim};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// The host answers each byte with the next letter and notes it; the client asks for one each 100 ms.
--- a/crates/sim/tests/room/network.rs
+++ b/crates/simulated-runtime/tests/room/network.rs
@@ -3,8 +3,8 @@
 use crate::support::{echo, network, note_what_comes, pair, pair_in, CLIENT, START};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Place, What};
 use runtime::{Env, Listener, Stream, Writer};
+use simulated_runtime::{Place, What};
 use std::io::ErrorKind;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/crates/sim/tests/room/repeat.rs
+++ b/crates/simulated-runtime/tests/room/repeat.rs
@@ -3,8 +3,8 @@
 use crate::support::{echo, network, pair, pair_in, Pair, START};
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Cut, Packet};
 use runtime::{Env, Listener};
+use simulated_runtime::{Cut, Packet};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Four clients in exchanges with one host through jitter, a cut and the death of the host.
@@ -37,7 +37,7 @@
     room.sim.digest()
 }
 
-fn start_echo(host: &fennelbeam_sim::SimEnv, addr: std::net::SocketAddr) {
+fn start_echo(host: &simulated_runtime::SimEnv, addr: std::net::SocketAddr) {
     let mut listener = host.listen(addr, 16).unwrap();
     let env = host.clone();
     host.spawn(async move {
--- a/crates/sim/tests/room/support.rs
+++ b/crates/simulated-runtime/tests/room/support.rs
@@ -2,8 +2,8 @@
 
 use fennelbeam_model::scenario::NetworkSpec;
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Machine, Packet, Place, Sim, SimConfig, SimEnv, SimListener, SimStream, What};
 use runtime::{Env, Listener, Time};
+use simulated_runtime::{Machine, Packet, Place, Sim, SimConfig, SimEnv, SimListener, SimStream, What};
 use std::fmt::Display;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/sim/tests/room/tasks.rs
+++ b/crates/simulated-runtime/tests/room/tasks.rs
@@ -2,8 +2,8 @@
 
 use crate::support::{pair, START};
 use fennelbeam_model::{MS, SECOND};
-use fennelbeam_sim::{Place, Sim, SimConfig};
 use runtime::{Env, Sleep, Task};
+use simulated_runtime::{Place, Sim, SimConfig};
 use std::pin::pin;
 use std::sync::{Arc, Weak};
 
