--- a/crates/model/tests/agent.rs
+++ b/crates/cluster-model/tests/agent.rs
@@ -1,9 +1,9 @@
 //! Discovery: what agents hear when, what they tell, and each of its ways to fail.
 
-use fennelbeam_model::agent::{Entry, Line, Member, Notice, Registry, Watch, BEAT, FIRST};
-use fennelbeam_model::scenario::{DiscoveryFault, DiscoverySpec};
-use fennelbeam_model::seen::Told;
-use fennelbeam_model::{Time, MS, SECOND};
+use cluster_model::agent::{Entry, Line, Member, Notice, Registry, Watch, BEAT, FIRST};
+use cluster_model::scenario::{DiscoveryFault, DiscoverySpec};
+use cluster_model::seen::Told;
+use cluster_model::{Time, MS, SECOND};
 use serde_json::Value;
 use std::net::SocketAddr;
 
--- a/crates/model/tests/counter.rs
+++ b/crates/cluster-model/tests/counter.rs
@@ -1,8 +1,8 @@
 //! The counter: its lines of calls, its totals, and each of its ways to fail.
 
-use fennelbeam_model::counter::{Amount, Counter, End, Settled, Taken, Ticket, LONGEST_LIFE};
-use fennelbeam_model::scenario::{CounterFault, CounterSpec};
-use fennelbeam_model::{Span, Time, MS, SECOND};
+use cluster_model::counter::{Amount, Counter, End, Settled, Taken, Ticket, LONGEST_LIFE};
+use cluster_model::scenario::{CounterFault, CounterSpec};
+use cluster_model::{Span, Time, MS, SECOND};
 
 const START: Time = 1000 * SECOND;
 const LIFE: Span = 30 * SECOND;
--- a/crates/model/tests/file.rs
+++ b/crates/cluster-model/tests/file.rs
@@ -1,9 +1,9 @@
 //! Scenario files: what is read, what is refused in which words, and what is written.
 
-use fennelbeam_model::file::{find, parse, shipped, to_text, MOST_LENGTH};
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::*;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::file::{find, parse, shipped, to_text, MOST_LENGTH};
+use cluster_model::rng::Rng;
+use cluster_model::scenario::*;
+use cluster_model::{MS, SECOND};
 
 /// The scenario without the lines of its events: a text that was written has others.
 fn without_lines(mut scenario: Scenario) -> Scenario {
@@ -321,7 +321,7 @@
 
 #[test]
 fn signs_are_read_and_written_alike_and_come_by_the_end() {
-    use fennelbeam_model::seen::Told::{Draining, Gone, InService};
+    use cluster_model::seen::Told::{Draining, Gone, InService};
     let signs = [
         ("call 100 from gateway 1 to the counter", Sign::CounterCall(1, 100)),
         ("call 5 from gateway 1 to host 3", Sign::HostCall(1, Some(3), 5)),
--- a/crates/model/tests/host.rs
+++ b/crates/cluster-model/tests/host.rs
@@ -1,9 +1,9 @@
 //! The model of a host: how work is shared, what is turned away, and when a cold host falls.
 
-use fennelbeam_model::host::{Ending, Finished, Host, JobId, Offer, Request, Setup, Stage};
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::{Effect, HostSpec, RulesSpec};
-use fennelbeam_model::{Span, Time, MS, SECOND};
+use cluster_model::host::{Ending, Finished, Host, JobId, Offer, Request, Setup, Stage};
+use cluster_model::rng::Rng;
+use cluster_model::scenario::{Effect, HostSpec, RulesSpec};
+use cluster_model::{Span, Time, MS, SECOND};
 use std::collections::BTreeMap;
 
 /// Far beyond any test.
--- a/crates/model/tests/page.rs
+++ b/crates/cluster-model/tests/page.rs
@@ -1,7 +1,7 @@
 //! The operators' page on scenario files says what the reader does.
 
-use fennelbeam_model::file::{parse, reference, shipped, VERBS};
-use fennelbeam_model::scenario::Which;
+use cluster_model::file::{parse, reference, shipped, VERBS};
+use cluster_model::scenario::Which;
 
 const PAGE: &str = include_str!("../../../docs/rehearsal-scenarios.md");
 
--- a/crates/model/tests/settings.rs
+++ b/crates/cluster-model/tests/settings.rs
@@ -1,9 +1,9 @@
 //! What gateways of a scenario's site are told, as the gateway itself reads it.
 
-use fennelbeam_model::file::parse;
-use fennelbeam_model::scenario::{Effect, Scenario};
-use fennelbeam_model::settings::{building, document, machine_type, settings, Start};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::file::parse;
+use cluster_model::scenario::{Effect, Scenario};
+use cluster_model::settings::{building, document, machine_type, settings, Start};
+use cluster_model::{MS, SECOND};
 use platform_settings::Site;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
--- a/crates/model/tests/traffic.rs
+++ b/crates/cluster-model/tests/traffic.rs
@@ -1,10 +1,10 @@
 //! Clients as a scenario describes them: how much is asked for, when, where, and what follows an answer.
 
-use fennelbeam_model::draw::{self, Draws};
-use fennelbeam_model::scenario::{ClassSpec, Effect, Event, Site, Timed, Traffic};
-use fennelbeam_model::seen::Got;
-use fennelbeam_model::traffic::{Again, Arrival, Arrivals, Behaviour, Deal, Ended, Lean, Scale};
-use fennelbeam_model::{Span, MS, SECOND};
+use cluster_model::draw::{self, Draws};
+use cluster_model::scenario::{ClassSpec, Effect, Event, Site, Timed, Traffic};
+use cluster_model::seen::Got;
+use cluster_model::traffic::{Again, Arrival, Arrivals, Behaviour, Deal, Ended, Lean, Scale};
+use cluster_model::{Span, MS, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SEED: u64 = 11;
--- a/crates/fennelbeam/tests/clocks.rs
+++ b/crates/fennelbeam/tests/clocks.rs
@@ -1,7 +1,7 @@
 //! Real gateways whose clocks differ by 2 s both ways, before quotas that bind and hosts that come cold: no rule is
 //! broken. A test build: the feature `told-clock`. A program of its own, since gateways begin by way of it.
 
-use fennelbeam_model::file;
+use cluster_model::file;
 use fennelbeam_rehearse::{become_process, play_real, Played, RealOptions};
 use std::path::PathBuf;
 
--- a/crates/fennelbeam/tests/fleet.rs
+++ b/crates/fennelbeam/tests/fleet.rs
@@ -3,8 +3,8 @@
 //! A program of its own, without the usual harness: gateways begin by way of it, and one test needs a rehearsal in a
 //! process that can be killed. Words that are no flags choose tests by a part of their names.
 
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use fennelbeam_rehearse::{
     become_process, play_real, play_virtual, OnProgress, Played, Progress, RealOptions, RunTrace,
     VirtualOptions,
--- a/crates/fennelbeam/tests/quota.rs
+++ b/crates/fennelbeam/tests/quota.rs
@@ -3,7 +3,7 @@
 #[expect(dead_code, reason = "other tests use the rest")]
 mod sockets;
 
-use fennelbeam_model::scenario::{CounterFault, CounterSpec};
+use cluster_model::scenario::{CounterFault, CounterSpec};
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
 use quota::bound::{beyond, Failure, Quota};
--- a/crates/gateway/src/clients/tests.rs
+++ b/crates/gateway/src/clients/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use fennelbeam_model::SECOND;
+use cluster_model::SECOND;
 use runtime::{Real, Writer};
 use simulated_runtime::{Place, Sim, SimConfig, SimEnv};
 use std::pin::Pin;
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use fennelbeam_model::scenario::NetworkSpec;
+use cluster_model::scenario::NetworkSpec;
 use runtime::{Listener, Real};
 use simulated_runtime::{Place, ProcessId, Sim, SimConfig, SimEnv, SimStream};
 use std::sync::Mutex;
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::call;
+use cluster_model::scenario::NetworkSpec;
 use config_language::{load, loader::Memory};
-use fennelbeam_model::scenario::NetworkSpec;
 use resp::Frame;
 use runtime::{Listener, Real};
 use serde_json::json;
--- a/crates/gateway/tests/room/attempt_ends.rs
+++ b/crates/gateway/tests/room/attempt_ends.rs
@@ -8,7 +8,7 @@
     HOST,
 };
 use bytes::Bytes;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Span;
 use serde_json::Value;
 use simulated_runtime::What;
--- a/crates/gateway/tests/room/clients.rs
+++ b/crates/gateway/tests/room/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that say nothing, or take nothing.
 
 use crate::support::{command, get, name, served, Client, Manner, Plan, Room, CLIENT, END, HOST};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Span;
 use simulated_runtime::What;
 
--- a/crates/gateway/tests/room/connections.rs
+++ b/crates/gateway/tests/room/connections.rs
@@ -5,7 +5,7 @@
 use crate::support::{
     entry, get, list, name, post, served, Client, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE, HOST,
 };
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Span;
 use serde_json::Value;
 use simulated_runtime::Cut;
--- a/crates/gateway/tests/room/counter.rs
+++ b/crates/gateway/tests/room/counter.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter that are given up while they are being written.
 
 use crate::support::{name, post, tariff, Manner, Plan, Room};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use policy::names::EPOCH;
 use serde_json::json;
 
--- a/crates/gateway/tests/room/discovery.rs
+++ b/crates/gateway/tests/room/discovery.rs
@@ -3,7 +3,7 @@
 use crate::support::{
     bulk, entry, list, name, post, tariff, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE, HOST,
 };
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use gateway::Signal;
 use runtime::Span;
 use serde_json::json;
--- a/crates/gateway/tests/room/drain.rs
+++ b/crates/gateway/tests/room/drain.rs
@@ -4,7 +4,7 @@
 //! where a gateway lags behind its traffic: that takes a real clock.
 
 use crate::support::{entry, get, list, name, Client, Manner, Peer, Plan, Room, CLIENT, HERE};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Span;
 
 const HOSTS: usize = 20;
--- a/crates/gateway/tests/room/host_crossings.rs
+++ b/crates/gateway/tests/room/host_crossings.rs
@@ -5,7 +5,7 @@
     command, entry, get, list, name, post, served, Client, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE,
     HOST,
 };
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Span;
 use simulated_runtime::Cut;
 
--- a/crates/gateway/tests/room/hosts.rs
+++ b/crates/gateway/tests/room/hosts.rs
@@ -1,7 +1,7 @@
 //! Hosts that die, hang or close halfway.
 
 use crate::support::{bulk, name, served, Manner, Peer, Plan, Room, CLIENT, END, HOST};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Span;
 use simulated_runtime::Cut;
 
--- a/crates/gateway/tests/room/leaving.rs
+++ b/crates/gateway/tests/room/leaving.rs
@@ -1,7 +1,7 @@
 //! Clients that go while they are still owed answers.
 
 use crate::support::{bulk, command, name, post, served, tariff, Client, Plan, Room, Seen, CLIENT, HOST};
-use fennelbeam_model::MS;
+use cluster_model::MS;
 use runtime::Span;
 
 /// How a client goes.
--- a/crates/gateway/tests/room/lists.rs
+++ b/crates/gateway/tests/room/lists.rs
@@ -6,7 +6,7 @@
 use crate::support::{
     chunk, entry, list, Client, Manner, Order, Peer, Plan, Room, Says, CHUNKED, END, HERE, HOST,
 };
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Span;
 use serde_json::Value;
 use simulated_runtime::Cut;
--- a/crates/gateway/tests/room/repeat.rs
+++ b/crates/gateway/tests/room/repeat.rs
@@ -1,7 +1,7 @@
 //! The same seed gives the same run, whatever is closed, drained or moved in it.
 
 use crate::support::{entry, get, list, Client, Manner, Peer, Plan, Room};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use simulated_runtime::{Cut, What};
 
 const HOSTS: usize = 30;
--- a/crates/gateway/tests/room/routes.rs
+++ b/crates/gateway/tests/room/routes.rs
@@ -1,8 +1,8 @@
 //! Pools, routes and quota policies of the operators' files, also when those are read again in service.
 
 use crate::support::{entry, get, list, name, post, served, tariff, Client, Manner, Peer, Plan, Room, Seen};
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::rng::Rng;
+use cluster_model::{MS, SECOND};
 use gateway::Signal;
 use runtime::Span;
 use serde_json::json;
--- a/crates/gateway/tests/room/stop.rs
+++ b/crates/gateway/tests/room/stop.rs
@@ -4,8 +4,8 @@
     chunk, command, entry, get, list, name, post, served, Manner, Plan, Room, Seen, BROKEN, CHUNKED, CLIENT,
     END,
 };
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::rng::Rng;
+use cluster_model::{MS, SECOND};
 use gateway::Signal;
 use runtime::Span;
 use simulated_runtime::What;
--- a/crates/gateway/tests/room/stopping.rs
+++ b/crates/gateway/tests/room/stopping.rs
@@ -1,7 +1,7 @@
 //! Clients that go on as if nothing were while a gateway stops: on connections that they have, and on new ones.
 
 use crate::support::{command, get, name, Client, Manner, Plan, Room, BROKEN, END};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use gateway::Signal;
 use runtime::Span;
 use std::collections::BTreeSet;
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -2,9 +2,9 @@
 //! pass in turns; what peers read is noted with its moment.
 
 use bytes::{Bytes, BytesMut};
+use cluster_model::scenario::NetworkSpec;
+use cluster_model::{MS, SECOND};
 use config_language::{load, loader::Memory};
-use fennelbeam_model::scenario::NetworkSpec;
-use fennelbeam_model::{MS, SECOND};
 use gateway::{serve, Config, Signal};
 use resp::{decode, put_bulk, put_header, Frame};
 use runtime::{Env, Listener, Reader, Span, Stream, Time, Writer};
--- a/crates/gateway/tests/room/units.rs
+++ b/crates/gateway/tests/room/units.rs
@@ -4,7 +4,7 @@
 use crate::support::{
     bulk, entry, list, name, post, tariff, Client, Manner, Peer, Plan, Room, Seen, CLIENT, HERE, HOST,
 };
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use gateway::Signal;
 use policy::names::EPOCH;
 use runtime::Span;
--- a/crates/history/src/answers.rs
+++ b/crates/history/src/answers.rs
@@ -5,8 +5,8 @@
 use crate::tale::{Asked, End, Tale};
 use crate::terms::Terms;
 use crate::{ms, nth};
-use fennelbeam_model::seen::Got;
-use fennelbeam_model::Time;
+use cluster_model::seen::Got;
+use cluster_model::Time;
 
 /// Checks one request of a run that ended at `end`.
 pub(crate) fn check(id: u64, tale: &Tale, downs: &Downs, terms: &Terms, end: Time, found: &mut Findings) {
--- a/crates/history/src/claims.rs
+++ b/crates/history/src/claims.rs
@@ -10,8 +10,8 @@
 use crate::finding::{Findings, Rule};
 use crate::news::{News, Pair};
 use crate::{after, ms, nth, ALLOWANCE, LATEST};
-use fennelbeam_model::seen::Told;
-use fennelbeam_model::{Span, Time};
+use cluster_model::seen::Told;
+use cluster_model::{Span, Time};
 
 /// Somebody used a verdict.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/history/src/downs.rs
+++ b/crates/history/src/downs.rs
@@ -1,8 +1,8 @@
 //! Which gateways ran when, and what excuses them for answers that clients never got.
 
 use crate::{after, ALLOWANCE};
-use fennelbeam_model::seen::What;
-use fennelbeam_model::{Span, Time, MS};
+use cluster_model::seen::What;
+use cluster_model::{Span, Time, MS};
 use std::collections::BTreeMap;
 
 /// A planned restart's SIGKILL comes no sooner after SIGTERM than the longest deadline and this.
--- a/crates/history/src/drains.rs
+++ b/crates/history/src/drains.rs
@@ -7,8 +7,8 @@
 use crate::news::{News, Pair};
 use crate::terms::Terms;
 use crate::{ms, nth, LATEST};
-use fennelbeam_model::seen::Told;
-use fennelbeam_model::Time;
+use cluster_model::seen::Told;
+use cluster_model::Time;
 
 /// What counts of the news so far. Of draining, then gone, or the same news again, the first counts.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/history/src/ears.rs
+++ b/crates/history/src/ears.rs
@@ -4,8 +4,8 @@
 //! a link to a host that holds bytes back lets that host see late what was sent in time.
 
 use crate::{ALLOWANCE, LATEST};
-use fennelbeam_model::seen::What;
-use fennelbeam_model::Time;
+use cluster_model::seen::What;
+use cluster_model::Time;
 use std::collections::BTreeMap;
 
 /// What does not pass for a while.
@@ -90,7 +90,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_model::SECOND;
+    use cluster_model::SECOND;
 
     #[test]
     fn news_counts_from_the_end_of_all_gaps_that_it_fell_into_and_late_calls_from_their_beginning() {
--- a/crates/history/src/finding.rs
+++ b/crates/history/src/finding.rs
@@ -1,6 +1,6 @@
 //! A breach, and the chain of events that makes it.
 
-use fennelbeam_model::Time;
+use cluster_model::Time;
 use std::fmt;
 
 /// What a history is held to.
--- a/crates/history/src/history.rs
+++ b/crates/history/src/history.rs
@@ -8,8 +8,8 @@
 use crate::terms::Terms;
 use crate::units::Spent;
 use crate::{answers, claims, drains, twice, units, Claim};
-use fennelbeam_model::seen::{Seen, Told, What};
-use fennelbeam_model::Time;
+use cluster_model::seen::{Seen, Told, What};
+use cluster_model::Time;
 use std::collections::BTreeMap;
 
 /// The history of one run.
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,7 +1,7 @@
 //! Checks the history of a run after the fact: what the wires showed, against rules that hold for any run of any
 //! fleet, in virtual time or on sockets. A breach is explained by the shortest chain of events that makes it.
 //!
-//! A [`History`] takes the judge's [sightings](fennelbeam_model::seen::Seen), in any order, and [`Claim`]s. It does no
+//! A [`History`] takes the judge's [sightings](cluster_model::seen::Seen), in any order, and [`Claim`]s. It does no
 //! I/O and reads no clock. [`History::check`] goes over the whole of it at the end:
 //!
 //! 1. `tale` holds what was seen of each request, `downs` which gateways ran, `news` who was told what of hosts,
@@ -19,8 +19,8 @@
 //!
 //! ```
 //! use fennelbeam_history::{Claim, History, Rule, Terms};
-//! use fennelbeam_model::scenario::Site;
-//! use fennelbeam_model::SECOND;
+//! use cluster_model::scenario::Site;
+//! use cluster_model::SECOND;
 //!
 //! let mut history = History::new(Terms::of(&Site::default()), 0);
 //! history.claim(Claim {
@@ -54,7 +54,7 @@
 pub use history::History;
 pub use terms::{Bound, Terms};
 
-use fennelbeam_model::{Span, Time, MS, SECOND};
+use cluster_model::{Span, Time, MS, SECOND};
 
 /// Time limits of the rules are this much longer on sockets (the protocol's "50 ms longer").
 const ALLOWANCE: Span = 50 * MS;
--- a/crates/history/src/news.rs
+++ b/crates/history/src/news.rs
@@ -1,8 +1,8 @@
 //! What gateways and their agents were told of hosts, and when.
 
 use crate::ears::Ears;
-use fennelbeam_model::seen::Told;
-use fennelbeam_model::Time;
+use cluster_model::seen::Told;
+use cluster_model::Time;
 use std::collections::BTreeMap;
 
 /// A piece of news.
--- a/crates/history/src/tale.rs
+++ b/crates/history/src/tale.rs
@@ -1,8 +1,8 @@
 //! What was seen of one request.
 
 use crate::ears::Ears;
-use fennelbeam_model::seen::{Dealt, Got};
-use fennelbeam_model::{Span, Time};
+use cluster_model::seen::{Dealt, Got};
+use cluster_model::{Span, Time};
 
 /// A client wrote it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/history/src/terms.rs
+++ b/crates/history/src/terms.rs
@@ -1,8 +1,8 @@
 //! What a history is held to, in figures.
 
 use crate::ALLOWANCE;
-use fennelbeam_model::scenario::{Effect, Site};
-use fennelbeam_model::Span;
+use cluster_model::scenario::{Effect, Site};
+use cluster_model::Span;
 use std::collections::BTreeMap;
 
 /// How many units a customer may be sent on in any window: `rate * seconds + burst + allowance`.
--- a/crates/history/src/twice.rs
+++ b/crates/history/src/twice.rs
@@ -10,9 +10,9 @@
 use crate::tale::{Attempt, End, Tale};
 use crate::terms::Terms;
 use crate::{ms, nth, ALLOWANCE};
-use fennelbeam_model::scenario::Effect;
-use fennelbeam_model::seen::{Dealt, Got};
-use fennelbeam_model::{Span, Time};
+use cluster_model::scenario::Effect;
+use cluster_model::seen::{Dealt, Got};
+use cluster_model::{Span, Time};
 
 pub(crate) fn check(id: u64, tale: &Tale, downs: &Downs, terms: &Terms, found: &mut Findings) {
     let wrong = match terms.effects.get(tale.class) {
--- a/crates/history/src/units.rs
+++ b/crates/history/src/units.rs
@@ -8,7 +8,7 @@
 
 use crate::finding::{Findings, Rule};
 use crate::terms::Bound;
-use fennelbeam_model::Time;
+use cluster_model::Time;
 
 /// Sums of floating-point numbers may be off by this many units.
 const ROUNDING: f64 = 1e-6;
--- a/crates/history/tests/history/chains.rs
+++ b/crates/history/tests/history/chains.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{first, order, read, Ask, Day, SERVED};
 use crate::found;
-use fennelbeam_model::seen::{Dealt, Told};
+use cluster_model::seen::{Dealt, Told};
 
 const ID: u64 = 16;
 
--- a/crates/history/tests/history/edges.rs
+++ b/crates/history/tests/history/edges.rs
@@ -2,10 +2,10 @@
 
 use crate::day::{first, order, read, Ask, Day, SERVED, START};
 use crate::{rules, terms};
+use cluster_model::seen::{Dealt, Got, Told, What};
+use cluster_model::{MS, SECOND};
 use fennelbeam_history::{Claim, History, Rule};
 use fennelbeam_judge::Rule as Judged;
-use fennelbeam_model::seen::{Dealt, Got, Told, What};
-use fennelbeam_model::{MS, SECOND};
 
 const ID: u64 = 16;
 
--- a/crates/history/tests/history/main.rs
+++ b/crates/history/tests/history/main.rs
@@ -9,10 +9,10 @@
 mod edges;
 mod wrongdoers;
 
+use cluster_model::scenario::{Effect, Site};
+use cluster_model::{MS, SECOND};
 use day::{Day, START};
 use fennelbeam_history::{Bound, Finding, History, Rule, Terms};
-use fennelbeam_model::scenario::{Effect, Site};
-use fennelbeam_model::{MS, SECOND};
 
 /// The class of keyed requests.
 const KEYED: u32 = 2;
--- a/crates/history/tests/history/wrongdoers.rs
+++ b/crates/history/tests/history/wrongdoers.rs
@@ -2,10 +2,10 @@
 
 use crate::day::{first, order, read, Ask, Day, SERVED, START};
 use crate::{rules, site, KEYED};
+use cluster_model::seen::{Dealt, Got, Told, What};
+use cluster_model::SECOND;
 use fennelbeam_history::Rule;
 use fennelbeam_judge::Rule as Judged;
-use fennelbeam_model::seen::{Dealt, Got, Told, What};
-use fennelbeam_model::SECOND;
 
 const ID: u64 = 16;
 
--- a/crates/judge/examples/pace.rs
+++ b/crates/judge/examples/pace.rs
@@ -1,10 +1,10 @@
 //! Prints how long 100,000 sightings take: `cargo run --release -p fennelbeam-judge --example pace`.
 
+use cluster_model::draw;
+use cluster_model::scenario::{Site, Traffic};
+use cluster_model::seen::{Dealt, Got, Seen, What};
+use cluster_model::{Time, MS};
 use fennelbeam_judge::Judge;
-use fennelbeam_model::draw;
-use fennelbeam_model::scenario::{Site, Traffic};
-use fennelbeam_model::seen::{Dealt, Got, Seen, What};
-use fennelbeam_model::{Time, MS};
 use std::time::Instant;
 
 const REQUESTS: u64 = 20_000;
--- a/crates/judge/src/answers.rs
+++ b/crates/judge/src/answers.rs
@@ -4,8 +4,8 @@
 use crate::gateways::Gateways;
 use crate::tries::Try;
 use crate::{Rule, ALLOWANCE};
-use fennelbeam_model::seen::Got;
-use fennelbeam_model::{Span, Time};
+use cluster_model::seen::Got;
+use cluster_model::{Span, Time};
 use std::collections::BTreeSet;
 
 /// How a try stands with its client.
--- a/crates/judge/src/breaches.rs
+++ b/crates/judge/src/breaches.rs
@@ -1,7 +1,7 @@
 //! The broken rules found so far, and what the judge could not make sense of.
 
 use crate::{seconds, Breach, Rule};
-use fennelbeam_model::Time;
+use cluster_model::Time;
 use std::collections::BTreeSet;
 
 /// Further ones are only counted: a thoroughly wrong gateway must not fill the memory.
--- a/crates/judge/src/ceilings.rs
+++ b/crates/judge/src/ceilings.rs
@@ -3,8 +3,8 @@
 use crate::breaches::{Log, Subject};
 use crate::store::Store;
 use crate::Rule;
-use fennelbeam_model::scenario::{PlanSpec, Site};
-use fennelbeam_model::Time;
+use cluster_model::scenario::{PlanSpec, Site};
+use cluster_model::Time;
 use std::collections::BTreeMap;
 
 /// Units by which sums of floating-point numbers may be off.
--- a/crates/judge/src/cold.rs
+++ b/crates/judge/src/cold.rs
@@ -8,8 +8,8 @@
 use crate::breaches::{Log, Nth, Subject};
 use crate::news::News;
 use crate::{Rule, ALLOWANCE};
-use fennelbeam_model::scenario::{RulesSpec, Site};
-use fennelbeam_model::{Span, Time, MS, SECOND};
+use cluster_model::scenario::{RulesSpec, Site};
+use cluster_model::{Span, Time, MS, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Mean requests' worth of work that a host may bear beyond what it can, for chance.
--- a/crates/judge/src/drains.rs
+++ b/crates/judge/src/drains.rs
@@ -3,8 +3,8 @@
 use crate::breaches::{Log, Nth, Subject};
 use crate::news::{News, LATEST};
 use crate::{Rule, ALLOWANCE};
-use fennelbeam_model::seen::Told;
-use fennelbeam_model::{Span, Time};
+use cluster_model::seen::Told;
+use cluster_model::{Span, Time};
 use std::collections::BTreeMap;
 
 /// What a gateway and its agent know of a host. The agent keeps the news when the gateway starts anew, and a host
--- a/crates/judge/src/ears.rs
+++ b/crates/judge/src/ears.rs
@@ -2,7 +2,7 @@
 
 use crate::news::LATEST;
 use crate::ALLOWANCE;
-use fennelbeam_model::Time;
+use cluster_model::Time;
 use std::collections::BTreeMap;
 
 /// A span of time in which something did not pass.
--- a/crates/judge/src/effects.rs
+++ b/crates/judge/src/effects.rs
@@ -5,9 +5,9 @@
 use crate::gateways::Gateways;
 use crate::tries::Try;
 use crate::{Rule, ALLOWANCE};
-use fennelbeam_model::scenario::{Effect, Site};
-use fennelbeam_model::seen::Dealt;
-use fennelbeam_model::Time;
+use cluster_model::scenario::{Effect, Site};
+use cluster_model::seen::Dealt;
+use cluster_model::Time;
 
 /// What is said of an unsafe request's further attempt.
 const AGAIN: &str = "was sent again although it may have run";
--- a/crates/judge/src/figures.rs
+++ b/crates/judge/src/figures.rs
@@ -1,8 +1,8 @@
 //! Latencies, hosts, and the run second by second.
 
 use crate::{seconds, HostFigures, Latency, SecondFigures};
-use fennelbeam_model::seen::Dealt;
-use fennelbeam_model::{Span, Time, SECOND};
+use cluster_model::seen::Dealt;
+use cluster_model::{Span, Time, SECOND};
 use std::collections::BTreeMap;
 
 /// How a try ended, for the second in which it did.
--- a/crates/judge/src/fleet.rs
+++ b/crates/judge/src/fleet.rs
@@ -2,8 +2,8 @@
 //! walk over anything but what is summed at the end.
 
 use crate::FleetFigures;
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::{Span, Time};
+use cluster_model::scenario::Site;
+use cluster_model::{Span, Time};
 
 #[derive(Debug)]
 pub(crate) struct Fleet {
--- a/crates/judge/src/gateways.rs
+++ b/crates/judge/src/gateways.rs
@@ -1,6 +1,6 @@
 //! Which gateways run, and what excuses them for answers that clients never got.
 
-use fennelbeam_model::{Span, Time, MS};
+use cluster_model::{Span, Time, MS};
 use std::collections::BTreeMap;
 
 /// A planned restart's SIGKILL comes no sooner after SIGTERM than the longest deadline and this.
--- a/crates/judge/src/judge.rs
+++ b/crates/judge/src/judge.rs
@@ -14,10 +14,10 @@
 use crate::tries::Try;
 use crate::worth::{Outcome, Worth};
 use crate::{Breach, ClassFigures, Counts, PlanFigures, Rule, Verdict};
-use fennelbeam_model::draw::Draws;
-use fennelbeam_model::scenario::{Site, Traffic};
-use fennelbeam_model::seen::{Dealt, Got, Seen, What};
-use fennelbeam_model::{Span, Time};
+use cluster_model::draw::Draws;
+use cluster_model::scenario::{Site, Traffic};
+use cluster_model::seen::{Dealt, Got, Seen, What};
+use cluster_model::{Span, Time};
 use std::collections::BTreeMap;
 
 /// Customers that a verdict names: so many of those most beyond their quotas, and of those refused longest.
--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -1,6 +1,6 @@
 //! Judges a site by what passed on its wires, never by a gateway's own books.
 //!
-//! A [`Judge`] does no I/O and reads no clock. It is fed with [sightings](fennelbeam_model::seen::Seen) in the
+//! A [`Judge`] does no I/O and reads no clock. It is fed with [sightings](cluster_model::seen::Seen) in the
 //! order of time, keeps five rules and a few that any run has to keep, and ends with a [`Verdict`]. Each rule has a
 //! module: `answers` (one answer for each request), `effects` (nothing twice), `drains`, `cold` (no cold host
 //! pushed over) and `ceilings`. `quota` counts what customers were let in, `worth` what that was good for,
@@ -13,8 +13,8 @@
 //!
 //! ```
 //! use fennelbeam_judge::{Judge, Rule};
-//! use fennelbeam_model::scenario::{Site, Traffic};
-//! use fennelbeam_model::seen::{Seen, What};
+//! use cluster_model::scenario::{Site, Traffic};
+//! use cluster_model::seen::{Seen, What};
 //!
 //! let mut judge = Judge::new(&Site::default(), &Traffic::default(), 0);
 //! judge.see(&Seen { at: 5, what: What::GatewayDown { gateway: 1, meant: false } });
@@ -43,7 +43,7 @@
 pub use judge::Judge;
 pub use verdict::*;
 
-use fennelbeam_model::{Span, Time, MS};
+use cluster_model::{Span, Time, MS};
 
 /// Time limits of the rules are this much longer on sockets.
 const ALLOWANCE: Span = 50 * MS;
--- a/crates/judge/src/news.rs
+++ b/crates/judge/src/news.rs
@@ -1,6 +1,6 @@
 //! When a gateway counts as told of something.
 
-use fennelbeam_model::{Span, Time, SECOND};
+use cluster_model::{Span, Time, SECOND};
 
 /// What an agent has heard counts as told to its gateway so much later at the latest, whether or not the gateway
 /// has asked.
--- a/crates/judge/src/quota.rs
+++ b/crates/judge/src/quota.rs
@@ -7,8 +7,8 @@
 use crate::store::Store;
 use crate::tries::Try;
 use crate::CustomerFigures;
-use fennelbeam_model::scenario::{PlanSpec, Site};
-use fennelbeam_model::{Span, Time};
+use cluster_model::scenario::{PlanSpec, Site};
+use cluster_model::{Span, Time};
 use std::collections::BTreeMap;
 
 /// A customer was refused with room if this part of its store was there.
--- a/crates/judge/src/store.rs
+++ b/crates/judge/src/store.rs
@@ -1,6 +1,6 @@
 //! A store of units: it starts full, fills at a rate, and holds so much at most.
 
-use fennelbeam_model::Time;
+use cluster_model::Time;
 
 /// Units by which sums of floating-point numbers may be off.
 const ROUNDING: f64 = 1e-6;
--- a/crates/judge/src/tries.rs
+++ b/crates/judge/src/tries.rs
@@ -3,7 +3,7 @@
 use crate::answers::Answer;
 use crate::effects::Attempts;
 use crate::quota::Passed;
-use fennelbeam_model::{Span, Time};
+use cluster_model::{Span, Time};
 
 #[derive(Debug)]
 pub(crate) struct Try {
--- a/crates/judge/src/worth.rs
+++ b/crates/judge/src/worth.rs
@@ -5,9 +5,9 @@
 //! names.
 
 use crate::{Cause, CauseFigures, Counts};
-use fennelbeam_model::scenario::{ClassSpec, PlanSpec, Site};
-use fennelbeam_model::seen::Dealt;
-use fennelbeam_model::{Time, SECOND};
+use cluster_model::scenario::{ClassSpec, PlanSpec, Site};
+use cluster_model::seen::Dealt;
+use cluster_model::{Time, SECOND};
 use std::collections::BTreeMap;
 
 /// Weights of the whole run, the worst 10 s and the worst plan.
--- a/crates/judge/tests/judge/answers.rs
+++ b/crates/judge/tests/judge/answers.rs
@@ -1,10 +1,10 @@
 //! One answer for each request.
 
 use crate::day::{first, read, Day, SERVED, START};
+use cluster_model::scenario::Site;
+use cluster_model::seen::{Got, Seen, What};
+use cluster_model::MS;
 use fennelbeam_judge::Rule;
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::seen::{Got, Seen, What};
-use fennelbeam_model::MS;
 
 /// A request that was asked at gateway 0, and what came then.
 fn asked() -> Day {
--- a/crates/judge/tests/judge/ceilings.rs
+++ b/crates/judge/tests/judge/ceilings.rs
@@ -1,9 +1,9 @@
 //! Hard ceilings.
 
 use crate::day::{first, read, Ask, Day, PREMIUM, SERVED};
+use cluster_model::scenario::Site;
+use cluster_model::seen::Dealt;
 use fennelbeam_judge::Rule;
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::seen::Dealt;
 
 /// 2 units a second up to 10, and 3 units of slack.
 fn site() -> Site {
--- a/crates/judge/tests/judge/cold.rs
+++ b/crates/judge/tests/judge/cold.rs
@@ -2,10 +2,10 @@
 //! 10 s. It falls when sent more than 3 times what it can do for 1.5 s.
 
 use crate::day::{first, read, Day, SERVED, START};
+use cluster_model::scenario::Site;
+use cluster_model::seen::{Dealt, Told, What};
+use cluster_model::{Time, MS, SECOND};
 use fennelbeam_judge::{Rule, Verdict};
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::seen::{Dealt, Told, What};
-use fennelbeam_model::{Time, MS, SECOND};
 
 const HOST: u32 = 10;
 
--- a/crates/judge/tests/judge/day.rs
+++ b/crates/judge/tests/judge/day.rs
@@ -1,10 +1,10 @@
 //! A day written by hand: sightings at milliseconds from the first request.
 
+use cluster_model::draw;
+use cluster_model::scenario::{Site, Traffic};
+use cluster_model::seen::{Dealt, Got, Seen, Told, What};
+use cluster_model::{Time, MS, SECOND};
 use fennelbeam_judge::{Judge, Rule, Verdict};
-use fennelbeam_model::draw;
-use fennelbeam_model::scenario::{Site, Traffic};
-use fennelbeam_model::seen::{Dealt, Got, Seen, Told, What};
-use fennelbeam_model::{Time, MS, SECOND};
 
 /// When the first request is due.
 pub const START: Time = 1_700_000_000 * SECOND;
--- a/crates/judge/tests/judge/effects.rs
+++ b/crates/judge/tests/judge/effects.rs
@@ -1,11 +1,11 @@
 //! Nothing twice.
 
 use crate::day::{first, order, read, Ask, Day, READ, SERVED, START};
+use cluster_model::draw;
+use cluster_model::scenario::{Effect, Site};
+use cluster_model::seen::{Dealt, Got};
+use cluster_model::{MS, SECOND};
 use fennelbeam_judge::Rule;
-use fennelbeam_model::draw;
-use fennelbeam_model::scenario::{Effect, Site};
-use fennelbeam_model::seen::{Dealt, Got};
-use fennelbeam_model::{MS, SECOND};
 
 /// An attempt at host 0 that came to this, if to anything.
 fn attempt(ask: Ask, dealt: Option<Dealt>, out: bool) -> Day {
@@ -127,8 +127,7 @@
     let id = first(1);
     let broken = |out_ms: u64, late: bool| {
         let mut day = Day::default();
-        let calls =
-            |late| fennelbeam_model::seen::What::CallsLate { gateway: 0, host: 0, late, blind: false };
+        let calls = |late| cluster_model::seen::What::CallsLate { gateway: 0, host: 0, late, blind: false };
         day.ask(0, read(id)).receive(500, id, 1);
         // Sent at 10 ms; the other was sent when this one had been withdrawn.
         day.see(550, calls(late)).receive_sent(10, 600, id, 0);
--- a/crates/judge/tests/judge/figures.rs
+++ b/crates/judge/tests/judge/figures.rs
@@ -1,11 +1,11 @@
 //! Latencies, hosts and the run second by second.
 
 use crate::day::{first, read, Ask, Day, PREMIUM, READ, SERVED, STANDARD, START};
+use cluster_model::draw;
+use cluster_model::scenario::{Site, Traffic};
+use cluster_model::seen::{Dealt, Got, Seen, What};
+use cluster_model::{MS, SECOND};
 use fennelbeam_judge::{FleetFigures, Judge};
-use fennelbeam_model::draw;
-use fennelbeam_model::scenario::{Site, Traffic};
-use fennelbeam_model::seen::{Dealt, Got, Seen, What};
-use fennelbeam_model::{MS, SECOND};
 
 #[test]
 fn percentiles_are_exact() {
--- a/crates/judge/tests/judge/order.rs
+++ b/crates/judge/tests/judge/order.rs
@@ -1,11 +1,11 @@
 //! Sightings of one instant, in any order; and those that fit nowhere.
 
 use crate::day::{first, order, read, Ask, Day, SERVED, START};
+use cluster_model::rng::Rng;
+use cluster_model::scenario::{Site, Traffic};
+use cluster_model::seen::{Dealt, Got, Seen, What};
+use cluster_model::SECOND;
 use fennelbeam_judge::{Judge, Verdict};
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::{Site, Traffic};
-use fennelbeam_model::seen::{Dealt, Got, Seen, What};
-use fennelbeam_model::SECOND;
 
 fn judged(seen: &[Seen]) -> Verdict {
     let mut judge = Judge::new(&Site::default(), &Traffic::default(), START);
--- a/crates/judge/tests/judge/quota.rs
+++ b/crates/judge/tests/judge/quota.rs
@@ -1,10 +1,10 @@
 //! Quotas. The standard plan: 4.5 units a second up to 23, and 4 attempts out.
 
 use crate::day::{first, read, Ask, Day, SERVED, STANDARD};
+use cluster_model::draw;
+use cluster_model::scenario::Site;
+use cluster_model::seen::{Dealt, Got};
 use fennelbeam_judge::{CustomerFigures, Verdict};
-use fennelbeam_model::draw;
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::seen::{Dealt, Got};
 
 fn ask(request: u64, units: f64) -> Ask {
     Ask { plan: STANDARD, units, ..read(request) }
--- a/crates/judge/tests/judge/worth.rs
+++ b/crates/judge/tests/judge/worth.rs
@@ -2,10 +2,10 @@
 //! quota; premium counts 1.6 times, and beyond its quota earns nothing and costs 0.6.
 
 use crate::day::{first, order, read, Ask, Day, ORDER, PREMIUM, SERVED, STANDARD};
+use cluster_model::draw;
+use cluster_model::scenario::Site;
+use cluster_model::seen::{Dealt, Got};
 use fennelbeam_judge::Verdict;
-use fennelbeam_model::draw;
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::seen::{Dealt, Got};
 
 fn verdict(day: &Day) -> Verdict {
     day.verdict(&Site::default())
--- a/crates/judge/tests/judge/wrongdoers.rs
+++ b/crates/judge/tests/judge/wrongdoers.rs
@@ -1,10 +1,10 @@
 //! Gateways that do wrong: each is caught by its own rule and by no other, and does no wrong without its deed.
 
 use crate::day::{first, order, read, Ask, Day, PREMIUM, SERVED, START};
+use cluster_model::scenario::Site;
+use cluster_model::seen::{Dealt, Got, Told, What};
+use cluster_model::{MS, SECOND};
 use fennelbeam_judge::Rule;
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::seen::{Dealt, Got, Told, What};
-use fennelbeam_model::{MS, SECOND};
 
 const ID: u64 = 16;
 
--- a/crates/links/src/core.rs
+++ b/crates/links/src/core.rs
@@ -12,8 +12,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::Time;
+use cluster_model::rng::Rng;
+use cluster_model::Time;
 
 use crate::faults::{nanos, Faults};
 pub use crate::faults::{Listening, Opening};
--- a/crates/links/src/faults.rs
+++ b/crates/links/src/faults.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::{Span, Time, MS};
+use cluster_model::rng::Rng;
+use cluster_model::{Span, Time, MS};
 
 use crate::plan::{Direction, Fault, FaultId};
 
--- a/crates/links/src/flow.rs
+++ b/crates/links/src/flow.rs
@@ -1,7 +1,7 @@
 //! One direction of a connection: what waits in it, where it stops next, and how it ends.
 
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::{Span, Time, MS};
+use cluster_model::rng::Rng;
+use cluster_model::{Span, Time, MS};
 
 use crate::moments::{Index, Matched, Moments};
 use crate::plan::{Direction, FaultId};
--- a/crates/links/src/queue.rs
+++ b/crates/links/src/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use fennelbeam_model::Time;
+use cluster_model::Time;
 
 /// Pieces that are told apart; more share the time of the last, so that single bytes cost no more than this.
 const PIECES: usize = 4096;
--- a/crates/links/src/runner.rs
+++ b/crates/links/src/runner.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, Sender};
 use std::time::{Duration, Instant};
 
-use fennelbeam_model::{Time, MS};
+use cluster_model::{Time, MS};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
 use slab::Slab;
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -6,7 +6,7 @@
 use crate::spec::Spec;
 use crate::stats::{End, Kind, Stats};
 use bytes::BytesMut;
-use fennelbeam_model::scenario::ClassSpec;
+use cluster_model::scenario::ClassSpec;
 use resp::{decode, put_bulk, put_header, Frame};
 use std::collections::VecDeque;
 use std::io;
--- a/crates/rehearse/examples/fleet_curve.rs
+++ b/crates/rehearse/examples/fleet_curve.rs
@@ -8,8 +8,8 @@
 //! counter takes all calls there could be: what the gateways would ask of it.
 
 use anyhow::{bail, Context, Result};
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::{CounterSpec, Scenario};
+use cluster_model::file;
+use cluster_model::scenario::{CounterSpec, Scenario};
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use std::time::Instant;
 
--- a/crates/rehearse/examples/quota_table.rs
+++ b/crates/rehearse/examples/quota_table.rs
@@ -9,8 +9,8 @@
 #[path = "../tests/quota/table.rs"]
 mod table;
 
+use cluster_model::scenario::Scenario;
 use fennelbeam_judge::Verdict;
-use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{play_real, play_virtual, RealOptions, VirtualOptions};
 use std::path::{Path, PathBuf};
 use table::{rows, scenario, shares};
--- a/crates/rehearse/examples/site_fleet.rs
+++ b/crates/rehearse/examples/site_fleet.rs
@@ -7,9 +7,9 @@
 //! hand that the site is lost, half a second late, and take it back as it comes back.
 
 use anyhow::{bail, Context, Result};
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use config_language::model::At;
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{operators_of, play_virtual, GatewayMaker, Played, VirtualOptions};
 use gateway::{serve, Config, Operators};
 use runtime::{Env, Time};
--- a/crates/rehearse/src/counter.rs
+++ b/crates/rehearse/src/counter.rs
@@ -1,7 +1,7 @@
 //! The site's counter, wherever it runs: as tasks of this process, or as a process of its own.
 
 use crate::real::CounterProcess;
-use fennelbeam_model::scenario::{CounterFault, Event};
+use cluster_model::scenario::{CounterFault, Event};
 use fennelbeam_standins::counter::CounterStandIn;
 use runtime::{Env, Span};
 use std::io;
--- a/crates/rehearse/src/deaths.rs
+++ b/crates/rehearse/src/deaths.rs
@@ -6,9 +6,9 @@
 use crate::play::{play_real, Played, RealOptions};
 use crate::real::Special;
 use anyhow::{bail, Result};
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
-use fennelbeam_model::{Span, MS};
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
+use cluster_model::{Span, MS};
 use gateway::CrashPoint;
 use std::path::Path;
 
--- a/crates/rehearse/src/director.rs
+++ b/crates/rehearse/src/director.rs
@@ -6,12 +6,12 @@
 use crate::site::SiteOf;
 use crate::stage::{Post, Signal, Stage};
 use anyhow::Result;
+use cluster_model::agent::Notice;
+use cluster_model::rng::Rng;
+use cluster_model::scenario::{Event, Side, Which};
+use cluster_model::seen::{Seen, Told, What};
+use cluster_model::{MS, SECOND};
 use faults::{Flapping, Gap};
-use fennelbeam_model::agent::Notice;
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::{Event, Side, Which};
-use fennelbeam_model::seen::{Seen, Told, What};
-use fennelbeam_model::{MS, SECOND};
 use runtime::{Span, Time};
 use std::collections::BTreeMap;
 
--- a/crates/rehearse/src/director/faults.rs
+++ b/crates/rehearse/src/director/faults.rs
@@ -3,11 +3,11 @@
 use super::{choose, Director, Step, LOOK};
 use crate::stage::{Post, Signal, Stage};
 use anyhow::Result;
-use fennelbeam_model::agent::Notice;
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Side, Which};
-use fennelbeam_model::seen::What;
-use fennelbeam_model::MS;
+use cluster_model::agent::Notice;
+use cluster_model::rng::Rng;
+use cluster_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Side, Which};
+use cluster_model::seen::What;
+use cluster_model::MS;
 use runtime::{Span, Time};
 
 /// A slowed process stands still and runs once within this: short beside any time that a rule allows.
--- a/crates/rehearse/src/explain.rs
+++ b/crates/rehearse/src/explain.rs
@@ -1,8 +1,8 @@
 //! The way of one request through a site, in words: all that was seen of it on any wire.
 
-use fennelbeam_model::scenario::Site;
-use fennelbeam_model::seen::{Dealt, Got, Seen, What};
-use fennelbeam_model::{Time, MS};
+use cluster_model::scenario::Site;
+use cluster_model::seen::{Dealt, Got, Seen, What};
+use cluster_model::{Time, MS};
 
 /// The request that a sighting is of.
 fn request(what: &What) -> Option<u64> {
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -4,8 +4,8 @@
 
 use anyhow::{anyhow, bail, Context, Result};
 use clap::Parser;
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use fennelbeam_rehearse::{
     become_process, only, play_real, play_virtual, random_fleet, random_scenario, read_operators, Checked,
     Ground, OnPacket, Played, Progress, RealOptions, RunTrace, Swarm, VirtualOptions,
--- a/crates/rehearse/src/moments.rs
+++ b/crates/rehearse/src/moments.rs
@@ -1,8 +1,8 @@
 //! Moments of a scenario that are named by something seen, and which of them have come.
 
-use fennelbeam_model::scenario::{Scenario, Sign};
-use fennelbeam_model::seen::{Got, What};
-use fennelbeam_model::SECOND;
+use cluster_model::scenario::{Scenario, Sign};
+use cluster_model::seen::{Got, What};
+use cluster_model::SECOND;
 use runtime::{Span, Time};
 
 /// An event that waits for its sign.
--- a/crates/rehearse/src/operators.rs
+++ b/crates/rehearse/src/operators.rs
@@ -1,10 +1,10 @@
 //! Operators' files for the gateways of a rehearsal.
 
 use anyhow::{bail, Context, Result};
+use cluster_model::scenario::Scenario;
+use cluster_model::settings::{document, Start};
 use config_language::loader::{Fs, Memory};
 use config_language::{load, Loaded, Severity};
-use fennelbeam_model::scenario::Scenario;
-use fennelbeam_model::settings::{document, Start};
 use gateway::{check_operators, Config, Operators};
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/rehearse/src/real/counter.rs
+++ b/crates/rehearse/src/real/counter.rs
@@ -7,10 +7,10 @@
 
 use crate::counter::act;
 use crate::stage::lock;
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
-use fennelbeam_model::seen::{Seen, What};
-use fennelbeam_model::MS;
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
+use cluster_model::seen::{Seen, What};
+use cluster_model::MS;
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
 use runtime::{Env, Real, Span, Time};
--- a/crates/rehearse/src/real/lag.rs
+++ b/crates/rehearse/src/real/lag.rs
@@ -1,6 +1,6 @@
 //! Whether the machine was quick enough for a run to be judged.
 
-use fennelbeam_model::MS;
+use cluster_model::MS;
 use runtime::{Span, Time};
 
 /// Stand-ins, clients and judge share a thread. When it comes late by more than the rules allow sockets for
--- a/crates/rehearse/src/real/wires.rs
+++ b/crates/rehearse/src/real/wires.rs
@@ -3,11 +3,11 @@
 
 use crate::stage::{lock, Post};
 use crate::trace::{LinkLine, LinkName, RunTrace};
+use cluster_model::scenario::{LinkFault, LinkWay, Site};
 use fennelbeam_links::{
     Entry, Fault, FaultId, Last, LinkId, LinkSet, LinkSpec, Messages, Moment, Place, Plan, Settings, Way,
     What, Who,
 };
-use fennelbeam_model::scenario::{LinkFault, LinkWay, Site};
 use runtime::{Span, Time};
 use std::collections::btree_map::{BTreeMap, Entry as Slot};
 use std::collections::VecDeque;
--- a/crates/rehearse/src/stage.rs
+++ b/crates/rehearse/src/stage.rs
@@ -2,7 +2,7 @@
 //! in one process; the real one starts the release program once per gateway on loopback sockets.
 
 use crate::counter::CounterOf;
-use fennelbeam_model::scenario::{LinkFault, Scenario};
+use cluster_model::scenario::{LinkFault, Scenario};
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
 use runtime::{Env, Span, Time};
--- a/crates/rehearse/src/stated.rs
+++ b/crates/rehearse/src/stated.rs
@@ -18,9 +18,9 @@
 //! Nothing is stated of plans whose customers the decision module lets in beyond their quotas on purpose, where idle
 //! hosts make that worth more than it costs.
 
+use cluster_model::scenario::{CounterFault, Event, LinkEnd, PlanSpec, Scenario, Side, Site};
+use cluster_model::Span;
 use fennelbeam_history::{Bound, Terms};
-use fennelbeam_model::scenario::{CounterFault, Event, LinkEnd, PlanSpec, Scenario, Side, Site};
-use fennelbeam_model::Span;
 use quota::bound::{beyond, Failure, Quota, BLOCK_S};
 
 /// Terms for the history of a run of this scenario, in virtual time or on sockets.
--- a/crates/rehearse/src/swarm.rs
+++ b/crates/rehearse/src/swarm.rs
@@ -8,13 +8,13 @@
 use crate::play::{play_real, play_virtual, Played, RealOptions, VirtualOptions};
 use crate::virtual_time::GatewayMaker;
 use anyhow::Result;
-use fennelbeam_history::Rule as HistoryRule;
-use fennelbeam_judge::Rule;
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::{
+use cluster_model::rng::Rng;
+use cluster_model::scenario::{
     CounterFault, DiscoveryFault, Event, LinkEnd, Mishap, Scenario, Side, Timed, Which,
 };
-use fennelbeam_model::{Span, MS, SECOND};
+use cluster_model::{Span, MS, SECOND};
+use fennelbeam_history::Rule as HistoryRule;
+use fennelbeam_judge::Rule;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/crates/rehearse/src/swarm/fleets.rs
+++ b/crates/rehearse/src/swarm/fleets.rs
@@ -1,9 +1,9 @@
 //! Random fleets: more gateways than a random site has, thin traffic, and links, processes and buildings that fail.
 
 use super::{cut, event, is_about_the_counter, random_events, share, some, span, times};
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Scenario, Timed, Which};
-use fennelbeam_model::{Span, MS, SECOND};
+use cluster_model::rng::Rng;
+use cluster_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Scenario, Timed, Which};
+use cluster_model::{Span, MS, SECOND};
 
 /// Gateways, from and to.
 const GATEWAYS: (u64, u64) = (3, 30);
@@ -90,7 +90,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_model::file;
+    use cluster_model::file;
     use std::collections::BTreeSet;
 
     #[test]
--- a/crates/rehearse/src/trace.rs
+++ b/crates/rehearse/src/trace.rs
@@ -15,9 +15,9 @@
 mod lines;
 
 use crate::real::{Pair, WAIT};
+use cluster_model::file;
+use cluster_model::scenario::{Event, Scenario};
 use fennelbeam_links::{Fault, Last};
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::{Event, Scenario};
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::path::Path;
--- a/crates/rehearse/src/trace/lines.rs
+++ b/crates/rehearse/src/trace/lines.rs
@@ -2,9 +2,9 @@
 
 use super::{LinkLine, ProcessLine, RunTrace, HEAD, TOLD};
 use crate::stage::Post;
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use fennelbeam_links::{Direction, Fault, Last, Place, Way};
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
 use std::str::FromStr;
 use std::time::Duration;
 
--- a/crates/rehearse/src/virtual_time.rs
+++ b/crates/rehearse/src/virtual_time.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::{lock, Exit, Post, Signal, Stage};
 use anyhow::Result;
-use fennelbeam_model::scenario::{LinkFault, NetworkSpec, Site};
+use cluster_model::scenario::{LinkFault, NetworkSpec, Site};
 use gateway::{serve, Config, Operators};
 use runtime::{Env, Span, Time};
 use serde_json::Value;
--- a/crates/rehearse/tests/attempts.rs
+++ b/crates/rehearse/tests/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts that no host answers: what is lost by them, how much work they make, and how soon it is over.
 
+use cluster_model::file;
 use fennelbeam_judge::Verdict;
-use fennelbeam_model::file;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 
 fn play(text: &str, seed: u64) -> Played {
--- a/crates/rehearse/tests/fleet.rs
+++ b/crates/rehearse/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! The days of a whole fleet, at a tenth of their size and a quarter of their length.
 
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::{Scenario, Timed};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::file;
+use cluster_model::scenario::{Scenario, Timed};
+use cluster_model::{MS, SECOND};
 use fennelbeam_rehearse::{play_virtual, GatewayMaker, Played, VirtualOptions};
 use gateway::Signal;
 use std::sync::{Arc, Mutex};
--- a/crates/rehearse/tests/hard_cases.rs
+++ b/crates/rehearse/tests/hard_cases.rs
@@ -2,7 +2,7 @@
 //! addresses that change hands, connections that span a cut, and gateways that go wrong by themselves.
 
 use bytes::BytesMut;
-use fennelbeam_model::file;
+use cluster_model::file;
 use fennelbeam_rehearse::{play_virtual, GatewayMaker, OnPacket, Played, VirtualOptions};
 use resp::decode;
 use simulated_runtime::{Packet, What};
--- a/crates/rehearse/tests/pools.rs
+++ b/crates/rehearse/tests/pools.rs
@@ -2,9 +2,9 @@
 //!
 //! In CI few seeds are played; `SEEDS=30 cargo test --release -p fennelbeam-rehearse --test pools` plays more.
 
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use config_language::{load, loader::Memory};
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use gateway::Operators;
 use simulated_runtime::{Packet, What};
--- a/crates/rehearse/tests/program/digests.rs
+++ b/crates/rehearse/tests/program/digests.rs
@@ -1,7 +1,7 @@
 //! The same seed gives the same run, in each process, build and machine.
 
 use crate::{run, said, stderr, stdout, Folder, SHORT_NIGHT};
-use fennelbeam_model::file;
+use cluster_model::file;
 use fennelbeam_rehearse::{play_virtual, VirtualOptions};
 
 #[test]
--- a/crates/rehearse/tests/program/usage.rs
+++ b/crates/rehearse/tests/program/usage.rs
@@ -1,7 +1,7 @@
 //! What it takes, prints and writes.
 
 use crate::{run, said, stderr, stdout, Folder, SHORT_NIGHT};
-use fennelbeam_model::file::shipped;
+use cluster_model::file::shipped;
 use serde_json::Value;
 use std::process::Output;
 
--- a/crates/rehearse/tests/proving.rs
+++ b/crates/rehearse/tests/proving.rs
@@ -1,7 +1,7 @@
 //! Links that fail, processes that stand still and buildings that go, in virtual time: no rule is broken, and each
 //! fault is seen to bite.
 
-use fennelbeam_model::file;
+use cluster_model::file;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 
 fn play(text: &str) -> Played {
--- a/crates/rehearse/tests/quota/ledger.rs
+++ b/crates/rehearse/tests/quota/ledger.rs
@@ -2,8 +2,8 @@
 //! ones, and how deep a store would be in debt that grants them all.
 
 use bytes::BytesMut;
-use fennelbeam_model::scenario::{PlanSpec, Site};
-use fennelbeam_model::{draw, Time, SECOND};
+use cluster_model::scenario::{PlanSpec, Site};
+use cluster_model::{draw, Time, SECOND};
 use fennelbeam_rehearse::OnPacket;
 use resp::{decode, Frame};
 use simulated_runtime::{Packet, What};
--- a/crates/rehearse/tests/quota/main.rs
+++ b/crates/rehearse/tests/quota/main.rs
@@ -7,8 +7,8 @@
 mod table;
 mod totals;
 
-use fennelbeam_model::scenario::Scenario;
-use fennelbeam_model::{file, Time, SECOND};
+use cluster_model::scenario::Scenario;
+use cluster_model::{file, Time, SECOND};
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use ledger::Ledger;
 use mix::{Day, Fared, Fault, START};
--- a/crates/rehearse/tests/quota/table.rs
+++ b/crates/rehearse/tests/quota/table.rs
@@ -1,9 +1,9 @@
 //! One customer that asks five times its quota, through each way in which the shared counter or the gateways
 //! may fail.
 
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use fennelbeam_judge::Verdict;
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
 use quota::bound::{beyond, Failure, Quota};
 
 /// One customer of 25 units a second and a burst of 46, through three gateways; hosts that never bind.
--- a/crates/rehearse/tests/site_loss.rs
+++ b/crates/rehearse/tests/site_loss.rs
@@ -2,8 +2,8 @@
 //!
 //! In CI few seeds are played; `SEEDS=30 cargo test --release -p fennelbeam-rehearse --test site_loss` plays more.
 
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use fennelbeam_rehearse::{operators_of, play_virtual, Played, VirtualOptions};
 use gateway::Operators;
 
--- a/crates/rehearse/tests/wrongdoers/main.rs
+++ b/crates/rehearse/tests/wrongdoers/main.rs
@@ -5,10 +5,10 @@
 mod proxy;
 mod swarm;
 
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use fennelbeam_history::Rule as History;
 use fennelbeam_judge::Rule;
-use fennelbeam_model::file;
-use fennelbeam_model::scenario::Scenario;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use proxy::{proxy, Wrong};
 use std::collections::BTreeSet;
--- a/crates/rehearse/tests/wrongdoers/proxy.rs
+++ b/crates/rehearse/tests/wrongdoers/proxy.rs
@@ -3,7 +3,7 @@
 
 use anyhow::{bail, Context, Result};
 use bytes::{Bytes, BytesMut};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use fennelbeam_rehearse::{Document, GatewayMaker, GatewayStart};
 use gateway::{Lifecycle, Member, Membership, Signal};
 use resp::{decode, fill, put_bulk, put_header, Frame, RespError};
--- a/crates/report/src/page/flags.rs
+++ b/crates/report/src/page/flags.rs
@@ -82,7 +82,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_model::rng::Rng;
+    use cluster_model::rng::Rng;
 
     fn meet(a: &Flag, b: &Flag) -> bool {
         let across = a.left < b.left + b.wide && b.left < a.left + a.wide;
--- a/crates/report/tests/bounds.rs
+++ b/crates/report/tests/bounds.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use cluster_model::rng::Rng;
 use fennelbeam_judge::*;
-use fennelbeam_model::rng::Rng;
 use report::{html, json, table, Heading};
 
 const EVIL: &str = "</title></script><script>alert('\"&')</script><!--";
--- a/crates/simulated-runtime/examples/pingpong.rs
+++ b/crates/simulated-runtime/examples/pingpong.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo run --release -p simulated-runtime --example pingpong [EXCHANGES [CONNECTIONS]]`
 
-use fennelbeam_model::scenario::NetworkSpec;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::scenario::NetworkSpec;
+use cluster_model::{MS, SECOND};
 use runtime::{Env, Listener};
 use simulated_runtime::{Halt, Place, Sim, SimConfig, SimEnv, SimListener, SimStream};
 use std::io;
--- a/crates/simulated-runtime/src/lib.rs
+++ b/crates/simulated-runtime/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use runtime::{Env, Listener};
-//! use fennelbeam_model::{scenario::NetworkSpec, SECOND};
+//! use cluster_model::{scenario::NetworkSpec, SECOND};
 //! use simulated_runtime::{Place, Sim, SimConfig};
 //! use tokio::io::AsyncWriteExt;
 //!
--- a/crates/simulated-runtime/src/net/connection.rs
+++ b/crates/simulated-runtime/src/net/connection.rs
@@ -6,7 +6,7 @@
 use crate::slab::Key;
 use crate::timers::Due;
 use bytes::{Buf, Bytes};
-use fennelbeam_model::rng::Rng;
+use cluster_model::rng::Rng;
 use runtime::{Span, Time};
 use std::collections::VecDeque;
 use std::io;
--- a/crates/simulated-runtime/src/net/links.rs
+++ b/crates/simulated-runtime/src/net/links.rs
@@ -6,7 +6,7 @@
 use crate::digest::What;
 use crate::slab::Key;
 use crate::timers::Event;
-use fennelbeam_model::scenario::LinkWay;
+use cluster_model::scenario::LinkWay;
 use runtime::{Span, Time};
 use std::collections::BTreeSet;
 
--- a/crates/simulated-runtime/src/net/wire.rs
+++ b/crates/simulated-runtime/src/net/wire.rs
@@ -7,7 +7,7 @@
 use crate::timers::Event;
 use crate::wakes::Wakes;
 use bytes::{Bytes, BytesMut};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::{Span, Time};
 use std::io::{self, ErrorKind, IoSlice};
 use std::task::{Context, Poll};
--- a/crates/simulated-runtime/src/sim.rs
+++ b/crates/simulated-runtime/src/sim.rs
@@ -10,7 +10,7 @@
 use crate::panics;
 use crate::process::ProcessId;
 use crate::shared::{lock, Shared};
-use fennelbeam_model::scenario::NetworkSpec;
+use cluster_model::scenario::NetworkSpec;
 use runtime::Time;
 use std::net::IpAddr;
 use std::sync::Arc;
--- a/crates/simulated-runtime/tests/room/descriptors.rs
+++ b/crates/simulated-runtime/tests/room/descriptors.rs
@@ -1,7 +1,7 @@
 //! Limits on descriptors.
 
 use crate::support::{note_what_comes, pair};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::{Env, Listener, Stream};
 use std::io;
 
--- a/crates/simulated-runtime/tests/room/faults.rs
+++ b/crates/simulated-runtime/tests/room/faults.rs
@@ -1,8 +1,8 @@
 //! Processes, machines and wires that fail.
 
 use crate::support::{echo, network, note_what_comes, pair, pair_in, Pair, CLIENT, START};
-use fennelbeam_model::scenario::NetworkSpec;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::scenario::NetworkSpec;
+use cluster_model::{MS, SECOND};
 use runtime::{Env, Listener, Stream};
 use simulated_runtime::{Cut, What};
 use std::sync::Arc;
--- a/crates/simulated-runtime/tests/room/halts.rs
+++ b/crates/simulated-runtime/tests/room/halts.rs
@@ -1,7 +1,7 @@
 //! Runs that cannot go on.
 
 use crate::support::{pair, START};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::Env;
 use simulated_runtime::{Halt, Watchdog};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/simulated-runtime/tests/room/http.rs
+++ b/crates/simulated-runtime/tests/room/http.rs
@@ -1,7 +1,7 @@
 //! A library that knows nothing of this, over a simulated connection.
 
 use crate::support::pair;
-use fennelbeam_model::SECOND;
+use cluster_model::SECOND;
 use http_body_util::{BodyExt, Empty};
 use hyper::{body::Bytes, client::conn::http1, Request};
 use hyper_util::rt::TokioIo;
--- a/crates/simulated-runtime/tests/room/links.rs
+++ b/crates/simulated-runtime/tests/room/links.rs
@@ -1,8 +1,8 @@
 //! Links that fail one way or both, and processes that stand still.
 
 use crate::support::*;
-use fennelbeam_model::scenario::LinkWay;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::scenario::LinkWay;
+use cluster_model::{MS, SECOND};
 use runtime::Env;
 use simulated_runtime::{LinkFault, Sim};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/simulated-runtime/tests/room/network.rs
+++ b/crates/simulated-runtime/tests/room/network.rs
@@ -1,8 +1,8 @@
 //! Connections as they should be.
 
 use crate::support::{echo, network, note_what_comes, pair, pair_in, CLIENT, START};
-use fennelbeam_model::scenario::NetworkSpec;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::scenario::NetworkSpec;
+use cluster_model::{MS, SECOND};
 use runtime::{Env, Listener, Stream, Writer};
 use simulated_runtime::{Place, What};
 use std::io::ErrorKind;
--- a/crates/simulated-runtime/tests/room/repeat.rs
+++ b/crates/simulated-runtime/tests/room/repeat.rs
@@ -1,8 +1,8 @@
 //! The same seed gives the same run.
 
 use crate::support::{echo, network, pair, pair_in, Pair, START};
-use fennelbeam_model::scenario::NetworkSpec;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::scenario::NetworkSpec;
+use cluster_model::{MS, SECOND};
 use runtime::{Env, Listener};
 use simulated_runtime::{Cut, Packet};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/simulated-runtime/tests/room/support.rs
+++ b/crates/simulated-runtime/tests/room/support.rs
@@ -1,7 +1,7 @@
 //! Rooms to test in.
 
-use fennelbeam_model::scenario::NetworkSpec;
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::scenario::NetworkSpec;
+use cluster_model::{MS, SECOND};
 use runtime::{Env, Listener, Time};
 use simulated_runtime::{Machine, Packet, Place, Sim, SimConfig, SimEnv, SimListener, SimStream, What};
 use std::fmt::Display;
--- a/crates/simulated-runtime/tests/room/tasks.rs
+++ b/crates/simulated-runtime/tests/room/tasks.rs
@@ -1,7 +1,7 @@
 //! Tasks, timers and scripts.
 
 use crate::support::{pair, START};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::{MS, SECOND};
 use runtime::{Env, Sleep, Task};
 use simulated_runtime::{Place, Sim, SimConfig};
 use std::pin::pin;
--- a/crates/site-failover-model/src/calm.rs
+++ b/crates/site-failover-model/src/calm.rs
@@ -1,6 +1,6 @@
 //! Ordinary days, cheaply: one gateway, three sites, no queues. What is counted is whether anything moves load.
 
-use fennelbeam_model::rng::Rng;
+use cluster_model::rng::Rng;
 use policy::api::{Ended, HostEntry, HostId, ListKind, Outcome, RequestId, Span, Time};
 use site_failover::{Fleet, Plan, Said, Site, Sites, State};
 
--- a/crates/site-failover-model/src/gateway.rs
+++ b/crates/site-failover-model/src/gateway.rs
@@ -1,6 +1,6 @@
 //! A gateway: its controller, and a simple stand-in for the decision module.
 
-use fennelbeam_model::rng::Rng;
+use cluster_model::rng::Rng;
 use policy::api::{HostEntry, HostId, Span, Time};
 use site_failover::{SiteSet, Sites, State, Turn};
 
--- a/crates/site-failover-model/src/host.rs
+++ b/crates/site-failover-model/src/host.rs
@@ -1,6 +1,6 @@
 //! A host: a queue, cold after its start, that falls over if it is sent too much while it is cold.
 
-use fennelbeam_model::rng::Rng;
+use cluster_model::rng::Rng;
 use policy::api::{Outcome, Span, Time};
 
 use crate::setting::{Down, Trouble, MILLISECOND, SECOND};
--- a/crates/site-failover-model/src/world.rs
+++ b/crates/site-failover-model/src/world.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use fennelbeam_model::rng::Rng;
+use cluster_model::rng::Rng;
 use policy::api::{Ended, HostId, ListKind, Outcome, RequestId, Span, Time, Why};
 use site_failover::{Fleet, Plan, Said, SiteSet, Sites, State};
 
--- a/crates/standins/src/agent.rs
+++ b/crates/standins/src/agent.rs
@@ -5,10 +5,10 @@
 
 use crate::Recorder;
 use bytes::BytesMut;
-use fennelbeam_model::agent::{Entry, Line, Member, Notice, Registry, Watch};
-use fennelbeam_model::scenario::DiscoveryFault;
-use fennelbeam_model::seen::What;
-use fennelbeam_model::MS;
+use cluster_model::agent::{Entry, Line, Member, Notice, Registry, Watch};
+use cluster_model::scenario::DiscoveryFault;
+use cluster_model::seen::What;
+use cluster_model::MS;
 use http::Request;
 use resp;
 use runtime::{Env, Listener, Span, Stream, Task, Time, Writer};
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -21,9 +21,9 @@
 
 use crate::Recorder;
 use call::Caller;
-use fennelbeam_model::draw::Draws;
-use fennelbeam_model::scenario::{Site, Traffic};
-use fennelbeam_model::traffic::{Arrivals, Behaviour, Deal, Lean, Scale};
+use cluster_model::draw::Draws;
+use cluster_model::scenario::{Site, Traffic};
+use cluster_model::traffic::{Arrivals, Behaviour, Deal, Lean, Scale};
 use front::Front;
 use open::{Hold, Open};
 use rude::Rude;
--- a/crates/standins/src/client/call.rs
+++ b/crates/standins/src/client/call.rs
@@ -1,11 +1,11 @@
 //! Commands as clients write them, and answers as they read them.
 
 use bytes::{Bytes, BytesMut};
-use fennelbeam_model::draw::{self, Draws, TRY_BITS};
-use fennelbeam_model::scenario::{Effect, Site};
-use fennelbeam_model::seen::Got;
-use fennelbeam_model::traffic::Arrival;
-use fennelbeam_model::MS;
+use cluster_model::draw::{self, Draws, TRY_BITS};
+use cluster_model::scenario::{Effect, Site};
+use cluster_model::seen::Got;
+use cluster_model::traffic::Arrival;
+use cluster_model::MS;
 use resp::{self as resp, Frame};
 use runtime::Span;
 
@@ -90,7 +90,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_model::scenario::Traffic;
+    use cluster_model::scenario::Traffic;
 
     #[test]
     fn answers_are_read_as_the_protocol_says() {
--- a/crates/standins/src/client/rude.rs
+++ b/crates/standins/src/client/rude.rs
@@ -1,9 +1,9 @@
 //! Clients that are a burden: they ask and never read, or connect and say nothing.
 
 use super::{lock, Crowd};
-use fennelbeam_model::draw;
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::traffic::Arrival;
+use cluster_model::draw;
+use cluster_model::rng::Rng;
+use cluster_model::traffic::Arrival;
 use runtime::{Env, Task};
 use std::future::pending;
 use std::ops::Range;
--- a/crates/standins/src/counter.rs
+++ b/crates/standins/src/counter.rs
@@ -7,11 +7,11 @@
 
 use crate::Recorder;
 use bytes::BytesMut;
+use cluster_model::counter::Counter;
+use cluster_model::scenario::{CounterFault, CounterSpec};
+use cluster_model::MS;
 use command::Command;
 use desk::{Desk, PipeId, View, Way};
-use fennelbeam_model::counter::Counter;
-use fennelbeam_model::scenario::{CounterFault, CounterSpec};
-use fennelbeam_model::MS;
 use pipe::Batch;
 use resp;
 use runtime::{Env, Listener, Span, Stream, Task, Time, Writer};
--- a/crates/standins/src/counter/command.rs
+++ b/crates/standins/src/counter/command.rs
@@ -1,8 +1,8 @@
 //! Commands as the counter reads them.
 
 use bytes::Bytes;
-use fennelbeam_model::counter::Amount;
-use fennelbeam_model::{Span, MS};
+use cluster_model::counter::Amount;
+use cluster_model::{Span, MS};
 use resp::Frame;
 
 const LONGEST_NAME: usize = 64;
--- a/crates/standins/src/counter/desk.rs
+++ b/crates/standins/src/counter/desk.rs
@@ -5,11 +5,11 @@
 use super::pipe::{Answer, Batch, Pipe, Settled};
 use crate::Recorder;
 use bytes::{Bytes, BytesMut};
-use fennelbeam_model::counter::{Amount, Counter, End, Taken, Ticket};
-use fennelbeam_model::rng::Rng;
-use fennelbeam_model::scenario::CounterFault;
-use fennelbeam_model::seen::What;
-use fennelbeam_model::{Span, Time};
+use cluster_model::counter::{Amount, Counter, End, Taken, Ticket};
+use cluster_model::rng::Rng;
+use cluster_model::scenario::CounterFault;
+use cluster_model::seen::What;
+use cluster_model::{Span, Time};
 use resp;
 use std::collections::BTreeMap;
 
@@ -415,8 +415,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_model::scenario::CounterSpec;
-    use fennelbeam_model::{MS, SECOND};
+    use cluster_model::scenario::CounterSpec;
+    use cluster_model::{MS, SECOND};
 
     const START: Time = 1000 * SECOND;
 
--- a/crates/standins/src/counter/pipe.rs
+++ b/crates/standins/src/counter/pipe.rs
@@ -1,7 +1,7 @@
 //! What is owed on one connection: answers go out in the order of the commands.
 
 use bytes::{Bytes, BytesMut};
-use fennelbeam_model::{Span, Time, SECOND};
+use cluster_model::{Span, Time, SECOND};
 use std::collections::VecDeque;
 
 /// A connection on which nothing is owed is closed when it has stood idle for this long.
--- a/crates/standins/src/host.rs
+++ b/crates/standins/src/host.rs
@@ -13,10 +13,10 @@
 pub use settled::Settled;
 
 use crate::Recorder;
+use cluster_model::draw::Draws;
+use cluster_model::scenario::{ClassSpec, HostSpec, Mishap, RulesSpec};
+use cluster_model::MS;
 use connection::Connection;
-use fennelbeam_model::draw::Draws;
-use fennelbeam_model::scenario::{ClassSpec, HostSpec, Mishap, RulesSpec};
-use fennelbeam_model::MS;
 use runtime::{Env, Listener, Sleep, Span, Stream, Task, Time, Writer};
 use state::State;
 use std::io;
--- a/crates/standins/src/host/answer.rs
+++ b/crates/standins/src/host/answer.rs
@@ -1,8 +1,8 @@
 //! Bytes of a host's answers, good ones and spoilt ones.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use fennelbeam_model::draw;
-use fennelbeam_model::rng::Rng;
+use cluster_model::draw;
+use cluster_model::rng::Rng;
 use resp::{put_bulk, put_header};
 
 /// What a host sends at the most of a value that it said to be huge, and then falls silent.
--- a/crates/standins/src/host/command.rs
+++ b/crates/standins/src/host/command.rs
@@ -1,8 +1,8 @@
 //! What a gateway's command asks of a host.
 
 use bytes::Bytes;
-use fennelbeam_model::scenario::{ClassSpec, Effect};
-use fennelbeam_model::{Span, MS};
+use cluster_model::scenario::{ClassSpec, Effect};
+use cluster_model::{Span, MS};
 use resp::Frame;
 
 /// The longest list of names and values.
@@ -104,7 +104,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_model::scenario::Site;
+    use cluster_model::scenario::Site;
 
     const LIST: &str = "c=price-read,t=standard,d=480,units=2,spread=3,first=1";
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -7,8 +7,8 @@
 pub mod counter;
 pub mod host;
 
-use fennelbeam_model::seen::{Seen, What};
-use fennelbeam_model::Time;
+use cluster_model::seen::{Seen, What};
+use cluster_model::Time;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Where stand-ins write down what they see, in the order of time.
--- a/crates/standins/tests/agent.rs
+++ b/crates/standins/tests/agent.rs
@@ -4,10 +4,10 @@
 #[path = "client/memory.rs"]
 mod memory;
 
-use fennelbeam_model::agent::{Member, Notice, Registry};
-use fennelbeam_model::scenario::{DiscoveryFault, DiscoverySpec};
-use fennelbeam_model::seen::{Seen, Told, What};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::agent::{Member, Notice, Registry};
+use cluster_model::scenario::{DiscoveryFault, DiscoverySpec};
+use cluster_model::seen::{Seen, Told, What};
+use cluster_model::{MS, SECOND};
 use fennelbeam_standins::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fennelbeam_standins::Recorder;
 use memory::Memory;
--- a/crates/standins/tests/client/gateway.rs
+++ b/crates/standins/tests/client/gateway.rs
@@ -1,7 +1,7 @@
 //! Gateways that do as a script tells them.
 
 use bytes::BytesMut;
-use fennelbeam_model::draw;
+use cluster_model::draw;
 use resp::{self as resp, Frame};
 use runtime::{Env, Listener, Span, Stream, Task, Writer};
 use std::net::SocketAddr;
--- a/crates/standins/tests/client/main.rs
+++ b/crates/standins/tests/client/main.rs
@@ -4,10 +4,10 @@
 mod gateway;
 mod memory;
 
-use fennelbeam_model::draw::{self, Draws};
-use fennelbeam_model::scenario::{Effect, Site, Traffic};
-use fennelbeam_model::seen::{Got, Seen, What};
-use fennelbeam_model::{Span, MS, SECOND};
+use cluster_model::draw::{self, Draws};
+use cluster_model::scenario::{Effect, Site, Traffic};
+use cluster_model::seen::{Got, Seen, What};
+use cluster_model::{Span, MS, SECOND};
 use fennelbeam_standins::client::{ClientConfig, Clients, RUDE_THINGS};
 use fennelbeam_standins::Recorder;
 use gateway::{Act, Command, Gateway};
--- a/crates/standins/tests/counter.rs
+++ b/crates/standins/tests/counter.rs
@@ -1,8 +1,8 @@
 //! The stand-in counter on loopback sockets.
 
-use fennelbeam_model::scenario::{CounterFault, CounterSpec};
-use fennelbeam_model::seen::{Seen, What};
-use fennelbeam_model::SECOND;
+use cluster_model::scenario::{CounterFault, CounterSpec};
+use cluster_model::seen::{Seen, What};
+use cluster_model::SECOND;
 use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
 use fennelbeam_standins::Recorder;
 use runtime::Real;
--- a/crates/standins/tests/host.rs
+++ b/crates/standins/tests/host.rs
@@ -1,10 +1,10 @@
 //! A stand-in host on loopback sockets: each row of the protocol's table, and the ways in which hosts fail.
 
 use bytes::BytesMut;
-use fennelbeam_model::draw::{self, Draws};
-use fennelbeam_model::scenario::{ClassSpec, Effect, HostSpec, RulesSpec, Site, Traffic};
-use fennelbeam_model::seen::{Dealt, Seen, What};
-use fennelbeam_model::{MS, SECOND};
+use cluster_model::draw::{self, Draws};
+use cluster_model::scenario::{ClassSpec, Effect, HostSpec, RulesSpec, Site, Traffic};
+use cluster_model::seen::{Dealt, Seen, What};
+use cluster_model::{MS, SECOND};
 use fennelbeam_standins::host::{HostConfig, HostStandIn, Settled};
 use fennelbeam_standins::Recorder;
 use resp::{decode, fill, Frame, RespError};
