--- a/crates/standins/tests/counter.rs
+++ b/crates/fake-services/tests/counter.rs
@@ -3,8 +3,8 @@
 use cluster_model::scenario::{CounterFault, CounterSpec};
 use cluster_model::seen::{Seen, What};
 use cluster_model::SECOND;
-use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
-use fennelbeam_standins::Recorder;
+use fake_services::counter::{CounterConfig, CounterStandIn};
+use fake_services::Recorder;
 use runtime::Real;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/fennelbeam/tests/quota.rs
+++ b/crates/fennelbeam/tests/quota.rs
@@ -4,8 +4,8 @@
 mod sockets;
 
 use cluster_model::scenario::{CounterFault, CounterSpec};
-use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
-use fennelbeam_standins::Recorder;
+use fake_services::counter::{CounterConfig, CounterStandIn};
+use fake_services::Recorder;
 use quota::bound::{beyond, Failure, Quota};
 use runtime::Real;
 use serde_json::Value;
--- a/crates/rehearse/src/counter.rs
+++ b/crates/rehearse/src/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::real::CounterProcess;
 use cluster_model::scenario::{CounterFault, Event};
-use fennelbeam_standins::counter::CounterStandIn;
+use fake_services::counter::CounterStandIn;
 use runtime::{Env, Span};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/rehearse/src/director.rs
+++ b/crates/rehearse/src/director.rs
@@ -575,7 +575,7 @@
     }
 }
 
-type HostOf<S> = fennelbeam_standins::host::HostStandIn<<S as Stage>::Env>;
+type HostOf<S> = fake_services::host::HostStandIn<<S as Stage>::Env>;
 
 /// Who is meant: a share is of `all`; whoever is drawn is drawn of the `present` ones, numbered from 0. Buildings
 /// are numbered from 1.
--- a/crates/rehearse/src/real.rs
+++ b/crates/rehearse/src/real.rs
@@ -19,7 +19,7 @@
 use crate::trace::{LinkLine, ProcessLine};
 use cluster_model::scenario::{LinkFault, Scenario, Site};
 use cluster_model::MS;
-use fennelbeam_standins::Recorder;
+use fake_services::Recorder;
 use logs::Watched;
 use runtime::{Env, Real, Span, Time};
 use rustix::process::{kill_process, Pid, Signal as UnixSignal};
--- a/crates/rehearse/src/stage.rs
+++ b/crates/rehearse/src/stage.rs
@@ -3,8 +3,8 @@
 
 use crate::counter::CounterOf;
 use cluster_model::scenario::{LinkFault, Scenario};
-use fennelbeam_standins::counter::{CounterConfig, CounterStandIn};
-use fennelbeam_standins::Recorder;
+use fake_services::counter::{CounterConfig, CounterStandIn};
+use fake_services::Recorder;
 use runtime::{Env, Span, Time};
 use serde_json::Value;
 use std::io;
