--- a/crates/links/examples/measure.rs
+++ b/crates/fault-proxy/examples/measure.rs
@@ -1,6 +1,6 @@
 //! What a link costs: throughput, round trips, latency, CPU and memory, beside a direct connection.
 //!
-//!     cargo run --release -p fennelbeam-links --example measure
+//!     cargo run --release -p fault-proxy --example measure
 //!
 //! Under `taskset -c N` all threads share one core.
 
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use fennelbeam_links::{Fault, LinkSet, LinkSpec, Messages, Settings, Way, Who};
+use fault_proxy::{Fault, LinkSet, LinkSpec, Messages, Settings, Way, Who};
 
 type Outcome<T> = Result<T, Box<dyn std::error::Error>>;
 
--- a/crates/links/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use std::io::{Read, Write};
 //! use std::net::{TcpListener, TcpStream};
-//! use fennelbeam_links::{Direction, Fault, LinkSet, LinkSpec, Moment, Plan, Settings, Way, Who};
+//! use fault_proxy::{Direction, Fault, LinkSet, LinkSpec, Moment, Plan, Settings, Way, Who};
 //!
 //! let host = TcpListener::bind("127.0.0.1:0")?;
 //! let links = LinkSet::start(Settings { seed: 7, ..Settings::default() })?;
--- a/crates/links/tests/core.rs
+++ b/crates/fault-proxy/tests/core.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fennelbeam_links::core::{Deed, Link, Offer, Opening};
-use fennelbeam_links::plan::{Direction, End, Entry, Fault, LinkId, Moment, Plan, Way, Who};
-use fennelbeam_links::{Messages, Trace, What};
+use fault_proxy::core::{Deed, Link, Offer, Opening};
+use fault_proxy::plan::{Direction, End, Entry, Fault, LinkId, Moment, Plan, Way, Who};
+use fault_proxy::{Messages, Trace, What};
 use proptest::prelude::*;
 
 const LINK: LinkId = LinkId(0);
--- a/crates/links/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use fennelbeam_links::{
+use fault_proxy::{
     Counts, Direction, End, Fault, LinkError, LinkId, LinkSet, LinkSpec, Messages, Moment, Plan, Settings,
     Way, What, Who,
 };
@@ -36,7 +36,7 @@
         Bed { links, link, address, host }
     }
 
-    fn begin(&self, fault: Fault) -> fennelbeam_links::FaultId {
+    fn begin(&self, fault: Fault) -> fault_proxy::FaultId {
         self.links.begin(self.link, Who::Every, fault).expect("a fault")
     }
 
--- a/crates/rehearse/src/real/wires.rs
+++ b/crates/rehearse/src/real/wires.rs
@@ -4,7 +4,7 @@
 use crate::stage::{lock, Post};
 use crate::trace::{LinkLine, LinkName, RunTrace};
 use cluster_model::scenario::{LinkFault, LinkWay, Site};
-use fennelbeam_links::{
+use fault_proxy::{
     Entry, Fault, FaultId, Last, LinkId, LinkSet, LinkSpec, Messages, Moment, Place, Plan, Settings, Way,
     What, Who,
 };
--- a/crates/rehearse/src/trace.rs
+++ b/crates/rehearse/src/trace.rs
@@ -17,7 +17,7 @@
 use crate::real::{Pair, WAIT};
 use cluster_model::file;
 use cluster_model::scenario::{Event, Scenario};
-use fennelbeam_links::{Fault, Last};
+use fault_proxy::{Fault, Last};
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::path::Path;
@@ -207,7 +207,7 @@
 mod tests {
     use super::*;
     use crate::stage::Post;
-    use fennelbeam_links::{Direction, Place, Way};
+    use fault_proxy::{Direction, Place, Way};
 
     const GATEWAY: Post = Post::Gateway(0);
 
--- a/crates/rehearse/src/trace/lines.rs
+++ b/crates/rehearse/src/trace/lines.rs
@@ -4,7 +4,7 @@
 use crate::stage::Post;
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
-use fennelbeam_links::{Direction, Fault, Last, Place, Way};
+use fault_proxy::{Direction, Fault, Last, Place, Way};
 use std::str::FromStr;
 use std::time::Duration;
 
