--- a/crates/history/tests/history/edges.rs
+++ b/crates/history/tests/history/edges.rs
@@ -5,7 +5,7 @@
 use cluster_model::seen::{Dealt, Got, Told, What};
 use cluster_model::{MS, SECOND};
 use fennelbeam_history::{Claim, History, Rule};
-use fennelbeam_judge::Rule as Judged;
+use invariants::Rule as Judged;
 
 const ID: u64 = 16;
 
--- a/crates/history/tests/history/main.rs
+++ b/crates/history/tests/history/main.rs
@@ -2,7 +2,7 @@
 
 // The judge's own builder of days.
 #[allow(dead_code)]
-#[path = "../../../judge/tests/judge/day.rs"]
+#[path = "../../../invariants/tests/judge/day.rs"]
 mod day;
 
 mod chains;
--- a/crates/history/tests/history/wrongdoers.rs
+++ b/crates/history/tests/history/wrongdoers.rs
@@ -5,7 +5,7 @@
 use cluster_model::seen::{Dealt, Got, Told, What};
 use cluster_model::SECOND;
 use fennelbeam_history::Rule;
-use fennelbeam_judge::Rule as Judged;
+use invariants::Rule as Judged;
 
 const ID: u64 = 16;
 
--- a/crates/judge/examples/pace.rs
+++ b/crates/invariants/examples/pace.rs
@@ -1,10 +1,10 @@
-//! Prints how long 100,000 sightings take: `cargo run --release -p fennelbeam-judge --example pace`.
+//! Prints how long 100,000 sightings take: `cargo run --release -p invariants --example pace`.
 
 use cluster_model::draw;
 use cluster_model::scenario::{Site, Traffic};
 use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::{Time, MS};
-use fennelbeam_judge::Judge;
+use invariants::Judge;
 use std::time::Instant;
 
 const REQUESTS: u64 = 20_000;
--- a/crates/judge/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -12,7 +12,7 @@
 //! seen of a request before it was asked, or of an attempt before it was received, waits for that.
 //!
 //! ```
-//! use fennelbeam_judge::{Judge, Rule};
+//! use invariants::{Judge, Rule};
 //! use cluster_model::scenario::{Site, Traffic};
 //! use cluster_model::seen::{Seen, What};
 //!
--- a/crates/judge/tests/judge/answers.rs
+++ b/crates/invariants/tests/judge/answers.rs
@@ -4,7 +4,7 @@
 use cluster_model::scenario::Site;
 use cluster_model::seen::{Got, Seen, What};
 use cluster_model::MS;
-use fennelbeam_judge::Rule;
+use invariants::Rule;
 
 /// A request that was asked at gateway 0, and what came then.
 fn asked() -> Day {
--- a/crates/judge/tests/judge/ceilings.rs
+++ b/crates/invariants/tests/judge/ceilings.rs
@@ -3,7 +3,7 @@
 use crate::day::{first, read, Ask, Day, PREMIUM, SERVED};
 use cluster_model::scenario::Site;
 use cluster_model::seen::Dealt;
-use fennelbeam_judge::Rule;
+use invariants::Rule;
 
 /// 2 units a second up to 10, and 3 units of slack.
 fn site() -> Site {
--- a/crates/judge/tests/judge/cold.rs
+++ b/crates/invariants/tests/judge/cold.rs
@@ -5,7 +5,7 @@
 use cluster_model::scenario::Site;
 use cluster_model::seen::{Dealt, Told, What};
 use cluster_model::{Time, MS, SECOND};
-use fennelbeam_judge::{Rule, Verdict};
+use invariants::{Rule, Verdict};
 
 const HOST: u32 = 10;
 
--- a/crates/judge/tests/judge/day.rs
+++ b/crates/invariants/tests/judge/day.rs
@@ -4,7 +4,7 @@
 use cluster_model::scenario::{Site, Traffic};
 use cluster_model::seen::{Dealt, Got, Seen, Told, What};
 use cluster_model::{Time, MS, SECOND};
-use fennelbeam_judge::{Judge, Rule, Verdict};
+use invariants::{Judge, Rule, Verdict};
 
 /// When the first request is due.
 pub const START: Time = 1_700_000_000 * SECOND;
--- a/crates/judge/tests/judge/drains.rs
+++ b/crates/invariants/tests/judge/drains.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{first, read, Day, SERVED};
 use cluster_model::seen::{Dealt, Told, What};
-use fennelbeam_judge::Rule;
+use invariants::Rule;
 
 /// Told the news of host 3 one after another, gateway 0 sends to it from then on.
 fn broken(news: &[(u64, Told)], sent_ms: u64) -> Vec<Rule> {
--- a/crates/judge/tests/judge/effects.rs
+++ b/crates/invariants/tests/judge/effects.rs
@@ -5,7 +5,7 @@
 use cluster_model::scenario::{Effect, Site};
 use cluster_model::seen::{Dealt, Got};
 use cluster_model::{MS, SECOND};
-use fennelbeam_judge::Rule;
+use invariants::Rule;
 
 /// An attempt at host 0 that came to this, if to anything.
 fn attempt(ask: Ask, dealt: Option<Dealt>, out: bool) -> Day {
--- a/crates/judge/tests/judge/figures.rs
+++ b/crates/invariants/tests/judge/figures.rs
@@ -5,7 +5,7 @@
 use cluster_model::scenario::{Site, Traffic};
 use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::{MS, SECOND};
-use fennelbeam_judge::{FleetFigures, Judge};
+use invariants::{FleetFigures, Judge};
 
 #[test]
 fn percentiles_are_exact() {
--- a/crates/judge/tests/judge/order.rs
+++ b/crates/invariants/tests/judge/order.rs
@@ -5,7 +5,7 @@
 use cluster_model::scenario::{Site, Traffic};
 use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::SECOND;
-use fennelbeam_judge::{Judge, Verdict};
+use invariants::{Judge, Verdict};
 
 fn judged(seen: &[Seen]) -> Verdict {
     let mut judge = Judge::new(&Site::default(), &Traffic::default(), START);
--- a/crates/judge/tests/judge/quota.rs
+++ b/crates/invariants/tests/judge/quota.rs
@@ -4,7 +4,7 @@
 use cluster_model::draw;
 use cluster_model::scenario::Site;
 use cluster_model::seen::{Dealt, Got};
-use fennelbeam_judge::{CustomerFigures, Verdict};
+use invariants::{CustomerFigures, Verdict};
 
 fn ask(request: u64, units: f64) -> Ask {
     Ask { plan: STANDARD, units, ..read(request) }
--- a/crates/judge/tests/judge/worth.rs
+++ b/crates/invariants/tests/judge/worth.rs
@@ -5,7 +5,7 @@
 use cluster_model::draw;
 use cluster_model::scenario::Site;
 use cluster_model::seen::{Dealt, Got};
-use fennelbeam_judge::Verdict;
+use invariants::Verdict;
 
 fn verdict(day: &Day) -> Verdict {
     day.verdict(&Site::default())
--- a/crates/judge/tests/judge/wrongdoers.rs
+++ b/crates/invariants/tests/judge/wrongdoers.rs
@@ -4,7 +4,7 @@
 use cluster_model::scenario::Site;
 use cluster_model::seen::{Dealt, Got, Told, What};
 use cluster_model::{MS, SECOND};
-use fennelbeam_judge::Rule;
+use invariants::Rule;
 
 const ID: u64 = 16;
 
--- a/crates/rehearse/examples/crash_sweep.rs
+++ b/crates/rehearse/examples/crash_sweep.rs
@@ -70,7 +70,7 @@
         wrong.push("it did not die as arranged".into());
     }
     wrong.iter().for_each(|what| eprintln!("{name}, counter {counter}: {what}"));
-    let sum = |of: fn(&fennelbeam_judge::SecondFigures) -> u32| verdict.timeline.iter().map(of).sum::<u32>();
+    let sum = |of: fn(&invariants::SecondFigures) -> u32| verdict.timeline.iter().map(of).sum::<u32>();
     // Cut off, failed, or gone without an answer; some clients of any day leave early.
     let unanswered =
         sum(|second| second.offered) - sum(|second| second.served + second.late + second.refused);
--- a/crates/rehearse/examples/quota_table.rs
+++ b/crates/rehearse/examples/quota_table.rs
@@ -10,8 +10,8 @@
 mod table;
 
 use cluster_model::scenario::Scenario;
-use fennelbeam_judge::Verdict;
 use fennelbeam_rehearse::{play_real, play_virtual, RealOptions, VirtualOptions};
+use invariants::Verdict;
 use std::path::{Path, PathBuf};
 use table::{rows, scenario, shares};
 
--- a/crates/rehearse/src/real/lag.rs
+++ b/crates/rehearse/src/real/lag.rs
@@ -4,7 +4,7 @@
 use runtime::{Span, Time};
 
 /// Stand-ins, clients and judge share a thread. When it comes late by more than the rules allow sockets for
-/// (`fennelbeam_judge`: 50 ms), a broken rule may be its doing: what it sees late looks like a gateway's lateness.
+/// (`invariants`: 50 ms), a broken rule may be its doing: what it sees late looks like a gateway's lateness.
 const MOST_LATE: Span = 50 * MS;
 /// Seen late, a gateway looks worse and not better, so a run that broke nothing may be later than that. Not later than
 /// this: quotas and cold hosts are judged by what came within a second or two.
--- a/crates/rehearse/src/swarm.rs
+++ b/crates/rehearse/src/swarm.rs
@@ -14,7 +14,7 @@
 };
 use cluster_model::{Span, MS, SECOND};
 use fennelbeam_history::Rule as HistoryRule;
-use fennelbeam_judge::Rule;
+use invariants::Rule;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/crates/rehearse/tests/attempts.rs
+++ b/crates/rehearse/tests/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts that no host answers: what is lost by them, how much work they make, and how soon it is over.
 
 use cluster_model::file;
-use fennelbeam_judge::Verdict;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
+use invariants::Verdict;
 
 fn play(text: &str, seed: u64) -> Played {
     let played =
--- a/crates/rehearse/tests/quota/mix.rs
+++ b/crates/rehearse/tests/quota/mix.rs
@@ -4,8 +4,8 @@
 use crate::ledger::{Ledger, Tally};
 use cluster_model::scenario::{PlanSpec, Scenario};
 use cluster_model::{file, Time, SECOND};
-use fennelbeam_judge::{CustomerFigures, Verdict};
 use fennelbeam_rehearse::{play_virtual, VirtualOptions};
+use invariants::{CustomerFigures, Verdict};
 use quota::bound::{beyond, Failure, Quota, LENT, SAVED};
 use std::collections::BTreeMap;
 
--- a/crates/rehearse/tests/quota/table.rs
+++ b/crates/rehearse/tests/quota/table.rs
@@ -3,7 +3,7 @@
 
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
-use fennelbeam_judge::Verdict;
+use invariants::Verdict;
 use quota::bound::{beyond, Failure, Quota};
 
 /// One customer of 25 units a second and a burst of 46, through three gateways; hosts that never bind.
--- a/crates/rehearse/tests/wrongdoers/cold.rs
+++ b/crates/rehearse/tests/wrongdoers/cold.rs
@@ -2,8 +2,8 @@
 
 use crate::proxy::{proxy, Wrong};
 use crate::{rules, scenario};
-use fennelbeam_judge::Rule;
 use fennelbeam_rehearse::{play_virtual, GatewayMaker, Played, VirtualOptions};
+use invariants::Rule;
 use std::collections::BTreeSet;
 
 /// Hosts start anew, and others come, while there is much to do. All figures are the platform's.
--- a/crates/rehearse/tests/wrongdoers/main.rs
+++ b/crates/rehearse/tests/wrongdoers/main.rs
@@ -8,8 +8,8 @@
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use fennelbeam_history::Rule as History;
-use fennelbeam_judge::Rule;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
+use invariants::Rule;
 use proxy::{proxy, Wrong};
 use std::collections::BTreeSet;
 
--- a/crates/rehearse/tests/wrongdoers/swarm.rs
+++ b/crates/rehearse/tests/wrongdoers/swarm.rs
@@ -2,8 +2,8 @@
 
 use crate::proxy::{proxy, Wrong};
 use crate::rules;
-use fennelbeam_judge::Rule;
 use fennelbeam_rehearse::{only, play_virtual, random_scenario, Swarm, VirtualOptions};
+use invariants::Rule;
 use std::collections::BTreeSet;
 
 #[test]
--- a/crates/report/src/facts.rs
+++ b/crates/report/src/facts.rs
@@ -3,7 +3,7 @@
 use crate::number::{count, fixed, percent, share, NONE};
 use crate::rules;
 use crate::words::clip;
-use fennelbeam_judge::{Cause, Counts, CustomerFigures, HostFigures, Verdict};
+use invariants::{Cause, Counts, CustomerFigures, HostFigures, Verdict};
 
 /// Customers shown in a table of them.
 const CUSTOMERS: usize = 5;
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -16,7 +16,7 @@
 pub use progress::{progress, speed_line};
 pub use text::table;
 
-use fennelbeam_judge::Verdict;
+use invariants::Verdict;
 use serde::Serialize;
 
 /// What was played, beside what the judge found.
--- a/crates/report/src/page/bins.rs
+++ b/crates/report/src/page/bins.rs
@@ -1,6 +1,6 @@
 //! The timeline in columns: one a second, or so many seconds together that a plot has room for them.
 
-use fennelbeam_judge::{SecondFigures, Verdict};
+use invariants::{SecondFigures, Verdict};
 
 /// The figures of some seconds together. Rates are means, so that they stay "per second".
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/report/src/page/figure.rs
+++ b/crates/report/src/page/figure.rs
@@ -5,7 +5,7 @@
 use super::bins::Bins;
 use super::flags::{self, Flag};
 use crate::words::escape;
-use fennelbeam_judge::Verdict;
+use invariants::Verdict;
 
 /// Width of a drawing; its units are pixels of a wide screen.
 pub(crate) const WIDTH: f64 = 960.0;
--- a/crates/report/src/page/heat.rs
+++ b/crates/report/src/page/heat.rs
@@ -169,7 +169,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fennelbeam_judge::{SecondFigures, Verdict};
+    use invariants::{SecondFigures, Verdict};
 
     fn map(hosts: usize, share: f64) -> Map {
         let busy = (0..hosts).map(|host| (host != 1).then_some(share)).collect();
--- a/crates/report/src/page/hover.rs
+++ b/crates/report/src/page/hover.rs
@@ -3,7 +3,7 @@
 use super::figure::{Sheet, LEFT, PLOT};
 use super::heat::Map;
 use crate::{number, rules, words};
-use fennelbeam_judge::Verdict;
+use invariants::Verdict;
 use serde::Serialize;
 
 /// A named row of values, one for each column.
--- a/crates/report/src/page/mod.rs
+++ b/crates/report/src/page/mod.rs
@@ -13,8 +13,8 @@
 use crate::words::escape;
 use crate::{number, rules, text, Heading};
 use bins::{Bin, Bins};
-use fennelbeam_judge::Verdict;
 use figure::Sheet;
+use invariants::Verdict;
 
 /// Columns of a plot at the most.
 const COLUMNS: usize = 600;
--- a/crates/report/src/page/plots.rs
+++ b/crates/report/src/page/plots.rs
@@ -5,7 +5,7 @@
 use super::hover::Series;
 use crate::facts::plan_name;
 use crate::number;
-use fennelbeam_judge::Verdict;
+use invariants::Verdict;
 
 /// Plans with a plot of their own.
 const PLANS: usize = 8;
--- a/crates/report/src/rules.rs
+++ b/crates/report/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules, kept or broken.
 
-use fennelbeam_judge::{Breach, Rule, Verdict};
+use invariants::{Breach, Rule, Verdict};
 
 /// Breaches that are shown one by one.
 const MOST: usize = 10;
--- a/crates/report/src/text.rs
+++ b/crates/report/src/text.rs
@@ -2,7 +2,7 @@
 
 use crate::facts::{self, Column, Section};
 use crate::{number, rules, words, Heading};
-use fennelbeam_judge::Verdict;
+use invariants::Verdict;
 
 /// Characters of a line of running text.
 const WIDTH: usize = 80;
--- a/crates/report/tests/bounds.rs
+++ b/crates/report/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cluster_model::rng::Rng;
-use fennelbeam_judge::*;
+use invariants::*;
 use report::{html, json, table, Heading};
 
 const EVIL: &str = "</title></script><script>alert('\"&')</script><!--";
--- a/crates/report/tests/common/mod.rs
+++ b/crates/report/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Verdicts made by hand, for tests and the example: no site has played them.
 
 use cluster_model::rng::Rng;
-use fennelbeam_judge::*;
+use invariants::*;
 use report::Heading;
 
 /// Seconds of the night.
--- a/crates/report/tests/expected.rs
+++ b/crates/report/tests/expected.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use fennelbeam_judge::*;
+use invariants::*;
 use report::{html, json, table, Heading};
 use std::path::Path;
 
