--- a/crates/history/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -18,7 +18,7 @@
 //! ceilings stay with the judge.
 //!
 //! ```
-//! use fennelbeam_history::{Claim, History, Rule, Terms};
+//! use history_checker::{Claim, History, Rule, Terms};
 //! use cluster_model::scenario::Site;
 //! use cluster_model::SECOND;
 //!
--- a/crates/history/tests/history/edges.rs
+++ b/crates/history-checker/tests/history/edges.rs
@@ -4,7 +4,7 @@
 use crate::{rules, terms};
 use cluster_model::seen::{Dealt, Got, Told, What};
 use cluster_model::{MS, SECOND};
-use fennelbeam_history::{Claim, History, Rule};
+use history_checker::{Claim, History, Rule};
 use invariants::Rule as Judged;
 
 const ID: u64 = 16;
--- a/crates/history/tests/history/main.rs
+++ b/crates/history-checker/tests/history/main.rs
@@ -12,7 +12,7 @@
 use cluster_model::scenario::{Effect, Site};
 use cluster_model::{MS, SECOND};
 use day::{Day, START};
-use fennelbeam_history::{Bound, Finding, History, Rule, Terms};
+use history_checker::{Bound, Finding, History, Rule, Terms};
 
 /// The class of keyed requests.
 const KEYED: u32 = 2;
--- a/crates/history/tests/history/wrongdoers.rs
+++ b/crates/history-checker/tests/history/wrongdoers.rs
@@ -4,7 +4,7 @@
 use crate::{rules, site, KEYED};
 use cluster_model::seen::{Dealt, Got, Told, What};
 use cluster_model::SECOND;
-use fennelbeam_history::Rule;
+use history_checker::Rule;
 use invariants::Rule as Judged;
 
 const ID: u64 = 16;
--- a/crates/rehearse/src/stated.rs
+++ b/crates/rehearse/src/stated.rs
@@ -20,7 +20,7 @@
 
 use cluster_model::scenario::{CounterFault, Event, LinkEnd, PlanSpec, Scenario, Side, Site};
 use cluster_model::Span;
-use fennelbeam_history::{Bound, Terms};
+use history_checker::{Bound, Terms};
 use quota::bound::{beyond, Failure, Quota, BLOCK_S};
 
 /// Terms for the history of a run of this scenario, in virtual time or on sockets.
--- a/crates/rehearse/src/swarm.rs
+++ b/crates/rehearse/src/swarm.rs
@@ -13,7 +13,7 @@
     CounterFault, DiscoveryFault, Event, LinkEnd, Mishap, Scenario, Side, Timed, Which,
 };
 use cluster_model::{Span, MS, SECOND};
-use fennelbeam_history::Rule as HistoryRule;
+use history_checker::Rule as HistoryRule;
 use invariants::Rule;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/rehearse/tests/wrongdoers/main.rs
+++ b/crates/rehearse/tests/wrongdoers/main.rs
@@ -7,8 +7,8 @@
 
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
-use fennelbeam_history::Rule as History;
 use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
+use history_checker::Rule as History;
 use invariants::Rule;
 use proxy::{proxy, Wrong};
 use std::collections::BTreeSet;
