--- a/crates/rehearse/examples/crash_sweep.rs
+++ b/crates/cluster-emulator/examples/crash_sweep.rs
@@ -2,12 +2,12 @@
 //! whether a rule is broken by it.
 //!
 //!     cargo build --release -p fennelbeam --features crash-points --target-dir target/crash-points
-//!     cargo run --release -p fennelbeam-rehearse --example crash_sweep -- target/crash-points/release/fennelbeam
+//!     cargo run --release -p cluster-emulator --example crash_sweep -- target/crash-points/release/fennelbeam
 //!
 //! `[SEED [AT ONCE [POINT FROM TO]]]` may follow the program: the last three play that point alone, once for each time
 //! from FROM to TO that the gateway may come there. Ends with status 1 where a rule broke, or a gateway did not die.
 
-use fennelbeam_rehearse::{Death, Played};
+use cluster_emulator::{Death, Played};
 use gateway::CrashPoint;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/rehearse/examples/fleet_curve.rs
+++ b/crates/cluster-emulator/examples/fleet_curve.rs
@@ -1,16 +1,16 @@
 //! What a day costs as the fleet grows: one line for each number of gateways.
 //!
-//!     cargo run --release -p fennelbeam-rehearse --example fleet_curve
-//!     cargo run --release -p fennelbeam-rehearse --example fleet_curve -- herd-fleet 60 300
+//!     cargo run --release -p cluster-emulator --example fleet_curve
+//!     cargo run --release -p cluster-emulator --example fleet_curve -- herd-fleet 60 300
 //!
 //! The first word is a shipped scenario, `calm-fleet` if there is none; numbers are of gateways, by default
 //! 3, 30, 60, 150 and 300. Seed 1. Each size is played on a thread of its own. With the word `ample` the
 //! counter takes all calls there could be: what the gateways would ask of it.
 
 use anyhow::{bail, Context, Result};
+use cluster_emulator::{play_virtual, Played, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::{CounterSpec, Scenario};
-use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use std::time::Instant;
 
 const SEED: u64 = 1;
--- a/crates/rehearse/examples/quota_mix.rs
+++ b/crates/cluster-emulator/examples/quota_mix.rs
@@ -1,6 +1,6 @@
 //! The operators' mix of customers through two minutes of a failing counter, against the same day with a
 //! whole one, and beside each figure what the advance statement of error says.
-//! `cargo run --release -p fennelbeam-rehearse --example quota_mix [SEEDS [THREADS]]`
+//! `cargo run --release -p cluster-emulator --example quota_mix [SEEDS [THREADS]]`
 
 #[path = "../tests/quota/ledger.rs"]
 mod ledger;
--- a/crates/rehearse/examples/quota_table.rs
+++ b/crates/cluster-emulator/examples/quota_table.rs
@@ -1,7 +1,7 @@
 //! How far one customer that asks five times its quota gets beyond it, for each way in which the shared
 //! counter or the gateways may fail, and beside it what the advance statement of error allows.
 //!
-//! `cargo run --release -p fennelbeam-rehearse --example quota_table [SEEDS [THREADS]]` in virtual time;
+//! `cargo run --release -p cluster-emulator --example quota_table [SEEDS [THREADS]]` in virtual time;
 //! `... --example quota_table SEEDS PROGRAM` on real sockets, with this gateway, one run after the other.
 
 #[path = "../tests/quota/many.rs"]
@@ -9,8 +9,8 @@
 #[path = "../tests/quota/table.rs"]
 mod table;
 
+use cluster_emulator::{play_real, play_virtual, RealOptions, VirtualOptions};
 use cluster_model::scenario::Scenario;
-use fennelbeam_rehearse::{play_real, play_virtual, RealOptions, VirtualOptions};
 use invariants::Verdict;
 use std::path::{Path, PathBuf};
 use table::{rows, scenario, shares};
--- a/crates/rehearse/examples/quota_totals.rs
+++ b/crates/cluster-emulator/examples/quota_totals.rs
@@ -1,6 +1,6 @@
 //! What the counter's totals say beyond what was passed on, 5 s after each failure is over, for all customers of
 //! the operators' mix, beside the doubt that is stated.
-//! `cargo run --release -p fennelbeam-rehearse --example quota_totals [SEEDS [THREADS]]`
+//! `cargo run --release -p cluster-emulator --example quota_totals [SEEDS [THREADS]]`
 
 #[allow(dead_code, reason = "only what was passed on is used here")]
 #[path = "../tests/quota/ledger.rs"]
--- a/crates/rehearse/examples/site_fleet.rs
+++ b/crates/cluster-emulator/examples/site_fleet.rs
@@ -1,16 +1,16 @@
 //! What the loss of a building comes to, with and without a plan for it, in virtual time: a table.
 //!
-//!     cargo run --release -p fennelbeam-rehearse --example site_fleet -- GATEWAYS SECONDS FIRST_SEED SEEDS
+//!     cargo run --release -p cluster-emulator --example site_fleet -- GATEWAYS SECONDS FIRST_SEED SEEDS
 //!
 //! The building is lost with its gateways and hosts for so many seconds at the busiest moment, and comes back cold.
 //! `no plan`: the program as it is without one. `at once`: a plan whose ramp takes no time. `told`: operators say by
 //! hand that the site is lost, half a second late, and take it back as it comes back.
 
 use anyhow::{bail, Context, Result};
+use cluster_emulator::{operators_of, play_virtual, GatewayMaker, Played, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use config_language::model::At;
-use fennelbeam_rehearse::{operators_of, play_virtual, GatewayMaker, Played, VirtualOptions};
 use gateway::{serve, Config, Operators};
 use runtime::{Env, Time};
 use std::sync::Arc;
--- a/crates/rehearse/src/main.rs
+++ b/crates/cluster-emulator/src/main.rs
@@ -4,12 +4,12 @@
 
 use anyhow::{anyhow, bail, Context, Result};
 use clap::Parser;
-use cluster_model::file;
-use cluster_model::scenario::Scenario;
-use fennelbeam_rehearse::{
+use cluster_emulator::{
     become_process, only, play_real, play_virtual, random_fleet, random_scenario, read_operators, Checked,
     Ground, OnPacket, Played, Progress, RealOptions, RunTrace, Swarm, VirtualOptions,
 };
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use gateway::Operators;
 use report::{html, json, progress, speed_line, table, Heading};
 use simulated_runtime::What;
@@ -23,7 +23,7 @@
 ///
 /// Without a scenario the calm day is played, in virtual time, and a table says how it went.
 #[derive(Debug, Parser)]
-#[command(name = "fennelbeam-rehearse", version, after_help = EXIT_CODES)]
+#[command(name = "cluster-emulator", version, after_help = EXIT_CODES)]
 struct CommandLine {
     /// A scenario's file, or the name of a shipped one (see --list)
     #[arg(default_value = "calm")]
@@ -94,7 +94,7 @@
 }
 
 const EXIT_CODES: &str = "\
-`fennelbeam-rehearse plan --help` tells how the loss of each site of an operators' plan is played.
+`cluster-emulator plan --help` tells how the loss of each site of an operators' plan is played.
 
 Exit status: 0 all rules kept; 1 a rule was broken, or it could not be played, or was too slow to judge; 2 wrong usage;
 3 a process did not give its turn back for 20 s.";
@@ -106,7 +106,7 @@
 
 fn main() -> ExitCode {
     if let Err(error) = become_process() {
-        eprintln!("fennelbeam-rehearse: cannot begin: {error}");
+        eprintln!("cluster-emulator: cannot begin: {error}");
         return ExitCode::FAILURE;
     }
     if std::env::args_os().nth(1).is_some_and(|word| word == "plan") {
@@ -125,7 +125,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
-            eprintln!("fennelbeam-rehearse: {error:#}");
+            eprintln!("cluster-emulator: {error:#}");
             ExitCode::FAILURE
         }
     }
@@ -396,7 +396,7 @@
         Ground::Fleets => "--links ",
         Ground::Sites | Ground::With(_) => "",
     };
-    println!("again: fennelbeam-rehearse {how}--swarm-site {} --only {places}", found.site);
+    println!("again: cluster-emulator {how}--swarm-site {} --only {places}", found.site);
     Ok(false)
 }
 
--- a/crates/rehearse/src/plan.rs
+++ b/crates/cluster-emulator/src/plan.rs
@@ -1,4 +1,4 @@
-//! `fennelbeam-rehearse plan`: the loss of each site of an operators' file, played through the model of a fleet.
+//! `cluster-emulator plan`: the loss of each site of an operators' file, played through the model of a fleet.
 
 use anyhow::{bail, ensure, Context, Result};
 use clap::Parser;
@@ -18,7 +18,7 @@
 ///
 /// As many requests of each class and plan are assumed.
 #[derive(Debug, Parser)]
-#[command(name = "fennelbeam-rehearse plan")]
+#[command(name = "cluster-emulator plan")]
 struct Words {
     /// The operators' file
     file: PathBuf,
@@ -38,7 +38,7 @@
     match run(&Words::parse_from(std::env::args_os().skip(1))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("fennelbeam-rehearse: {error:#}");
+            eprintln!("cluster-emulator: {error:#}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rehearse/src/play.rs
+++ b/crates/cluster-emulator/src/play.rs
@@ -273,7 +273,7 @@
     let sim = stage.sim().clone();
     let played = format!("{}, seed {seed}", scenario.name);
     let _watchdog = Watchdog::start(&sim, options.stuck, move |stuck| {
-        eprintln!("fennelbeam-rehearse: {played}: {stuck}");
+        eprintln!("cluster-emulator: {played}: {stuck}");
         std::process::exit(3);
     });
     if let Some(trace) = options.trace.take() {
--- a/crates/rehearse/tests/attempts.rs
+++ b/crates/cluster-emulator/tests/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts that no host answers: what is lost by them, how much work they make, and how soon it is over.
 
+use cluster_emulator::{play_virtual, Played, VirtualOptions};
 use cluster_model::file;
-use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use invariants::Verdict;
 
 fn play(text: &str, seed: u64) -> Played {
@@ -58,7 +58,7 @@
     (1..=3).for_each(storm);
 }
 
-/// `cargo test --release -p fennelbeam-rehearse --test attempts -- --ignored` (some minutes).
+/// `cargo test --release -p cluster-emulator --test attempts -- --ignored` (some minutes).
 #[test]
 #[ignore = "a hundred seeds take minutes"]
 fn a_storm_of_retries_on_a_hundred_seeds() {
--- a/crates/rehearse/tests/counter_limit.rs
+++ b/crates/cluster-emulator/tests/counter_limit.rs
@@ -1,7 +1,7 @@
 //! A counter that takes fewer calls than a large fleet would make, for the whole day.
 
+use cluster_emulator::{play_virtual, VirtualOptions};
 use cluster_model::file;
-use fennelbeam_rehearse::{play_virtual, VirtualOptions};
 
 /// The calm day of 30 gateways, a quarter of it, with a counter that takes so many calls a second: how many are
 /// made a second, the share turned away, and the worth of the day.
--- a/crates/rehearse/tests/fleet.rs
+++ b/crates/cluster-emulator/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The days of a whole fleet, at a tenth of their size and a quarter of their length.
 
+use cluster_emulator::{play_virtual, GatewayMaker, Played, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::{Scenario, Timed};
 use cluster_model::{MS, SECOND};
-use fennelbeam_rehearse::{play_virtual, GatewayMaker, Played, VirtualOptions};
 use gateway::Signal;
 use std::sync::{Arc, Mutex};
 
--- a/crates/rehearse/tests/hard_cases.rs
+++ b/crates/cluster-emulator/tests/hard_cases.rs
@@ -2,8 +2,8 @@
 //! addresses that change hands, connections that span a cut, and gateways that go wrong by themselves.
 
 use bytes::BytesMut;
+use cluster_emulator::{play_virtual, GatewayMaker, OnPacket, Played, VirtualOptions};
 use cluster_model::file;
-use fennelbeam_rehearse::{play_virtual, GatewayMaker, OnPacket, Played, VirtualOptions};
 use resp::decode;
 use simulated_runtime::{Packet, What};
 use std::collections::{BTreeMap, BTreeSet};
@@ -307,7 +307,7 @@
     let ended = again.args(["--exact", this, "--nocapture"]).env(STUCK, "1").output().unwrap();
     let said = String::from_utf8_lossy(&ended.stderr);
     assert_eq!(ended.status.code(), Some(3), "{said}");
-    assert!(said.contains("fennelbeam-rehearse: test, seed 1: process gateway 1.0 is stuck: "), "{said}");
+    assert!(said.contains("cluster-emulator: test, seed 1: process gateway 1.0 is stuck: "), "{said}");
 }
 
 /// Does not return.
--- a/crates/rehearse/tests/pools.rs
+++ b/crates/cluster-emulator/tests/pools.rs
@@ -1,11 +1,11 @@
 //! A site with two pools through the operators' night, and through one in which a whole pool goes.
 //!
-//! In CI few seeds are played; `SEEDS=30 cargo test --release -p fennelbeam-rehearse --test pools` plays more.
+//! In CI few seeds are played; `SEEDS=30 cargo test --release -p cluster-emulator --test pools` plays more.
 
+use cluster_emulator::{play_virtual, Played, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use config_language::{load, loader::Memory};
-use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use gateway::Operators;
 use simulated_runtime::{Packet, What};
 use std::sync::{Arc, Mutex};
--- a/crates/rehearse/tests/program/digests.rs
+++ b/crates/cluster-emulator/tests/program/digests.rs
@@ -1,8 +1,8 @@
 //! The same seed gives the same run, in each process, build and machine.
 
 use crate::{run, said, stderr, stdout, Folder, SHORT_NIGHT};
+use cluster_emulator::{play_virtual, VirtualOptions};
 use cluster_model::file;
-use fennelbeam_rehearse::{play_virtual, VirtualOptions};
 
 #[test]
 fn the_night_is_the_same_in_two_processes_and_another_with_another_seed() {
--- a/crates/rehearse/tests/program/main.rs
+++ b/crates/cluster-emulator/tests/program/main.rs
@@ -20,7 +20,7 @@
 ";
 
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_fennelbeam-rehearse")).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_cluster-emulator")).args(args).output().unwrap()
 }
 
 fn stdout(output: &Output) -> String {
--- a/crates/rehearse/tests/program/usage.rs
+++ b/crates/cluster-emulator/tests/program/usage.rs
@@ -8,7 +8,7 @@
 /// It fails with status 1 and this one line.
 fn fails_with(output: &Output, line: &str) {
     assert_eq!((output.status.code(), stdout(output).as_str()), (Some(1), ""));
-    assert_eq!(stderr(output), format!("fennelbeam-rehearse: {line}\n"));
+    assert_eq!(stderr(output), format!("cluster-emulator: {line}\n"));
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let output = run(&["/nowhere/a.scenario"]);
     assert_eq!(output.status.code(), Some(1));
     let said = stderr(&output);
-    assert!(said.starts_with("fennelbeam-rehearse: cannot read /nowhere/a.scenario: "), "{said}");
+    assert!(said.starts_with("cluster-emulator: cannot read /nowhere/a.scenario: "), "{said}");
     assert_eq!(said.lines().count(), 1, "{said}");
 }
 
--- a/crates/rehearse/tests/proving.rs
+++ b/crates/cluster-emulator/tests/proving.rs
@@ -1,8 +1,8 @@
 //! Links that fail, processes that stand still and buildings that go, in virtual time: no rule is broken, and each
 //! fault is seen to bite.
 
+use cluster_emulator::{play_virtual, Played, VirtualOptions};
 use cluster_model::file;
-use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 
 fn play(text: &str) -> Played {
     let scenario = file::parse("test.scenario", text).unwrap();
--- a/crates/rehearse/tests/quota/ledger.rs
+++ b/crates/cluster-emulator/tests/quota/ledger.rs
@@ -2,9 +2,9 @@
 //! ones, and how deep a store would be in debt that grants them all.
 
 use bytes::BytesMut;
+use cluster_emulator::OnPacket;
 use cluster_model::scenario::{PlanSpec, Site};
 use cluster_model::{draw, Time, SECOND};
-use fennelbeam_rehearse::OnPacket;
 use resp::{decode, Frame};
 use simulated_runtime::{Packet, What};
 use std::collections::BTreeMap;
--- a/crates/rehearse/tests/quota/main.rs
+++ b/crates/cluster-emulator/tests/quota/main.rs
@@ -7,9 +7,9 @@
 mod table;
 mod totals;
 
+use cluster_emulator::{play_virtual, Played, VirtualOptions};
 use cluster_model::scenario::Scenario;
 use cluster_model::{file, Time, SECOND};
-use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use ledger::Ledger;
 use mix::{Day, Fared, Fault, START};
 use std::sync::OnceLock;
--- a/crates/rehearse/tests/quota/mix.rs
+++ b/crates/cluster-emulator/tests/quota/mix.rs
@@ -2,9 +2,9 @@
 //! whole one, and what the advance statement of error says to it.
 
 use crate::ledger::{Ledger, Tally};
+use cluster_emulator::{play_virtual, VirtualOptions};
 use cluster_model::scenario::{PlanSpec, Scenario};
 use cluster_model::{file, Time, SECOND};
-use fennelbeam_rehearse::{play_virtual, VirtualOptions};
 use invariants::{CustomerFigures, Verdict};
 use quota::bound::{beyond, Failure, Quota, LENT, SAVED};
 use std::collections::BTreeMap;
--- a/crates/rehearse/tests/site_loss.rs
+++ b/crates/cluster-emulator/tests/site_loss.rs
@@ -1,10 +1,10 @@
 //! Loss of a whole building and its return, with and without a plan for it, in virtual time.
 //!
-//! In CI few seeds are played; `SEEDS=30 cargo test --release -p fennelbeam-rehearse --test site_loss` plays more.
+//! In CI few seeds are played; `SEEDS=30 cargo test --release -p cluster-emulator --test site_loss` plays more.
 
+use cluster_emulator::{operators_of, play_virtual, Played, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
-use fennelbeam_rehearse::{operators_of, play_virtual, Played, VirtualOptions};
 use gateway::Operators;
 
 const PLAN: &str = include_str!("../../../scenarios/site-lost.fb");
--- a/crates/rehearse/tests/swarm.rs
+++ b/crates/cluster-emulator/tests/swarm.rs
@@ -1,6 +1,6 @@
 //! Random sites and fleets with random faults: the real gateway keeps all rules on them.
 
-use fennelbeam_rehearse::{Ground, Swarm};
+use cluster_emulator::{Ground, Swarm};
 
 fn plays_well(count: u64, ground: &Ground) {
     let jobs = std::thread::available_parallelism().map_or(2, |cores| cores.get());
--- a/crates/rehearse/tests/wrongdoers/cold.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::{proxy, Wrong};
 use crate::{rules, scenario};
-use fennelbeam_rehearse::{play_virtual, GatewayMaker, Played, VirtualOptions};
+use cluster_emulator::{play_virtual, GatewayMaker, Played, VirtualOptions};
 use invariants::Rule;
 use std::collections::BTreeSet;
 
--- a/crates/rehearse/tests/wrongdoers/main.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/main.rs
@@ -5,9 +5,9 @@
 mod proxy;
 mod swarm;
 
+use cluster_emulator::{play_virtual, Played, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
-use fennelbeam_rehearse::{play_virtual, Played, VirtualOptions};
 use history_checker::Rule as History;
 use invariants::Rule;
 use proxy::{proxy, Wrong};
--- a/crates/rehearse/tests/wrongdoers/proxy.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/proxy.rs
@@ -3,8 +3,8 @@
 
 use anyhow::{bail, Context, Result};
 use bytes::{Bytes, BytesMut};
+use cluster_emulator::{Document, GatewayMaker, GatewayStart};
 use cluster_model::{MS, SECOND};
-use fennelbeam_rehearse::{Document, GatewayMaker, GatewayStart};
 use gateway::{Lifecycle, Member, Membership, Signal};
 use resp::{decode, fill, put_bulk, put_header, Frame, RespError};
 use runtime::{Env, Listener, Span, Time};
--- a/crates/rehearse/tests/wrongdoers/swarm.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/swarm.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::{proxy, Wrong};
 use crate::rules;
-use fennelbeam_rehearse::{only, play_virtual, random_scenario, Swarm, VirtualOptions};
+use cluster_emulator::{only, play_virtual, random_scenario, Swarm, VirtualOptions};
 use invariants::Rule;
 use std::collections::BTreeSet;
 
--- a/crates/fennelbeam/src/command.rs
+++ b/crates/fennelbeam/src/command.rs
@@ -44,10 +44,10 @@
         /// The shell
         shell: Shell,
     },
-    /// Rehearse a whole site on this machine; hands over to `fennelbeam-rehearse` beside this program
+    /// Rehearse a whole site on this machine; hands over to `cluster-emulator` beside this program
     #[command(disable_help_flag = true)]
     Rehearse {
-        /// Words for `fennelbeam-rehearse`
+        /// Words for `cluster-emulator`
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         words: Vec<OsString>,
     },
--- a/crates/fennelbeam/src/main.rs
+++ b/crates/fennelbeam/src/main.rs
@@ -146,8 +146,8 @@
 
 /// The rehearsal is a program of its own, so that nothing simulated is ever part of this one.
 fn rehearse(words: Vec<OsString>) -> Result<()> {
-    let program = std::env::current_exe()?.with_file_name("fennelbeam-rehearse");
+    let program = std::env::current_exe()?.with_file_name("cluster-emulator");
     let error = std::process::Command::new(&program).args(words).exec();
-    let hint = "build it with: cargo build --release -p fennelbeam-rehearse";
+    let hint = "build it with: cargo build --release -p cluster-emulator";
     Err(error).with_context(|| format!("cannot start {} ({hint})", program.display()))
 }
--- a/crates/fennelbeam/src/plan/mod.rs
+++ b/crates/fennelbeam/src/plan/mod.rs
@@ -19,10 +19,10 @@
 pub enum Tool {
     /// Print whether the fleet carries the loss of each site, and of each two; what is refused, and how much
     Show(show::Words),
-    /// Play the loss of each site in virtual time; hands over to `fennelbeam-rehearse plan` beside this program
+    /// Play the loss of each site in virtual time; hands over to `cluster-emulator plan` beside this program
     #[command(disable_help_flag = true)]
     Try {
-        /// The operators' file and further words for `fennelbeam-rehearse plan`
+        /// The operators' file and further words for `cluster-emulator plan`
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         words: Vec<OsString>,
     },
--- a/crates/fennelbeam/tests/clocks.rs
+++ b/crates/fennelbeam/tests/clocks.rs
@@ -1,8 +1,8 @@
 //! Real gateways whose clocks differ by 2 s both ways, before quotas that bind and hosts that come cold: no rule is
 //! broken. A test build: the feature `told-clock`. A program of its own, since gateways begin by way of it.
 
+use cluster_emulator::{become_process, play_real, Played, RealOptions};
 use cluster_model::file;
-use fennelbeam_rehearse::{become_process, play_real, Played, RealOptions};
 use std::path::PathBuf;
 
 /// A run that the machine was too slow for says nothing; it is played again, so often in all.
--- a/crates/fennelbeam/tests/command.rs
+++ b/crates/fennelbeam/tests/command.rs
@@ -115,18 +115,18 @@
     let folder = Folder::new("alone");
     let output = run(&folder.program(), &["rehearse", "night", "--seed", "7"]);
     assert_eq!(code(&output), 1);
-    let beside = folder.0.join("fennelbeam-rehearse");
+    let beside = folder.0.join("cluster-emulator");
     let line = complained(&output);
     assert_eq!(line.lines().count(), 1, "{line}");
     assert!(line.contains(&format!("cannot start {}", beside.display())), "{line}");
-    assert!(line.contains("cargo build --release -p fennelbeam-rehearse"), "{line}");
+    assert!(line.contains("cargo build --release -p cluster-emulator"), "{line}");
 }
 
 #[test]
 fn rehearse_hands_over_all_words_and_ends_as_the_other_program_does() {
     let folder = Folder::new("beside");
     let program = folder.program();
-    symlink("/bin/sh", folder.0.join("fennelbeam-rehearse")).unwrap();
+    symlink("/bin/sh", folder.0.join("cluster-emulator")).unwrap();
     let output =
         run(&program, &["rehearse", "-c", "echo $*; exit 3", "sh", "night", "--seed", "7", "--help"]);
     assert_eq!(said(&output), "night --seed 7 --help\n");
--- a/crates/fennelbeam/tests/crash.rs
+++ b/crates/fennelbeam/tests/crash.rs
@@ -1,7 +1,7 @@
 //! A gateway dies at a few points of its program among two others, on real sockets: no rule is broken by it. All
 //! points are swept by hand (see docs/history.md).
 
-use fennelbeam_rehearse::Death;
+use cluster_emulator::Death;
 use gateway::CrashPoint;
 use std::path::Path;
 
--- a/crates/fennelbeam/tests/fleet.rs
+++ b/crates/fennelbeam/tests/fleet.rs
@@ -3,12 +3,12 @@
 //! A program of its own, without the usual harness: gateways begin by way of it, and one test needs a rehearsal in a
 //! process that can be killed. Words that are no flags choose tests by a part of their names.
 
-use cluster_model::file;
-use cluster_model::scenario::Scenario;
-use fennelbeam_rehearse::{
+use cluster_emulator::{
     become_process, play_real, play_virtual, OnProgress, Played, Progress, RealOptions, RunTrace,
     VirtualOptions,
 };
+use cluster_model::file;
+use cluster_model::scenario::Scenario;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
--- a/crates/fennelbeam/tests/plan_tools.rs
+++ b/crates/fennelbeam/tests/plan_tools.rs
@@ -185,9 +185,9 @@
     let words = ["plan", "try", "park.fb", "--settings", EXAMPLE, "--help"];
     let (code, out, err) = ended(&words);
     assert_eq!((code, out.as_str()), (Some(1), ""));
-    assert!(err.contains("cargo build --release -p fennelbeam-rehearse"), "{err}");
+    assert!(err.contains("cargo build --release -p cluster-emulator"), "{err}");
     // A shell in its place reads the file `plan`, and gets the words behind that.
-    symlink("/bin/sh", folder.path().join("fennelbeam-rehearse")).unwrap();
+    symlink("/bin/sh", folder.path().join("cluster-emulator")).unwrap();
     fs::write(folder.path().join("plan"), "echo $*; exit 3\n").unwrap();
     let expected = format!("park.fb --settings {EXAMPLE} --help\n");
     assert_eq!(ended(&words), (Some(3), expected, String::new()));
