--- a/crates/fennelbeam/tests/load.rs
+++ b/crates/fennelbeam/tests/load.rs
@@ -1,6 +1,6 @@
 //! The real program under the load rig: what it holds stays within what it was granted, and nothing is lost.
 
-use fennelbeam_load::{play, Customers, Outcome, Progress, Rig, Spec, Subject};
+use load_generator::{play, Customers, Outcome, Progress, Rig, Spec, Subject};
 use std::path::PathBuf;
 
 fn run(spec: &Spec) -> Outcome {
--- a/crates/load/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -2,15 +2,15 @@
 
 use anyhow::{Context, Result};
 use clap::{Args, Parser, Subcommand};
-use fennelbeam_load::{compare, floor, page, part_cores, play, relay, table};
-use fennelbeam_load::{Customers, Outcome, Progress, Rig, Spec, Subject};
+use load_generator::{compare, floor, page, part_cores, play, relay, table};
+use load_generator::{Customers, Outcome, Progress, Rig, Spec, Subject};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Measure how much one gateway carries, and what a request costs it, on loopback.
 #[derive(Debug, Parser)]
-#[command(name = "fennelbeam-load", version, after_help = NOTES)]
+#[command(name = "load-generator", version, after_help = NOTES)]
 struct CommandLine {
     #[command(subcommand)]
     command: Command,
@@ -113,7 +113,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
-            eprintln!("fennelbeam-load: {error:#}");
+            eprintln!("load-generator: {error:#}");
             ExitCode::FAILURE
         }
     }
@@ -174,7 +174,7 @@
 }
 
 /// Runs of the whole table.
-fn rows(program: &Path, length_s: f64, cores: Option<fennelbeam_load::Cores>) -> Vec<(Spec, Subject, Rig)> {
+fn rows(program: &Path, length_s: f64, cores: Option<load_generator::Cores>) -> Vec<(Spec, Subject, Rig)> {
     let gateway = Subject::Gateway(program.to_owned());
     let base = Spec { length_s, ..Spec::default() };
     let rig = Rig { cores, ..Rig::default() };
--- a/crates/load/tests/rig.rs
+++ b/crates/load-generator/tests/rig.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::process::{Command, Output};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_fennelbeam-load");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_load-generator");
 
 fn rig(words: &[&str]) -> Output {
     Command::new(PROGRAM).args(words).output().unwrap()
