--- a/crates/fennelbeam/src/command.rs
+++ b/crates/api-gateway/src/command.rs
@@ -11,7 +11,7 @@
 ///
 /// Without a command it serves, with the configuration that ROUTER_CONFIG names.
 #[derive(Debug, Parser)]
-#[command(name = "fennelbeam", version, after_help = EXIT_CODES)]
+#[command(name = "api-gateway", version, after_help = EXIT_CODES)]
 pub struct CommandLine {
     /// What to do.
     #[command(subcommand)]
@@ -97,6 +97,6 @@
 
     #[test]
     fn no_words_mean_to_serve_as_the_platform_does() {
-        assert!(CommandLine::parse_from(["fennelbeam"]).command.is_none());
+        assert!(CommandLine::parse_from(["api-gateway"]).command.is_none());
     }
 }
--- a/crates/fennelbeam/src/completions.rs
+++ b/crates/api-gateway/src/completions.rs
@@ -12,6 +12,6 @@
 pub fn print(shell: Shell) -> Result<()> {
     // First into memory: the generator panics where it cannot write.
     let mut script = Vec::new();
-    clap_complete::generate(shell, &mut CommandLine::command(), "fennelbeam", &mut script);
+    clap_complete::generate(shell, &mut CommandLine::command(), "api-gateway", &mut script);
     crate::output::print(&String::from_utf8_lossy(&script))
 }
--- a/crates/fennelbeam/src/config/fmt.rs
+++ b/crates/api-gateway/src/config/fmt.rs
@@ -42,7 +42,7 @@
     let reads_stdin = words.files.iter().any(|file| file == Path::new(STDIN.0));
     if reads_stdin && words.files.len() > 1 {
         let reason = "`-` stands alone: standard input goes to standard output";
-        let mut usage = Words::augment_args(Command::new("fmt").bin_name("fennelbeam config fmt"));
+        let mut usage = Words::augment_args(Command::new("fmt").bin_name("api-gateway config fmt"));
         usage.error(ErrorKind::ArgumentConflict, reason).exit();
     }
     let mut is_well = true;
@@ -54,7 +54,7 @@
                 is_well = false;
             }
             Err(Failure::File(reason)) => {
-                complain(&format!("fennelbeam: {}: cannot be read: {reason}\n", shown(file)));
+                complain(&format!("api-gateway: {}: cannot be read: {reason}\n", shown(file)));
                 is_well = false;
             }
         }
@@ -120,7 +120,7 @@
         print(&text.after)?;
     } else if differs {
         if let Err(error) = replace(file, text.after.as_bytes()) {
-            complain(&format!("fennelbeam: {}: cannot be rewritten: {error:#}\n", shown(file)));
+            complain(&format!("api-gateway: {}: cannot be rewritten: {error:#}\n", shown(file)));
             return Ok(false);
         }
         print(&format!("{}\n", shown(file)))?;
--- a/crates/fennelbeam/src/main.rs
+++ b/crates/api-gateway/src/main.rs
@@ -43,7 +43,7 @@
     match done {
         Ok(status) => status,
         Err(error) => {
-            output::complain(&format!("fennelbeam: {error:#}\n"));
+            output::complain(&format!("api-gateway: {error:#}\n"));
             ExitCode::FAILURE
         }
     }
--- a/crates/fennelbeam/src/plan/mod.rs
+++ b/crates/api-gateway/src/plan/mod.rs
@@ -78,7 +78,7 @@
 }
 
 /// How the warnings of losses were reckoned.
-const REFUSALS: &str = "with as many requests of each class and plan; `fennelbeam plan show` tells more";
+const REFUSALS: &str = "with as many requests of each class and plan; `api-gateway plan show` tells more";
 
 /// The first site that lacks a figure, and which.
 fn lacking(plan: &Plan) -> Option<(usize, &'static str)> {
--- a/crates/fennelbeam/tests/clocks.rs
+++ b/crates/api-gateway/tests/clocks.rs
@@ -45,7 +45,7 @@
 
 fn play() -> Played {
     let options = RealOptions {
-        program: PathBuf::from(env!("CARGO_BIN_EXE_fennelbeam")),
+        program: PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")),
         launcher: Some(std::env::current_exe().unwrap()),
         links: true,
         replay: None,
--- a/crates/fennelbeam/tests/command.rs
+++ b/crates/api-gateway/tests/command.rs
@@ -4,13 +4,13 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_fennelbeam");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_api-gateway");
 
 fn run(program: &Path, words: &[&str]) -> Output {
     Command::new(program).args(words).env_remove("ROUTER_CONFIG").output().unwrap()
 }
 
-fn fennelbeam(words: &[&str]) -> Output {
+fn api_gateway(words: &[&str]) -> Output {
     run(Path::new(PROGRAM), words)
 }
 
@@ -45,7 +45,7 @@
     /// The program under another path. A link, since a copy may still be open for writing where another test
     /// starts a process just then, and could not be started.
     fn program(&self) -> PathBuf {
-        let path = self.0.join("fennelbeam");
+        let path = self.0.join("api-gateway");
         std::fs::hard_link(PROGRAM, &path).unwrap();
         path
     }
@@ -59,14 +59,14 @@
 
 #[test]
 fn it_tells_its_version() {
-    let output = fennelbeam(&["--version"]);
+    let output = api_gateway(&["--version"]);
     assert_eq!(code(&output), 0);
-    assert_eq!(said(&output), concat!("fennelbeam ", env!("CARGO_PKG_VERSION"), "\n"));
+    assert_eq!(said(&output), concat!("api-gateway ", env!("CARGO_PKG_VERSION"), "\n"));
 }
 
 #[test]
 fn help_names_the_commands_the_statuses_and_the_signals() {
-    let output = fennelbeam(&["--help"]);
+    let output = api_gateway(&["--help"]);
     assert_eq!(code(&output), 0);
     for words in ["serve", "check", "rehearse", "ROUTER_CONFIG", "Exit status: 0", "SIGHUP", "SIGTERM"] {
         assert!(said(&output).contains(words), "{words} is not in: {}", said(&output));
@@ -85,7 +85,7 @@
             assert_eq!(code(&output), 1, "{words:?}");
             let line = complained(&output);
             assert_eq!(line.lines().count(), 1, "{words:?}: {line}");
-            assert!(line.starts_with("fennelbeam: "), "{words:?}: {line}");
+            assert!(line.starts_with("api-gateway: "), "{words:?}: {line}");
             assert!(line.contains(&file) && line.contains(reason), "{words:?}: {line}");
             assert_eq!(said(&output), "", "{words:?}");
         }
@@ -97,16 +97,16 @@
     for words in [&[][..], &["serve"]] {
         let output = run(Path::new(PROGRAM), words);
         assert_eq!(code(&output), 1);
-        assert_eq!(complained(&output), "fennelbeam: ROUTER_CONFIG is not set\n");
+        assert_eq!(complained(&output), "api-gateway: ROUTER_CONFIG is not set\n");
     }
 }
 
 #[test]
 fn wrong_usage_has_a_status_of_its_own() {
     for words in [&["serv"][..], &["check"], &["serve", "--port", "1"], &["check", "a", "b"]] {
-        let output = fennelbeam(words);
+        let output = api_gateway(words);
         assert_eq!(code(&output), 2, "{words:?}");
-        assert!(complained(&output).contains("Usage: fennelbeam"), "{words:?}: {}", complained(&output));
+        assert!(complained(&output).contains("Usage: api-gateway"), "{words:?}: {}", complained(&output));
     }
 }
 
--- a/crates/fennelbeam/tests/config_tools.rs
+++ b/crates/api-gateway/tests/config_tools.rs
@@ -78,7 +78,7 @@
     }
 
     fn command(&self, words: &[&str]) -> Command {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fennelbeam"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
         command.args(words).current_dir(self.0.path()).env_remove("ROUTER_CONFIG").stdin(Stdio::null());
         command
     }
@@ -237,7 +237,7 @@
         let ended = folder.config(&format!("{tool} site.fb --settings {file}"));
         assert_eq!((ended.code, ended.out.as_str()), (1, ""), "{tool}");
         assert_eq!(ended.err.lines().count(), 1, "{}", ended.err);
-        assert!(ended.err.starts_with("fennelbeam: cannot ") && ended.err.contains(file), "{}", ended.err);
+        assert!(ended.err.starts_with("api-gateway: cannot ") && ended.err.contains(file), "{}", ended.err);
     }
 }
 
@@ -286,7 +286,7 @@
     let folder = Folder::with("site.fb", GOOD);
     folder.put("old.fb", "pool 7 {}\npool \"a\" {}\npool \"a\" {}\n");
     let checked = folder.config("check site.fb --against old.fb");
-    let begin = "fennelbeam: cannot compare with old.fb: old.fb:1:6: error: ";
+    let begin = "api-gateway: cannot compare with old.fb: old.fb:1:6: error: ";
     assert_eq!((checked.code, checked.out.as_str()), (1, ""));
     assert!(checked.err.starts_with(begin) && checked.err.ends_with(" (and 1 more)\n"), "{}", checked.err);
     assert_eq!(checked.err.lines().count(), 1);
@@ -387,7 +387,7 @@
     folder.put("a.fb", UNTIDY);
     let full = folder.config("fmt a.fb");
     assert_eq!((full.code, full.out.as_str(), folder.text("a.fb").as_str()), (1, "", UNTIDY));
-    assert!(full.err.starts_with("fennelbeam: a.fb: cannot be rewritten: "), "{}", full.err);
+    assert!(full.err.starts_with("api-gateway: a.fb: cannot be rewritten: "), "{}", full.err);
 }
 
 #[test]
@@ -402,8 +402,8 @@
     for words in [
         "error: the text that begins here has no closing quote\n --> broken.fb:2:11\n",
         "error: the byte 0xFF is not UTF-8\n --> bytes.fb:2:1\n",
-        "fennelbeam: folder: cannot be read: it is a folder\n",
-        "fennelbeam: missing.fb: cannot be read: there is no such file\n",
+        "api-gateway: folder: cannot be read: it is a folder\n",
+        "api-gateway: missing.fb: cannot be read: there is no such file\n",
     ] {
         assert!(ended.err.contains(words), "{words} is not in: {}", ended.err);
     }
@@ -438,7 +438,7 @@
     assert_eq!((broken.code, broken.out.as_str()), (1, ""));
     assert!(broken.err.contains(" --> <stdin>:1:6\n"), "{}", broken.err);
     let large = folder.config_with("fmt -", &b"# many\n".repeat(100_000));
-    large.is(1, "", "fennelbeam: <stdin>: cannot be read: it has more than 262144 bytes\n");
+    large.is(1, "", "api-gateway: <stdin>: cannot be read: it has more than 262144 bytes\n");
 }
 
 // ---- diff
@@ -570,7 +570,7 @@
         let full = fs::OpenOptions::new().write(true).open("/dev/full").unwrap();
         let ended = Ended::from(folder.command(&words).stdout(full).output().unwrap());
         assert_eq!(ended.code, 1, "{words:?}");
-        assert!(ended.err.starts_with("fennelbeam: cannot write the result: "), "{}", ended.err);
+        assert!(ended.err.starts_with("api-gateway: cannot write the result: "), "{}", ended.err);
     }
 }
 
@@ -618,7 +618,7 @@
         let ended = folder.run(&words.split(' ').collect::<Vec<_>>());
         assert_eq!((ended.code, ended.out.as_str()), (2, ""), "{words}");
         assert!(
-            ended.err.contains("Usage: fennelbeam") || ended.err.contains("possible values"),
+            ended.err.contains("Usage: api-gateway") || ended.err.contains("possible values"),
             "{}",
             ended.err
         );
@@ -642,8 +642,8 @@
 fn bash_completes_the_words_of_the_tools() {
     let folder = Folder::new();
     let script = folder.run(&["completions", "bash"]).out;
-    let ask = "compopt() { :; }; COMP_WORDS=(fennelbeam config f); COMP_CWORD=2\n\
-               _fennelbeam fennelbeam f config; echo \"${COMPREPLY[@]}\"\n";
+    let ask = "compopt() { :; }; COMP_WORDS=(api-gateway config f); COMP_CWORD=2\n\
+               _api-gateway api-gateway f config; echo \"${COMPREPLY[@]}\"\n";
     let bash = Command::new("bash").args(["-c", &format!("{script}\n{ask}")]).output().unwrap();
     let told = Ended::from(bash);
     told.is(0, "fmt\n", "");
@@ -715,12 +715,12 @@
     fs::read_to_string(Path::new(ROOT).join(name)).unwrap()
 }
 
-/// The commands `fennelbeam config ...` of a text, each as its words.
+/// The commands `api-gateway config ...` of a text, each as its words.
 fn commands(text: &str) -> Vec<Vec<&str>> {
-    let parts = text.split("fennelbeam config ").skip(1);
+    let parts = text.split("api-gateway config ").skip(1);
     let commands = parts.map(|part| part.split(['`', '\n']).next().unwrap());
     let words = commands.map(|command| command.split_whitespace().collect::<Vec<&str>>());
-    // `fennelbeam config ...` stands for all of them.
+    // `api-gateway config ...` stands for all of them.
     words.filter(|words| words.first().is_some_and(|tool| *tool != "...")).collect()
 }
 
--- a/crates/fennelbeam/tests/crash.rs
+++ b/crates/api-gateway/tests/crash.rs
@@ -17,7 +17,7 @@
         for (point, nth, cut) in deaths {
             scope.spawn(move || {
                 let death = Death { point: Some(point), nth, cut };
-                let played = death.play(Path::new(env!("CARGO_BIN_EXE_fennelbeam")), 1).unwrap();
+                let played = death.play(Path::new(env!("CARGO_BIN_EXE_api-gateway")), 1).unwrap();
                 assert_eq!(played.died.len(), 1, "{death:?}");
                 assert_eq!(played.verdict.breaches, [], "{death:?}");
                 assert_eq!(played.history.findings, [], "{death:?}");
--- a/crates/fennelbeam/tests/deployments.rs
+++ b/crates/api-gateway/tests/deployments.rs
@@ -60,7 +60,8 @@
 /// The program by the words of the deploy file, but for the place of its build.
 fn run_words() -> Command {
     let run = DEPLOY.lines().find_map(|line| line.strip_prefix("run = \"")?.strip_suffix('"')).unwrap();
-    let (built, here) = ("target/release/fennelbeam ", concat!("'", env!("CARGO_BIN_EXE_fennelbeam"), "' "));
+    let (built, here) =
+        ("target/release/api-gateway ", concat!("'", env!("CARGO_BIN_EXE_api-gateway"), "' "));
     assert!(run.contains(built), "{run}");
     let mut command = Command::new("sh");
     command.args(["-c", &run.replace(built, here)]).current_dir(ROOT);
@@ -232,7 +233,7 @@
     let nowhere = NOWHERE.parse().unwrap();
     let (host, agents) = (Host::start(), [(); 2].map(|()| Discovery::start()));
     let [one, other] = deployments();
-    let mut serve = Command::new(env!("CARGO_BIN_EXE_fennelbeam"));
+    let mut serve = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
     serve.args(["serve", "--operator"]).arg(&file);
     let program = start(serve, one.clone(), &host, agents[0].addr, nowhere);
     let _watch = agents[0].watch();
@@ -323,7 +324,8 @@
     let ((host, at_host), (counter, at_counter)) = (talker(":1\r\n"), talker("*1\r\n:1\r\n"));
     let entries = [host_line("s-0", good.addr, "in_service", 0), host_line("s-1", host, "in_service", 0)];
     let (agent, began) = (Agent::start(list(2, true, &entries)), Instant::now());
-    let program = start(Command::new(env!("CARGO_BIN_EXE_fennelbeam")), settings, &good, agent.addr, counter);
+    let program =
+        start(Command::new(env!("CARGO_BIN_EXE_api-gateway")), settings, &good, agent.addr, counter);
     // Reads are asked anew at the other host, so all are served; the counter is asked for each customer.
     for customer in 1..20 {
         assert_eq!(answer(&program, "CALL.GET", customer, "c=read,t=team,d=8500"), "served");
--- a/crates/fennelbeam/tests/example.rs
+++ b/crates/api-gateway/tests/example.rs
@@ -22,8 +22,8 @@
     serde_json::from_slice(&std::fs::read(EXAMPLE).unwrap()).unwrap()
 }
 
-fn fennelbeam() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_fennelbeam"))
+fn api_gateway() -> Command {
+    Command::new(env!("CARGO_BIN_EXE_api-gateway"))
 }
 
 /// The program, serving with a document; killed with the test.
@@ -39,7 +39,7 @@
         let name = format!("fennelbeam-example-{}{}.json", std::process::id(), words.len());
         let file = std::env::temp_dir().join(name);
         std::fs::write(&file, document.to_string()).unwrap();
-        let mut serve = fennelbeam();
+        let mut serve = api_gateway();
         serve
             .args(["serve", "--config"])
             .arg(&file)
@@ -114,7 +114,7 @@
 
 #[test]
 fn the_example_is_found_good() {
-    let checked = fennelbeam().arg("check").arg(EXAMPLE).output().unwrap();
+    let checked = api_gateway().arg("check").arg(EXAMPLE).output().unwrap();
     let said = String::from_utf8(checked.stdout).unwrap();
     assert!(checked.status.success(), "{}", String::from_utf8_lossy(&checked.stderr));
     for words in ["can be used", "price-read, unit-order", "standard, premium", "knows 3 hosts"] {
--- a/crates/fennelbeam/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -130,7 +130,7 @@
 fn play_with(scenario: &Scenario, run: Run<'_>) -> Played {
     let Run { replay, progress, operators, logs } = run;
     let options = RealOptions {
-        program: PathBuf::from(env!("CARGO_BIN_EXE_fennelbeam")),
+        program: PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")),
         launcher: Some(std::env::current_exe().unwrap()),
         links: true,
         replay,
--- a/crates/fennelbeam/tests/gateway.rs
+++ b/crates/api-gateway/tests/gateway.rs
@@ -986,7 +986,7 @@
     let bad = std::env::temp_dir().join(format!("fennelbeam-bad-{}.json", std::process::id()));
     std::fs::write(&bad, "{\"name\": 3}").unwrap();
     for path in ["/nonexistent/config.json", bad.to_str().unwrap()] {
-        let output = Command::new(env!("CARGO_BIN_EXE_fennelbeam"))
+        let output = Command::new(env!("CARGO_BIN_EXE_api-gateway"))
             .env("ROUTER_CONFIG", path)
             .stdin(Stdio::null())
             .output()
@@ -994,7 +994,7 @@
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
         assert_eq!(text.lines().count(), 1, "{text}");
-        assert!(text.starts_with("fennelbeam: "), "{text}");
+        assert!(text.starts_with("api-gateway: "), "{text}");
     }
     std::fs::remove_file(bad).unwrap();
 }
--- a/crates/fennelbeam/tests/load.rs
+++ b/crates/api-gateway/tests/load.rs
@@ -5,7 +5,7 @@
 
 fn run(spec: &Spec) -> Outcome {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    let subject = Subject::Gateway(PathBuf::from(env!("CARGO_BIN_EXE_fennelbeam")));
+    let subject = Subject::Gateway(PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")));
     runtime.block_on(play(spec, &subject, &Rig::default(), &Progress::new())).unwrap()
 }
 
--- a/crates/fennelbeam/tests/operators.rs
+++ b/crates/api-gateway/tests/operators.rs
@@ -138,7 +138,7 @@
     files.write("site.fb", "pool \"a\" {\n  zones = \"elsewhere\"\n}\n");
     let document = files.0.path().join("config.json");
     std::fs::write(&document, include_str!("../../../deploy/example.json")).unwrap();
-    let program = std::process::Command::new(env!("CARGO_BIN_EXE_fennelbeam"))
+    let program = std::process::Command::new(env!("CARGO_BIN_EXE_api-gateway"))
         .args(["serve", "--config"])
         .arg(&document)
         .arg("--operator")
--- a/crates/fennelbeam/tests/pages.rs
+++ b/crates/api-gateway/tests/pages.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn what_check_says_of_the_plans_stands_in_the_page() {
-    let checked = Command::new(env!("CARGO_BIN_EXE_fennelbeam")).args(["check", EXAMPLE]).output().unwrap();
+    let checked = Command::new(env!("CARGO_BIN_EXE_api-gateway")).args(["check", EXAMPLE]).output().unwrap();
     let said = String::from_utf8(checked.stdout).unwrap();
     let plans: Vec<&str> = said.lines().filter(|line| line.starts_with("  plan ")).collect();
     assert_eq!(plans.len(), 2, "{said}");
--- a/crates/fennelbeam/tests/plan_tools.rs
+++ b/crates/api-gateway/tests/plan_tools.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output};
 use tempfile::TempDir;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_fennelbeam");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_api-gateway");
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
 const PAGE: &str = include_str!("../../../docs/site-loss.md");
 
@@ -158,7 +158,7 @@
             "nothing weighs",
         ),
         (PLAN, "plan show park.fb".into(), 2, "--settings"),
-        (PLAN, "plan".into(), 2, "Usage: fennelbeam plan"),
+        (PLAN, "plan".into(), 2, "Usage: api-gateway plan"),
         (PLAN, "plan shoe".into(), 2, "show"),
     ];
     for (plan, words, code, said) in cases {
@@ -174,7 +174,7 @@
 #[test]
 fn to_try_a_plan_hands_over_all_words() {
     let folder = folder(PLAN);
-    let program = folder.path().join("fennelbeam");
+    let program = folder.path().join("api-gateway");
     // A link, since a copy may still be open for writing where another test starts a process just then.
     fs::hard_link(PROGRAM, &program).unwrap();
     let ended = |words: &[&str]| {
@@ -214,7 +214,7 @@
     let asked = parts("console");
     assert!(asked.len() >= 2, "{asked:?}");
     for text in asked {
-        let (words, said) = text.strip_prefix("$ fennelbeam ").unwrap().split_once('\n').unwrap();
+        let (words, said) = text.strip_prefix("$ api-gateway ").unwrap().split_once('\n').unwrap();
         let (code, out, err) = run(&folder, words);
         assert_eq!((code, err + &out), (0, said.to_owned()), "{words}");
     }
--- a/crates/fennelbeam/tests/platform.rs
+++ b/crates/api-gateway/tests/platform.rs
@@ -73,7 +73,7 @@
 fn a_start_a_request_a_reload_and_a_stop_need_no_call_that_the_platform_refuses() {
     let peers = Peers::start(1);
     let mut command = Command::new(std::env::current_exe().unwrap());
-    command.args(["--exact", "confined", "--nocapture"]).env(CONFINED, env!("CARGO_BIN_EXE_fennelbeam"));
+    command.args(["--exact", "confined", "--nocapture"]).env(CONFINED, env!("CARGO_BIN_EXE_api-gateway"));
     let limits = json!({"cores": 1.0, "memory_mb": 64, "sockets": 128});
     let known = [host_line("s-1", peers.addrs[0], "in_service", 0)];
     let counter = peers.addrs[0];
@@ -102,7 +102,7 @@
     assert_eq!(value("build"), "cargo build --release");
     let run = value("run");
     let words: Vec<&str> = run.split_whitespace().collect();
-    assert_eq!(words[..3], ["exec", "target/release/fennelbeam", "serve"], "{run}");
+    assert_eq!(words[..3], ["exec", "target/release/api-gateway", "serve"], "{run}");
     assert!(!run.contains([';', '&', '|', '$', '`', '\n']), "one command and no shell beside it: {run}");
     let sim = value("sim");
     assert_eq!(sim, "exec target/release/simulator-adapter");
@@ -112,7 +112,7 @@
 #[test]
 fn the_program_is_linked_dynamically_against_the_c_library() {
     // What its interpreter and its dynamic section name stands in the file as text.
-    let bytes = std::fs::read(env!("CARGO_BIN_EXE_fennelbeam")).unwrap();
+    let bytes = std::fs::read(env!("CARGO_BIN_EXE_api-gateway")).unwrap();
     let holds = |text: &[u8]| bytes.windows(text.len()).any(|window| window == text);
     assert!(
         holds(b"libc.so.6\0") && holds(b"ld-linux"),
--- a/crates/fennelbeam/tests/signals.rs
+++ b/crates/api-gateway/tests/signals.rs
@@ -36,7 +36,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
         place(path.clone());
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fennelbeam"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
         let child = command.env("ROUTER_CONFIG", path).stderr(Stdio::piped()).spawn().unwrap();
         Starting { folder, child }
     }
--- a/crates/fennelbeam/tests/sockets/mod.rs
+++ b/crates/api-gateway/tests/sockets/mod.rs
@@ -94,7 +94,7 @@
         counter: SocketAddr,
     ) -> Self {
         let limits = json!({"cores": 1.0, "memory_mb": 192, "sockets": 256});
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fennelbeam"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
         command.args(["serve", "--operator"]).arg(file);
         Self::spawn(command, limits, settings, known, discovery, counter)
     }
@@ -108,10 +108,10 @@
         discovery: SocketAddr,
         counter: SocketAddr,
     ) -> Self {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fennelbeam"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
         if let Some(descriptors) = descriptors {
             command = Command::new("sh");
-            let run = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_fennelbeam"));
+            let run = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_api-gateway"));
             command.args(["-c", &run]);
         }
         Self::spawn(command, limits, settings, known, discovery, counter)
--- a/crates/cluster-emulator/examples/crash_sweep.rs
+++ b/crates/cluster-emulator/examples/crash_sweep.rs
@@ -1,8 +1,8 @@
 //! A gateway dies once at each point of its program, with the counter whole and cut: what each death costs, and
 //! whether a rule is broken by it.
 //!
-//!     cargo build --release -p fennelbeam --features crash-points --target-dir target/crash-points
-//!     cargo run --release -p cluster-emulator --example crash_sweep -- target/crash-points/release/fennelbeam
+//!     cargo build --release -p api-gateway --features crash-points --target-dir target/crash-points
+//!     cargo run --release -p cluster-emulator --example crash_sweep -- target/crash-points/release/api-gateway
 //!
 //! `[SEED [AT ONCE [POINT FROM TO]]]` may follow the program: the last three play that point alone, once for each time
 //! from FROM to TO that the gateway may come there. Ends with status 1 where a rule broke, or a gateway did not die.
--- a/crates/cluster-emulator/src/main.rs
+++ b/crates/cluster-emulator/src/main.rs
@@ -354,7 +354,7 @@
 
 /// The gateway's program.
 fn program(line: &CommandLine) -> Result<PathBuf> {
-    let beside = || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("fennelbeam"));
+    let beside = || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("api-gateway"));
     let program = line.gateway.clone().map_or_else(beside, Ok)?;
     if !program.exists() {
         bail!(
--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -250,7 +250,7 @@
     fn program(&self) -> Result<PathBuf> {
         match &self.gateway {
             Some(path) => Ok(path.clone()),
-            None => Ok(std::env::current_exe()?.with_file_name("fennelbeam")),
+            None => Ok(std::env::current_exe()?.with_file_name("api-gateway")),
         }
     }
 
