--- a/crates/api-gateway/src/main.rs
+++ b/crates/api-gateway/src/main.rs
@@ -100,12 +100,12 @@
     let settings = &config.site.settings;
     println!("{}: can be used", path.display());
     println!("  {} listens on {}, asks discovery at {}", config.name, config.listen, config.discovery);
-    match config.counter.filter(|_| settings.counter) {
+    match config.counter.filter(|_| settings.has_counter) {
         Some(counter) => println!("  counts quotas with the counter at {counter}"),
         None => println!("  counts quotas by itself: the settings allow no counter"),
     }
     say_budget(&config);
-    if settings.counter && config.counter.is_some() {
+    if settings.has_counter && config.counter.is_some() {
         say_bounds(&config.site);
     }
     for key in &config.unknown {
--- a/crates/api-gateway/src/operators.rs
+++ b/crates/api-gateway/src/operators.rs
@@ -15,14 +15,14 @@
     let plans = site.plans.iter().zip(&site.settings.plans);
     Platform {
         classes: site.classes.clone(),
-        worths: site.settings.classes.iter().map(|class| class.worth).collect(),
+        worths: site.settings.classes.iter().map(|class| class.priority_weight).collect(),
         plans: plans
             .map(|(name, plan)| PlatformPlan {
                 name: name.clone(),
                 rate: plan.rate,
                 burst: plan.burst,
-                open: plan.open,
-                worth: plan.price,
+                open: plan.max_concurrent,
+                worth: plan.weight_factor,
             })
             .collect(),
         zones: site.zones.clone(),
@@ -44,7 +44,12 @@
 pub fn quotas(operators: &Operators, site: &Site) -> Result<Vec<InForce>, RouteError> {
     let plans = site.plans.iter().zip(&site.settings.plans);
     let granted: Vec<Quota> = plans
-        .map(|(name, plan)| Quota { plan: name, rate: plan.rate, burst: plan.burst, open: plan.open })
+        .map(|(name, plan)| Quota {
+            plan: name,
+            rate: plan.rate,
+            burst: plan.burst,
+            open: plan.max_concurrent,
+        })
         .collect();
     tighten(operators, &granted)
 }
--- a/crates/cluster-emulator/src/plan.rs
+++ b/crates/cluster-emulator/src/plan.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use config_language::{load, loader::Fs, Severity};
 use gateway::{check_operators, Config, Site};
-use policy::api::{Effect, Span, Time};
+use policy::api::{Idempotency, Span, Time};
 use site_failover::{Facts, Plan};
 use site_failover_model::{play, Back, Down, Figures, Loss, Setting};
 use std::path::PathBuf;
@@ -73,7 +73,8 @@
 fn setting(site: &Site, plan: Plan) -> Option<Setting> {
     let (classes, plans) = (&site.settings.classes, site.settings.plans.len());
     let cells = classes.len() * plans;
-    let once = (0..cells).filter(|cell| classes[cell / plans].effect == Effect::Unsafe).collect();
+    let once =
+        (0..cells).filter(|cell| classes[cell / plans].idempotency == Idempotency::NotIdempotent).collect();
     Setting::of_plan(plan, site.settings.gateways, vec![1.0 / cells as f64; cells], once)
 }
 
--- a/crates/cluster-emulator/tests/quota/totals.rs
+++ b/crates/cluster-emulator/tests/quota/totals.rs
@@ -9,7 +9,7 @@
 use cluster_model::scenario::{PlanSpec, Site};
 use cluster_model::SECOND;
 use gateway::{serve, Config};
-use policy::api::{CountName, CustomerId};
+use policy::api::{CounterKey, CustomerId};
 use policy::names::{leased, told_late, EPOCH};
 use quota::bound::{beyond, Failure, Quota};
 use resp::{decode, fill, put_bulk, put_header, Frame};
@@ -30,7 +30,7 @@
         let GatewayStart { env, document, signals } = start;
         let read = move || Config::parse(document.text().as_bytes());
         let config = read().expect("a configuration");
-        if config.site.settings.me == 0 {
+        if config.site.settings.gateway_index == 0 {
             let (own, ledger, totals) = (env.clone(), ledger.clone(), totals.clone());
             let counter = config.counter.expect("a counter");
             env.spawn(async move {
@@ -70,7 +70,7 @@
 }
 
 /// A call that adds nothing.
-fn ask(name: CountName) -> BytesMut {
+fn ask(name: CounterKey) -> BytesMut {
     let mut out = BytesMut::new();
     put_header(&mut out, b'*', 4);
     for word in ["ADDGET", &format!("{:016x}", name.0), "0", "60000"] {
--- a/crates/cluster-model/tests/settings.rs
+++ b/crates/cluster-model/tests/settings.rs
@@ -35,10 +35,10 @@
     let scenario = unusual();
     let site = told(&scenario, 3);
     assert_eq!((site.settings.gateways, site.settings.zone), (5, 1));
-    assert_eq!((site.settings.max_attempts, site.settings.may_duplicate), (3, false));
+    assert_eq!((site.settings.max_attempts, site.settings.may_hedge), (3, false));
     assert_eq!(site.settings.max_retry_after, Some(800 * MS));
-    assert_eq!((site.settings.counter, site.settings.counter_timeout), (true, 60 * MS));
-    assert_eq!((site.settings.cold_share, site.settings.cold), (0.3, 12 * SECOND));
+    assert_eq!((site.settings.has_counter, site.settings.counter_timeout), (true, 60 * MS));
+    assert_eq!((site.settings.cold_capacity, site.settings.warm_up), (0.3, 12 * SECOND));
     assert_eq!((site.conn_idle, site.dial_timeout, site.units_top), (9 * SECOND, 250 * MS, 9.0));
     assert!(site.settings.may_cancel && !site.settings.must_subscribe && !site.answers_report);
     assert_eq!((site.zones, site.kinds), (vec![building(0), building(1)], vec![machine_type(&scenario)]));
@@ -51,19 +51,19 @@
     assert_eq!(site.classes, ["bulk", "unit-order"]);
     assert_eq!(site.plans, ["gold", "standard"]);
     for (told, class) in site.settings.classes.iter().zip(&scenario.site.classes) {
-        assert_eq!((told.aim, told.deadline), (class.aim, class.deadline));
-        assert_eq!((told.worth, told.late_worth), (class.worth, class.late_worth));
+        assert_eq!((told.latency_objective, told.deadline), (class.aim, class.deadline));
+        assert_eq!((told.priority_weight, told.late_fraction), (class.worth, class.late_worth));
         let effect = match class.effect {
-            Effect::Safe => policy::api::Effect::Safe,
-            Effect::Keyed(window) => policy::api::Effect::Keyed(policy::api::Scope::All, window),
-            Effect::Unsafe => policy::api::Effect::Unsafe,
+            Effect::Safe => policy::api::Idempotency::Idempotent,
+            Effect::Keyed(window) => policy::api::Idempotency::WithKey(policy::api::DedupScope::All, window),
+            Effect::Unsafe => policy::api::Idempotency::NotIdempotent,
         };
-        assert_eq!(told.effect, effect);
+        assert_eq!(told.idempotency, effect);
     }
     for (told, plan) in site.settings.plans.iter().zip(&scenario.site.plans) {
-        assert_eq!((told.rate, told.burst, told.open), (plan.rate, plan.burst, plan.open));
-        assert_eq!((told.price, told.extra_worth), (plan.price, plan.extra_worth));
-        assert_eq!(told.overrun_cost, plan.overrun_cost);
+        assert_eq!((told.rate, told.burst, told.max_concurrent), (plan.rate, plan.burst, plan.open));
+        assert_eq!((told.weight_factor, told.over_quota_weight), (plan.price, plan.extra_worth));
+        assert_eq!(told.over_quota_cost, plan.overrun_cost);
         let ceiling = (told.ceiling_rate, told.ceiling_burst, told.ceiling_slack);
         assert_eq!(ceiling, (plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack));
     }
@@ -74,7 +74,7 @@
     let mut scenario = Scenario::default();
     assert_eq!(told(&scenario, 0).settings.max_retry_after, None);
     scenario.site.counter.on = false;
-    assert!(!told(&scenario, 0).settings.counter);
+    assert!(!told(&scenario, 0).settings.has_counter);
     assert_eq!(document(&scenario, 0, &start()).get("counter"), None);
 }
 
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -3,7 +3,7 @@
 use crate::host_line::Text;
 use bytes::{Buf, Bytes, BytesMut};
 use platform_settings::Site;
-use policy::api::{CustomerId, Effect, Request, RequestId, Span};
+use policy::api::{CustomerId, Idempotency, Request, RequestId, Span};
 use resp::{self as resp, Frame};
 
 const MS: Span = 1_000_000;
@@ -103,7 +103,7 @@
     let request = Request { id, customer: CustomerId(customer), ..Request::default() };
     let (request, d) = values(site, request, list)?;
     let class = site.settings.classes.get(request.class).ok_or(CallError::Class)?;
-    if post == (class.effect == Effect::Safe) {
+    if post == (class.idempotency == Idempotency::Idempotent) {
         return Err(CallError::Effect);
     }
     let (before, after) = (list.slice(..d.0), list.slice(d.1..));
@@ -137,17 +137,17 @@
     // No client waits longer than its class allows.
     let longest = site.settings.classes[r.class].deadline.div_ceil(MS);
     let wait = d.and_then(whole).filter(|d| (1..=longest).contains(d)).ok_or(CallError::Value("d"))?;
-    r.patience = wait * MS;
-    r.repeat = match repeat {
+    r.remaining = wait * MS;
+    r.is_retry = match repeat {
         None | Some("0") => false,
         Some("1") => true,
         Some(_) => return Err(CallError::Value("r")),
     };
     r.units = units.and_then(|units| amount(units, site.units_top)).ok_or(CallError::Value("units"))?;
     let spread = spread.and_then(whole).filter(|n| (1..=u64::from(gateways)).contains(n));
-    r.spread = spread.ok_or(CallError::Value("spread"))? as u32;
+    r.set_size = spread.ok_or(CallError::Value("spread"))? as u32;
     let first = first.and_then(whole).filter(|n| *n < u64::from(gateways));
-    r.first = first.ok_or(CallError::Value("first"))? as u32;
+    r.first_gateway = first.ok_or(CallError::Value("first"))? as u32;
     let (start, digits) = seen[2].ok_or(CallError::Value("d"))?;
     Ok((r, (start, start + digits.len())))
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -85,7 +85,7 @@
         let memory_mb = limits.memory_mb;
         ensure!(memory_mb >= MIN_MEMORY_MB, "`limits.memory_mb` is {memory_mb}, under {MIN_MEMORY_MB}");
         ensure!(
-            counter.is_some() || !site.settings.counter,
+            counter.is_some() || !site.settings.has_counter,
             "`counter` is missing: the settings allow the counter, and nothing says where it is"
         );
         let seed = &document.seed;
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -5,7 +5,7 @@
 use crate::messages::{CallId, Counted, CounterEvent, Input};
 use crate::outage::Outage;
 use bytes::{Buf, Bytes, BytesMut};
-use policy::api::{CountName, Outcome, Span, Time};
+use policy::api::{CounterKey, Outcome, Span, Time};
 use resp::{self as resp, Frame, RespError};
 use runtime::{Env, Stream};
 use rustc_hash::FxHashMap;
@@ -45,7 +45,7 @@
 }
 
 struct PendingAdd {
-    name: CountName,
+    name: CounterKey,
     started: Time,
     stage: Arc<AtomicU8>,
 }
@@ -95,7 +95,7 @@
     }
 
     /// Makes a call; `None`: it could not be written anywhere, so nothing was added.
-    pub fn call(&mut self, name: CountName, amount: f64, keep: Span) -> Option<(CallId, Time)> {
+    pub fn call(&mut self, name: CounterKey, amount: f64, keep: Span) -> Option<(CallId, Time)> {
         let started = self.env.now();
         let link = self.link()?;
         let stage = Arc::new(AtomicU8::new(QUEUED));
@@ -137,7 +137,7 @@
     pub fn give_up(&mut self, call: CallId) -> Option<Counted> {
         let stage = &self.calls.get(&call)?.stage;
         let written = stage.swap(GIVEN_UP, Ordering::Relaxed) == WRITTEN;
-        let outcome = if written { Outcome::Timeout } else { Outcome::NoConnection };
+        let outcome = if written { Outcome::Timeout } else { Outcome::ConnectFailed };
         self.end(call, outcome, 0.0)
     }
 
@@ -182,7 +182,7 @@
     }
 }
 
-fn command(name: CountName, amount: f64, keep: Span) -> Bytes {
+fn command(name: CounterKey, amount: f64, keep: Span) -> Bytes {
     let (name, amount) = (format!("{:016x}", name.0), format!("{amount:.6}"));
     let keep = (keep / MS).max(1).to_string();
     let mut text = BytesMut::with_capacity(96);
@@ -216,7 +216,7 @@
         }
         jobs.close();
         while let Ok(job) = jobs.try_recv() {
-            self.tell(job.call, Outcome::NoConnection, 0.0);
+            self.tell(job.call, Outcome::ConnectFailed, 0.0);
         }
         match error {
             Some(error) if error.is_nonsense() => {
@@ -291,7 +291,7 @@
                 self.output.extend_from_slice(&job.text);
                 batch.push((self.output.len(), job.call));
             } else {
-                self.tell(job.call, Outcome::NoConnection, 0.0);
+                self.tell(job.call, Outcome::ConnectFailed, 0.0);
             }
             next = jobs.try_recv().ok();
         }
@@ -303,7 +303,7 @@
             if end <= written {
                 self.answers.push_back(call);
             } else {
-                self.tell(call, Outcome::NoConnection, 0.0);
+                self.tell(call, Outcome::ConnectFailed, 0.0);
             }
         }
         wrote.map_err(|_| RespError::Closed)??;
@@ -319,7 +319,7 @@
             }
             // Turned away, or no such call: nothing added. Any other error is noise, and it may have been.
             Frame::Error(text) if matches!(text.split(|b| *b == b' ').next(), Some(b"BUSY" | b"ERR")) => {
-                (Outcome::Full, 0.0)
+                (Outcome::Rejected, 0.0)
             }
             _ => return Err(RespError::Malformed("answer")),
         };
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 const SECOND: Span = 1_000_000_000;
-const NAME: CountName = CountName(10);
+const NAME: CounterKey = CounterKey(10);
 
 /// A counter whose service is the listener, given up by the test alone or after a `patience`.
 async fn counter(patience: Span) -> (Counter<Real>, TcpListener, UnboundedReceiver<Input>) {
@@ -64,7 +64,7 @@
 async fn a_call_given_up_before_it_was_written_is_never_written() {
     let (mut counter, listener, mut inbox) = counter(20 * SECOND).await;
     let first = call(&mut counter).await;
-    assert_eq!(counter.give_up(first).unwrap().outcome, Outcome::NoConnection, "nothing was added");
+    assert_eq!(counter.give_up(first).unwrap().outcome, Outcome::ConnectFailed, "nothing was added");
     assert!(counter.on_event(event(&mut inbox).await).is_none(), "given up before");
     call(&mut counter).await;
     let mut service = listener.accept().await.unwrap().0;
@@ -77,8 +77,8 @@
 #[tokio::test]
 async fn outcomes_follow_the_protocols_table() {
     for (answer, wanted) in [
-        ("-BUSY\r\n", Outcome::Full),
-        ("-ERR no such call\r\n", Outcome::Full),
+        ("-BUSY\r\n", Outcome::Rejected),
+        ("-ERR no such call\r\n", Outcome::Rejected),
         ("$3\r\nnan\r\n", Outcome::Timeout),
         ("-NOISE\r\n", Outcome::Timeout),
         ("-BUSYNESS\r\n", Outcome::Timeout),
@@ -102,7 +102,7 @@
     drop(listener);
     call(&mut counter).await;
     let ended = counter.on_event(event(&mut inbox).await).unwrap();
-    assert_eq!(ended.outcome, Outcome::NoConnection);
+    assert_eq!(ended.outcome, Outcome::ConnectFailed);
 }
 
 #[tokio::test]
@@ -217,7 +217,7 @@
     room.sim.run_until(SECOND / 2).unwrap();
     let behind = room.call(2.0);
     room.sim.run_until(SECOND * 3 / 4).unwrap();
-    assert_eq!(room.counter.give_up(behind).unwrap().outcome, Outcome::NoConnection);
+    assert_eq!(room.counter.give_up(behind).unwrap().outcome, Outcome::ConnectFailed);
     let one = command(NAME, 1.0, 4 * SECOND).len();
     assert_eq!(room.heard(2 * SECOND).len(), MAX_LINKS * one);
     let Ok(Input::Counter(event)) = room.inbox.try_recv() else { panic!("its end is told") };
@@ -245,6 +245,6 @@
         .collect();
     ended.sort_by_key(|(call, _)| *call);
     let wanted: Vec<(CallId, Outcome)> =
-        calls.into_iter().map(|call| (call, Outcome::NoConnection)).collect();
+        calls.into_iter().map(|call| (call, Outcome::ConnectFailed)).collect();
     assert_eq!(ended, wanted);
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -169,7 +169,7 @@
             env,
         };
         if config.known.instances.is_empty() {
-            gateway.on_hosts(&config.known, ListKind::Cached);
+            gateway.on_hosts(&config.known, HostListKind::Cached);
         } else {
             gateway.known = Some(config.known.clone());
             gateway.set_timer(gateway.env.now() + KNOWN_WILL_DO, Timer::Ready);
@@ -223,8 +223,11 @@
             News::Hosts(list) => {
                 match self.known.take() {
                     // In one event: in between, requests that wait would go to hosts that drain.
-                    Some(known) if !list.reset => self.on_hosts(&known.changed_by(list), ListKind::Cached),
-                    _ => self.on_hosts(&list, if list.reset { ListKind::Full } else { ListKind::Delta }),
+                    Some(known) if !list.reset => {
+                        self.on_hosts(&known.changed_by(list), HostListKind::Cached)
+                    }
+                    _ => self
+                        .on_hosts(&list, if list.reset { HostListKind::Full } else { HostListKind::Delta }),
                 }
                 self.ready();
             }
@@ -268,11 +271,15 @@
         if !self.open.insert(call.client_id) {
             return reply.answer(Answer::Failed);
         }
-        let (id, deadline) = (request.id, at.saturating_add(request.patience));
-        let is_safe = self.settings.classes.get(request.class).is_some_and(|c| c.effect == Effect::Safe);
+        let (id, deadline) = (request.id, at.saturating_add(request.remaining));
+        let is_safe = self
+            .settings
+            .classes
+            .get(request.class)
+            .is_some_and(|c| c.idempotency == Idempotency::Idempotent);
         let sites = self.sites.on_asked(self.env.now(), &request, call.client_id, is_safe);
         request.route = self.routing.choose(&request, sites);
-        request.arrived = at;
+        request.arrived_at = at;
         let route = request.route;
         let (class, plan) = (request.class, request.plan);
         let worth = self.worth(&request);
@@ -291,7 +298,7 @@
     fn on_left(&mut self, id: RequestId) {
         if self.take_reply(id).is_some() {
             self.lost(id, Cause::Left);
-            self.tell(Event::Left { id });
+            self.tell(Event::ClientDisconnected { id });
             self.forget(id);
         }
     }
@@ -308,14 +315,14 @@
         Some(reply)
     }
 
-    fn on_hosts(&mut self, list: &Membership, kind: ListKind) {
+    fn on_hosts(&mut self, list: &Membership, kind: HostListKind) {
         if list.unreadable > 0 && self.unreadable.failed(self.env.now()).is_some() {
             tracing::warn!("discovery: entries that cannot be read whole: {}", list.unreadable);
         }
         let mut entries = self.hosts.update(list, kind, &self.routing);
         self.sites.on_list(self.env.now(), kind, &mut entries);
         self.people_pools();
-        self.tell(Event::Hosts { kind, entries });
+        self.tell(Event::HostList { kind, entries });
         self.report_finished();
     }
 
@@ -343,14 +350,14 @@
         tracing::info!("operators' files in force: {} routes", self.routing.len());
         let plans = self.routing.plans().to_vec();
         self.settings.plans.clone_from(&plans);
-        self.tell(Event::Plans(plans));
+        self.tell(Event::PlansChanged(plans));
         let (now, mut ready) = (self.env.now(), self.hosts.entries());
         self.sites.turn(self.routing.sites(), now);
-        self.sites.on_list(now, ListKind::Full, &mut ready);
+        self.sites.on_list(now, HostListKind::Full, &mut ready);
         let mut entries = self.hosts.reassign(&self.routing);
         self.sites.withhold(&mut entries);
         self.people_pools();
-        self.tell(Event::Hosts { kind: ListKind::Delta, entries });
+        self.tell(Event::HostList { kind: HostListKind::Delta, entries });
         for ((id, attempt), pools) in self.hosts.unsent() {
             let left = |call: &InHand| {
                 call.route.pools != 0 && pools & (call.route.pools | call.route.fallback) == 0
@@ -365,7 +372,7 @@
 
     fn on_counted(&mut self, counted: Counted) {
         let Counted { name, outcome, total, took, .. } = counted;
-        self.tell(Event::Counted { name, outcome, total, took });
+        self.tell(Event::CounterReplied { key: name, outcome, total, elapsed: took });
     }
 
     /// Tells the module of the attempts that have ended; the first value goes to the client on its own.
@@ -379,15 +386,15 @@
         let Finished { mut ended, sent, stood, until, value } = finished;
         let id = ended.id;
         self.timers.cancel(until, Timer::Attempt((id, ended.attempt)));
-        ended.took = self.env.now().saturating_sub(sent);
+        ended.elapsed = self.env.now().saturating_sub(sent);
         if let Some(call) = self.requests.get_mut(&id).filter(|call| call.reply.is_some() && value.is_none())
         {
-            let Ended { host, outcome, took, .. } = ended;
+            let AttemptEnded { host, outcome, elapsed: took, .. } = ended;
             call.tried.push(Tried { host, outcome, took, stood });
         }
-        ended.closed = self.served(id, value);
+        ended.is_request_closed = self.served(id, value);
         self.sites.on_ended(self.env.now(), &ended);
-        self.tell(Event::Ended(ended));
+        self.tell(Event::AttemptEnded(ended));
         self.forget(id);
     }
 
@@ -395,7 +402,9 @@
     fn served(&mut self, id: RequestId, value: Option<Bytes>) -> bool {
         if let Some((value, reply)) = value.and_then(|value| Some((value, self.take_reply(id)?))) {
             reply.answer(Answer::Served(value));
-            let aim = |call: &&InHand| self.settings.classes.get(call.class).map_or(0, |class| class.aim);
+            let aim = |call: &&InHand| {
+                self.settings.classes.get(call.class).map_or(0, |class| class.latency_objective)
+            };
             let is_late = |call: &&InHand| self.env.now() > call.arrived.saturating_add(aim(call));
             if self.requests.get(&id).filter(is_late).is_some() {
                 self.lost(id, Cause::Slow);
@@ -430,8 +439,8 @@
 
     /// What an answer within its aim is worth.
     fn worth(&self, request: &Request) -> f64 {
-        let class = self.settings.classes.get(request.class).map_or(0.0, |class| class.worth);
-        let price = self.settings.plans.get(request.plan).map_or(0.0, |plan| plan.price);
+        let class = self.settings.classes.get(request.class).map_or(0.0, |class| class.priority_weight);
+        let price = self.settings.plans.get(request.plan).map_or(0.0, |plan| plan.weight_factor);
         let units = if request.units.is_finite() { request.units.max(0.0) } else { 1.0 };
         class * price * units
     }
@@ -489,10 +498,10 @@
             let withheld = entries.iter().filter(|entry| entry.state == HostState::Draining);
             withheld.for_each(|entry| self.hosts.drop_waiting(entry.id));
             self.people_pools();
-            self.tell(Event::Hosts { kind: ListKind::Delta, entries });
+            self.tell(Event::HostList { kind: HostListKind::Delta, entries });
         }
         if let Some(keep) = turn.keep {
-            self.tell(Event::Shed(keep));
+            self.tell(Event::AdmissionFractionsChanged(keep));
         }
         self.report_finished();
     }
@@ -558,28 +567,34 @@
         }
         let mut entries = self.hosts.entries();
         self.sites.withhold(&mut entries);
-        self.news.push_back(Event::Hosts { kind: ListKind::Cached, entries });
+        self.news.push_back(Event::HostList { kind: HostListKind::Cached, entries });
         if !self.sites.is_idle() {
-            self.news.push_back(Event::Shed(self.sites.keep()));
+            self.news.push_back(Event::AdmissionFractionsChanged(self.sites.keep()));
         }
     }
 
     fn carry_out(&mut self, now: Time, action: Action) {
         match action {
-            Action::Send { id, host, until, write_by } => self.send(id, host, until, write_by),
-            Action::Withdraw { id, attempt } => self.hosts.stop((id, attempt), true),
-            Action::Refuse { id, retry_after, why } => self.answer(id, Answer::Busy(retry_after), Some(why)),
-            Action::Fail { id, why } => self.answer(id, Answer::Failed, Some(why)),
-            Action::Timer { after, token } => self.set_timer(now.saturating_add(after), Timer::Module(token)),
-            Action::Count { name, amount, keep } => match self.counter.call(name, amount, keep) {
-                Some((call, until)) => self.set_timer(until, Timer::Call(call)),
-                None => {
-                    let outcome = Outcome::NoConnection;
-                    self.tell(Event::Counted { name, outcome, total: 0.0, took: 0 });
+            Action::Forward { id, host, deadline: until, write_by } => self.send(id, host, until, write_by),
+            Action::Cancel { id, attempt } => self.hosts.stop((id, attempt), true),
+            Action::Reject { id, retry_after, reason: why } => {
+                self.answer(id, Answer::Busy(retry_after), Some(why))
+            }
+            Action::Fail { id, reason: why } => self.answer(id, Answer::Failed, Some(why)),
+            Action::SetTimer { after, token } => {
+                self.set_timer(now.saturating_add(after), Timer::Module(token))
+            }
+            Action::AddToCounter { key: name, amount, time_to_live: keep } => {
+                match self.counter.call(name, amount, keep) {
+                    Some((call, until)) => self.set_timer(until, Timer::Call(call)),
+                    None => {
+                        let outcome = Outcome::ConnectFailed;
+                        self.tell(Event::CounterReplied { key: name, outcome, total: 0.0, elapsed: 0 });
+                    }
                 }
-            },
+            }
             // The watch runs from the start and sees to itself.
-            Action::Subscribe => {}
+            Action::SubscribeToHosts => {}
         }
     }
 
@@ -600,8 +615,12 @@
                 return self.end_unsent(key, host_id, until);
             }
         };
-        let effect = self.settings.classes.get(call.class).map_or(Effect::Unsafe, |class| class.effect);
-        let (call, once) = (call.call.clone(), effect != Effect::Safe);
+        let effect = self
+            .settings
+            .classes
+            .get(call.class)
+            .map_or(Idempotency::NotIdempotent, |class| class.idempotency);
+        let (call, once) = (call.call.clone(), effect != Idempotency::Idempotent);
         self.hosts.start(key, Order { host_id, until, write_by, call, once, client });
         self.set_timer(until, Timer::Attempt(key));
         if write_by < until {
@@ -610,12 +629,22 @@
     }
 
     fn end_unsent(&mut self, (id, attempt): AttemptKey, host: HostId, until: Time) {
-        let (outcome, used, true_units, report) = (Outcome::Moot, None, None, None);
-        let ended = Ended { id, attempt, host, outcome, took: 0, closed: false, used, true_units, report };
+        let (outcome, used, true_units, report) = (Outcome::NotSent, None, None, None);
+        let ended = AttemptEnded {
+            id,
+            attempt,
+            host,
+            outcome,
+            elapsed: 0,
+            is_request_closed: false,
+            quota_used: used,
+            actual_units: true_units,
+            report,
+        };
         self.report(Finished { ended, sent: self.env.now(), stood: None, until, value: None });
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer, why: Option<Why>) {
+    fn answer(&mut self, id: RequestId, answer: Answer, why: Option<RejectReason>) {
         if let Some(reply) = self.take_reply(id) {
             reply.answer(answer);
             if let Some(why) = why {
@@ -635,7 +664,7 @@
     fn fire_timers(&mut self) {
         while let Some(timer) = self.timers.take(self.env.now()) {
             match timer {
-                Timer::Module(token) => self.tell(Event::Timer { token }),
+                Timer::Module(token) => self.tell(Event::TimerExpired { token }),
                 Timer::Attempt(key) => self.hosts.stop(key, false),
                 Timer::WriteBy(key) => self.hosts.drop_unsent(key),
                 Timer::Overdue(id) => self.overdue(id),
@@ -648,7 +677,7 @@
                 Timer::Sites => {}
                 Timer::Ready => {
                     if let Some(known) = self.known.take() {
-                        self.on_hosts(&known, ListKind::Cached);
+                        self.on_hosts(&known, HostListKind::Cached);
                     }
                     self.ready();
                 }
@@ -661,7 +690,7 @@
         if let Some(reply) = self.take_reply(id) {
             reply.answer(Answer::Failed);
             self.lost(id, Cause::Overdue);
-            self.tell(Event::Left { id });
+            self.tell(Event::ClientDisconnected { id });
             self.forget(id);
         }
     }
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -24,7 +24,7 @@
     fn handle(&mut self, _: Time, event: Event, _: &mut Vec<Action>) {
         let what = match event {
             Event::Request(_) => "request",
-            Event::Hosts { .. } => "hosts",
+            Event::HostList { .. } => "hosts",
             _ => "other",
         };
         let _ = self.0.send(what);
@@ -90,11 +90,13 @@
                 self.0 = Some(request.id);
                 note("request".into());
             }
-            Event::Left { .. } => note("left".into()),
-            Event::Ended(ended) => note(format!("{:?}, closed: {}", ended.outcome, ended.closed)),
-            Event::Timer { .. } => {
+            Event::ClientDisconnected { .. } => note("left".into()),
+            Event::AttemptEnded(ended) => {
+                note(format!("{:?}, closed: {}", ended.outcome, ended.is_request_closed))
+            }
+            Event::TimerExpired { .. } => {
                 let (id, host) = (self.0.expect("a request"), HostId(1));
-                actions.push(Action::Send { id, host, until: now + 1_000 * MS, write_by: Time::MAX });
+                actions.push(Action::Forward { id, host, deadline: now + 1_000 * MS, write_by: Time::MAX });
             }
             _ => {}
         }
@@ -142,11 +144,11 @@
         gateway.on_input(Input::Request(Box::new(incoming)));
         if let Some(attempts) = attempts {
             for _ in 0..attempts {
-                gateway.tell(Event::Timer { token: 0 });
+                gateway.tell(Event::TimerExpired { token: 0 });
                 gateway.report_finished();
             }
             answered.take();
-            gateway.tell(Event::Timer { token: 0 });
+            gateway.tell(Event::TimerExpired { token: 0 });
             gateway.report_finished();
         }
         gateway.on_input(Input::Left(id));
@@ -168,12 +170,16 @@
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => {
-                actions.push(Action::Count { name: CountName(10), amount: 1.0, keep: 1_000 * MS });
+                actions.push(Action::AddToCounter {
+                    key: CounterKey(10),
+                    amount: 1.0,
+                    time_to_live: 1_000 * MS,
+                });
                 assert!(request.units < 6.0, "as the test wants");
             }
-            Event::Plans(plans) => note(format!("plans at {}", plans[0].rate)),
-            Event::Hosts { kind, entries } => note(format!("{kind:?}, {} hosts", entries.len())),
-            Event::Counted { outcome, total, .. } => note(format!("{outcome:?} {total}")),
+            Event::PlansChanged(plans) => note(format!("plans at {}", plans[0].rate)),
+            Event::HostList { kind, entries } => note(format!("{kind:?}, {} hosts", entries.len())),
+            Event::CounterReplied { outcome, total, .. } => note(format!("{outcome:?} {total}")),
             _ => {}
         }
     }
--- a/crates/gateway/src/hosts.rs
+++ b/crates/gateway/src/hosts.rs
@@ -12,7 +12,7 @@
 use crate::shortage::Shortage;
 use bytes::Bytes;
 use platform_settings::Site;
-use policy::api::{Ended, HostEntry, HostId, HostState, ListKind, Outcome, Span, Time};
+use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, HostState, Outcome, Span, Time};
 use resp::{Frame, RespError};
 use routing::HostFacts;
 use runtime::{Env, Task};
@@ -35,7 +35,7 @@
 /// An attempt that has ended, as the module is told of it but for what only the gateway knows.
 #[derive(Debug)]
 pub(crate) struct Finished {
-    pub ended: Ended,
+    pub ended: AttemptEnded,
     pub sent: Time,
     /// How long its connection had stood idle; zero: a new one; `None`: it had none.
     pub stood: Option<Span>,
@@ -179,8 +179,8 @@
     }
 
     /// Takes in a list and gives it in the module's terms.
-    pub fn update(&mut self, list: &Membership, kind: ListKind, routing: &Routing) -> Vec<HostEntry> {
-        if kind != ListKind::Delta {
+    pub fn update(&mut self, list: &Membership, kind: HostListKind, routing: &Routing) -> Vec<HostEntry> {
+        if kind != HostListKind::Delta {
             self.hosts.values_mut().for_each(Host::leave);
         }
         let mut entries = Vec::with_capacity(list.instances.len());
@@ -209,7 +209,7 @@
             host.entry = HostEntry {
                 id,
                 zone: position(&self.site.zones, &line.zone),
-                kind: position(&self.site.kinds, &line.machine_type),
+                machine_type: position(&self.site.kinds, &line.machine_type),
                 cell: line.cell,
                 state: match line.lifecycle {
                     Lifecycle::InService => HostState::Ready,
@@ -217,12 +217,12 @@
                     Lifecycle::Terminated => HostState::Gone,
                 },
                 size: line.weight,
-                started: line.started_at_ms.saturating_mul(MS),
+                started_at: line.started_at_ms.saturating_mul(MS),
                 pools: routing.pools_of(&host.names.facts(line.cell)),
             };
             entries.push(host.entry.clone());
         }
-        unsent.into_iter().for_each(|key| self.finish(key, Outcome::Moot));
+        unsent.into_iter().for_each(|key| self.finish(key, Outcome::NotSent));
         self.drop_outdated();
         entries
     }
@@ -245,7 +245,7 @@
             }
         }
         outdated.into_iter().for_each(|conn| drop(self.close(conn)));
-        unsent.into_iter().for_each(|key| self.finish(key, Outcome::Moot));
+        unsent.into_iter().for_each(|key| self.finish(key, Outcome::NotSent));
         self.hosts.retain(|_, host| host.ready || host.conns > 0);
     }
 
@@ -268,7 +268,7 @@
     pub fn drop_waiting(&mut self, host_id: HostId) {
         let Some(host) = self.hosts.get_mut(&host_id) else { return };
         let unsent: Vec<AttemptKey> = host.waiting.drain(..).collect();
-        unsent.into_iter().for_each(|key| self.finish(key, Outcome::Moot));
+        unsent.into_iter().for_each(|key| self.finish(key, Outcome::NotSent));
     }
 
     /// What discovery calls a host.
@@ -294,7 +294,7 @@
         let is_over = sent >= order.until.min(order.write_by) || order.client.is_closed();
         self.attempts.insert(key, Attempt { order, sent, conn: None, stood: None });
         let Some(host) = self.hosts.get_mut(&host_id).filter(|host| host.ready && !is_over) else {
-            return self.finish(key, Outcome::Moot);
+            return self.finish(key, Outcome::NotSent);
         };
         host.waiting.push_back(key);
         self.serve_waiting(host_id);
@@ -406,7 +406,7 @@
     fn dial(&mut self, host_id: HostId, key: AttemptKey) {
         if self.conns.len() >= self.most && !self.close_an_idle_one() {
             self.unqueue(host_id, key);
-            return self.finish(key, Outcome::Moot);
+            return self.finish(key, Outcome::NotSent);
         }
         let Some(host) = self.hosts.get_mut(&host_id) else { return };
         let Some(addr) = host.addr else { return };
@@ -459,9 +459,9 @@
         }
         let outcome = match (withdrawn, sent) {
             (true, true) => Outcome::Cancelled,
-            (true, false) => Outcome::Moot,
+            (true, false) => Outcome::NotSent,
             (false, true) => Outcome::Timeout,
-            (false, false) => Outcome::NoConnection,
+            (false, false) => Outcome::ConnectFailed,
         };
         self.finish(key, outcome);
     }
@@ -561,7 +561,7 @@
             if !sent && conn.used {
                 return self.again(conn.host_id, key);
             }
-            return self.finish(key, if sent { Outcome::Reset } else { Outcome::NoConnection });
+            return self.finish(key, if sent { Outcome::ConnectionReset } else { Outcome::ConnectFailed });
         }
         let Some(host) = self.hosts.get_mut(&conn.host_id) else { return };
         host.idle.retain(|idle| *idle != id);
@@ -578,7 +578,7 @@
         let (key, is_outdated) = (conn.opened_for, host.era != conn.era);
         if !is_outdated && host.waiting.len() > host.dialing && host.waiting.contains(&key) {
             self.unqueue(conn.host_id, key);
-            self.finish(key, Outcome::NoConnection);
+            self.finish(key, Outcome::ConnectFailed);
         }
         self.redial(conn.host_id);
     }
@@ -594,7 +594,7 @@
     /// the host, and no attempt was made: another connection takes it.
     fn again(&mut self, host_id: HostId, key: AttemptKey) {
         let Some(host) = self.hosts.get_mut(&host_id).filter(|host| host.ready) else {
-            return self.finish(key, Outcome::Moot);
+            return self.finish(key, Outcome::NotSent);
         };
         if let Some(attempt) = self.attempts.get_mut(&key) {
             (attempt.conn, attempt.stood) = (None, None);
@@ -635,7 +635,7 @@
     /// PROTOCOL's table of what comes back; false: the host does not speak it, and the connection goes.
     fn answered(&mut self, key: AttemptKey, frame: Frame) -> bool {
         let Some(attempt) = self.attempts.remove(&key) else { return false };
-        let mut finished = Finished::new(key, &attempt, Outcome::Reset);
+        let mut finished = Finished::new(key, &attempt, Outcome::ConnectionReset);
         let known = match frame {
             Frame::Array(parts) => finished.served(&self.site, parts),
             Frame::Error(text) => finished.failed(&self.site, &text),
@@ -654,15 +654,15 @@
 
 impl Finished {
     fn new(key: AttemptKey, attempt: &Attempt, outcome: Outcome) -> Self {
-        let ended = Ended {
+        let ended = AttemptEnded {
             id: key.0,
             attempt: key.1,
             host: attempt.order.host_id,
             outcome,
-            took: 0,
-            closed: false,
-            used: None,
-            true_units: None,
+            elapsed: 0,
+            is_request_closed: false,
+            quota_used: None,
+            actual_units: None,
             report: None,
         };
         Finished { ended, sent: attempt.sent, stood: attempt.stood, until: attempt.order.until, value: None }
@@ -683,7 +683,7 @@
     fn failed(&mut self, site: &Site, text: &[u8]) -> bool {
         let mut words = text.split(|b| *b == b' ');
         self.ended.outcome = match words.next() {
-            Some(b"BUSY") => Outcome::Full,
+            Some(b"BUSY") => Outcome::Rejected,
             Some(b"ERR") => Outcome::Error,
             _ => return false,
         };
@@ -701,8 +701,8 @@
                 continue;
             };
             match name {
-                "used" => self.ended.used = Some(value / 100.0),
-                "cost" if value > 0.0 && value <= most_units => self.ended.true_units = Some(value),
+                "used" => self.ended.quota_used = Some(value / 100.0),
+                "cost" if value > 0.0 && value <= most_units => self.ended.actual_units = Some(value),
                 _ if site.answers_report && site.fields.iter().any(|f| f == name) => {
                     self.ended.report.get_or_insert_default().set(name, value);
                 }
--- a/crates/gateway/src/hosts/tests.rs
+++ b/crates/gateway/src/hosts/tests.rs
@@ -24,7 +24,7 @@
     let routing = Routing::new(site.clone(), &config.operators).unwrap();
     let (gateway, events) = mpsc::unbounded_channel();
     let mut hosts = Hosts::new(Real::start(), site, gateway, 16);
-    hosts.update(&config.known, ListKind::Full, &routing);
+    hosts.update(&config.known, HostListKind::Full, &routing);
     (hosts, config, listener, events)
 }
 
@@ -48,7 +48,7 @@
         let Some(Input::Host(up @ HostEvent::Up(_))) = events.recv().await else { panic!("it comes up") };
         hosts.on_event(up);
         let ended = hosts.finished().map(|finished| finished.ended.outcome);
-        assert_eq!(ended, is_gone.then_some(Outcome::Moot));
+        assert_eq!(ended, is_gone.then_some(Outcome::NotSent));
         drop((hosts, kept));
         let mut got = Vec::new();
         let _ = host.read_to_end(&mut got).await;
--- a/crates/gateway/src/losses.rs
+++ b/crates/gateway/src/losses.rs
@@ -1,7 +1,7 @@
 //! Requests that were not answered within their aim, and why: a line for each at a bounded rate, and each minute what
 //! all of them were worth, by cause. A request is lost for one cause only, so the parts add up to the whole.
 
-use policy::api::{HostId, Outcome, Span, Time, Why};
+use policy::api::{HostId, Outcome, RejectReason, Span, Time};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Cause {
     /// The module gave it up.
-    GivenUp(Why),
+    GivenUp(RejectReason),
     /// Its client went away.
     Left,
     /// Its client's time was over with no answer.
@@ -33,17 +33,17 @@
     /// For people; these words stand in logs and on the page `failed-requests.md`.
     pub fn words(self) -> &'static str {
         match self {
-            Cause::GivenUp(Why::Unknown) => "class or plan unknown",
-            Cause::GivenUp(Why::Short) => "came with too little time",
-            Cause::GivenUp(Why::NoHost) => "no host takes it",
-            Cause::GivenUp(Why::Crowd) => "too many customers at once",
-            Cause::GivenUp(Why::Quota) => "beyond its quota",
-            Cause::GivenUp(Why::Hopeless) => "too many wait before it",
-            Cause::GivenUp(Why::Waited) => "waited too long",
-            Cause::GivenUp(Why::Once) => "may not run again",
-            Cause::GivenUp(Why::Late) => "too late for a further attempt",
-            Cause::GivenUp(Why::Budget) => "no further attempt left",
-            Cause::GivenUp(Why::Shed) => "refused by the plan for lost hosts",
+            Cause::GivenUp(RejectReason::UnknownClassOrPlan) => "class or plan unknown",
+            Cause::GivenUp(RejectReason::DeadlineTooShort) => "came with too little time",
+            Cause::GivenUp(RejectReason::NoHost) => "no host takes it",
+            Cause::GivenUp(RejectReason::TooManyCustomers) => "too many customers at once",
+            Cause::GivenUp(RejectReason::QuotaExceeded) => "beyond its quota",
+            Cause::GivenUp(RejectReason::QueueTooLong) => "too many wait before it",
+            Cause::GivenUp(RejectReason::QueuedTooLong) => "waited too long",
+            Cause::GivenUp(RejectReason::NotIdempotent) => "may not run again",
+            Cause::GivenUp(RejectReason::TooLateForRetry) => "too late for a further attempt",
+            Cause::GivenUp(RejectReason::RetriesExhausted) => "no further attempt left",
+            Cause::GivenUp(RejectReason::LoadShed) => "refused by the plan for lost hosts",
             Cause::Left => "client left",
             Cause::Overdue => "client's time over",
             Cause::Slow => "answered too late",
@@ -71,13 +71,13 @@
         match self.outcome {
             Outcome::Ok => "answered",
             Outcome::Error => "error",
-            Outcome::Full => "turned away",
+            Outcome::Rejected => "turned away",
             Outcome::Timeout => "no answer",
-            Outcome::NoConnection => "no connection",
-            Outcome::Reset if kept && self.took < AT_ONCE => "dead connection",
-            Outcome::Reset => "reset",
+            Outcome::ConnectFailed => "no connection",
+            Outcome::ConnectionReset if kept && self.took < AT_ONCE => "dead connection",
+            Outcome::ConnectionReset => "reset",
             Outcome::Cancelled => "withdrawn",
-            Outcome::Moot => "not sent",
+            Outcome::NotSent => "not sent",
         }
     }
 }
@@ -176,9 +176,9 @@
     #[test]
     fn a_line_names_each_attempt_with_its_connection() {
         let all = [
-            tried(Outcome::Reset, 3 * MS, Some(1_200 * MS)),
-            tried(Outcome::Reset, 80 * MS, Some(0)),
-            tried(Outcome::NoConnection, 20 * MS, None),
+            tried(Outcome::ConnectionReset, 3 * MS, Some(1_200 * MS)),
+            tried(Outcome::ConnectionReset, 80 * MS, Some(0)),
+            tried(Outcome::ConnectFailed, 20 * MS, None),
         ];
         assert_eq!(
             line(&all, |_| "s-1"),
@@ -191,11 +191,11 @@
     fn a_summary_adds_up_and_names_the_greatest_part_first() {
         let mut losses = Losses::new(0);
         (0..100).for_each(|_| losses.asked(2.0));
-        let dead = tried(Outcome::Reset, MS, Some(MS));
+        let dead = tried(Outcome::ConnectionReset, MS, Some(MS));
         for (cause, last, worth) in [
-            (Cause::GivenUp(Why::Quota), None, 2.0),
-            (Cause::GivenUp(Why::Once), Some(&dead), 2.0),
-            (Cause::GivenUp(Why::Once), Some(&dead), 2.0),
+            (Cause::GivenUp(RejectReason::QuotaExceeded), None, 2.0),
+            (Cause::GivenUp(RejectReason::NotIdempotent), Some(&dead), 2.0),
+            (Cause::GivenUp(RejectReason::NotIdempotent), Some(&dead), 2.0),
         ] {
             assert_eq!(losses.lost(1, cause, last, worth), Some(0));
         }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -5,7 +5,7 @@
 use crate::membership::Membership;
 use crate::reload::Reload;
 use bytes::Bytes;
-use policy::api::{CountName, HostId, Outcome, Request, RequestId, Span, Time};
+use policy::api::{CounterKey, HostId, Outcome, Request, RequestId, Span, Time};
 use resp::{Frame, RespError};
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedSender;
@@ -108,7 +108,7 @@
 #[derive(Debug)]
 pub(crate) struct Counted {
     pub call: CallId,
-    pub name: CountName,
+    pub name: CounterKey,
     pub outcome: Outcome,
     pub total: f64,
     pub took: Span,
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -2,7 +2,7 @@
 
 use config_language::model::Operators;
 use platform_settings::Site;
-use policy::api::{Limit, Plan, Request, Route};
+use policy::api::{Plan, Request, Route, RouteLimit};
 use routing::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
 use site_failover::{PlanError, SiteSet};
 use std::collections::BTreeMap;
@@ -125,7 +125,7 @@
         let Some(number) = choice.route.and_then(|route| self.numbers.get(route.index()).copied()) else {
             return Route::default();
         };
-        let limit = choice.most_out.map(|most_out| Limit { route: number, most_out });
+        let limit = choice.most_out.map(|most_out| RouteLimit { route: number, max_in_flight: most_out });
         Route { pools: choice.pool.0, fallback: choice.fallback.0, limit }
     }
 
@@ -173,13 +173,13 @@
     let granted = &site.settings.plans;
     let mut quotas = Vec::with_capacity(granted.len());
     for (name, plan) in site.plans.iter().zip(granted) {
-        quotas.push(Quota { plan: name, rate: plan.rate, burst: plan.burst, open: plan.open });
+        quotas.push(Quota { plan: name, rate: plan.rate, burst: plan.burst, open: plan.max_concurrent });
     }
     let in_force = tighten(operators, &quotas)?;
     let plan = |(plan, force): (&Plan, InForce)| Plan {
         rate: force.rate.value,
         burst: force.burst.value,
-        open: force.open.value,
+        max_concurrent: force.open.value,
         ..plan.clone()
     };
     Ok(granted.iter().zip(in_force).map(plan).collect())
--- a/crates/gateway/src/serve/tests.rs
+++ b/crates/gateway/src/serve/tests.rs
@@ -31,7 +31,7 @@
         Settled(Policy::new(settings, seed))
     }
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        assert!(!matches!(event, Event::Plans(_)), "as the test wants");
+        assert!(!matches!(event, Event::PlansChanged(_)), "as the test wants");
         self.0.handle(now, event, actions);
     }
 }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -2,7 +2,9 @@
 //! is put into the lines of hosts that the decision module is told. Without sites nothing is done and nothing falls
 //! due.
 
-use policy::api::{Ended, HostEntry, HostState, ListKind, Request, RequestId, Settings, Time, Why};
+use policy::api::{
+    AttemptEnded, HostEntry, HostListKind, HostState, RejectReason, Request, RequestId, Settings, Time,
+};
 use site_failover::{Fleet, Plan, SiteSet, Sites, Turn};
 
 /// The sites of this gateway.
@@ -19,7 +21,7 @@
 impl Watch {
     /// All is held for whole.
     pub fn new(plan: &Plan, settings: &Settings, seed: u64, now: Time) -> Watch {
-        let Settings { gateways, me, zone, .. } = *settings;
+        let Settings { gateways, gateway_index: me, zone, .. } = *settings;
         let sites = Sites::new(plan.clone(), Fleet { gateways, me, zone }, seed, now);
         let cells = (settings.classes.len(), settings.plans.len());
         Watch { sites, cells, keep: Vec::new(), armed: Time::MAX }
@@ -36,7 +38,7 @@
     }
 
     /// Takes in what discovery tells, and withholds.
-    pub fn on_list(&mut self, now: Time, kind: ListKind, entries: &mut [HostEntry]) {
+    pub fn on_list(&mut self, now: Time, kind: HostListKind, entries: &mut [HostEntry]) {
         self.sites.on_list(now, kind, entries);
         self.withhold(entries);
     }
@@ -64,12 +66,12 @@
     }
 
     /// An attempt has ended.
-    pub fn on_ended(&mut self, now: Time, ended: &Ended) {
+    pub fn on_ended(&mut self, now: Time, ended: &AttemptEnded) {
         self.sites.on_ended(now, ended);
     }
 
     /// A request was given up.
-    pub fn on_given_up(&mut self, class: usize, plan: usize, why: Why) {
+    pub fn on_given_up(&mut self, class: usize, plan: usize, why: RejectReason) {
         if !self.is_idle() && class < self.cells.0 && plan < self.cells.1 {
             self.sites.on_given_up(class, plan, why);
         }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -176,17 +176,17 @@
     let advice = allowed.bool("retry-after")?;
     Ok(Settings {
         gateways,
-        me,
+        gateway_index: me,
         may_cancel: allowed.bool("cancel")?,
-        may_duplicate: allowed.bool("may-duplicate")?,
+        may_hedge: allowed.bool("may-duplicate")?,
         max_retry_after: if advice { Some(allowed.span("max-retry-after")?) } else { None },
         max_attempts,
-        counter,
+        has_counter: counter,
         counter_timeout: if counter { domain.some_span("counter-timeout")? } else { 0 },
         must_subscribe: doc.word("discovery", &["automatic", "subscribe"])? == 1,
-        must_ask_in: rules.span("must-ask-in")?,
-        cold_share: rules.share("cold-share")?,
-        cold: rules.span("cold")?,
+        must_poll_within: rules.span("must-ask-in")?,
+        cold_capacity: rules.share("cold-share")?,
+        warm_up: rules.span("cold")?,
         ..Settings::default()
     })
 }
@@ -234,9 +234,9 @@
 
 fn class(doc: &Reader) -> Result<Class> {
     let effect = match doc.word("semantics", &["safe", "keyed", "unsafe"])? {
-        0 => Effect::Safe,
-        1 => Effect::Keyed(scope(doc)?, doc.some_span("key-ttl")?),
-        _ => Effect::Unsafe,
+        0 => Idempotency::Idempotent,
+        1 => Idempotency::WithKey(scope(doc)?, doc.some_span("key-ttl")?),
+        _ => Idempotency::NotIdempotent,
     };
     let aim = doc.some_span("aim")?;
     let deadline = doc.some_span("hard-limit")?;
@@ -245,18 +245,18 @@
         return Err(doc.wrong("aim", reason));
     }
     Ok(Class {
-        aim,
-        aim_stretch: doc.number_or_zero("aim-stretch")?,
+        latency_objective: aim,
+        objective_stretch: doc.number_or_zero("aim-stretch")?,
         deadline,
-        worth: doc.number("worth")?,
-        late_worth: doc.share("late-worth")?,
-        effect,
-        stream: doc.bool("stream")?,
+        priority_weight: doc.number("worth")?,
+        late_fraction: doc.share("late-worth")?,
+        idempotency: effect,
+        streaming: doc.bool("stream")?,
     })
 }
 
-fn scope(doc: &Reader) -> Result<Scope> {
-    let scopes = [Scope::All, Scope::Zone, Scope::Cell];
+fn scope(doc: &Reader) -> Result<DedupScope> {
+    let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Cell];
     Ok(scopes[doc.word("dedup-scope", &["all", "zone", "cell"])?])
 }
 
@@ -273,10 +273,10 @@
     Ok(Plan {
         rate,
         burst,
-        open: doc.count("concurrency")?,
-        price: doc.number("worth-factor")?,
-        extra_worth: doc.number("extra-worth")?,
-        overrun_cost: doc.number("overrun-cost")?,
+        max_concurrent: doc.count("concurrency")?,
+        weight_factor: doc.number("worth-factor")?,
+        over_quota_weight: doc.number("extra-worth")?,
+        over_quota_cost: doc.number("overrun-cost")?,
         ceiling_rate,
         ceiling_burst,
         ceiling_slack: doc.number("cap-slack")?,
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -13,8 +13,8 @@
         let (Some(r), Some(s)) = (self.requests.get_mut(&id), self.fleet.get_mut(host)) else { return };
         let (class, is_first, queued) = (r.class, r.attempts.is_empty(), r.queued);
         let c = &self.s.classes[class];
-        let until = if c.late_worth > 0.0 || c.stream { r.deadline } else { r.aim_at };
-        let write_by = r.write_by(c.effect);
+        let until = if c.late_fraction > 0.0 || c.streaming { r.deadline } else { r.aim_at };
+        let write_by = r.write_by(c.idempotency);
         r.stage = Stage::Out;
         s.send();
         let (used, there) = (s.used(self.s.gateways), (s.entry.zone, s.entry.cell));
@@ -27,14 +27,18 @@
         self.unqueue(class, queued);
         let Some(r) = self.requests.get(&id) else { return };
         self.dues.put(self.hangs_at(r, host, now), Due::Watch(id, attempt));
-        self.actions.push(Action::Send { id, host, until, write_by });
+        self.actions.push(Action::Forward { id, host, deadline: until, write_by });
     }
 
     /// Why there is no other attempt: it may not run again, it would be late, the limit, or the budget.
-    fn against_retry(&self, now: Time, r: &Pending) -> Option<Why> {
+    fn against_retry(&self, now: Time, r: &Pending) -> Option<RejectReason> {
         let more = (r.attempts.len() as u32) < self.s.max_attempts.max(1) && self.pace.retries >= 1.0;
         let late = now >= r.start_by(self.classes[r.class].latency);
-        let against = [(!self.can_go_on(now, r), Why::Once), (late, Why::Late), (!more, Why::Budget)];
+        let against = [
+            (!self.can_go_on(now, r), RejectReason::NotIdempotent),
+            (late, RejectReason::TooLateForRetry),
+            (!more, RejectReason::RetriesExhausted),
+        ];
         against.into_iter().find_map(|(is_so, why)| is_so.then_some(why))
     }
 
@@ -48,8 +52,10 @@
         }
         self.classes[r.class].out -= usize::from(self.pools.free(&mut a.slot));
         let Some(r) = self.requests.get(&id).filter(|r| r.stage == Stage::Out) else { return };
-        match self.s.classes[r.class].effect == Effect::Safe && self.against_retry(now, r).is_none() {
-            true if self.s.may_duplicate => self.requeue(now, id),
+        match self.s.classes[r.class].idempotency == Idempotency::Idempotent
+            && self.against_retry(now, r).is_none()
+        {
+            true if self.s.may_hedge => self.requeue(now, id),
             true => self.withdraw(id, attempt),
             false => {}
         }
@@ -59,7 +65,7 @@
         let a = self.requests.get_mut(&id).and_then(|r| r.attempts.get_mut(attempt as usize));
         if let Some(a) = a.filter(|a| a.open && !a.withdrawn && self.s.may_cancel) {
             a.withdrawn = true;
-            self.actions.push(Action::Withdraw { id, attempt });
+            self.actions.push(Action::Cancel { id, attempt });
         }
     }
 
@@ -83,16 +89,19 @@
     }
 
     /// Final answer without a success: refused where nothing can have run, else failed.
-    pub(crate) fn give_up(&mut self, id: RequestId, why: Why) {
+    pub(crate) fn give_up(&mut self, id: RequestId, why: RejectReason) {
         let Some(r) = self.requests.get(&id).filter(|r| r.stage != Stage::Closed) else { return };
         if r.out() {
             return self.turn(id, Stage::Out); // the attempt still out may answer
         }
-        let again = matches!(self.s.classes[r.class].effect, Effect::Safe | Effect::Keyed(Scope::All, _));
+        let again = matches!(
+            self.s.classes[r.class].idempotency,
+            Idempotency::Idempotent | Idempotency::WithKey(DedupScope::All, _)
+        );
         let harmless = again || r.ran().is_none();
         // Soon after, a try meets the same quota and the same queue: the longest advice keeps it off.
-        let refused = Action::Refuse { id, retry_after: self.s.max_retry_after, why };
-        self.actions.push(if harmless { refused } else { Action::Fail { id, why } });
+        let refused = Action::Reject { id, retry_after: self.s.max_retry_after, reason: why };
+        self.actions.push(if harmless { refused } else { Action::Fail { id, reason: why } });
         self.close(id);
     }
 
@@ -124,21 +133,21 @@
         }
     }
 
-    pub(crate) fn on_ended(&mut self, now: Time, end: Ended) {
+    pub(crate) fn on_ended(&mut self, now: Time, end: AttemptEnded) {
         self.on_report(now, end.host, end.outcome, end.report);
         let Some(r) = self.requests.get_mut(&end.id) else { return };
         let at = r.attempts.get_mut(end.attempt as usize);
         let Some(a) = at.filter(|a| a.open && a.host == end.host) else { return };
         use Outcome::*;
-        (a.open, a.harmless) = (false, matches!(end.outcome, Full | NoConnection | Moot));
-        a.reached = !matches!(end.outcome, NoConnection | Moot);
+        (a.open, a.harmless) = (false, matches!(end.outcome, Rejected | ConnectFailed | NotSent));
+        a.reached = !matches!(end.outcome, ConnectFailed | NotSent);
         let (class, unasked) = (r.class, end.outcome == Cancelled && !a.withdrawn);
         let (sent, used, hung) = (a.sent, a.used, a.hung);
         self.classes[class].out -= usize::from(self.pools.free(&mut a.slot));
         self.pools.end(&r.route);
         self.left(&end);
-        if !matches!(end.outcome, Cancelled | Moot | Timeout) {
-            let whole = matches!(end.outcome, NoConnection | Reset);
+        if !matches!(end.outcome, Cancelled | NotSent | Timeout) {
+            let whole = matches!(end.outcome, ConnectFailed | ConnectionReset);
             self.remember(now, end.id, end.host, end.outcome != Ok, whole);
         }
         if let Some(s) = self.fleet.get_mut(end.host) {
@@ -146,18 +155,18 @@
         }
         if let Some(r) = self.requests.get_mut(&end.id).filter(|_| end.outcome == Ok) {
             // What was guessed is settled, once: the store of the quota, not the ceiling's.
-            let told = end.true_units.filter(|u| u.is_finite() && std::mem::take(&mut r.inside));
+            let told = end.actual_units.filter(|u| u.is_finite() && std::mem::take(&mut r.inside));
             let units = told.unwrap_or(r.units);
             if let Some(store) = self.customers.get_mut(r.customer).and_then(|c| c.stores.first_mut()) {
                 store.give_back(if store.is_strict() { 0.0 } else { r.units - units });
             }
-            self.learn(class, end.host, (sent, end.took), used);
+            self.learn(class, end.host, (sent, end.elapsed), used);
         }
         let Some(r) = self.requests.get(&end.id) else { return };
-        if end.closed || r.stage == Stage::Closed || end.outcome == Ok {
+        if end.is_request_closed || r.stage == Stage::Closed || end.outcome == Ok {
             self.close(end.id);
         } else if !r.out() && r.stage == Stage::Out {
-            match self.against_retry(now, r).or(unasked.then_some(Why::Once)) {
+            match self.against_retry(now, r).or(unasked.then_some(RejectReason::NotIdempotent)) {
                 None => self.requeue(now, end.id),
                 Some(why) => self.give_up(end.id, why),
             }
@@ -165,12 +174,12 @@
     }
 
     /// An attempt has left its host.
-    fn left(&mut self, end: &Ended) {
+    fn left(&mut self, end: &AttemptEnded) {
         let part = cold_part(&self.s, self.fleet.circles());
         let Some(s) = self.fleet.get_mut(end.host) else { return };
         let answered = end.outcome == Outcome::Ok;
         s.end(answered, part);
-        if end.outcome == Outcome::Full {
+        if end.outcome == Outcome::Rejected {
             s.room.turned_away();
             s.may_change(end.host, &mut self.changing);
         }
--- a/crates/policy/src/class.rs
+++ b/crates/policy/src/class.rs
@@ -1,6 +1,6 @@
 //! What is kept of one class: its slots and who waits for them, how long they waited, and how its attempts fare.
 
-use crate::api::{Ended, Outcome};
+use crate::api::{AttemptEnded, Outcome};
 use crate::host::Host;
 use crate::pace::SECOND;
 use crate::pools::Waiting;
@@ -43,13 +43,13 @@
     }
 
     /// An attempt has ended that had counted as hanging or not: what that says of answers that never come.
-    pub fn resolved(&mut self, host: &mut Host, end: &Ended, hung: bool) {
-        let seconds = end.took as f64 / SECOND / (1.0 + host.slower).max(1.0);
+    pub fn resolved(&mut self, host: &mut Host, end: &AttemptEnded, hung: bool) {
+        let seconds = end.elapsed as f64 / SECOND / (1.0 + host.slower).max(1.0);
         let never = match end.outcome {
             Outcome::Ok => 0.0,
             Outcome::Timeout => 1.0,
             // One that breaks after a long silence was one; a spoilt answer, or one torn off, came in its time.
-            Outcome::Reset => f64::from(u8::from(hung)),
+            Outcome::ConnectionReset => f64::from(u8::from(hung)),
             // One that was given up for another's answer is taken for what others like it turned out to be.
             Outcome::Cancelled if hung => self.hung.share(HUNG.0, HUNG.1),
             _ => return,
--- a/crates/policy/src/counting.rs
+++ b/crates/policy/src/counting.rs
@@ -42,7 +42,7 @@
     pub(crate) fn on_counted(
         &mut self,
         now: Time,
-        name: CountName,
+        name: CounterKey,
         outcome: Outcome,
         total: f64,
         took: Span,
--- a/crates/policy/src/customers.rs
+++ b/crates/policy/src/customers.rs
@@ -115,7 +115,13 @@
 impl House {
     /// By the settings; its epoch is not known yet.
     pub fn of(s: &Settings) -> House {
-        House { plans: s.plans.clone(), me: s.me, gateways: s.gateways, alone: !s.counter, epoch: 0 }
+        House {
+            plans: s.plans.clone(),
+            me: s.gateway_index,
+            gateways: s.gateways,
+            alone: !s.has_counter,
+            epoch: 0,
+        }
     }
 }
 
--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/host.rs
@@ -52,7 +52,7 @@
     pub fn new(now: Time, pace: &Pace, fleet: &Fleet, s: &Settings) -> Feed {
         let warm = pace.warm + fleet.warm() as f64 * seconds(pace.warmed, now);
         let answers = pace.answers / warm.max(STEP as f64 / SECOND);
-        let aim = s.classes.iter().map(|c| c.aim).max().unwrap_or(0).max(STEP) as f64 / SECOND;
+        let aim = s.classes.iter().map(|c| c.latency_objective).max().unwrap_or(0).max(STEP) as f64 / SECOND;
         let part = cold_part(s, fleet.circles());
         Feed { answers, credit: part / aim, part }
     }
@@ -98,8 +98,8 @@
     /// Feeds a cold host our part of what it can do now, so that all gateways together push none over.
     pub fn feed(&mut self, now: Time, feed: Feed, s: &Settings) {
         let Some(since) = self.cold else { return };
-        let age = (seconds(since, now) * SECOND / s.cold.max(1) as f64).min(1.0);
-        self.ramp = s.cold_share + (1.0 - s.cold_share) * age;
+        let age = (seconds(since, now) * SECOND / s.warm_up.max(1) as f64).min(1.0);
+        self.ramp = s.cold_capacity + (1.0 - s.cold_capacity) * age;
         let span = seconds(self.fed, now);
         self.tokens = (self.tokens + COLD_PART * feed.answers * self.near * self.ramp * span).min(1.0);
         self.regain(span * feed.credit, feed.part);
--- a/crates/policy/src/hosts.rs
+++ b/crates/policy/src/hosts.rs
@@ -20,29 +20,29 @@
 const EXAMINED: usize = 8; // of more at so many drawn at random, which is about as good
 
 impl Policy {
-    pub(crate) fn on_list(&mut self, now: Time, kind: ListKind, entries: Vec<HostEntry>) {
+    pub(crate) fn on_list(&mut self, now: Time, kind: HostListKind, entries: Vec<HostEntry>) {
         self.count_warm(now);
         match kind {
-            ListKind::Failed => self.ask_for_list(now + self.s.must_ask_in / 8),
-            ListKind::Delta => {}
+            HostListKind::Failed => self.ask_for_list(now + self.s.must_poll_within / 8),
+            HostListKind::Delta => {}
             _ => self.fleet.iter_mut().for_each(|s| s.entry.state = HostState::Gone),
         }
         let mut chilled = Vec::new();
         for entry in entries {
-            let (id, cold_until) = (entry.id, entry.started.saturating_add(self.s.cold));
+            let (id, cold_until) = (entry.id, entry.started_at.saturating_add(self.s.warm_up));
             let s = self.fleet.meet(id);
-            if entry.started > s.entry.started && cold_until > now {
+            if entry.started_at > s.entry.started_at && cold_until > now {
                 // Freshly started: cold, and what was known of it is void.
-                s.chill(now, entry.started, self.rng.unit());
+                s.chill(now, entry.started_at, self.rng.unit());
                 chilled.push(id);
-                (s.slow, s.slower, s.told, s.ramp) = (0.0, 0.0, None, self.s.cold_share);
+                (s.slow, s.slower, s.told, s.ramp) = (0.0, 0.0, None, self.s.cold_capacity);
                 s.room = Room::default();
                 s.did.clear();
                 self.dues.put(cold_until, Due::Warm(id));
             }
             (s.entry, s.fed) = (entry, now);
         }
-        for id in self.fleet.sort(self.s.me, self.s.gateways) {
+        for id in self.fleet.sort(self.s.gateway_index, self.s.gateways) {
             self.dues.put(now + FORGOTTEN, Due::Forget(id));
         }
         let part = cold_part(&self.s, self.fleet.circles());
@@ -58,7 +58,7 @@
 
     /// A host that was cold may be warm by now.
     pub(crate) fn warm(&mut self, now: Time, id: HostId) {
-        let cold = self.s.cold;
+        let cold = self.s.warm_up;
         let is_over = |since: &Time| now >= since.saturating_add(cold);
         let Some(s) = self.fleet.get_mut(id).filter(|s| s.cold.as_ref().is_some_and(is_over)) else { return };
         s.cold = None;
@@ -91,13 +91,15 @@
     fn reach(&self, now: Time, r: &Pending) -> Option<Reach> {
         let anyone = Reach::Pools(self.pools.in_force(&r.route));
         let Some(first) = r.ran() else { return Some(anyone) };
-        match self.s.classes[r.class].effect {
-            Effect::Safe => Some(anyone),
-            Effect::Unsafe => None,
-            keyed @ Effect::Keyed(..) if now >= r.write_by(keyed) => None,
-            Effect::Keyed(Scope::All, _) => Some(anyone),
-            Effect::Keyed(Scope::Zone, _) => Some(Reach::Cell(first.there.0, None)),
-            Effect::Keyed(Scope::Cell, _) => Some(Reach::Cell(first.there.0, Some(first.there.1))),
+        match self.s.classes[r.class].idempotency {
+            Idempotency::Idempotent => Some(anyone),
+            Idempotency::NotIdempotent => None,
+            keyed @ Idempotency::WithKey(..) if now >= r.write_by(keyed) => None,
+            Idempotency::WithKey(DedupScope::All, _) => Some(anyone),
+            Idempotency::WithKey(DedupScope::Zone, _) => Some(Reach::Cell(first.there.0, None)),
+            Idempotency::WithKey(DedupScope::Cell, _) => {
+                Some(Reach::Cell(first.there.0, Some(first.there.1)))
+            }
         }
     }
 
@@ -154,7 +156,8 @@
         let r = self.requests.get(&id)?;
         let (class, all) = (r.class, self.s.classes.len());
         let usual = self.classes[r.class].failing;
-        let weight = RISK * if self.s.classes[r.class].effect == Effect::Safe { 1.0 } else { 4.0 };
+        let weight =
+            RISK * if self.s.classes[r.class].idempotency == Idempotency::Idempotent { 1.0 } else { 4.0 };
         let mut best: Option<(f64, HostId)> = None;
         for sid in candidates {
             let Some(s) = self.fleet.get_mut(*sid) else { continue };
@@ -210,12 +213,12 @@
         let (slow, lost) = k.silence(self.fleet.get(host));
         let load = (self.out() + self.classes.iter().map(|k| k.held).sum::<f64>()) / self.pace.total.max(1.0);
         let price = PRICE.0 + PRICE.1 * (load * load).min(1.0);
-        let odds = || k.times.patience(r.left(now, slow, c.late_worth), lost, price);
-        let usual = if k.latency > 0.0 { HANGS * k.latency } else { c.aim as f64 / SECOND };
+        let odds = || k.times.patience(r.left(now, slow, c.late_fraction), lost, price);
+        let usual = if k.latency > 0.0 { HANGS * k.latency } else { c.latency_objective as f64 / SECOND };
         // One in the place of another, not beside it, has to wait until that is surely out no more.
-        let by_odds = c.effect == Effect::Safe && self.s.may_duplicate;
+        let by_odds = c.idempotency == Idempotency::Idempotent && self.s.may_hedge;
         let wait = if by_odds { usual.min(odds()) } else { usual } * slow * SECOND;
-        now.saturating_add((wait as Span).min(c.aim)).saturating_add(MS / 1000)
+        now.saturating_add((wait as Span).min(c.latency_objective)).saturating_add(MS / 1000)
     }
 
     /// An attempt long without an answer counts as failed; the host as a whole if it was silent to all.
@@ -247,14 +250,21 @@
         s.may_change(sid, &mut self.changing);
     }
 
-    pub(crate) fn on_report(&mut self, now: Time, host: HostId, outcome: Outcome, report: Option<Report>) {
+    pub(crate) fn on_report(
+        &mut self,
+        now: Time,
+        host: HostId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         let Some(s) = self.fleet.get_mut(host) else { return };
         if let Some(report) = report {
-            let load = report.queue.or(report.inflight).unwrap_or(0.0) + report.util.unwrap_or(0.0);
+            let load = report.queued.or(report.in_flight).unwrap_or(0.0) + report.utilisation.unwrap_or(0.0);
             self.pace.load += 0.05 * (load - self.pace.load);
             s.told = Some((now, load));
         }
-        s.heard = if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) { now } else { s.heard };
-        s.shut = if outcome == Outcome::NoConnection { now + SHUT.0 } else { s.shut };
+        s.heard =
+            if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) { now } else { s.heard };
+        s.shut = if outcome == Outcome::ConnectFailed { now + SHUT.0 } else { s.shut };
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,16 +7,18 @@
 //! use policy::api::*;
 //! use policy::policy::Policy;
 //!
-//! let class = Class { aim: 500_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
+//! const SECOND: Span = 1_000_000_000;
+//!
+//! let class = Class { latency_objective: SECOND / 2, deadline: 2 * SECOND, priority_weight: 1.0, ..Class::default() };
 //! let settings = Settings { classes: vec![class], plans: vec![Plan::default()], ..Settings::default() };
-//! let mut gateway = Policy::new(settings, 7);
-//! let mut todo = Vec::new();
+//! let mut policy = Policy::new(settings, 7);
+//! let mut actions = Vec::new();
 //!
 //! let host = HostEntry { id: HostId(1), size: 1.0, ..HostEntry::default() };
-//! gateway.handle(0, Event::Hosts { kind: ListKind::Full, entries: vec![host] }, &mut todo);
-//! let request = Request { id: RequestId(9), patience: 2_000_000_000, units: 1.0, ..Request::default() };
-//! gateway.handle(1_000_000, Event::Request(request), &mut todo);
-//! assert!(todo.iter().any(|a| matches!(a, Action::Send { host: HostId(1), .. })));
+//! policy.handle(0, Event::HostList { kind: HostListKind::Full, entries: vec![host] }, &mut actions);
+//! let request = Request { id: RequestId(9), remaining: 2 * SECOND, units: 1.0, ..Request::default() };
+//! policy.handle(1_000_000, Event::Request(request), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::Forward { host: HostId(1), .. })));
 //! ```
 
 mod account;
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -71,9 +71,9 @@
     }
     /// By when the last byte of another attempt has to be written: hosts drop repeats of a keyed request for a window,
     /// which begins with the first attempt that may have run, and the bytes take a moment to arrive.
-    pub fn write_by(&self, effect: Effect) -> Time {
+    pub fn write_by(&self, effect: Idempotency) -> Time {
         match (effect, self.ran()) {
-            (Effect::Keyed(_, window), Some(first)) => {
+            (Idempotency::WithKey(_, window), Some(first)) => {
                 first.sent.saturating_add(window.saturating_sub(WAY.max(window / 10)))
             }
             _ => Time::MAX,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -34,7 +34,7 @@
     pub(crate) pools: Pools,
     pub(crate) requests: ByRequest<Pending>,
     pub(crate) customers: Customers,
-    pub(crate) names: HashMap<CountName, (CustomerId, usize, u64), rustc_hash::FxBuildHasher>,
+    pub(crate) names: HashMap<CounterKey, (CustomerId, usize, u64), rustc_hash::FxBuildHasher>,
     pub(crate) dues: Dues<Due>,
     pub(crate) freed: Vec<CustomerId>,
     pub(crate) parked: Vec<(usize, Route, RequestId)>, // tried before, and without a host for another attempt
@@ -53,7 +53,7 @@
     /// A gateway that has just started and knows nothing but its settings.
     pub fn new(s: Settings, seed: u64) -> Self {
         let mut by_worth: Vec<usize> = (0..s.classes.len()).collect();
-        by_worth.sort_by(|a, b| s.classes[*b].worth.total_cmp(&s.classes[*a].worth));
+        by_worth.sort_by(|a, b| s.classes[*b].priority_weight.total_cmp(&s.classes[*a].priority_weight));
         Policy {
             rng: Chance::seeded(seed),
             by_worth,
@@ -71,9 +71,9 @@
             actions: Vec::new(),
             pace: Pace::new(s.gateways),
             rations: s.plans.iter().map(|_| 0.7).collect(),
-            contact: Contact::new(s.me, s.gateways),
+            contact: Contact::new(s.gateway_index, s.gateways),
             debts: Debts::default(),
-            quotas: s.counter && s.plans.iter().any(|p| p.rate > 0.0 || p.ceiling_rate > 0.0),
+            quotas: s.has_counter && s.plans.iter().any(|p| p.rate > 0.0 || p.ceiling_rate > 0.0),
             work: 0,
             s,
         }
@@ -85,21 +85,23 @@
             self.begin_life(now);
         }
         match event {
-            Event::Hosts { kind, entries } => self.on_list(now, kind, entries),
+            Event::HostList { kind, entries } => self.on_list(now, kind, entries),
             Event::Request(request) => self.on_request(now, request),
-            Event::Started { id, .. } => self.begin(id),
-            Event::Ended(end) => self.on_ended(now, end),
-            Event::Left { id } => self.close(id),
-            Event::Timer { .. } => self.dues.woken(now),
-            Event::Probed { host, outcome, report } => self.on_report(now, host, outcome, report),
-            Event::Counted { name, outcome, total, took } => self.on_counted(now, name, outcome, total, took),
-            Event::Plans(plans) => {
+            Event::ResponseStarted { id, .. } => self.begin(id),
+            Event::AttemptEnded(end) => self.on_ended(now, end),
+            Event::ClientDisconnected { id } => self.close(id),
+            Event::TimerExpired { .. } => self.dues.woken(now),
+            Event::HealthCheckEnded { host, outcome, report } => self.on_report(now, host, outcome, report),
+            Event::CounterReplied { key: name, outcome, total, elapsed: took } => {
+                self.on_counted(now, name, outcome, total, took)
+            }
+            Event::PlansChanged(plans) => {
                 self.customers.house.plans.clone_from(&plans);
                 self.s.plans = plans;
                 let change = |c: &mut Customer| c.change_plan(now, &self.contact, &self.s.plans[c.plan]);
                 self.customers.iter_mut().for_each(change);
             }
-            Event::Shed(keep) => self.pace.keep = keep,
+            Event::AdmissionFractionsChanged(keep) => self.pace.keep = keep,
             Event::PeerMessage { .. } => {}
         }
         loop {
@@ -117,7 +119,7 @@
             }
         }
         if let Some(after) = self.dues.arm(now) {
-            self.actions.push(Action::Timer { after, token: 0 });
+            self.actions.push(Action::SetTimer { after, token: 0 });
         }
         actions.append(&mut self.actions);
     }
@@ -161,8 +163,8 @@
 
     fn subscribe(&mut self, now: Time) {
         if now >= self.pace.ask_at {
-            self.ask_for_list(now + self.s.must_ask_in / 2);
-            self.actions.push(Action::Subscribe);
+            self.ask_for_list(now + self.s.must_poll_within / 2);
+            self.actions.push(Action::SubscribeToHosts);
         }
     }
 
@@ -184,16 +186,31 @@
     }
 
     fn on_request(&mut self, now: Time, request: Request) {
-        let Request { id, class, plan, customer, patience, units, spread, first, route, arrived, .. } =
-            request;
+        let Request {
+            id,
+            class,
+            plan,
+            customer,
+            remaining: patience,
+            units,
+            set_size: spread,
+            first_gateway: first,
+            route,
+            arrived_at: arrived,
+            ..
+        } = request;
         let (Some(c), Some(_)) = (self.s.classes.get(class), self.s.plans.get(plan)) else {
-            return self.actions.push(Action::Refuse { id, retry_after: None, why: Why::Unknown });
+            return self.actions.push(Action::Reject {
+                id,
+                retry_after: None,
+                reason: RejectReason::UnknownClassOrPlan,
+            });
         };
         let units = if units.is_finite() { units.max(0.0) } else { 1.0 };
         // Its time runs from when it came, however late this module hears of it.
         let arrived = if arrived == 0 { now } else { arrived.min(now) };
         let deadline = arrived.saturating_add(patience);
-        let (aim, aim_at) = (c.aim, arrived.saturating_add(c.aim).min(deadline));
+        let (aim, aim_at) = (c.latency_objective, arrived.saturating_add(c.latency_objective).min(deadline));
         let held = Pending { class, route, customer, units, arrived, aim_at, deadline, ..Pending::default() };
         self.requests.insert(id, held);
         self.pace.retries = (self.pace.retries + RETRY_PART).min(10.0);
@@ -204,16 +221,20 @@
         let is_closed = self.pools.lets_nothing_out(&route, !self.fleet.is_empty());
         let keep = self.pace.keep.get(class * self.s.plans.len() + plan).copied().unwrap_or(1.0);
         let is_shed = keep < 1.0 && self.rng.unit() >= keep;
-        let against = [(is_short, Why::Short), (is_closed, Why::NoHost), (is_shed, Why::Shed)];
+        let against = [
+            (is_short, RejectReason::DeadlineTooShort),
+            (is_closed, RejectReason::NoHost),
+            (is_shed, RejectReason::LoadShed),
+        ];
         if let Some((_, why)) = against.into_iter().find(|(is_so, _)| *is_so) {
             return self.give_up(id, why);
         }
-        let set = Set { first, spread, me: self.s.me, gateways: self.s.gateways };
+        let set = Set { first, spread, me: self.s.gateway_index, gateways: self.s.gateways };
         let met = |house: &House| Customer::met(now, house, plan, set, || units * self.rng.unit());
         let met = self.customers.meet(now, customer, met);
         // More customers at once than there is room for.
         let (Some(met), Some(r)) = (met, self.requests.get_mut(&id)) else {
-            return self.give_up(id, Why::Crowd);
+            return self.give_up(id, RejectReason::TooManyCustomers);
         };
         (met.in_hand, r.met) = (met.in_hand + 1, true);
         let usual = 1.0 / self.rations[plan].max(0.05);
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -1,7 +1,7 @@
 //! Where requests may go: which pools have hosts that take work, the slots of each pool, the limits of routes,
 //! and the requests that wait, in a line for each route so that a full pool holds up no other.
 
-use crate::api::{HostEntry, HostState, Limit, RequestId, Route};
+use crate::api::{HostEntry, HostState, RequestId, Route, RouteLimit};
 use crate::strain::Strain;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -77,12 +77,12 @@
     pub fn lets_nothing_out(&self, route: &Route, hosts: bool) -> bool {
         let pools = self.in_force(route);
         let deserted = hosts && pools != 0 && pools & self.alive == 0;
-        deserted || route.limit.is_some_and(|limit| limit.most_out == 0)
+        deserted || route.limit.is_some_and(|limit| limit.max_in_flight == 0)
     }
 
     /// Whether the pools have a free slot, and the route a place under its limit.
     pub fn has_room(&self, route: &Route) -> bool {
-        let below = |limit: &Limit| self.out_of(limit.route) < limit.most_out;
+        let below = |limit: &RouteLimit| self.out_of(limit.route) < limit.max_in_flight;
         let pools = self.in_force(route);
         route.limit.as_ref().is_none_or(below) && (pools == 0 || bits(pools).any(|bit| self.has_slot(bit)))
     }
@@ -253,7 +253,7 @@
     fn lines_that_are_empty_do_not_add_up() {
         let mut waiting = Waiting::default();
         for route in 0..1_000 {
-            let limit = Some(Limit { route, most_out: 1 });
+            let limit = Some(RouteLimit { route, max_in_flight: 1 });
             waiting.push_back(Route { limit, ..Route::default() }, RequestId(u64::from(route)));
             waiting.pop(|_| true);
         }
--- a/crates/policy/src/quotas.rs
+++ b/crates/policy/src/quotas.rs
@@ -55,11 +55,12 @@
         let late = now > late_at;
         let Some(c) = self.customers.get(customer) else { return true };
         // A cap on requests open at once is held by this gateway's share of it, one at the least.
-        let (open, spread) = (self.s.plans[c.plan].open, c.stores.first().map_or(1.0, Account::spread));
+        let (open, spread) =
+            (self.s.plans[c.plan].max_concurrent, c.stores.first().map_or(1.0, Account::spread));
         let full = open > 0 && c.open >= (f64::from(open) / spread).round().max(1.0) as u32;
         // Beyond the quota it is refused, but where that earns more than it costs idle slots take it.
         let (plan, used) = (&self.s.plans[c.plan], |k: &ClassState| (k.out + k.queue.len()) as f64);
-        let earns = plan.extra_worth > plan.overrun_cost && plan.ceiling_rate == 0.0;
+        let earns = plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_rate == 0.0;
         let idle = self.classes.iter().map(used).sum::<f64>() < IDLE_SLOTS * self.pace.total;
         let extra = earns && idle && !self.pace.strain.is_strained(self.pace.part);
         let (inside, wait) = match c.stores.iter().any(|a| a.thin) {
@@ -85,7 +86,7 @@
             c.open += 1;
             self.queue(now, id, false);
         } else {
-            self.give_up(id, Why::Quota);
+            self.give_up(id, RejectReason::QuotaExceeded);
         }
         true
     }
@@ -160,7 +161,7 @@
 
     /// No counter, or several calls in a row failed and the next try is not due.
     pub(crate) fn counter_down(&self, now: Time) -> bool {
-        !self.s.counter || self.contact.is_down(now)
+        !self.s.has_counter || self.contact.is_down(now)
     }
 
     pub(crate) fn call(&mut self, now: Time, whose: (CustomerId, usize, u64), amount: f64) {
@@ -168,6 +169,6 @@
         self.names.insert(name, whose);
         self.contact.called(now);
         let keep = if whose.1 == ASKED { KEEP_ASKED } else { KEEP };
-        self.actions.push(Action::Count { name, amount, keep });
+        self.actions.push(Action::AddToCounter { key: name, amount, time_to_live: keep });
     }
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -25,7 +25,7 @@
         let (total, mut left) = (self.pace.total, self.pace.total * (1.0 - REST));
         let age = seconds(self.pace.met, now);
         for &c in &self.by_worth[..self.by_worth.len().saturating_sub(1)] {
-            let set = (self.s.classes[c].aim as f64 / SECOND * SET_POINT).max(1e-3);
+            let set = (self.s.classes[c].latency_objective as f64 / SECOND * SET_POINT).max(1e-3);
             let k = &mut self.classes[c];
             let ages = k.held * age - k.held_since;
             let count = k.wait_count + k.held;
@@ -74,7 +74,7 @@
         if first {
             k.queue.push_front(route, id);
         } else if self.is_hopeless(id, late.saturating_sub(now)) {
-            return self.give_up(id, Why::Hopeless);
+            return self.give_up(id, RejectReason::QueueTooLong);
         } else {
             self.classes[class].queue.push_back(route, id);
         }
@@ -85,7 +85,7 @@
     /// pays less somewhat fewer may.
     fn is_hopeless(&self, id: RequestId, time: Span) -> bool {
         let Some(r) = self.requests.get(&id) else { return true };
-        let price = |plan: usize| self.s.plans[plan].price;
+        let price = |plan: usize| self.s.plans[plan].weight_factor;
         let top = (0..self.s.plans.len()).map(price).fold(1e-9, f64::max);
         let part = self.customers.get(r.customer).map_or(1.0, |c| 0.5 + 0.5 * price(c.plan) / top);
         let before = self.by_worth.iter().take_while(|c| **c != r.class).chain([&r.class]);
@@ -110,7 +110,7 @@
         let Some(r) = self.requests.get(&id).filter(|r| r.stage == Stage::Queued) else { return };
         let start_by = r.start_by(self.classes[r.class].latency);
         if now >= start_by {
-            return self.give_up(id, Why::Waited);
+            return self.give_up(id, RejectReason::QueuedTooLong);
         }
         self.dues.put(start_by, Due::Late(id));
     }
@@ -125,7 +125,7 @@
             let Some(r) = self.requests.get(&id).filter(|r| r.stage == Stage::Queued) else { continue };
             let (start_by, route, tried) = (r.start_by(self.classes[c].latency), r.route, r.ran().is_some());
             match self.pick(now, id) {
-                _ if now >= start_by => self.give_up(id, Why::Waited),
+                _ if now >= start_by => self.give_up(id, RejectReason::QueuedTooLong),
                 Some(host) => self.send(now, id, host),
                 None if tried => self.parked.push((c, route, id)),
                 None => {
--- a/crates/policy/src/tests/world.rs
+++ b/crates/policy/src/tests/world.rs
@@ -49,7 +49,7 @@
     /// A whole list of these hosts, a bit each.
     Whole {
         mask: u8,
-        kind: ListKind,
+        kind: HostListKind,
     },
     Plans {
         change: usize,
@@ -108,17 +108,17 @@
 const ROUTES: [Route; 4] = [
     Route { pools: 0, fallback: 0, limit: None },
     Route { pools: 1, fallback: 2, limit: None },
-    Route { pools: 2, fallback: 0, limit: Some(Limit { route: 1, most_out: 1 }) },
-    Route { pools: 0, fallback: 0, limit: Some(Limit { route: 2, most_out: 2 }) },
+    Route { pools: 2, fallback: 0, limit: Some(RouteLimit { route: 1, max_in_flight: 1 }) },
+    Route { pools: 0, fallback: 0, limit: Some(RouteLimit { route: 2, max_in_flight: 2 }) },
 ];
 
-fn effect() -> impl Strategy<Value = Effect> {
-    let scope = prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Cell)];
+fn effect() -> impl Strategy<Value = Idempotency> {
+    let scope = prop_oneof![Just(DedupScope::All), Just(DedupScope::Zone), Just(DedupScope::Cell)];
     let window = prop::sample::select(vec![0, 1, 50 * MS, 150 * MS, 400 * MS, 2_000 * MS, 20_000 * MS]);
     prop_oneof![
-        2 => Just(Effect::Safe),
-        1 => Just(Effect::Unsafe),
-        2 => (scope, window).prop_map(|(scope, window)| Effect::Keyed(scope, window)),
+        2 => Just(Idempotency::Idempotent),
+        1 => Just(Idempotency::NotIdempotent),
+        2 => (scope, window).prop_map(|(scope, window)| Idempotency::WithKey(scope, window)),
     ]
 }
 
@@ -128,11 +128,11 @@
     let late_worth = prop::sample::select(vec![0.0, 0.2]);
     (effect(), prop::sample::select(times.to_vec()), worth, late_worth).prop_map(
         |(effect, (aim, deadline), worth, late_worth)| Class {
-            aim: aim * MS,
+            latency_objective: aim * MS,
             deadline: deadline * MS,
-            worth,
-            late_worth,
-            effect,
+            priority_weight: worth,
+            late_fraction: late_worth,
+            idempotency: effect,
             ..Class::default()
         },
     )
@@ -145,10 +145,10 @@
         .prop_map(|(rate, burst, open, ceiling_rate, earns)| Plan {
             rate,
             burst,
-            open,
-            price: 1.0,
-            extra_worth: if earns { 0.3 } else { 0.0 },
-            overrun_cost: if earns { 0.0 } else { 0.6 },
+            max_concurrent: open,
+            weight_factor: 1.0,
+            over_quota_weight: if earns { 0.3 } else { 0.0 },
+            over_quota_cost: if earns { 0.0 } else { 0.6 },
             ceiling_rate,
             ceiling_burst: 8.0,
             ..Plan::default()
@@ -170,15 +170,15 @@
             classes,
             plans,
             may_cancel,
-            may_duplicate,
+            may_hedge: may_duplicate,
             max_attempts,
-            counter,
+            has_counter: counter,
             counter_timeout: 30 * MS,
             must_subscribe,
-            must_ask_in: 1_000 * MS,
+            must_poll_within: 1_000 * MS,
             max_retry_after: advises.then_some(1_000 * MS),
-            cold_share: 0.2,
-            cold,
+            cold_capacity: 0.2,
+            warm_up: cold,
             customer_bytes,
             ..Settings::default()
         };
@@ -188,14 +188,25 @@
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     use Outcome::*;
-    prop::sample::select(vec![Ok, Ok, Ok, Error, Full, Timeout, NoConnection, Reset, Cancelled, Moot])
+    prop::sample::select(vec![
+        Ok,
+        Ok,
+        Ok,
+        Error,
+        Rejected,
+        Timeout,
+        ConnectFailed,
+        ConnectionReset,
+        Cancelled,
+        NotSent,
+    ])
 }
 
 fn of_host() -> impl Strategy<Value = Step> {
     let state =
         prop::sample::select(vec![HostState::Ready, HostState::Ready, HostState::Draining, HostState::Gone]);
     let start = prop::sample::select(vec![Start::Same, Start::Anew, Start::Elsewhere]);
-    let kind = prop::sample::select(vec![ListKind::Full, ListKind::Cached, ListKind::Failed]);
+    let kind = prop::sample::select(vec![HostListKind::Full, HostListKind::Cached, HostListKind::Failed]);
     prop_oneof![
         3 => (1..7_u64, state, start).prop_map(|(id, state, start)| Step::Host { id, state, start }),
         1 => (any::<u8>(), kind).prop_map(|(mask, kind)| Step::Whole { mask, kind }),
@@ -239,11 +250,11 @@
 
 impl Tried {
     fn has_reached(&self) -> bool {
-        !matches!(self.outcome, Some(Outcome::NoConnection | Outcome::Moot))
+        !matches!(self.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent))
     }
 
     fn may_have_run(&self) -> bool {
-        !matches!(self.outcome, Some(Outcome::Full | Outcome::NoConnection | Outcome::Moot))
+        !matches!(self.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
 
@@ -281,7 +292,7 @@
 
 /// A call of the counter that is out.
 struct Call {
-    name: CountName,
+    name: CounterKey,
     amount: f64,
     until: Time,
 }
@@ -304,7 +315,7 @@
     held: BTreeMap<RequestId, Held>,
     hosts: BTreeMap<HostId, HostEntry>,
     calls: Vec<Call>,
-    totals: BTreeMap<CountName, f64>,
+    totals: BTreeMap<CounterKey, f64>,
     timers: Vec<Time>,
     news: VecDeque<Event>,
     ceilings: BTreeMap<CustomerId, Ceiling>,
@@ -343,7 +354,7 @@
             further: 0,
             given,
         };
-        world.tell(Event::Hosts { kind: ListKind::Cached, entries });
+        world.tell(Event::HostList { kind: HostListKind::Cached, entries });
         world
     }
 
@@ -351,7 +362,7 @@
     fn tell(&mut self, event: Event) {
         self.news.push_back(event);
         while let Some(event) = self.news.pop_front() {
-            if let Event::Left { id } = event {
+            if let Event::ClientDisconnected { id } = event {
                 if let Some(r) = self.held.get_mut(&id).filter(|r| !r.is_over()) {
                     r.client = Client::Left;
                     self.give_back(id);
@@ -368,12 +379,12 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, host, until, write_by } => self.send(id, host, until, write_by),
-            Action::Withdraw { id, attempt } => self.withdraw(id, attempt as usize),
-            Action::Refuse { id, .. } => self.give_up(id, true),
+            Action::Forward { id, host, deadline: until, write_by } => self.send(id, host, until, write_by),
+            Action::Cancel { id, attempt } => self.withdraw(id, attempt as usize),
+            Action::Reject { id, .. } => self.give_up(id, true),
             Action::Fail { id, .. } => self.give_up(id, false),
-            Action::Count { name, amount, .. } => {
-                assert!(self.given.settings.counter && amount.is_finite() && amount.abs() < 1e9);
+            Action::AddToCounter { key: name, amount, .. } => {
+                assert!(self.given.settings.has_counter && amount.is_finite() && amount.abs() < 1e9);
                 // A pulse goes on while the answer to the one before is late: what it tells is read, not added up.
                 let is_pulse = self.policy.names.get(&name).is_some_and(|(customer, ..)| *customer == ALL);
                 let is_first = self.calls.iter().all(|call| call.name != name);
@@ -384,8 +395,8 @@
                 let until = self.now + self.given.settings.counter_timeout;
                 self.calls.push(Call { name, amount, until });
             }
-            Action::Timer { after, .. } => self.timers.push(self.now + after),
-            Action::Subscribe => assert!(self.given.settings.must_subscribe),
+            Action::SetTimer { after, .. } => self.timers.push(self.now + after),
+            Action::SubscribeToHosts => assert!(self.given.settings.must_subscribe),
         }
     }
 
@@ -396,7 +407,7 @@
         let s = &self.given.settings;
         let r = self.held.get(&id).expect("a request that is held");
         assert!(!r.is_over(), "nothing goes out after the final answer");
-        assert!(s.may_duplicate || r.out().count() == 0, "no second copy");
+        assert!(s.may_hedge || r.out().count() == 0, "no second copy");
         assert!(r.attempts.len() < s.max_attempts.max(1) as usize, "not too many attempts");
         assert!(self.now < until && until <= r.deadline, "no attempt tells more time than is left");
         assert!(self.now < write_by);
@@ -404,15 +415,15 @@
         let route = r.request.route;
         assert!(in_pools(route.pools) || route.fallback != 0 && in_pools(route.fallback), "its pools");
         if let Some(first) = r.ran() {
-            match s.classes[r.request.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe request may have run twice"),
-                Effect::Keyed(scope, window) => {
+            match s.classes[r.request.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("an unsafe request may have run twice"),
+                Idempotency::WithKey(scope, window) => {
                     assert!(write_by < first.sent + window, "within the window, also its last byte");
                     let is_there = match scope {
-                        Scope::All => true,
-                        Scope::Zone => first.there.0 == there.0,
-                        Scope::Cell => first.there == there,
+                        DedupScope::All => true,
+                        DedupScope::Zone => first.there.0 == there.0,
+                        DedupScope::Cell => first.there == there,
                     };
                     assert!(is_there, "only where repeats are dropped");
                 }
@@ -421,7 +432,7 @@
         if let Some(limit) = route.limit {
             let of_route = |r: &&Held| r.request.route.limit.is_some_and(|other| other.route == limit.route);
             let out: usize = self.held.values().filter(of_route).map(|r| r.out().count()).sum();
-            assert!(out < limit.most_out as usize, "the limit of its route");
+            assert!(out < limit.max_in_flight as usize, "the limit of its route");
         }
         self.sends += 1;
         self.further += u64::from(!r.attempts.is_empty());
@@ -430,8 +441,8 @@
         r.attempts.push(Tried { host, there, sent: self.now, until, withdrawn: false, outcome: None });
         if r.client == Client::Gone {
             r.client = Client::Left;
-            self.news.push_back(Event::Left { id });
-            self.end(id, attempt, Outcome::Moot, 0);
+            self.news.push_back(Event::ClientDisconnected { id });
+            self.end(id, attempt, Outcome::NotSent, 0);
         }
     }
 
@@ -439,7 +450,7 @@
     /// came whole to a host. That an attempt follows a little later is what the slack is for.
     fn count_units(&mut self, actions: &[Action]) {
         for action in actions {
-            if let Action::Refuse { id, .. } | Action::Fail { id, .. } = action {
+            if let Action::Reject { id, .. } | Action::Fail { id, .. } = action {
                 self.give_back(*id);
             }
         }
@@ -482,7 +493,7 @@
 
     fn withdraw(&mut self, id: RequestId, attempt: usize) {
         assert!(self.given.settings.may_cancel, "attempts may be withdrawn");
-        let is_end = |event: &Event| matches!(event, Event::Ended(end) if (end.id, end.attempt as usize) == (id, attempt));
+        let is_end = |event: &Event| matches!(event, Event::AttemptEnded(end) if (end.id, end.attempt as usize) == (id, attempt));
         if self.news.iter().any(is_end) {
             return;
         }
@@ -498,8 +509,8 @@
         let r = self.held.get_mut(&id).expect("a request that is held");
         assert!(!r.is_over(), "one final answer");
         assert_eq!(r.out().count(), 0, "what is out may answer yet");
-        let effect = self.given.settings.classes[r.request.class].effect;
-        let is_dropped = matches!(effect, Effect::Safe | Effect::Keyed(Scope::All, _));
+        let effect = self.given.settings.classes[r.request.class].idempotency;
+        let is_dropped = matches!(effect, Idempotency::Idempotent | Idempotency::WithKey(DedupScope::All, _));
         assert!(
             !is_refused || is_dropped || r.ran().is_none(),
             "a refusal says that to try again is harmless"
@@ -519,8 +530,18 @@
         }
         let (closed, used, report) = (r.is_over(), None, None);
         let true_units = Some(f64::from(units)).filter(|units| *units > 0.0);
-        let end = Ended { id, attempt, host, outcome, took, closed, used, true_units, report };
-        self.news.push_back(Event::Ended(end));
+        let end = AttemptEnded {
+            id,
+            attempt,
+            host,
+            outcome,
+            elapsed: took,
+            is_request_closed: closed,
+            quota_used: used,
+            actual_units: true_units,
+            report,
+        };
+        self.news.push_back(Event::AttemptEnded(end));
         if closed {
             self.give_back(id);
         }
@@ -601,7 +622,7 @@
             if timers {
                 let due = self.timers.iter().filter(|at| **at <= now).count();
                 self.timers.retain(|at| *at > now);
-                (0..due).for_each(|_| self.tell(Event::Timer { token: 0 }));
+                (0..due).for_each(|_| self.tell(Event::TimerExpired { token: 0 }));
                 continue;
             }
             let is_due = |a: &Tried| a.outcome.is_none() && a.until <= now;
@@ -629,7 +650,7 @@
     fn answer_call(&mut self, at: usize, outcome: Outcome, total: f64) {
         let Call { name, until, .. } = self.calls.remove(at);
         let took = self.given.settings.counter_timeout - until.saturating_sub(self.now).min(30 * MS);
-        self.tell(Event::Counted { name, outcome, total, took });
+        self.tell(Event::CounterReplied { key: name, outcome, total, elapsed: took });
     }
 
     /// A call is answered in one of the ways in which a counter does.
@@ -645,9 +666,9 @@
         }
         let outcome = match answer % 10 {
             0 => Outcome::Timeout,
-            1 => Outcome::Full,
-            2 => Outcome::NoConnection,
-            3 => Outcome::Reset,
+            1 => Outcome::Rejected,
+            2 => Outcome::ConnectFailed,
+            3 => Outcome::ConnectionReset,
             _ => Outcome::Ok,
         };
         let is_added = match outcome {
@@ -681,14 +702,14 @@
                     class: class % s.classes.len(),
                     plan: customer as usize % 2 % s.plans.len(),
                     customer: CustomerId(customer),
-                    patience: u64::from(patience) * MS,
+                    remaining: u64::from(patience) * MS,
                     units: f64::from(units),
-                    spread: plan as u32 + 1,
+                    set_size: plan as u32 + 1,
                     route: ROUTES[if route < 4 { route } else { 0 }],
-                    arrived: self.now - u64::from(ago.saturating_sub(40)) * MS,
+                    arrived_at: self.now - u64::from(ago.saturating_sub(40)) * MS,
                     ..Request::default()
                 };
-                let (deadline, attempts) = (request.arrived + request.patience, Vec::new());
+                let (deadline, attempts) = (request.arrived_at + request.remaining, Vec::new());
                 self.held.insert(
                     id,
                     Held { request: request.clone(), deadline, client: Client::Waits, drawn: None, attempts },
@@ -707,7 +728,7 @@
             }
             Step::Leave { pick } => {
                 if let Some(id) = self.now_waiting(pick) {
-                    self.tell(Event::Left { id });
+                    self.tell(Event::ClientDisconnected { id });
                 }
             }
             Step::Go { pick } => {
@@ -720,13 +741,13 @@
             Step::Shed { cell, keep } => {
                 let mut shares = vec![1.0; cell];
                 shares.push(f64::from(keep) / 3.0);
-                self.tell(Event::Shed(if keep == 3 { Vec::new() } else { shares }));
+                self.tell(Event::AdmissionFractionsChanged(if keep == 3 { Vec::new() } else { shares }));
             }
             Step::Probe { id, outcome, queue } => {
-                let report = Report { queue: Some(f64::from(queue)), ..Report::default() };
-                self.tell(Event::Probed { host: HostId(id), outcome, report: Some(report) });
+                let report = LoadReport { queued: Some(f64::from(queue)), ..LoadReport::default() };
+                self.tell(Event::HealthCheckEnded { host: HostId(id), outcome, report: Some(report) });
             }
-            Step::Timer { token } => self.tell(Event::Timer { token }),
+            Step::Timer { token } => self.tell(Event::TimerExpired { token }),
             Step::Unknown { what } => self.unknown(what),
             Step::Pass { ms } => self.pass(self.now + u64::from(ms) * MS),
             Step::Stop { ms } => {
@@ -742,22 +763,22 @@
         let now = self.now;
         let Some(entry) = self.hosts.get_mut(&id) else { return };
         entry.state = state;
-        entry.started = if start == Start::Same { entry.started } else { now };
+        entry.started_at = if start == Start::Same { entry.started_at } else { now };
         if start == Start::Elsewhere {
             (entry.zone, entry.cell) = ((entry.zone + 1) % 2, (entry.cell + 1) % 3);
         }
         let entries = vec![entry.clone()];
-        self.tell(Event::Hosts { kind: ListKind::Delta, entries });
+        self.tell(Event::HostList { kind: HostListKind::Delta, entries });
     }
 
-    fn list(&mut self, mask: u8, kind: ListKind) {
+    fn list(&mut self, mask: u8, kind: HostListKind) {
         let mut entries = Vec::new();
-        for entry in self.hosts.values_mut().filter(|_| kind != ListKind::Failed) {
+        for entry in self.hosts.values_mut().filter(|_| kind != HostListKind::Failed) {
             let is_named = mask >> (entry.id.0 % 8) & 1 == 1;
             entry.state = if is_named { HostState::Ready } else { HostState::Gone };
             entries.extend(Some(entry.clone()).filter(|_| is_named));
         }
-        self.tell(Event::Hosts { kind, entries });
+        self.tell(Event::HostList { kind, entries });
     }
 
     /// Operators tighten a quota, take that back, or the limits that a plan has change.
@@ -768,14 +789,14 @@
         match change / 8 % 5 {
             0 => plan.rate *= 0.5,
             1 => plan.burst = (0.5 * plan.burst).max(0.5),
-            2 => plan.open = 1,
+            2 => plan.max_concurrent = 1,
             3 => plan.rate = 1_000.0,
             // No operator's words do this, but the module is to live with it.
             _ => (plan.rate, self.has_other_plans) = (0.0, true),
         }
         self.has_other_plans |= change / 8 % 5 == 3;
         let plans = plans.clone();
-        self.tell(Event::Plans(plans));
+        self.tell(Event::PlansChanged(plans));
     }
 
     /// What comes twice, too late or for nobody.
@@ -784,10 +805,10 @@
         let host = HostId(1 + what as u64 % 9);
         let is_known = self.held.contains_key(&id);
         match what / 16 % 5 {
-            0 if !is_known => self.tell(Event::Left { id }),
+            0 if !is_known => self.tell(Event::ClientDisconnected { id }),
             1 => {
-                let name = CountName(what as u64);
-                self.tell(Event::Counted { name, outcome: Outcome::Ok, total: 7.0, took: MS });
+                let name = CounterKey(what as u64);
+                self.tell(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 7.0, elapsed: MS });
             }
             // An attempt that ended before, or never was.
             2 | 3 => {
@@ -800,14 +821,29 @@
                 let (attempt, outcome, took) = (attempt as u32, Outcome::Ok, MS);
                 let closed = held.is_none_or(Held::is_over);
                 let (used, true_units, report) = (None, Some(3.0), None);
-                let end = Ended { id, attempt, host, outcome, took, closed, used, true_units, report };
-                self.tell(Event::Ended(end));
+                let end = AttemptEnded {
+                    id,
+                    attempt,
+                    host,
+                    outcome,
+                    elapsed: took,
+                    is_request_closed: closed,
+                    quota_used: used,
+                    actual_units: true_units,
+                    report,
+                };
+                self.tell(Event::AttemptEnded(end));
             }
             // A call that was answered before.
             _ => {
-                let is_out = |name: &CountName| self.calls.iter().any(|call| call.name == *name);
+                let is_out = |name: &CounterKey| self.calls.iter().any(|call| call.name == *name);
                 if let Some(name) = self.totals.keys().find(|name| !is_out(name)).copied() {
-                    self.tell(Event::Counted { name, outcome: Outcome::Ok, total: 9.0, took: MS });
+                    self.tell(Event::CounterReplied {
+                        key: name,
+                        outcome: Outcome::Ok,
+                        total: 9.0,
+                        elapsed: MS,
+                    });
                 }
             }
         }
@@ -819,7 +855,7 @@
             0 => self.held.values().flat_map(Held::out).map(|a| a.until).collect(),
             1 => self.held.values().filter(|r| !r.is_over()).map(|r| r.deadline).collect(),
             2 => self.held.values().filter(|r| !r.is_over()).filter_map(|r| self.window_end(r)).collect(),
-            3 => self.hosts.values().map(|host| host.started + self.given.settings.cold).collect(),
+            3 => self.hosts.values().map(|host| host.started_at + self.given.settings.warm_up).collect(),
             4 => self.timers.clone(),
             _ => self.calls.iter().map(|call| call.until).collect(),
         };
@@ -833,8 +869,10 @@
 
     fn window_end(&self, r: &Held) -> Option<Time> {
         let first = r.ran()?;
-        match self.given.settings.classes[r.request.class].effect {
-            Effect::Keyed(_, window) => Some(first.sent + window.saturating_sub((window / 10).max(100 * MS))),
+        match self.given.settings.classes[r.request.class].idempotency {
+            Idempotency::WithKey(_, window) => {
+                Some(first.sent + window.saturating_sub((window / 10).max(100 * MS)))
+            }
             _ => None,
         }
     }
--- a/crates/policy/tests/answers.rs
+++ b/crates/policy/tests/answers.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_try_with_no_time_left_is_answered_at_once() {
     let mut g = Harness::new(open(), 3);
-    let request = Request { id: RequestId(1), patience: 5 * MS, units: 1.0, ..Request::default() };
+    let request = Request { id: RequestId(1), remaining: 5 * MS, units: 1.0, ..Request::default() };
     assert!(refused(&g.on(Event::Request(request)), 1));
 }
 
@@ -20,7 +20,7 @@
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
     let mut g = Harness::new(open(), 3);
     let (_, host) = sends(&g.request(1, 1, 1, 1.0))[0];
-    let actions = g.ended(1, 0, host, Outcome::Reset);
+    let actions = g.ended(1, 0, host, Outcome::ConnectionReset);
     assert!(failed(&actions, 1) && sends(&actions).is_empty());
 }
 
@@ -28,7 +28,7 @@
 fn an_unsafe_request_that_never_ran_goes_elsewhere() {
     let mut g = Harness::new(open(), 3);
     let (_, host) = sends(&g.request(1, 1, 1, 1.0))[0];
-    let again = sends(&g.ended(1, 0, host, Outcome::NoConnection));
+    let again = sends(&g.ended(1, 0, host, Outcome::ConnectFailed));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, host);
 }
@@ -36,10 +36,10 @@
 #[test]
 fn a_keyed_request_is_repeated_only_in_its_scope() {
     let mut settings = open();
-    settings.classes[1].effect = Effect::Keyed(Scope::Cell, 8_000 * MS);
+    settings.classes[1].idempotency = Idempotency::WithKey(DedupScope::Cell, 8_000 * MS);
     let mut g = Harness::new(settings, 0);
     let cell = |id, cell| HostEntry { cell, ..entry(id) };
-    g.list(ListKind::Full, vec![cell(1, 1), cell(2, 1), cell(3, 2), cell(4, 2)]);
+    g.list(HostListKind::Full, vec![cell(1, 1), cell(2, 1), cell(3, 2), cell(4, 2)]);
     for id in 1..20 {
         let (_, host) = sends(&g.request(id, 1, id, 1.0))[0];
         let again = sends(&g.ended(id, 0, host, Outcome::Error));
@@ -63,15 +63,15 @@
     ];
     for (window, fails, write_by) in cases {
         let mut settings = open();
-        settings.classes[1].effect = Effect::Keyed(Scope::All, window * MS);
-        settings.classes[1].aim = 4_000 * MS;
+        settings.classes[1].idempotency = Idempotency::WithKey(DedupScope::All, window * MS);
+        settings.classes[1].latency_objective = 4_000 * MS;
         let mut g = Harness::new(settings, 2);
         let (_, host) = sends(&g.request(1, 1, 1, 1.0))[0];
         let sent = g.now;
         g.now += fails * MS;
         let again = g.ended(1, 0, host, Outcome::Error);
         let bound = again.iter().find_map(|action| match action {
-            Action::Send { write_by, .. } => Some((write_by - sent) / MS),
+            Action::Forward { write_by, .. } => Some((write_by - sent) / MS),
             _ => None,
         });
         assert_eq!(bound, write_by, "window {window}, fails after {fails}");
@@ -82,10 +82,10 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_removed_host() {
     let mut g = Harness::new(open(), 3);
-    g.list(ListKind::Delta, vec![HostEntry { state: HostState::Draining, ..entry(1) }]);
-    g.list(ListKind::Delta, vec![HostEntry { state: HostState::Gone, ..entry(2) }]);
+    g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Draining, ..entry(1) }]);
+    g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Gone, ..entry(2) }]);
     assert!((1..12).flat_map(|id| sends(&g.request(id, 0, id, 1.0))).all(|(_, s)| s == HostId(3)));
-    g.list(ListKind::Full, vec![entry(1)]);
+    g.list(HostListKind::Full, vec![entry(1)]);
     assert!((20..24).flat_map(|id| sends(&g.request(id, 0, id, 1.0))).all(|(_, s)| s == HostId(1)));
 }
 
@@ -93,7 +93,7 @@
 fn a_fresh_host_gets_its_part_and_no_burst() {
     let mut g = Harness::new(open(), 3);
     g.pass(2_000 * MS);
-    g.list(ListKind::Delta, vec![HostEntry { started: g.now, ..entry(9) }]);
+    g.list(HostListKind::Delta, vec![HostEntry { started_at: g.now, ..entry(9) }]);
     let mut cold = 0;
     for id in 1..100 {
         let sent = sends(&g.request(id, 0, id, 1.0));
@@ -117,7 +117,7 @@
         let mut actions = g.request(id, 0, id, 1.0);
         actions.extend(g.pass(20 * MS));
         for action in &actions {
-            if let Action::Withdraw { id, attempt } = action {
+            if let Action::Cancel { id, attempt } = action {
                 late.extend(sends(&g.ended(id.0, *attempt, HostId(1), Outcome::Cancelled)));
             }
         }
@@ -138,12 +138,12 @@
     let mut g = Harness::new(settings(), 2);
     g.ended(99, 0, HostId(1), Outcome::Ok);
     g.ended(99, 7, HostId(77), Outcome::Timeout);
-    g.counted(CountName(5), Outcome::Ok, f64::NAN);
-    g.on(Event::Timer { token: 12345 });
-    g.on(Event::Left { id: RequestId(3) });
-    g.on(Event::Started { id: RequestId(3), attempt: 0 });
-    let report = Some(Report { queue: Some(f64::INFINITY), ..Report::default() });
-    g.on(Event::Probed { host: HostId(77), outcome: Outcome::Ok, report });
+    g.counted(CounterKey(5), Outcome::Ok, f64::NAN);
+    g.on(Event::TimerExpired { token: 12345 });
+    g.on(Event::ClientDisconnected { id: RequestId(3) });
+    g.on(Event::ResponseStarted { id: RequestId(3), attempt: 0 });
+    let report = Some(LoadReport { queued: Some(f64::INFINITY), ..LoadReport::default() });
+    g.on(Event::HealthCheckEnded { host: HostId(77), outcome: Outcome::Ok, report });
     g.on(Event::Request(Request { id: RequestId(4), class: 9, ..Request::default() }));
     let actions = g.request(5, 0, 1, f64::NAN);
     let (name, _) = calls(&actions)[0];
@@ -161,11 +161,11 @@
             0 => s.gateways = 1,
             1 => s.classes.truncate(1),
             2 => (s.plans[0].rate, s.plans[0].burst) = (1e-6, 1e-6),
-            3 => s.classes.iter_mut().for_each(|c| c.aim = 0),
-            4 => s.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (u64::MAX, u64::MAX)),
-            5 => s.counter = false,
-            6 => (s.cold, s.cold_share, s.max_attempts, s.gateways) = (0, 0.0, 0, 0),
-            _ => (s.plans[0].open, s.plans[0].rate, s.plans[0].ceiling_rate) = (1, 0.0, 1e9),
+            3 => s.classes.iter_mut().for_each(|c| c.latency_objective = 0),
+            4 => s.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (u64::MAX, u64::MAX)),
+            5 => s.has_counter = false,
+            6 => (s.warm_up, s.cold_capacity, s.max_attempts, s.gateways) = (0, 0.0, 0, 0),
+            _ => (s.plans[0].max_concurrent, s.plans[0].rate, s.plans[0].ceiling_rate) = (1, 0.0, 1e9),
         }
         let classes = s.classes.len();
         let mut g = Harness::new(s, 1);
@@ -211,14 +211,24 @@
     let mut g = Harness::new(Settings { gateways: 1, ..open() }, 20);
     for id in 1..200 {
         for (id, host) in sends(&g.request(id, 0, id, 1.0)) {
-            let report = Some(Report { queue: Some(2.0), ..Report::default() });
+            let report = Some(LoadReport { queued: Some(2.0), ..LoadReport::default() });
             let (outcome, took) = (Outcome::Ok, 50 * MS);
             let (attempt, closed, used, true_units) = (0, true, None, None);
-            g.on(Event::Ended(Ended { id, attempt, host, outcome, took, closed, used, true_units, report }));
+            g.on(Event::AttemptEnded(AttemptEnded {
+                id,
+                attempt,
+                host,
+                outcome,
+                elapsed: took,
+                is_request_closed: closed,
+                quota_used: used,
+                actual_units: true_units,
+                report,
+            }));
         }
         g.pass(20 * MS);
     }
-    g.list(ListKind::Delta, (21..=25).map(entry).collect());
+    g.list(HostListKind::Delta, (21..=25).map(entry).collect());
     let next = (201..206).flat_map(|id| sends(&g.request(id, 0, id, 1.0)));
     let strangers = next.filter(|(_, host)| host.0 > 20).count();
     assert!(strangers < 5, "five busy-looking hosts are not all passed over for five unknown ones");
--- a/crates/policy/tests/circle.rs
+++ b/crates/policy/tests/circle.rs
@@ -7,7 +7,7 @@
 const HOSTS: u64 = 200;
 
 fn one_of(gateways: u32) -> Harness {
-    let mut settings = Settings { gateways, me: gateways / 2, ..settings() };
+    let mut settings = Settings { gateways, gateway_index: gateways / 2, ..settings() };
     settings.plans[0].rate = 0.0;
     Harness::new(settings, HOSTS)
 }
@@ -37,7 +37,7 @@
     let mut g = one_of(300);
     let circle = used(&mut g, 1..1_000);
     let leave = |id: &u64| HostEntry { state: HostState::Draining, ..entry(*id) };
-    g.list(ListKind::Delta, circle.iter().map(leave).collect());
+    g.list(HostListKind::Delta, circle.iter().map(leave).collect());
     let other = used(&mut g, 1_000..2_000);
     assert!((16..32).contains(&other.len()) && other.is_disjoint(&circle), "{other:?}");
 }
@@ -48,9 +48,9 @@
     let circle = used(&mut g, 1..1_000);
     // All but a dozen hosts start anew; those of the circle are among them.
     let warm: BTreeSet<u64> = (1..=HOSTS).filter(|id| !circle.contains(id)).take(12).collect();
-    let cold = |id| HostEntry { started: g.now, ..entry(id) };
+    let cold = |id| HostEntry { started_at: g.now, ..entry(id) };
     let entries = (1..=HOSTS).filter(|id| !warm.contains(id)).map(cold).collect();
-    g.list(ListKind::Delta, entries);
+    g.list(HostListKind::Delta, entries);
     let hosts = used(&mut g, 1_000..1_200);
     let strangers: Vec<&u64> = hosts.iter().filter(|id| !warm.contains(id) && !circle.contains(id)).collect();
     assert!(hosts.iter().any(|id| warm.contains(id)), "{hosts:?}");
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -132,7 +132,7 @@
     let first = |seed| {
         let mut gateway = Harness::new(open.clone(), 0);
         gateway.policy = Policy::new(open.clone(), seed);
-        gateway.list(ListKind::Full, vec![HostEntry { started: gateway.now, ..entry(1) }]);
+        gateway.list(HostListKind::Full, vec![HostEntry { started_at: gateway.now, ..entry(1) }]);
         sends(&gateway.request(1, 0, 1, 1.0)).len()
     };
     let sent: usize = (0..200).map(first).sum();
--- a/crates/policy/tests/common/cold.rs
+++ b/crates/policy/tests/common/cold.rs
@@ -116,28 +116,31 @@
 
 fn site(gateways: u32) -> Settings {
     let class = |deadline, worth, late_worth, effect| Class {
-        aim: 600 * MS,
+        latency_objective: 600 * MS,
         deadline: deadline * MS,
-        worth,
-        late_worth,
-        effect,
+        priority_weight: worth,
+        late_fraction: late_worth,
+        idempotency: effect,
         ..Class::default()
     };
     Settings {
         gateways,
-        classes: vec![class(1_500, 3.0, 0.2, Effect::Safe), class(2_000, 9.0, 0.0, Effect::Unsafe)],
-        plans: vec![Plan { price: 1.0, ..Plan::default() }],
+        classes: vec![
+            class(1_500, 3.0, 0.2, Idempotency::Idempotent),
+            class(2_000, 9.0, 0.0, Idempotency::NotIdempotent),
+        ],
+        plans: vec![Plan { weight_factor: 1.0, ..Plan::default() }],
         may_cancel: true,
-        may_duplicate: true,
+        may_hedge: true,
         max_attempts: 4,
-        cold_share: COLD_FROM,
-        cold: COLD,
+        cold_capacity: COLD_FROM,
+        warm_up: COLD,
         ..Settings::default()
     }
 }
 
 fn line(id: HostId, machine: &Machine) -> HostEntry {
-    HostEntry { id, size: 1.0, started: machine.started.unwrap_or(0), ..HostEntry::default() }
+    HostEntry { id, size: 1.0, started_at: machine.started.unwrap_or(0), ..HostEntry::default() }
 }
 
 impl World {
@@ -167,7 +170,9 @@
     pub fn restart(&mut self, ids: std::ops::RangeInclusive<u64>, fresh: bool) {
         for id in ids {
             let Some(mut old) = self.hosts.remove(&HostId(id)) else { continue };
-            old.take(|_| true).into_iter().for_each(|job| self.end(HostId(id), job, Outcome::Reset));
+            old.take(|_| true)
+                .into_iter()
+                .for_each(|job| self.end(HostId(id), job, Outcome::ConnectionReset));
             let id = if fresh { id + 1_000 } else { id };
             self.hosts.insert(HostId(id), Machine::new(Some(self.now)));
         }
@@ -183,7 +188,7 @@
     fn tell_list(&mut self) {
         let entries: Vec<_> = self.hosts.iter().map(|(id, machine)| line(*id, machine)).collect();
         for gateway in 0..self.gateways.len() {
-            self.tell(gateway, Event::Hosts { kind: ListKind::Full, entries: entries.clone() });
+            self.tell(gateway, Event::HostList { kind: HostListKind::Full, entries: entries.clone() });
         }
     }
 
@@ -231,9 +236,9 @@
             id,
             class,
             customer: CustomerId(self.number % 40),
-            patience,
+            remaining: patience,
             units: 1.0,
-            spread: 3,
+            set_size: 3,
             ..Request::default()
         };
         self.tell(gateway, Event::Request(request));
@@ -241,16 +246,16 @@
 
     /// What falls due: a timer, or an end that reaches its gateway.
     fn ring(&mut self, gateway: usize, event: Event) {
-        let Event::Ended(mut end) = event else { return self.tell(gateway, event) };
-        end.closed = !self.open.contains_key(&end.id);
+        let Event::AttemptEnded(mut end) = event else { return self.tell(gateway, event) };
+        end.is_request_closed = !self.open.contains_key(&end.id);
         if let Some(open) = self.open.get(&end.id).filter(|_| end.outcome == Outcome::Ok) {
             let counts = open.arrived > self.counted_from;
             self.tally.served += u32::from(counts);
             self.tally.in_aim += u32::from(counts && self.now <= open.arrived + 600 * MS);
             self.open.remove(&end.id);
-            end.closed = true;
+            end.is_request_closed = true;
         }
-        self.tell(gateway, Event::Ended(end));
+        self.tell(gateway, Event::AttemptEnded(end));
     }
 
     fn serve(&mut self, id: HostId) {
@@ -263,18 +268,18 @@
     }
 
     fn end(&mut self, host: HostId, job: Job, outcome: Outcome) {
-        let end = Ended {
+        let end = AttemptEnded {
             id: job.id,
             attempt: job.attempt,
             host,
             outcome,
-            took: self.now + STEP - job.sent,
-            closed: false,
-            used: None,
-            true_units: None,
+            elapsed: self.now + STEP - job.sent,
+            is_request_closed: false,
+            quota_used: None,
+            actual_units: None,
             report: None,
         };
-        self.plan(STEP, job.gateway, Event::Ended(end));
+        self.plan(STEP, job.gateway, Event::AttemptEnded(end));
     }
 
     fn plan(&mut self, after: Span, gateway: usize, event: Event) {
@@ -287,14 +292,14 @@
         self.gateways[gateway].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, host, until, .. } => self.send(id, host, until),
-                Action::Refuse { id, .. } | Action::Fail { id, .. } => {
+                Action::Forward { id, host, deadline: until, .. } => self.send(id, host, until),
+                Action::Reject { id, .. } | Action::Fail { id, .. } => {
                     let open = self.open.remove(&id).expect("one final answer");
                     assert!(self.now <= open.deadline + 16 * MS, "in time");
                 }
-                Action::Withdraw { id, attempt } => self.withdraw(gateway, id, attempt),
-                Action::Timer { after, token } => self.plan(after, gateway, Event::Timer { token }),
-                Action::Count { .. } | Action::Subscribe => {}
+                Action::Cancel { id, attempt } => self.withdraw(gateway, id, attempt),
+                Action::SetTimer { after, token } => self.plan(after, gateway, Event::TimerExpired { token }),
+                Action::AddToCounter { .. } | Action::SubscribeToHosts => {}
             }
         }
     }
@@ -315,11 +320,11 @@
         open.attempts += 1;
         self.tally.first_ms.get_or_insert((now - open.arrived) / MS);
         let Some(host) = self.hosts.get_mut(&to).filter(|host| !host.fallen) else {
-            return self.end(to, job, Outcome::NoConnection);
+            return self.end(to, job, Outcome::ConnectFailed);
         };
         if now < host.refuses_until {
             self.tally.refused += 1;
-            return self.end(to, job, Outcome::NoConnection);
+            return self.end(to, job, Outcome::ConnectFailed);
         }
         if host.share(now) < 1.0 {
             self.tally.at_cold += 1;
@@ -330,11 +335,11 @@
                 self.tally.fallen += 1;
                 host.jobs.push_back(job);
                 let lost = host.take(|_| true);
-                return lost.into_iter().for_each(|job| self.end(to, job, Outcome::Reset));
+                return lost.into_iter().for_each(|job| self.end(to, job, Outcome::ConnectionReset));
             }
         }
         if host.jobs.len() >= HANDS + LINE {
-            return self.end(to, job, Outcome::Full);
+            return self.end(to, job, Outcome::Rejected);
         }
         host.jobs.push_back(job);
     }
--- a/crates/policy/tests/common/counter.rs
+++ b/crates/policy/tests/common/counter.rs
@@ -61,12 +61,12 @@
     timeout: Span,
     troubles: Vec<Trouble>,
     begun: Vec<bool>, // troubles that changed its names when they began
-    sides: Vec<BTreeMap<CountName, Entry>>,
+    sides: Vec<BTreeMap<CounterKey, Entry>>,
     side_of: Vec<usize>,
     /// What was added to each name over all its lives.
-    pub added: BTreeMap<CountName, f64>,
+    pub added: BTreeMap<CounterKey, f64>,
     /// What was forgotten of each name, and when.
-    pub forgotten: BTreeMap<CountName, Vec<(Time, f64)>>,
+    pub forgotten: BTreeMap<CounterKey, Vec<(Time, f64)>>,
     /// Moments of all calls, also of those that found no counter.
     pub calls: Vec<Time>,
 }
@@ -87,15 +87,15 @@
     }
 
     /// A call comes. `lot`: drawn from 0 to 1.
-    pub fn call(&mut self, now: Time, from: usize, call: (CountName, f64, Span), lot: f64) -> Reply {
+    pub fn call(&mut self, now: Time, from: usize, call: (CounterKey, f64, Span), lot: f64) -> Reply {
         self.turn(now);
         self.calls.push(now);
         let (name, amount, keep) = call;
         let fault = self.troubles.iter().find(|t| t.is_on(now, from) && does_answer_ill(t, now));
         let fault = fault.map(|trouble| trouble.fault.clone());
         match fault {
-            Some(Fault::Lost | Fault::Flapping(_)) => self.unanswered(Outcome::NoConnection, self.delay),
-            Some(Fault::Full) => self.unanswered(Outcome::Full, self.delay),
+            Some(Fault::Lost | Fault::Flapping(_)) => self.unanswered(Outcome::ConnectFailed, self.delay),
+            Some(Fault::Full) => self.unanswered(Outcome::Rejected, self.delay),
             Some(Fault::Silent) => self.unanswered(Outcome::Timeout, self.timeout),
             Some(Fault::Mute) => {
                 self.add(now, from, name, amount, keep);
@@ -120,7 +120,7 @@
         Reply { outcome, total: 0.0, took }
     }
 
-    fn add(&mut self, now: Time, from: usize, name: CountName, amount: f64, keep: Span) -> f64 {
+    fn add(&mut self, now: Time, from: usize, name: CounterKey, amount: f64, keep: Span) -> f64 {
         *self.added.entry(name).or_default() += amount;
         let entry = self.sides[self.side_of[from]].entry(name).or_default();
         if entry.expires <= now {
@@ -183,7 +183,7 @@
     }
 
     /// What a name's total is now on the whole counter.
-    pub fn total(&mut self, now: Time, name: CountName) -> f64 {
+    pub fn total(&mut self, now: Time, name: CounterKey) -> f64 {
         self.turn(now);
         let entry = self.sides[0].get(&name).filter(|entry| entry.expires > now);
         entry.map_or(0.0, |entry| entry.shared + entry.own)
--- a/crates/policy/tests/common/load.rs
+++ b/crates/policy/tests/common/load.rs
@@ -12,7 +12,7 @@
     pub next: u64,
     /// Attempts that are out, in the order in which they end.
     pub out: VecDeque<(Time, RequestId, HostId)>,
-    pub totals: BTreeMap<CountName, f64>,
+    pub totals: BTreeMap<CounterKey, f64>,
     pub served: u64,
     pub refused: u64,
     /// The most that one event cost.
@@ -39,8 +39,8 @@
             refused: 0,
             most: 0,
         };
-        let entries = (1..=hosts).map(|id| HostEntry { started, ..entry(id) }).collect();
-        load.tell(Event::Hosts { kind: ListKind::Full, entries });
+        let entries = (1..=hosts).map(|id| HostEntry { started_at: started, ..entry(id) }).collect();
+        load.tell(Event::HostList { kind: HostListKind::Full, entries });
         load
     }
 
@@ -53,13 +53,13 @@
             self.most = self.most.max(self.policy.work() - before);
             for action in actions {
                 match action {
-                    Action::Send { id, host, .. } => self.out.push_back((self.now + ANSWERS_IN, id, host)),
-                    Action::Refuse { .. } | Action::Fail { .. } => self.refused += 1,
-                    Action::Count { name, amount, .. } => {
+                    Action::Forward { id, host, .. } => self.out.push_back((self.now + ANSWERS_IN, id, host)),
+                    Action::Reject { .. } | Action::Fail { .. } => self.refused += 1,
+                    Action::AddToCounter { key: name, amount, .. } => {
                         let total = self.totals.entry(name).or_default();
                         *total += amount;
                         let (outcome, total, took) = (Outcome::Ok, *total, MS);
-                        news.push_back(Event::Counted { name, outcome, total, took });
+                        news.push_back(Event::CounterReplied { key: name, outcome, total, elapsed: took });
                     }
                     _ => {}
                 }
@@ -75,21 +75,21 @@
             while self.out.front().is_some_and(|(at, ..)| *at <= self.now) {
                 let Some((_, id, host)) = self.out.pop_front() else { break };
                 self.served += 1;
-                let end = Ended {
+                let end = AttemptEnded {
                     id,
                     attempt: 0,
                     host,
                     outcome: Outcome::Ok,
-                    took: ANSWERS_IN,
-                    closed: true,
-                    used: None,
-                    true_units: None,
+                    elapsed: ANSWERS_IN,
+                    is_request_closed: true,
+                    quota_used: None,
+                    actual_units: None,
                     report: None,
                 };
-                self.tell(Event::Ended(end));
+                self.tell(Event::AttemptEnded(end));
             }
             if self.now % (20 * MS) == 0 {
-                self.tell(Event::Timer { token: 0 });
+                self.tell(Event::TimerExpired { token: 0 });
             }
         }
     }
@@ -100,9 +100,9 @@
             id: RequestId(self.next),
             class: (self.next % 2) as usize,
             customer: CustomerId(customer),
-            patience: 4_000 * MS,
+            remaining: 4_000 * MS,
             units: 1.0,
-            spread: 1,
+            set_size: 1,
             ..Request::default()
         }));
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -13,21 +13,33 @@
 
 pub const MS: Span = 1_000_000;
 
-pub fn class(worth: f64, effect: Effect) -> Class {
-    Class { aim: 1_000 * MS, deadline: 4_000 * MS, worth, effect, ..Class::default() }
+pub fn class(worth: f64, effect: Idempotency) -> Class {
+    Class {
+        latency_objective: 1_000 * MS,
+        deadline: 4_000 * MS,
+        priority_weight: worth,
+        idempotency: effect,
+        ..Class::default()
+    }
 }
 
 pub fn settings() -> Settings {
     Settings {
         gateways: 3,
-        classes: vec![class(1.0, Effect::Safe), class(5.0, Effect::Unsafe)],
-        plans: vec![Plan { rate: 10.0, burst: 20.0, price: 1.0, overrun_cost: 0.5, ..Plan::default() }],
+        classes: vec![class(1.0, Idempotency::Idempotent), class(5.0, Idempotency::NotIdempotent)],
+        plans: vec![Plan {
+            rate: 10.0,
+            burst: 20.0,
+            weight_factor: 1.0,
+            over_quota_cost: 0.5,
+            ..Plan::default()
+        }],
         may_cancel: true,
         max_attempts: 4,
-        counter: true,
+        has_counter: true,
         counter_timeout: 30 * MS,
-        cold_share: 0.2,
-        cold: 10_000 * MS,
+        cold_capacity: 0.2,
+        warm_up: 10_000 * MS,
         ..Settings::default()
     }
 }
@@ -42,7 +54,7 @@
     gateways: u32,
     /// Whether the other gateways beat on the counter, and this one is answered there.
     pub others_beat: bool,
-    pulses: BTreeMap<CountName, f64>,
+    pulses: BTreeMap<CounterKey, f64>,
 }
 
 /// Gateways that share a pulse, and values of a digit of one.
@@ -60,7 +72,7 @@
         let policy = Policy::new(settings, 1);
         let (now, pulses) = (1_000_000 * MS, BTreeMap::new());
         let mut gateway = Harness { policy, now, gateways, others_beat: true, pulses };
-        gateway.list(ListKind::Cached, (1..=hosts).map(entry).collect());
+        gateway.list(HostListKind::Cached, (1..=hosts).map(entry).collect());
         gateway
     }
     pub fn on(&mut self, event: Event) -> Vec<Action> {
@@ -72,11 +84,13 @@
     /// Answers calls to the pulses, to which the other gateways add as well.
     fn beat(&mut self, actions: &mut Vec<Action>) {
         let groups = self.gateways.div_ceil(PULSE.0);
-        let names: Vec<CountName> = (0..groups).map(|group| names::pulse(group, self.now)).collect();
-        let group = |name: CountName| names.iter().position(|pulse| *pulse == name);
-        let beats: Vec<(CountName, f64)> =
+        let names: Vec<CounterKey> = (0..groups).map(|group| names::pulse(group, self.now)).collect();
+        let group = |name: CounterKey| names.iter().position(|pulse| *pulse == name);
+        let beats: Vec<(CounterKey, f64)> =
             calls(actions).into_iter().filter(|(name, _)| group(*name).is_some()).collect();
-        actions.retain(|action| !matches!(action, Action::Count { name, .. } if group(*name).is_some()));
+        actions.retain(
+            |action| !matches!(action, Action::AddToCounter { key: name, .. } if group(*name).is_some()),
+        );
         for (name, amount) in beats {
             let others = if self.others_beat { 1..PULSE.0 } else { 0..0 };
             let theirs: f64 = others.map(|member| PULSE.1.powi(member as i32)).sum();
@@ -87,8 +101,8 @@
             actions.extend(self.counted(name, Outcome::Ok, total));
         }
     }
-    pub fn list(&mut self, kind: ListKind, entries: Vec<HostEntry>) -> Vec<Action> {
-        self.on(Event::Hosts { kind, entries })
+    pub fn list(&mut self, kind: HostListKind, entries: Vec<HostEntry>) -> Vec<Action> {
+        self.on(Event::HostList { kind, entries })
     }
     pub fn request(&mut self, id: u64, class: usize, customer: u64, units: f64) -> Vec<Action> {
         let (id, customer) = (RequestId(id), CustomerId(customer));
@@ -97,9 +111,9 @@
             id,
             class,
             customer,
-            patience,
+            remaining: patience,
             units,
-            spread: 2,
+            set_size: 2,
             ..Request::default()
         }))
     }
@@ -115,21 +129,21 @@
         outcome: Outcome,
     ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
-        let end = Ended {
+        let end = AttemptEnded {
             id: RequestId(id),
             attempt,
             host,
             outcome,
-            took,
-            closed,
-            used: None,
-            true_units: None,
+            elapsed: took,
+            is_request_closed: closed,
+            quota_used: None,
+            actual_units: None,
             report: None,
         };
-        self.on(Event::Ended(end))
+        self.on(Event::AttemptEnded(end))
     }
-    pub fn counted(&mut self, name: CountName, outcome: Outcome, total: f64) -> Vec<Action> {
-        self.on(Event::Counted { name, outcome, total, took: 2 * MS })
+    pub fn counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
+        self.on(Event::CounterReplied { key: name, outcome, total, elapsed: 2 * MS })
     }
     /// Lets time pass, with the housekeeping timer ringing as it would.
     pub fn pass(&mut self, span: Span) -> Vec<Action> {
@@ -137,16 +151,16 @@
         let mut all = Vec::new();
         while self.now + 20 * MS <= end {
             self.now += 20 * MS;
-            all.extend(self.on(Event::Timer { token: 0 }));
+            all.extend(self.on(Event::TimerExpired { token: 0 }));
         }
         self.now = end;
         all
     }
 }
 
-pub fn calls(actions: &[Action]) -> Vec<(CountName, f64)> {
+pub fn calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
     let call = |a: &Action| match a {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::AddToCounter { key: name, amount, .. } => Some((*name, *amount)),
         _ => None,
     };
     actions.iter().filter_map(call).collect()
@@ -154,14 +168,14 @@
 
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, HostId)> {
     let send = |a: &Action| match a {
-        Action::Send { id, host, .. } => Some((*id, *host)),
+        Action::Forward { id, host, .. } => Some((*id, *host)),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
 }
 
 pub fn refused(actions: &[Action], id: u64) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if i.0 == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
 pub fn failed(actions: &[Action], id: u64) -> bool {
--- a/crates/policy/tests/common/site.rs
+++ b/crates/policy/tests/common/site.rs
@@ -202,21 +202,21 @@
         let plan = |c: &Customer| Plan {
             rate: c.rate,
             burst: c.burst,
-            price: 1.0,
-            overrun_cost: 0.6,
+            weight_factor: 1.0,
+            over_quota_cost: 0.6,
             ..Plan::default()
         };
         Settings {
             gateways: (self.plot.gateways / self.plot.fleets) as u32,
-            me: (me % (self.plot.gateways / self.plot.fleets)) as u32,
-            classes: vec![class(1.0, Effect::Safe)],
+            gateway_index: (me % (self.plot.gateways / self.plot.fleets)) as u32,
+            classes: vec![class(1.0, Idempotency::Idempotent)],
             plans: self.plot.customers.iter().map(plan).collect(),
             may_cancel: true,
             max_attempts: 4,
-            counter: true,
+            has_counter: true,
             counter_timeout: TIMEOUT,
-            cold_share: 0.2,
-            cold: 10_000 * MS,
+            cold_capacity: 0.2,
+            warm_up: 10_000 * MS,
             ..Settings::default()
         }
     }
@@ -228,7 +228,7 @@
         let seed = self.dice.bits();
         self.gateways[gateway].policy = Some(Policy::new(self.settings(gateway), seed));
         let entries = (1..=HOSTS).map(entry).collect();
-        self.tell(gateway, Event::Hosts { kind: ListKind::Cached, entries });
+        self.tell(gateway, Event::HostList { kind: HostListKind::Cached, entries });
     }
 
     fn kill(&mut self, gateway: usize) {
@@ -281,10 +281,10 @@
             id,
             plan: customer,
             customer: CustomerId(1 + customer as u64),
-            patience: PATIENCE,
+            remaining: PATIENCE,
             units,
-            spread: (c.spread / self.plot.fleets) as u32,
-            first: c.first as u32,
+            set_size: (c.spread / self.plot.fleets) as u32,
+            first_gateway: c.first as u32,
             ..Request::default()
         };
         self.tell(gateway, Event::Request(request));
@@ -301,31 +301,36 @@
         let life = self.gateways[gateway].life;
         let later = |event| Step::Tell(gateway, life, event);
         match action {
-            Action::Timer { after, token } => self.put(self.now + after, later(Event::Timer { token })),
-            Action::Count { name, amount, keep } => {
+            Action::SetTimer { after, token } => {
+                self.put(self.now + after, later(Event::TimerExpired { token }))
+            }
+            Action::AddToCounter { key: name, amount, time_to_live: keep } => {
                 let lot = self.dice.unit();
                 let reply = self.counter.call(self.now, gateway, (name, amount, keep), lot);
                 let (outcome, total, took) = (reply.outcome, reply.total, reply.took);
-                self.put(self.now + took, later(Event::Counted { name, outcome, total, took }));
+                self.put(
+                    self.now + took,
+                    later(Event::CounterReplied { key: name, outcome, total, elapsed: took }),
+                );
             }
-            Action::Send { id, host, .. } => {
+            Action::Forward { id, host, .. } => {
                 let truth = self.sent(id);
-                let end = Ended {
+                let end = AttemptEnded {
                     id,
                     attempt: 0,
                     host,
                     outcome: Outcome::Ok,
-                    took: ANSWERS_IN,
-                    closed: true,
-                    used: None,
-                    true_units: Some(truth),
+                    elapsed: ANSWERS_IN,
+                    is_request_closed: true,
+                    quota_used: None,
+                    actual_units: Some(truth),
                     report: None,
                 };
-                self.put(self.now + ANSWERS_IN, later(Event::Ended(end)));
+                self.put(self.now + ANSWERS_IN, later(Event::AttemptEnded(end)));
             }
-            Action::Refuse { id, .. } => self.refused(id),
+            Action::Reject { id, .. } => self.refused(id),
             Action::Fail { id, .. } => panic!("{id:?} has failed, where no host fails"),
-            Action::Withdraw { .. } | Action::Subscribe => {}
+            Action::Cancel { .. } | Action::SubscribeToHosts => {}
         }
     }
 
@@ -341,7 +346,7 @@
     }
 
     fn answered(&mut self, event: &Event) {
-        let Event::Ended(end) = event else { return };
+        let Event::AttemptEnded(end) = event else { return };
         let t = self.tries.get_mut(&end.id).expect("a try that is open");
         t.answers += 1;
         if t.answers > 1 {
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -71,7 +71,7 @@
             false_alarms: 0,
         };
         let entries = all().map(|(id, spec)| HostEntry { size: spec.cores as f64, ..entry(id.0) }).collect();
-        world.tell(Event::Hosts { kind: ListKind::Full, entries });
+        world.tell(Event::HostList { kind: HostListKind::Full, entries });
         world
     }
 
@@ -86,8 +86,8 @@
         self.policy.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, host, until, .. } => self.send(id.0, host, until),
-                Action::Withdraw { id, attempt } => self.ends.push(Reverse((self.now, id.0, attempt, false))),
+                Action::Forward { id, host, deadline: until, .. } => self.send(id.0, host, until),
+                Action::Cancel { id, attempt } => self.ends.push(Reverse((self.now, id.0, attempt, false))),
                 _ => {}
             }
         }
@@ -127,18 +127,18 @@
         if answered && self.closed.insert(id) {
             self.served += 1;
         }
-        let end = Ended {
+        let end = AttemptEnded {
             id: RequestId(id),
             attempt,
             host: out.host,
             outcome,
-            took: at.saturating_sub(out.sent),
-            closed: answered || closed,
-            used: None,
-            true_units: None,
+            elapsed: at.saturating_sub(out.sent),
+            is_request_closed: answered || closed,
+            quota_used: None,
+            actual_units: None,
             report: None,
         };
-        self.tell(Event::Ended(end));
+        self.tell(Event::AttemptEnded(end));
     }
 
     /// So many seconds with so many requests in each, of the first class and without quotas.
@@ -150,12 +150,19 @@
                 self.end(id, attempt, answered, at);
             }
             if n % 20 == 0 {
-                self.tell(Event::Timer { token: 0 });
+                self.tell(Event::TimerExpired { token: 0 });
             }
             if n * rate / 1_000 != (n + 1) * rate / 1_000 {
                 (self.next, self.asked) = (self.next + 1, self.asked + 1);
                 let (id, customer) = (RequestId(self.next), CustomerId(self.next));
-                let request = Request { id, customer, patience, units: 1.0, spread: 1, ..Request::default() };
+                let request = Request {
+                    id,
+                    customer,
+                    remaining: patience,
+                    units: 1.0,
+                    set_size: 1,
+                    ..Request::default()
+                };
                 self.tell(Event::Request(request));
             }
         }
@@ -165,7 +172,7 @@
 /// One gateway, no counter, no quotas.
 pub fn alone() -> Settings {
     let mut settings = settings();
-    (settings.gateways, settings.counter) = (1, false);
+    (settings.gateways, settings.has_counter) = (1, false);
     (settings.plans[0].rate, settings.plans[0].burst) = (0.0, 0.0);
     settings
 }
--- a/crates/policy/tests/cost.rs
+++ b/crates/policy/tests/cost.rs
@@ -78,7 +78,7 @@
     assert!(load.served == 0 && load.out.len() < 512);
     let before = load.policy.work();
     for n in 0..1_000 {
-        load.tell(Event::Probed { host: HostId(1 + n % 200), outcome: Outcome::Ok, report: None });
+        load.tell(Event::HealthCheckEnded { host: HostId(1 + n % 200), outcome: Outcome::Ok, report: None });
     }
     let each = (load.policy.work() - before) as f64 / 1_000.0;
     assert!(each < 1.0, "{each} records an event");
@@ -94,9 +94,9 @@
         let request = Request {
             id: RequestId(load.next),
             customer: CustomerId(customer),
-            patience: 4_000 * MS,
+            remaining: 4_000 * MS,
             units: 1.0,
-            spread: 1,
+            set_size: 1,
             ..Request::default()
         };
         let mut actions = Vec::new();
@@ -108,7 +108,7 @@
     load.now += 30 * MS;
     for name in names {
         let (outcome, total, took) = (Outcome::Timeout, 0.0, 30 * MS);
-        load.tell(Event::Counted { name, outcome, total, took });
+        load.tell(Event::CounterReplied { key: name, outcome, total, elapsed: took });
     }
     let each = (load.policy.work() - before) as f64 / 10_000.0;
     assert!(each <= 20.0, "{each} records for each of them");
@@ -120,7 +120,7 @@
 fn a_customer_with_many_requests_that_wait_does_not_slow_down_each_of_them() {
     let mut settings = settings();
     settings.gateways = 1;
-    settings.plans[0].open = 2;
+    settings.plans[0].max_concurrent = 2;
     let mut g = Harness::new(settings, 60);
     let mut worked = Vec::new();
     for id in 1..=2_000 {
@@ -137,7 +137,7 @@
     let mut load = Load::new(500, 0);
     load.cost(500, 100);
     let entries = (1_001..=1_500).map(entry).collect();
-    load.tell(Event::Hosts { kind: ListKind::Full, entries });
+    load.tell(Event::HostList { kind: HostListKind::Full, entries });
     let before = load.served;
     let cost = load.cost(500, 100);
     load.pass(100 * MS);
--- a/crates/policy/tests/crossings.rs
+++ b/crates/policy/tests/crossings.rs
@@ -7,7 +7,7 @@
 /// One gateway, which alone adds to the counter.
 struct One {
     g: Harness,
-    totals: BTreeMap<CountName, f64>,
+    totals: BTreeMap<CounterKey, f64>,
 }
 
 impl One {
@@ -33,13 +33,20 @@
 
     fn ask(&mut self, id: u64, customer: u64, units: f64) -> Vec<Action> {
         let (id, customer, patience) = (RequestId(id), CustomerId(customer), 4_000 * MS);
-        self.on(Event::Request(Request { id, customer, patience, units, spread: 1, ..Request::default() }))
+        self.on(Event::Request(Request {
+            id,
+            customer,
+            remaining: patience,
+            units,
+            set_size: 1,
+            ..Request::default()
+        }))
     }
 
     fn pass(&mut self, seconds: u64) {
         for _ in 0..50 * seconds {
             self.g.now += 20 * MS;
-            self.on(Event::Timer { token: 0 });
+            self.on(Event::TimerExpired { token: 0 });
         }
     }
 
@@ -52,7 +59,17 @@
     ) -> Vec<Action> {
         let (took, closed, true_units) = (50 * MS, outcome == Outcome::Ok, Some(units));
         let (used, report) = (None, None);
-        self.on(Event::Ended(Ended { id, attempt, host, outcome, took, closed, used, true_units, report }))
+        self.on(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt,
+            host,
+            outcome,
+            elapsed: took,
+            is_request_closed: closed,
+            quota_used: used,
+            actual_units: true_units,
+            report,
+        }))
     }
 }
 
@@ -66,7 +83,7 @@
         sends(&actions).into_iter().for_each(|attempt| drop(one.end(attempt, 0, Outcome::Ok, 2.0)));
         sends(&actions).is_empty() && !refused(&actions, *id) && calls(&actions).is_empty()
     });
-    one.on(Event::Left { id: RequestId(waits.expect("one waits")) });
+    one.on(Event::ClientDisconnected { id: RequestId(waits.expect("one waits")) });
     one.pass(150);
     assert_eq!(one.g.policy.size(), before, "its customer is kept for good");
 }
@@ -75,7 +92,7 @@
 fn true_units_are_settled_once_also_where_two_attempts_answer() {
     // Units that a customer can still have after a request that was taken for one unit and took six.
     let left_after = |second: Outcome| {
-        let mut one = One::new(|s| (s.may_duplicate, s.may_cancel) = (true, false), 4);
+        let mut one = One::new(|s| (s.may_hedge, s.may_cancel) = (true, false), 4);
         for id in 100..120 {
             let attempt = sends(&one.ask(id, id, 1.0))[0];
             one.end(attempt, 0, Outcome::Ok, 1.0);
@@ -83,7 +100,7 @@
         let first = sends(&one.ask(1, 7, 1.0))[0];
         let hangs = (0..50).find_map(|_| {
             one.g.now += 20 * MS;
-            sends(&one.on(Event::Timer { token: 0 })).pop()
+            sends(&one.on(Event::TimerExpired { token: 0 })).pop()
         });
         let beside = hangs.expect("another attempt beside the first");
         one.end(first, 0, Outcome::Ok, 6.0);
@@ -95,21 +112,21 @@
 
 #[test]
 fn a_keyed_request_is_repeated_where_its_first_attempt_ran_also_once_that_host_started_anew_elsewhere() {
-    for (scope, anew) in [(Scope::Cell, (0, 2)), (Scope::Zone, (1, 1))] {
+    for (scope, anew) in [(DedupScope::Cell, (0, 2)), (DedupScope::Zone, (1, 1))] {
         for ends_first in [false, true] {
             let keyed = |s: &mut Settings| {
-                s.classes[0].effect = Effect::Keyed(scope, 3_000 * MS);
+                s.classes[0].idempotency = Idempotency::WithKey(scope, 3_000 * MS);
                 s.plans[0].rate = 0.0;
             };
             let mut one = One::new(keyed, 0);
             let at = |id, (zone, cell)| HostEntry { zone, cell, ..entry(id) };
             let entries = vec![at(1, (0, 1)), at(2, (0, 1)), at(3, anew), at(4, anew)];
-            one.on(Event::Hosts { kind: ListKind::Full, entries });
+            one.on(Event::HostList { kind: HostListKind::Full, entries });
             // The first two stand together, and the others.
             let first = (1..).find_map(|id| sends(&one.ask(id, 7, 1.0)).pop().filter(|(_, host)| host.0 < 3));
             let first = first.expect("one goes there");
-            let entries = vec![HostEntry { started: one.g.now, ..at(first.1 .0, anew) }];
-            let moved = Event::Hosts { kind: ListKind::Delta, entries };
+            let entries = vec![HostEntry { started_at: one.g.now, ..at(first.1 .0, anew) }];
+            let moved = Event::HostList { kind: HostListKind::Delta, entries };
             let again = if ends_first {
                 let again = one.end(first, 0, Outcome::Error, 1.0);
                 one.on(moved);
@@ -133,7 +150,7 @@
     };
     let mut one = One::new(ceiling, 30);
     let (name, amount) = calls(&one.g.request(1, 0, 7, 4.0))[0];
-    one.on(Event::Left { id: RequestId(1) });
+    one.on(Event::ClientDisconnected { id: RequestId(1) });
     one.totals.insert(name, amount);
     one.g.counted(name, Outcome::Ok, amount);
     one.pass(10);
@@ -148,7 +165,7 @@
 #[test]
 fn a_customer_that_gives_way_to_others_gets_its_ceiling_no_second_time() {
     let ceiling = |s: &mut Settings| {
-        s.counter = false;
+        s.has_counter = false;
         s.customer_bytes = 4_000;
         s.plans = vec![Plan { ceiling_rate: 3.0, ceiling_burst: 8.0, ..Plan::default() }];
     };
@@ -178,7 +195,7 @@
 /// Attempts that others get at once, and requests that the customer gets in, after some of its clients have left.
 fn after_leaving(stands: Option<Stands>) -> (usize, usize) {
     // A ceiling: beside a quota's store that has filled a lease may lie that nobody took.
-    let ceiling = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, price: 1.0, ..Plan::default() };
+    let ceiling = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, weight_factor: 1.0, ..Plan::default() };
     let settings = |s: &mut Settings| {
         s.classes.truncate(1);
         s.plans = vec![ceiling];
@@ -203,7 +220,7 @@
         };
         let sent = sends(&actions).pop();
         assert_eq!(sent.is_some(), matches!(stands, Some(Stands::Out(_))), "{stands:?}");
-        one.on(Event::Left { id: RequestId(id) });
+        one.on(Event::ClientDisconnected { id: RequestId(id) });
         if let (Some(Stands::Out(outcome)), Some(attempt)) = (stands, sent) {
             one.end(attempt, 0, outcome, 1.0);
         }
@@ -217,7 +234,7 @@
         one.end(attempt, 0, Outcome::Ok, 1.0);
     }
     let out: Vec<_> = (600..).map_while(|id| sends(&one.ask(id, id, 1.0)).pop()).collect();
-    one.on(Event::Left { id: RequestId(600 + out.len() as u64) });
+    one.on(Event::ClientDisconnected { id: RequestId(600 + out.len() as u64) });
     out.iter().for_each(|attempt| drop(one.end(*attempt, 0, Outcome::Ok, 1.0)));
     let gets_in = |id: &u64| {
         let sent = sends(&one.ask(*id, 7, 1.0)).pop();
@@ -232,11 +249,13 @@
     let (slots, units) = after_leaving(None);
     assert!(units > 12, "{units}");
     let stands = [Stands::Units, Stands::Queued].into_iter();
-    for stands in stands.chain([Moot, NoConnection, Full, Cancelled, Ok, Timeout, Reset].map(Stands::Out)) {
+    for stands in stands
+        .chain([NotSent, ConnectFailed, Rejected, Cancelled, Ok, Timeout, ConnectionReset].map(Stands::Out))
+    {
         let (slots_then, units_then) = after_leaving(Some(stands));
         assert_eq!(slots_then, slots, "{stands:?}");
         // What came whole to a host has taken its units.
-        let took = matches!(stands, Stands::Out(Full | Cancelled | Ok | Timeout | Reset));
+        let took = matches!(stands, Stands::Out(Rejected | Cancelled | Ok | Timeout | ConnectionReset));
         let left = if took { units - 12..=units - 11 } else { units..=units };
         assert!(left.contains(&units_then), "{stands:?}: {units_then} units, where else {units}");
     }
--- a/crates/policy/tests/hanging.rs
+++ b/crates/policy/tests/hanging.rs
@@ -22,8 +22,13 @@
 }
 
 fn play(count: usize, like: HostSpec) -> Seen {
-    let class = Class { aim: 240 * MS, deadline: 600 * MS, late_worth: 0.2, ..class(1.0, Effect::Safe) };
-    let mut settings = Settings { may_duplicate: true, ..alone() };
+    let class = Class {
+        latency_objective: 240 * MS,
+        deadline: 600 * MS,
+        late_fraction: 0.2,
+        ..class(1.0, Idempotency::Idempotent)
+    };
+    let mut settings = Settings { may_hedge: true, ..alone() };
     settings.classes[0] = class;
     let usual = HostSpec { cores: 4, ..USUAL };
     let hosts: Vec<HostSpec> =
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -26,7 +26,7 @@
 fn gateway() -> Harness {
     let mut g = Harness::new(open(), 0);
     let hosts = vec![member(1, A), member(2, A), member(3, B), member(4, B), member(5, 0)];
-    g.list(ListKind::Full, hosts);
+    g.list(HostListKind::Full, hosts);
     g
 }
 
@@ -39,7 +39,7 @@
         route,
         ..Request::default()
     };
-    g.on(Event::Request(Request { patience: 4_000 * MS, spread: 2, ..request }))
+    g.on(Event::Request(Request { remaining: 4_000 * MS, set_size: 2, ..request }))
 }
 
 /// Sends until nothing more goes out; gives the hosts.
@@ -68,7 +68,7 @@
 fn a_host_in_two_pools_serves_both_and_its_slots_count_in_both() {
     let two = || {
         let mut g = gateway();
-        g.list(ListKind::Full, vec![member(1, A | B), member(2, B)]);
+        g.list(HostListKind::Full, vec![member(1, A | B), member(2, B)]);
         g
     };
     assert_eq!(fill(&mut two(), 1, to(A)), [HostId(1), HostId(1)], "one host in A: ceil(4 / 3) slots");
@@ -101,9 +101,9 @@
     let mut g = gateway();
     let route = Route { fallback: B, ..to(A) };
     let (_, host) = sends(&request(&mut g, 1, 1, route))[0];
-    g.list(ListKind::Delta, vec![member(5, 0), HostEntry { state: HostState::Gone, ..member(1, A) }]);
-    g.list(ListKind::Delta, vec![HostEntry { state: HostState::Gone, ..member(2, A) }]);
-    let actions = g.ended(1, 0, host, Outcome::Reset);
+    g.list(HostListKind::Delta, vec![member(5, 0), HostEntry { state: HostState::Gone, ..member(1, A) }]);
+    g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Gone, ..member(2, A) }]);
+    let actions = g.ended(1, 0, host, Outcome::ConnectionReset);
     assert!(failed(&actions, 1) && sends(&actions).is_empty());
 }
 
@@ -116,25 +116,26 @@
         g.ended(id, 0, host, Outcome::Ok);
         host.0
     };
-    g.list(ListKind::Delta, vec![HostEntry { state: HostState::Draining, ..member(1, A) }]);
+    g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Draining, ..member(1, A) }]);
     assert!((1..10).all(|id| goes(&mut g, id) == 2), "one is left");
-    g.list(ListKind::Delta, vec![HostEntry { state: HostState::Draining, ..member(2, A) }]);
+    g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Draining, ..member(2, A) }]);
     assert!((10..20).all(|id| [3, 4].contains(&goes(&mut g, id))));
-    g.list(ListKind::Delta, vec![member(1, A)]);
+    g.list(HostListKind::Delta, vec![member(1, A)]);
     assert!((20..30).all(|id| goes(&mut g, id) == 1), "it is back");
 }
 
 #[test]
 fn what_no_host_can_serve_is_refused_at_once_with_advice() {
     let mut g = gateway();
-    g.list(ListKind::Full, vec![member(3, B)]);
+    g.list(HostListKind::Full, vec![member(3, B)]);
     let actions = request(&mut g, 1, 0, to(A));
-    let refusal = Action::Refuse { id: RequestId(1), retry_after: Some(800 * MS), why: Why::NoHost };
+    let refusal =
+        Action::Reject { id: RequestId(1), retry_after: Some(800 * MS), reason: RejectReason::NoHost };
     assert!(actions.contains(&refusal), "{actions:?}");
     // Before the first list there is nothing to go by: it waits, as ever.
     let mut new = Harness::unheard(open(), 0);
     assert!(!refused(&request(&mut new, 1, 0, to(A)), 1));
-    assert_eq!(sends(&new.list(ListKind::Full, vec![member(1, A)])), [(RequestId(1), HostId(1))]);
+    assert_eq!(sends(&new.list(HostListKind::Full, vec![member(1, A)])), [(RequestId(1), HostId(1))]);
 }
 
 #[test]
@@ -153,7 +154,7 @@
 #[test]
 fn hosts_that_leave_a_pool_take_nothing_new_for_it() {
     let mut g = gateway();
-    g.list(ListKind::Delta, vec![member(1, B)]);
+    g.list(HostListKind::Delta, vec![member(1, B)]);
     let sent: Vec<_> = (1..20)
         .map(|id| {
             let (_, host) = sends(&request(&mut g, id, 0, to(A)))[0];
@@ -169,7 +170,8 @@
 #[test]
 fn a_route_has_no_more_out_than_its_limit() {
     let mut g = gateway();
-    let limited = |route, most_out| Route { limit: Some(Limit { route, most_out }), ..to(0) };
+    let limited =
+        |route, most_out| Route { limit: Some(RouteLimit { route, max_in_flight: most_out }), ..to(0) };
     let sent = fill(&mut g, 1, limited(7, 2));
     assert_eq!(sent.len(), 2, "{sent:?}");
     assert_eq!(fill(&mut g, 200, limited(8, 1)).len(), 1, "another route has its own");
@@ -184,30 +186,32 @@
 #[test]
 fn a_limit_of_nothing_refuses_at_once() {
     let mut g = gateway();
-    let closed = Route { limit: Some(Limit { route: 1, most_out: 0 }), ..to(A) };
+    let closed = Route { limit: Some(RouteLimit { route: 1, max_in_flight: 0 }), ..to(A) };
     assert!(refused(&request(&mut g, 1, 0, closed), 1));
 }
 
 #[test]
 fn a_hanging_attempt_leaves_its_slot_and_keeps_its_place_under_the_limit() {
     let hung = |limit| {
-        let mut g = Harness::new(Settings { may_duplicate: true, ..open() }, 0);
-        g.list(ListKind::Full, vec![member(1, A), member(2, A), member(3, B)]);
+        let mut g = Harness::new(Settings { may_hedge: true, ..open() }, 0);
+        g.list(HostListKind::Full, vec![member(1, A), member(2, A), member(3, B)]);
         let sent = fill(&mut g, 1, Route { limit, ..to(A) });
         // Longer than the aim without an answer; those that waited for a slot are over.
         g.pass(1_100 * MS);
         (sent.len(), sends(&request(&mut g, 500, 0, Route { limit, ..to(A) })).len())
     };
     assert_eq!(hung(None), (3, 1), "slots of hanging attempts are lost");
-    assert_eq!(hung(Some(Limit { route: 1, most_out: 2 })), (2, 0), "more out than the limit");
+    assert_eq!(hung(Some(RouteLimit { route: 1, max_in_flight: 2 })), (2, 0), "more out than the limit");
 }
 
 #[test]
 fn nothing_is_kept_of_routes_and_pools_that_are_done_with() {
     let mut g = gateway();
     for id in 1..2_000 {
-        let route =
-            Route { limit: Some(Limit { route: id as u32, most_out: 3 }), ..to([A, B][id as usize % 2]) };
+        let route = Route {
+            limit: Some(RouteLimit { route: id as u32, max_in_flight: 3 }),
+            ..to([A, B][id as usize % 2])
+        };
         let (_, host) = sends(&request(&mut g, id, 0, route))[0];
         g.ended(id, 0, host, Outcome::Ok);
     }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -39,7 +39,8 @@
 /// answers that cover them.
 #[test]
 fn requests_behind_those_that_are_tried_are_let_in_by_answers_that_cover_them() {
-    let plan = Plan { rate: 1_000.0, burst: 1_000.0, price: 1.0, overrun_cost: 0.5, ..Plan::default() };
+    let plan =
+        Plan { rate: 1_000.0, burst: 1_000.0, weight_factor: 1.0, over_quota_cost: 0.5, ..Plan::default() };
     let (mut g, mut total) = (Harness::new(Settings { plans: vec![plan], ..settings() }, 60), 0.0);
     let mut actions: Vec<Action> = (1..=40).flat_map(|id| g.request(id, 1, 7, 2.0)).collect();
     let mut sent = 0;
@@ -95,18 +96,18 @@
     for id in 1..=40 {
         for (request, host) in sends(&lease(&mut g, id, 1.0, 0.0, &mut total)) {
             sent += 1;
-            let end = Ended {
+            let end = AttemptEnded {
                 id: request,
                 attempt: 0,
                 host,
                 outcome: Outcome::Ok,
-                took: 50 * MS,
-                closed: true,
-                used: None,
-                true_units: Some(4.0),
+                elapsed: 50 * MS,
+                is_request_closed: true,
+                quota_used: None,
+                actual_units: Some(4.0),
                 report: None,
             };
-            g.on(Event::Ended(end));
+            g.on(Event::AttemptEnded(end));
         }
     }
     assert!((4..=6).contains(&sent), "20 units are spent by five requests of four: {sent}");
@@ -120,7 +121,7 @@
         let actions = g.request(id, 0, id % 6, 1.0);
         sent += sends(&actions).len();
         for (name, _) in calls(&actions) {
-            sent += sends(&g.counted(name, Outcome::Full, 0.0)).len();
+            sent += sends(&g.counted(name, Outcome::Rejected, 0.0)).len();
         }
     }
     assert!(sent >= 42, "most of an even part of each store is let in: {sent}");
@@ -133,7 +134,7 @@
 #[test]
 fn a_total_that_went_backwards_leaves_no_debt() {
     let mut g = Harness::new(settings(), 60);
-    let (mut totals, mut sent, mut looked) = (BTreeMap::<CountName, f64>::new(), 0, 0);
+    let (mut totals, mut sent, mut looked) = (BTreeMap::<CounterKey, f64>::new(), 0, 0);
     for id in 1..=80 {
         if id == 40 {
             totals.clear();
@@ -175,7 +176,7 @@
 #[test]
 fn without_a_counter_a_customer_gets_its_even_part() {
     let mut settings = settings();
-    settings.counter = false;
+    settings.has_counter = false;
     let mut g = Harness::new(settings, 60);
     let sent: usize = (1..=60).map(|id| sends(&g.request(id, 0, 7, 1.0)).len()).sum();
     assert!((7..=12).contains(&sent), "about half of a burst of 20 for a spread of 2: {sent}");
@@ -193,8 +194,8 @@
         let request = Request {
             id: RequestId(id),
             units: 2.0,
-            patience: 4_000 * MS,
-            spread: 200,
+            remaining: 4_000 * MS,
+            set_size: 200,
             ..Request::default()
         };
         let mut actions = g.on(Event::Request(request));
@@ -231,11 +232,11 @@
             let request = Request {
                 id: RequestId(id),
                 units: 1.0,
-                patience: 4_000 * MS,
+                remaining: 4_000 * MS,
                 customer: CustomerId(id),
                 ..Request::default()
             };
-            let mut actions = g.on(Event::Request(Request { spread: 200, ..request }));
+            let mut actions = g.on(Event::Request(Request { set_size: 200, ..request }));
             for (name, _) in calls(&actions) {
                 count += 1;
                 actions.extend(g.counted(name, outcome, 1.0));
@@ -259,17 +260,17 @@
     let mut g = Harness::new(Settings { gateways: 200, ..settings() }, 0);
     let (mut id, mut most) = (0, 0);
     for round in 0..40 {
-        g.list(ListKind::Full, (1..=20).map(|host| entry(1_000 * round + host)).collect());
+        g.list(HostListKind::Full, (1..=20).map(|host| entry(1_000 * round + host)).collect());
         for _ in 0..100 {
             id += 1;
             let request = Request {
                 id: RequestId(id),
                 customer: CustomerId(id),
                 units: 1.0,
-                spread: 200,
+                set_size: 200,
                 ..Request::default()
             };
-            let mut actions = g.on(Event::Request(Request { patience: 4_000 * MS, ..request }));
+            let mut actions = g.on(Event::Request(Request { remaining: 4_000 * MS, ..request }));
             for (name, amount) in calls(&actions) {
                 actions.extend(g.counted(name, Outcome::Ok, amount));
             }
@@ -293,8 +294,13 @@
         let mut g = Harness::new(Settings { gateways, ..settings() }, 60);
         let (mut sent, mut refusals) = (0, 0);
         for id in 1..=100 {
-            let request =
-                Request { id: RequestId(id), units: 1.0, patience: 4_000 * MS, spread, ..Request::default() };
+            let request = Request {
+                id: RequestId(id),
+                units: 1.0,
+                remaining: 4_000 * MS,
+                set_size: spread,
+                ..Request::default()
+            };
             let mut actions = g.on(Event::Request(request));
             for (name, amount) in calls(&actions) {
                 assert!(
@@ -346,14 +352,16 @@
 fn a_request_that_reached_no_host_gives_its_units_back() {
     let (mut g, mut total) = (tight(), 0.0);
     let out = ask_for_all(&mut g, 1, &mut total);
-    assert!(end_all(&mut g, out, Outcome::NoConnection) > 1, "it is tried at several hosts");
+    assert!(end_all(&mut g, out, Outcome::ConnectFailed) > 1, "it is tried at several hosts");
     assert_eq!(ask_for_all(&mut g, 2, &mut total).len(), 1, "its units are there for the next one");
     assert_eq!(ask_for_all(&mut g, 3, &mut total).len(), 0, "and only once");
 }
 
 #[test]
 fn a_request_that_came_whole_to_a_host_keeps_its_units() {
-    for outcome in [Outcome::Full, Outcome::Reset, Outcome::Timeout, Outcome::Error, Outcome::Cancelled] {
+    for outcome in
+        [Outcome::Rejected, Outcome::ConnectionReset, Outcome::Timeout, Outcome::Error, Outcome::Cancelled]
+    {
         let (mut g, mut total) = (tight(), 0.0);
         let out = ask_for_all(&mut g, 1, &mut total);
         end_all(&mut g, out, outcome);
@@ -361,8 +369,8 @@
     }
     let (mut g, mut total) = (tight(), 0.0);
     let (id, host) = ask_for_all(&mut g, 1, &mut total)[0];
-    let next = sends(&g.ended(id.0, 0, host, Outcome::Full));
-    end_all(&mut g, next, Outcome::NoConnection);
+    let next = sends(&g.ended(id.0, 0, host, Outcome::Rejected));
+    end_all(&mut g, next, Outcome::ConnectFailed);
     assert_eq!(
         ask_for_all(&mut g, 2, &mut total).len(),
         0,
@@ -374,19 +382,19 @@
 fn an_attempt_that_is_withdrawn_unsent_gives_its_units_back_once() {
     let (mut g, mut total) = (tight(), 0.0);
     let (id, host) = ask_for_all(&mut g, 1, &mut total)[0];
-    let left = g.on(Event::Left { id });
-    assert!(left.contains(&Action::Withdraw { id, attempt: 0 }));
+    let left = g.on(Event::ClientDisconnected { id });
+    assert!(left.contains(&Action::Cancel { id, attempt: 0 }));
     assert_eq!(ask_for_all(&mut g, 2, &mut total).len(), 0, "it may have been sent");
-    g.ended(id.0, 0, host, Outcome::Moot);
-    g.ended(id.0, 0, host, Outcome::Moot);
-    g.on(Event::Left { id });
+    g.ended(id.0, 0, host, Outcome::NotSent);
+    g.ended(id.0, 0, host, Outcome::NotSent);
+    g.on(Event::ClientDisconnected { id });
     assert_eq!(ask_for_all(&mut g, 3, &mut total).len(), 1, "it was not");
     assert_eq!(ask_for_all(&mut g, 4, &mut total).len(), 0);
 }
 
 /// Answers all calls with what they add, and gives the sends.
 fn sent_when_counted(g: &mut Harness, mut actions: Vec<Action>) -> Vec<(RequestId, HostId)> {
-    while let Some(at) = actions.iter().position(|action| matches!(action, Action::Count { .. })) {
+    while let Some(at) = actions.iter().position(|action| matches!(action, Action::AddToCounter { .. })) {
         let (name, amount) = calls(&[actions.swap_remove(at)])[0];
         actions.extend(g.counted(name, Outcome::Ok, amount));
     }
@@ -396,12 +404,12 @@
 #[test]
 fn a_rationed_customer_has_no_more_attempts_out_than_its_plan_allows() {
     let mut many = Settings { gateways: 200, ..settings() };
-    many.plans[0].open = 200;
+    many.plans[0].max_concurrent = 200;
     let mut g = Harness::new(many, 60);
     let (mut out, mut most, mut sent) = (VecDeque::<(RequestId, HostId)>::new(), 0, 0);
     for id in 1..=100 {
-        let request = Request { id: RequestId(id), units: 1.0, patience: 4_000 * MS, ..Request::default() };
-        let mut actions = g.on(Event::Request(Request { spread: 200, ..request }));
+        let request = Request { id: RequestId(id), units: 1.0, remaining: 4_000 * MS, ..Request::default() };
+        let mut actions = g.on(Event::Request(Request { set_size: 200, ..request }));
         actions.extend(g.pass(20 * MS));
         let over = if id % 5 == 0 { out.pop_front() } else { None };
         if let Some((request, host)) = over {
@@ -419,7 +427,7 @@
 /// What a counter of one's own holds, for one gateway of one.
 #[derive(Default)]
 struct Book {
-    totals: BTreeMap<CountName, f64>,
+    totals: BTreeMap<CounterKey, f64>,
 }
 
 impl Book {
@@ -428,7 +436,7 @@
         &mut self,
         g: &mut Harness,
         actions: &mut Vec<Action>,
-        name: CountName,
+        name: CounterKey,
         (added, said): (bool, bool),
     ) {
         for (called, amount) in calls(actions) {
@@ -456,7 +464,7 @@
         lent += if lends { out.len() as f64 } else { 0.0 };
         if dark {
             for (name, _) in calls(&actions) {
-                let more = sends(&g.counted(name, Outcome::NoConnection, 0.0));
+                let more = sends(&g.counted(name, Outcome::ConnectFailed, 0.0));
                 lent += more.len() as f64;
                 more.iter().for_each(|(id, host)| drop(g.ended(id.0, 0, *host, Outcome::Ok)));
             }
@@ -489,25 +497,25 @@
         let mut actions = g.request(id, 1, 7, 1.0);
         let refuse = |g: &mut Harness, actions: &mut Vec<Action>| {
             for (name, _) in calls(actions) {
-                actions.extend(g.counted(name, Outcome::Full, 0.0));
+                actions.extend(g.counted(name, Outcome::Rejected, 0.0));
             }
         };
         refuse(&mut g, &mut actions);
         for (request, host) in sends(&actions) {
             // The early ones cost next to nothing, as it turns out.
             let true_units = Some(if id < 10 { 0.01 } else { 1.0 });
-            let end = Ended {
+            let end = AttemptEnded {
                 id: request,
                 attempt: 0,
                 host,
                 outcome: Outcome::Ok,
-                took: 50 * MS,
-                closed: true,
-                used: None,
-                true_units,
+                elapsed: 50 * MS,
+                is_request_closed: true,
+                quota_used: None,
+                actual_units: true_units,
                 report: None,
             };
-            g.on(Event::Ended(end));
+            g.on(Event::AttemptEnded(end));
         }
         let mut actions = g.pass(200 * MS);
         told.extend(calls(&actions).into_iter().filter(|(name, _)| *name == late));
@@ -578,7 +586,7 @@
 fn ask(
     g: &mut Harness,
     ids: std::ops::Range<u64>,
-    mut answer: impl FnMut(CountName, f64) -> (Outcome, f64),
+    mut answer: impl FnMut(CounterKey, f64) -> (Outcome, f64),
 ) -> usize {
     let mut sent = 0;
     for id in ids {
@@ -596,15 +604,15 @@
 }
 
 /// A counter that holds this, and what is added from now on, marks and all.
-fn adds_to(mut total: f64) -> impl FnMut(CountName, f64) -> (Outcome, f64) {
+fn adds_to(mut total: f64) -> impl FnMut(CounterKey, f64) -> (Outcome, f64) {
     move |_, amount| {
         total += amount;
         (Outcome::Ok, total)
     }
 }
 
-fn no_connection(_: CountName, _: f64) -> (Outcome, f64) {
-    (Outcome::NoConnection, 0.0)
+fn no_connection(_: CounterKey, _: f64) -> (Outcome, f64) {
+    (Outcome::ConnectFailed, 0.0)
 }
 
 #[test]
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -46,22 +46,22 @@
     now: Time,
     requests: BTreeMap<RequestId, Seen>,
     hosts: BTreeMap<HostId, HostEntry>,
-    counts: Vec<(CountName, f64)>,
-    totals: BTreeMap<CountName, f64>,
+    counts: Vec<(CounterKey, f64)>,
+    totals: BTreeMap<CounterKey, f64>,
     timers: Vec<Time>,
 }
 
 fn never_ran(outcome: Option<Outcome>) -> bool {
-    matches!(outcome, Some(Outcome::Full | Outcome::NoConnection | Outcome::Moot))
+    matches!(outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
 }
 
 impl World {
     fn new(duplicate: bool, counter: bool) -> Self {
-        let keyed = |scope| class(3.0, Effect::Keyed(scope, 2_000 * MS));
+        let keyed = |scope| class(3.0, Idempotency::WithKey(scope, 2_000 * MS));
         let mut settings = settings();
-        settings.classes.extend([keyed(Scope::Cell), keyed(Scope::All)]);
-        settings.plans[0].open = 6;
-        (settings.may_duplicate, settings.counter) = (duplicate, counter);
+        settings.classes.extend([keyed(DedupScope::Cell), keyed(DedupScope::All)]);
+        settings.plans[0].max_concurrent = 6;
+        (settings.may_hedge, settings.has_counter) = (duplicate, counter);
         let policy = Policy::new(settings.clone(), 3);
         let mut world = World {
             settings,
@@ -75,7 +75,7 @@
         };
         let entries: Vec<_> = (1..=6).map(|id| HostEntry { cell: id as u32 / 3, ..entry(id) }).collect();
         world.hosts = entries.iter().map(|e| (e.id, e.clone())).collect();
-        world.tell(Event::Hosts { kind: ListKind::Cached, entries });
+        world.tell(Event::HostList { kind: HostListKind::Cached, entries });
         world
     }
 
@@ -87,51 +87,51 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Send { id, host, until, write_by } => {
+            Action::Forward { id, host, deadline: until, write_by } => {
                 let to = self.hosts.get(&host).expect("a listed host");
                 assert_eq!(to.state, HostState::Ready, "drains are kept");
                 let r = self.requests.get_mut(&id).expect("a known request");
                 assert!(r.answers == 0 && !r.left, "nothing goes out after the final answer");
-                assert!(self.settings.may_duplicate || r.attempts.iter().all(|a| a.3.is_some()));
+                assert!(self.settings.may_hedge || r.attempts.iter().all(|a| a.3.is_some()));
                 assert!((r.attempts.len() as u32) < self.settings.max_attempts);
                 if let Some(first) = r.attempts.iter().find(|a| !never_ran(a.3)) {
-                    match self.settings.classes[r.class].effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("an unsafe request may have run twice"),
-                        Effect::Keyed(scope, ttl) => {
+                    match self.settings.classes[r.class].idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NotIdempotent => panic!("an unsafe request may have run twice"),
+                        Idempotency::WithKey(scope, ttl) => {
                             assert!(
                                 self.now < write_by && write_by < first.1 + ttl,
                                 "the last byte is bound too"
                             );
                             let there = &self.hosts[&first.0];
-                            assert!(scope == Scope::All || there.cell == to.cell);
+                            assert!(scope == DedupScope::All || there.cell == to.cell);
                         }
                     }
                 }
                 r.attempts.push((host, self.now, until.min(r.deadline), None));
             }
-            Action::Refuse { id, .. } | Action::Fail { id, .. } => {
+            Action::Reject { id, .. } | Action::Fail { id, .. } => {
                 let r = self.requests.get_mut(&id).expect("a known request");
                 assert!(r.answers == 0 && !r.left, "one final answer");
                 assert!(self.now <= r.deadline + 8 * MS, "in time");
                 r.answers += 1;
                 let repeatable = matches!(
-                    self.settings.classes[r.class].effect,
-                    Effect::Safe | Effect::Keyed(Scope::All, _)
+                    self.settings.classes[r.class].idempotency,
+                    Idempotency::Idempotent | Idempotency::WithKey(DedupScope::All, _)
                 );
-                if matches!(action, Action::Refuse { .. }) && !repeatable {
+                if matches!(action, Action::Reject { .. }) && !repeatable {
                     assert!(r.attempts.iter().all(|a| never_ran(a.3)), "a refusal says nothing ran");
                 }
             }
-            Action::Withdraw { id, attempt } => {
+            Action::Cancel { id, attempt } => {
                 assert!(self.requests[&id].attempts.len() > attempt as usize, "it was sent")
             }
-            Action::Count { name, amount, .. } => {
-                assert!(self.settings.counter && amount.is_finite());
+            Action::AddToCounter { key: name, amount, .. } => {
+                assert!(self.settings.has_counter && amount.is_finite());
                 self.counts.push((name, amount));
             }
-            Action::Timer { after, .. } => self.timers.push(self.now + after),
-            Action::Subscribe => {}
+            Action::SetTimer { after, .. } => self.timers.push(self.now + after),
+            Action::SubscribeToHosts => {}
         }
     }
 
@@ -145,8 +145,18 @@
         let closed = r.answers > 0 || r.left;
         let took = self.now - sent;
         let (used, true_units, report, attempt) = (None, Some(2.0), None, attempt as u32);
-        let end = Ended { id, attempt, host, outcome, took, closed, used, true_units, report };
-        self.tell(Event::Ended(end));
+        let end = AttemptEnded {
+            id,
+            attempt,
+            host,
+            outcome,
+            elapsed: took,
+            is_request_closed: closed,
+            quota_used: used,
+            actual_units: true_units,
+            report,
+        };
+        self.tell(Event::AttemptEnded(end));
     }
 
     fn out(&self) -> Vec<(RequestId, usize)> {
@@ -167,7 +177,7 @@
             }
             let due = self.timers.iter().filter(|t| **t <= self.now).count();
             self.timers.retain(|t| *t > self.now);
-            (0..due).for_each(|_| self.tell(Event::Timer { token: 0 }));
+            (0..due).for_each(|_| self.tell(Event::TimerExpired { token: 0 }));
         }
     }
 
@@ -178,8 +188,15 @@
                 let deadline = self.now + patience;
                 self.requests.insert(id, Seen { class, deadline, ..Seen::default() });
                 let (customer, units) = (CustomerId(customer), units as f64);
-                let request =
-                    Request { id, class, customer, patience, units, spread: 2, ..Request::default() };
+                let request = Request {
+                    id,
+                    class,
+                    customer,
+                    remaining: patience,
+                    units,
+                    set_size: 2,
+                    ..Request::default()
+                };
                 self.tell(Event::Request(request));
             }
             Step::End { pick, outcome } => {
@@ -189,33 +206,34 @@
                     self.end(
                         id,
                         attempt,
-                        [Ok, Ok, Error, Full, NoConnection, Reset, Cancelled][outcome as usize],
+                        [Ok, Ok, Error, Rejected, ConnectFailed, ConnectionReset, Cancelled]
+                            [outcome as usize],
                     );
                 }
             }
             Step::Count { pick } if !self.counts.is_empty() => {
                 let (name, amount) = self.counts.remove(pick % self.counts.len());
                 let total = self.totals.entry(name).or_default();
-                let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Full];
+                let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Rejected];
                 let outcome = outcome[pick % 5];
                 *total = if pick % 50 == 0 { 0.0 } else { *total };
-                *total += if outcome == Outcome::Full { 0.0 } else { amount };
+                *total += if outcome == Outcome::Rejected { 0.0 } else { amount };
                 let total = *total;
-                self.tell(Event::Counted { name, outcome, total, took: 2 * MS });
+                self.tell(Event::CounterReplied { key: name, outcome, total, elapsed: 2 * MS });
             }
             Step::Leave { pick } if !self.requests.is_empty() => {
                 let id = *self.requests.keys().nth(pick % self.requests.len()).expect("in range");
                 let r = self.requests.get_mut(&id).expect("known");
                 r.left |= r.answers == 0;
-                self.tell(Event::Left { id });
+                self.tell(Event::ClientDisconnected { id });
             }
             Step::Host { id, state, fresh } => {
                 let state = [HostState::Ready, HostState::Draining, HostState::Gone][state as usize];
                 let entry = self.hosts.get_mut(&HostId(id)).expect("listed");
                 entry.state = state;
-                entry.started = if fresh { self.now } else { entry.started };
+                entry.started_at = if fresh { self.now } else { entry.started_at };
                 let entries = vec![entry.clone()];
-                self.tell(Event::Hosts { kind: ListKind::Delta, entries });
+                self.tell(Event::HostList { kind: HostListKind::Delta, entries });
             }
             Step::Pass { ms } => self.pass(ms as u64),
             _ => {}
@@ -251,7 +269,7 @@
         .map(|seed| {
             let mut g = Harness::new(open.clone(), 20);
             g.policy = policy::policy::Policy::new(open.clone(), seed);
-            g.list(ListKind::Full, (1..=20).map(entry).collect());
+            g.list(HostListKind::Full, (1..=20).map(entry).collect());
             g
         })
         .collect();
@@ -259,7 +277,7 @@
     for half in 0..24 {
         for g in &mut gateways {
             if half == 12 {
-                g.list(ListKind::Delta, vec![HostEntry { started: g.now, ..entry(1) }]);
+                g.list(HostListKind::Delta, vec![HostEntry { started_at: g.now, ..entry(1) }]);
             }
             id += 1;
             let sent = sends(&g.request(id, 0, id, 1.0));
@@ -279,7 +297,7 @@
 #[test]
 fn a_try_that_gets_its_units_too_late_is_still_answered_in_time() {
     let mut g = Harness::new(settings(), 3);
-    let request = Request { id: RequestId(1), patience: 43 * MS, units: 1.0, ..Request::default() };
+    let request = Request { id: RequestId(1), remaining: 43 * MS, units: 1.0, ..Request::default() };
     let actions = g.on(Event::Request(request));
     assert_eq!(calls(&actions).len(), 1);
     assert!(refused(&g.pass(40 * MS), 1));
--- a/crates/policy/tests/session.rs
+++ b/crates/policy/tests/session.rs
@@ -23,20 +23,21 @@
     number: u64,
     attempts: BTreeMap<RequestId, u32>,
     over: BTreeSet<RequestId>,
-    totals: BTreeMap<CountName, f64>,
+    totals: BTreeMap<CounterKey, f64>,
     colds: bool,
     done: Vec<(Time, Action)>,
 }
 
 fn site(duplicate: bool) -> Settings {
-    let plan = |rate, burst, open| Plan { rate, burst, open, price: 1.0, ..Plan::default() };
+    let plan =
+        |rate, burst, open| Plan { rate, burst, max_concurrent: open, weight_factor: 1.0, ..Plan::default() };
     let mut settings = settings();
-    settings.classes.push(class(2.0, Effect::Keyed(Scope::Cell, 3_000 * MS)));
-    settings.classes[0].late_worth = 0.2;
+    settings.classes.push(class(2.0, Idempotency::WithKey(DedupScope::Cell, 3_000 * MS)));
+    settings.classes[0].late_fraction = 0.2;
     settings.plans = vec![plan(6.0, 29.0, 3), plan(25.0, 46.0, 0), plan(4.0, 3.0, 0)];
-    settings.plans[0].extra_worth = 0.3;
-    settings.plans[1].overrun_cost = 0.6;
-    settings.may_duplicate = duplicate;
+    settings.plans[0].over_quota_weight = 0.3;
+    settings.plans[1].over_quota_cost = 0.6;
+    settings.may_hedge = duplicate;
     settings
 }
 
@@ -55,7 +56,8 @@
             done: Vec::new(),
         };
         let host = |id| HostEntry { zone: id as u32 % 3, cell: id as u32 / 3, ..entry(id) };
-        session.tell(Event::Hosts { kind: ListKind::Cached, entries: (1..=HOSTS).map(host).collect() });
+        session
+            .tell(Event::HostList { kind: HostListKind::Cached, entries: (1..=HOSTS).map(host).collect() });
         session.plan(0, Due::Arrival);
         session.plan(500 * MS, Due::Change);
         let end = session.now + LENGTH;
@@ -86,7 +88,7 @@
 
     fn step(&mut self, due: Due) {
         match due {
-            Due::Told(Event::Ended(end)) => self.end(end),
+            Due::Told(Event::AttemptEnded(end)) => self.end(end),
             Due::Told(event) => self.tell(event),
             Due::Arrival => self.arrive(),
             Due::Change => self.change(),
@@ -104,17 +106,17 @@
             class: self.dice.below(3) as usize,
             plan: customer as usize % 3,
             customer: CustomerId(customer),
-            patience: (500 + self.dice.below(3_500)) * MS,
+            remaining: (500 + self.dice.below(3_500)) * MS,
             units: (1 + self.dice.below(3)) as f64,
-            spread: 1 + customer as u32 % 3,
-            first: 0,
-            repeat: false,
-            arrived: 0,
+            set_size: 1 + customer as u32 % 3,
+            first_gateway: 0,
+            is_retry: false,
+            arrived_at: 0,
             route: Route::default(),
         };
         if self.dice.chance(0.02) {
             let after = self.span(300.0);
-            self.plan(after, Due::Told(Event::Left { id }));
+            self.plan(after, Due::Told(Event::ClientDisconnected { id }));
         }
         self.tell(Event::Request(request));
     }
@@ -125,8 +127,12 @@
         self.plan(gap, Due::Change);
         let id = 1 + self.dice.below(HOSTS);
         if self.dice.chance(0.5) {
-            let report = Report { queue: Some(self.dice.below(5) as f64), ..Report::default() };
-            return self.tell(Event::Probed { host: HostId(id), outcome: Outcome::Ok, report: Some(report) });
+            let report = LoadReport { queued: Some(self.dice.below(5) as f64), ..LoadReport::default() };
+            return self.tell(Event::HealthCheckEnded {
+                host: HostId(id),
+                outcome: Outcome::Ok,
+                report: Some(report),
+            });
         }
         let state = match self.dice.below(8) {
             0 => HostState::Draining,
@@ -134,16 +140,17 @@
             _ => HostState::Ready,
         };
         let started = if self.colds && state == HostState::Ready { self.now - 100 * MS } else { 0 };
-        let host = HostEntry { zone: id as u32 % 3, cell: id as u32 / 3, state, started, ..entry(id) };
-        self.tell(Event::Hosts { kind: ListKind::Delta, entries: vec![host] });
+        let host =
+            HostEntry { zone: id as u32 % 3, cell: id as u32 / 3, state, started_at: started, ..entry(id) };
+        self.tell(Event::HostList { kind: HostListKind::Delta, entries: vec![host] });
     }
 
     fn carry_out(&mut self, action: &Action) {
         match *action {
-            Action::Send { id, host, until, .. } => self.attempt(id, host, until),
-            Action::Count { name, amount, .. } => self.count(name, amount),
-            Action::Refuse { id, .. } | Action::Fail { id, .. } => drop(self.over.insert(id)),
-            Action::Timer { after, token } => self.plan(after, Due::Told(Event::Timer { token })),
+            Action::Forward { id, host, deadline: until, .. } => self.attempt(id, host, until),
+            Action::AddToCounter { key: name, amount, .. } => self.count(name, amount),
+            Action::Reject { id, .. } | Action::Fail { id, .. } => drop(self.over.insert(id)),
+            Action::SetTimer { after, token } => self.plan(after, Due::Told(Event::TimerExpired { token })),
             // Withdrawn attempts run on here: their outcomes come as drawn, which is legal.
             _ => {}
         }
@@ -156,7 +163,7 @@
         let attempt = *count;
         *count += 1;
         let luck = self.dice.unit();
-        let odd = [Error, Full, NoConnection, Reset, Cancelled][self.dice.below(5) as usize];
+        let odd = [Error, Rejected, ConnectFailed, ConnectionReset, Cancelled][self.dice.below(5) as usize];
         let drawn = match luck {
             luck if luck < 0.01 => Timeout,
             luck if luck < 0.03 || (host.0 == 2 && luck < 0.3) => odd,
@@ -165,31 +172,31 @@
         let took = self.span(if host.0 == 1 { 250.0 } else { 70.0 });
         let left = until.saturating_sub(self.now);
         let (outcome, took) = if drawn == Timeout || took > left { (Timeout, left) } else { (drawn, took) };
-        let report = Report { queue: Some(self.dice.below(4) as f64), ..Report::default() };
-        let end = Ended {
+        let report = LoadReport { queued: Some(self.dice.below(4) as f64), ..LoadReport::default() };
+        let end = AttemptEnded {
             id,
             attempt,
             host,
             outcome,
-            took,
-            closed: false,
-            used: None,
-            true_units: Some((1 + self.dice.below(3)) as f64),
+            elapsed: took,
+            is_request_closed: false,
+            quota_used: None,
+            actual_units: Some((1 + self.dice.below(3)) as f64),
             report: Some(report),
         };
-        self.plan(took, Due::Told(Event::Ended(end)));
+        self.plan(took, Due::Told(Event::AttemptEnded(end)));
     }
 
-    fn end(&mut self, end: Ended) {
+    fn end(&mut self, end: AttemptEnded) {
         if end.outcome == Outcome::Ok {
             self.over.insert(end.id);
         }
         let closed = self.over.contains(&end.id);
-        self.tell(Event::Ended(Ended { closed, ..end }));
+        self.tell(Event::AttemptEnded(AttemptEnded { is_request_closed: closed, ..end }));
     }
 
     /// Others add to the same numbers; for two seconds in every ten the counter is silent.
-    fn count(&mut self, name: CountName, amount: f64) {
+    fn count(&mut self, name: CounterKey, amount: f64) {
         let others = self.dice.exponential(1.0);
         let total = self.totals.entry(name).or_default();
         *total += amount + others;
@@ -197,20 +204,22 @@
         let silent = self.now / (1_000 * MS) % 10 < 2;
         let outcome = if silent { Outcome::Timeout } else { Outcome::Ok };
         let took = if silent { 30 * MS } else { self.span(3.0) };
-        self.plan(took, Due::Told(Event::Counted { name, outcome, total, took }));
+        self.plan(took, Due::Told(Event::CounterReplied { key: name, outcome, total, elapsed: took }));
     }
 }
 
 /// FNV-1a (64 bits) over the words of all actions, each word as eight bytes, the lowest first.
 fn digest(actions: &[(Time, Action)]) -> u64 {
     let words = |(at, action): &(Time, Action)| match *action {
-        Action::Send { id, host, until, .. } => [*at, 1, id.0, host.0, until],
-        Action::Withdraw { id, attempt } => [*at, 2, id.0, attempt.into(), 0],
-        Action::Refuse { id, retry_after, .. } => [*at, 3, id.0, retry_after.unwrap_or(0), 0],
+        Action::Forward { id, host, deadline: until, .. } => [*at, 1, id.0, host.0, until],
+        Action::Cancel { id, attempt } => [*at, 2, id.0, attempt.into(), 0],
+        Action::Reject { id, retry_after, .. } => [*at, 3, id.0, retry_after.unwrap_or(0), 0],
         Action::Fail { id, .. } => [*at, 4, id.0, 0, 0],
-        Action::Timer { after, token } => [*at, 5, after, token.into(), 0],
-        Action::Count { name, amount, keep } => [*at, 6, name.0, amount.to_bits(), keep],
-        Action::Subscribe => [*at, 7, 0, 0, 0],
+        Action::SetTimer { after, token } => [*at, 5, after, token.into(), 0],
+        Action::AddToCounter { key: name, amount, time_to_live: keep } => {
+            [*at, 6, name.0, amount.to_bits(), keep]
+        }
+        Action::SubscribeToHosts => [*at, 7, 0, 0, 0],
     };
     let bytes = actions.iter().flat_map(words).flat_map(u64::to_le_bytes);
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
@@ -222,10 +231,10 @@
         let actions = Session::play(seed, colds);
         let count = |of: fn(&Action) -> bool| actions.iter().filter(|(_, a)| of(a)).count();
         let sorts = [
-            count(|a| matches!(a, Action::Send { .. })),
-            count(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })),
-            count(|a| matches!(a, Action::Count { .. })),
-            count(|a| matches!(a, Action::Withdraw { .. })),
+            count(|a| matches!(a, Action::Forward { .. })),
+            count(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })),
+            count(|a| matches!(a, Action::AddToCounter { .. })),
+            count(|a| matches!(a, Action::Cancel { .. })),
         ];
         (digest(&actions), sorts)
     };
