--- a/crates/policy/tests/shed.rs
+++ b/crates/policy/tests/shed.rs
@@ -7,7 +7,7 @@
 
 fn gateway(seed_hosts: u64) -> Harness {
     let mut settings = settings();
-    settings.plans = vec![Plan { price: 1.0, ..Plan::default() }; 2];
+    settings.plans = vec![Plan { weight_factor: 1.0, ..Plan::default() }; 2];
     settings.max_retry_after = Some(800 * MS);
     Harness::new(settings, seed_hosts)
 }
@@ -15,7 +15,16 @@
 fn request(id: u64, class: usize, plan: usize) -> Event {
     let (id, customer, spread) = (RequestId(id), CustomerId(id), 2);
     let (patience, units) = (4_000 * MS, 1.0);
-    Event::Request(Request { id, class, plan, customer, patience, units, spread, ..Request::default() })
+    Event::Request(Request {
+        id,
+        class,
+        plan,
+        customer,
+        remaining: patience,
+        units,
+        set_size: spread,
+        ..Request::default()
+    })
 }
 
 /// How many of a cell's requests are refused by the plan; each other one is served at once.
@@ -24,8 +33,8 @@
     for id in from..from + ASKED {
         let actions = g.on(request(id, class, plan));
         let advice = Some(800 * MS);
-        let why = Why::Shed;
-        if actions.contains(&Action::Refuse { id: RequestId(id), retry_after: advice, why }) {
+        let why = RejectReason::LoadShed;
+        if actions.contains(&Action::Reject { id: RequestId(id), retry_after: advice, reason: why }) {
             assert_eq!(sends(&actions), [], "it is over");
             refused += 1;
         } else {
@@ -42,7 +51,7 @@
     // and those of plan 1 are left out.
     let keep = vec![0.0, 0.3, 1.0];
     let mut g = gateway(4);
-    g.on(Event::Shed(keep));
+    g.on(Event::AdmissionFractionsChanged(keep));
     for (cell, (class, plan, from, to)) in
         [(0, 0, 1_000, 1_000), (0, 1, 650, 750), (1, 0, 0, 0), (1, 1, 0, 0)].into_iter().enumerate()
     {
@@ -55,12 +64,15 @@
 fn what_is_in_hand_is_not_refused_and_nothing_is_once_all_is_let_in_again() {
     let mut g = gateway(4);
     let (_, host) = sends(&g.on(request(1, 0, 0)))[0];
-    assert_eq!(g.on(Event::Shed(vec![0.0])).len(), 0, "it stays where it is");
-    assert!(g.ended(1, 0, host, Outcome::Full).iter().all(|action| !matches!(action, Action::Refuse { .. })));
+    assert_eq!(g.on(Event::AdmissionFractionsChanged(vec![0.0])).len(), 0, "it stays where it is");
+    assert!(g
+        .ended(1, 0, host, Outcome::Rejected)
+        .iter()
+        .all(|action| !matches!(action, Action::Reject { .. })));
     for all in [vec![], vec![1.0; 4]] {
-        g.on(Event::Shed(vec![0.0]));
+        g.on(Event::AdmissionFractionsChanged(vec![0.0]));
         assert_eq!(refused(&mut g, 5 * ASKED, 0, 0), ASKED as usize);
-        g.on(Event::Shed(all));
+        g.on(Event::AdmissionFractionsChanged(all));
         assert_eq!(refused(&mut g, 9 * ASKED, 0, 0), 0);
     }
 }
--- a/crates/policy/tests/slots.rs
+++ b/crates/policy/tests/slots.rs
@@ -81,18 +81,18 @@
     for id in 1..60 {
         for (request, host) in sends(&g.request(id, 1, id, 1.0)) {
             g.now += 3_900 * MS;
-            let end = Ended {
+            let end = AttemptEnded {
                 id: request,
                 attempt: 0,
                 host,
                 outcome: Outcome::Ok,
-                took: 3_900 * MS,
-                closed: true,
-                used: None,
-                true_units: None,
+                elapsed: 3_900 * MS,
+                is_request_closed: true,
+                quota_used: None,
+                actual_units: None,
                 report: None,
             };
-            g.on(Event::Ended(end));
+            g.on(Event::AttemptEnded(end));
         }
     }
     assert_eq!(sends(&g.request(100, 1, 100, 1.0)).len(), 1);
@@ -111,8 +111,18 @@
             g.now += took;
             let (attempt, outcome, closed) = (0, Outcome::Ok, true);
             let (used, true_units, report) = (None, None, None);
-            let end = Ended { id: request, attempt, host, outcome, took, closed, used, true_units, report };
-            g.on(Event::Ended(end));
+            let end = AttemptEnded {
+                id: request,
+                attempt,
+                host,
+                outcome,
+                elapsed: took,
+                is_request_closed: closed,
+                quota_used: used,
+                actual_units: true_units,
+                report,
+            };
+            g.on(Event::AttemptEnded(end));
             again += u32::from(host == HostId(1) && id > 100);
         }
         g.now += 200 * MS;
@@ -187,7 +197,7 @@
     let mut settings = settings();
     settings.gateways = 1;
     let plan = Plan { rate: 1e5, burst: 1e5, ..settings.plans[0].clone() };
-    settings.plans = vec![Plan { price: 1.0, ..plan.clone() }, Plan { price: 2.0, ..plan }];
+    settings.plans = vec![Plan { weight_factor: 1.0, ..plan.clone() }, Plan { weight_factor: 2.0, ..plan }];
     // Ten hosts have forty slots at the least, and an answer takes 20 ms: some hundreds go out in half of a read's aim.
     let mut load = Load::with(settings, 10, 0);
     load.cost(2_000, 10);
@@ -204,9 +214,9 @@
                 class,
                 plan,
                 customer,
-                patience,
+                remaining: patience,
                 units,
-                spread: 1,
+                set_size: 1,
                 ..Request::default()
             }));
         }
@@ -229,7 +239,8 @@
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 20);
     let ask = |g: &mut Harness, id, patience| {
-        let request = Request { id: RequestId(id), units: 1.0, patience, spread: 2, ..Request::default() };
+        let request =
+            Request { id: RequestId(id), units: 1.0, remaining: patience, set_size: 2, ..Request::default() };
         g.on(Event::Request(request))
     };
     let answered = |g: &mut Harness, actions: &[Action]| {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -85,12 +85,12 @@
         Ok(match self.u16(at)? {
             10 => Outcome::Ok,
             20 => Outcome::Error,
-            30 => Outcome::Full,
+            30 => Outcome::Rejected,
             40 => Outcome::Timeout,
-            50 => Outcome::NoConnection,
-            60 => Outcome::Reset,
+            50 => Outcome::ConnectFailed,
+            60 => Outcome::ConnectionReset,
             70 => Outcome::Cancelled,
-            80 => Outcome::Moot,
+            80 => Outcome::NotSent,
             other => return Err(self.invalid("outcome", at, other as u64)),
         })
     }
@@ -182,66 +182,70 @@
 ) -> Result<Event, WireError> {
     let job = || r.u64(6).map(RequestId);
     Ok(match code {
-        1 => Event::Ended(Ended {
+        1 => Event::AttemptEnded(AttemptEnded {
             id: job()?,
             attempt: r.u16(14)? as u32,
             host: r.host(16)?,
             outcome: r.outcome(22)?,
-            took: r.u64(24)?,
-            closed: r.u8(32)? != 0,
-            used: r.u16(33)?.checked_sub(1).map(|percent| percent as f64 / 100.0),
-            true_units: Some(r.u16(35)?).filter(|u| *u > 0).map(f64::from),
+            elapsed: r.u64(24)?,
+            is_request_closed: r.u8(32)? != 0,
+            quota_used: r.u16(33)?.checked_sub(1).map(|percent| percent as f64 / 100.0),
+            actual_units: Some(r.u16(35)?).filter(|u| *u > 0).map(f64::from),
             report: report(r, 37, fields)?,
         }),
-        2 => Event::Probed { host: r.host(6)?, outcome: r.outcome(12)?, report: report(r, 22, fields)? },
+        2 => Event::HealthCheckEnded {
+            host: r.host(6)?,
+            outcome: r.outcome(12)?,
+            report: report(r, 22, fields)?,
+        },
         3 => Event::PeerMessage { from: r.u32(6)?, bytes: r.tail(10, tail, 1)?.to_vec() },
         4 => {
             let kind = match r.u8(7)? {
-                0 => ListKind::Delta,
-                1 => ListKind::Full,
-                2 => ListKind::Cached,
-                3 => ListKind::Failed,
+                0 => HostListKind::Delta,
+                1 => HostListKind::Full,
+                2 => HostListKind::Cached,
+                3 => HostListKind::Failed,
                 other => return Err(r.invalid("list mode", 7, other as u64)),
             };
             let number = r.u8(6)?;
             let entries = match (kind, lists.get(&number)) {
-                (ListKind::Failed, _) => Vec::new(),
+                (HostListKind::Failed, _) => Vec::new(),
                 (_, Some(list)) => list.clone(),
                 (_, None) => return Err(r.invalid("list number", 6, number as u64)),
             };
-            Event::Hosts { kind, entries }
+            Event::HostList { kind, entries }
         }
-        5 => Event::Started { id: job()?, attempt: r.u16(14)? as u32 },
-        8 => Event::Counted {
-            name: CountName(r.u64(6)?),
+        5 => Event::ResponseStarted { id: job()?, attempt: r.u16(14)? as u32 },
+        8 => Event::CounterReplied {
+            key: CounterKey(r.u64(6)?),
             outcome: r.outcome(14)?,
             total: r.f32(16)?,
-            took: r.u64(20)?,
+            elapsed: r.u64(20)?,
         },
-        9 => Event::Left { id: job()? },
+        9 => Event::ClientDisconnected { id: job()? },
         10 => Event::Request(Request {
             id: job()?,
             class: r.u8(14)? as usize,
             plan: r.u16(15)? as usize,
             customer: CustomerId(r.u64(17)?),
-            patience: r.u64(25)?,
+            remaining: r.u64(25)?,
             units: r.f32(33)?,
-            spread: r.f32(37)? as u32,
-            first: r.f32(41)? as u32,
-            repeat: r.u8(45)? & 2 != 0,
+            set_size: r.f32(37)? as u32,
+            first_gateway: r.f32(41)? as u32,
+            is_retry: r.u8(45)? & 2 != 0,
             route: Route::default(),
-            arrived: 0,
+            arrived_at: 0,
         }),
-        _ => Event::Timer { token: r.u32(6)? },
+        _ => Event::TimerExpired { token: r.u32(6)? },
     })
 }
 
-fn report(r: &Record, at: usize, fields: &[String]) -> Result<Option<Report>, WireError> {
+fn report(r: &Record, at: usize, fields: &[String]) -> Result<Option<LoadReport>, WireError> {
     let count = r.u8(at)? as usize;
     if count > 4 {
         return Err(r.invalid("count of load values", at, count as u64));
     }
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (i, field) in fields.iter().take(count).enumerate() {
         report.set(field, r.f32(at + 1 + 4 * i)?);
     }
@@ -260,11 +264,11 @@
         Ok(HostEntry {
             id: r.host(0)?,
             zone: r.u8(6)? as u32,
-            kind: r.u16(7)? as u32,
+            machine_type: r.u16(7)? as u32,
             cell: r.u16(9)? as u32,
             state,
             size: r.f32(12)?,
-            started: r.u64(16)?,
+            started_at: r.u64(16)?,
             pools: 0,
         })
     };
@@ -297,24 +301,24 @@
         let address = |host: HostId| host.0.to_le_bytes();
         match action {
             // The wire reads a missing time as "when the client quits"; a time already past stays past.
-            Action::Send { id, host, until, .. } => {
+            Action::Forward { id, host, deadline: until, .. } => {
                 self.record(1, instance, &[&job(id), &address(host)[..6], &until.max(1).to_le_bytes()])
             }
-            Action::Withdraw { id, attempt } => {
+            Action::Cancel { id, attempt } => {
                 self.record(12, instance, &[&job(id), &(attempt as u16).to_le_bytes()])
             }
-            Action::Refuse { id, retry_after, .. } => {
+            Action::Reject { id, retry_after, .. } => {
                 self.record(8, instance, &[&job(id), &retry_after.unwrap_or(0).to_le_bytes()])
             }
             Action::Fail { id, .. } => self.record(6, instance, &[&job(id)]),
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.record(7, instance, &[&after.to_le_bytes(), &token.to_le_bytes()])
             }
-            Action::Count { name, amount, keep } => {
+            Action::AddToCounter { key: name, amount, time_to_live: keep } => {
                 let amount = (amount as f32).to_le_bytes();
                 self.record(9, instance, &[&amount, &keep.to_le_bytes(), &name.0.to_le_bytes()])
             }
-            Action::Subscribe => self.record(11, instance, &[&[1]]),
+            Action::SubscribeToHosts => self.record(11, instance, &[&[1]]),
         }
     }
     fn frame(self) -> Vec<u8> {
--- a/crates/site-failover-model/src/calm.rs
+++ b/crates/site-failover-model/src/calm.rs
@@ -1,7 +1,7 @@
 //! Ordinary days, cheaply: one gateway, three sites, no queues. What is counted is whether anything moves load.
 
 use cluster_model::rng::Rng;
-use policy::api::{Ended, HostEntry, HostId, ListKind, Outcome, RequestId, Span, Time};
+use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, Outcome, RequestId, Span, Time};
 use site_failover::{Fleet, Plan, Said, Site, Sites, State};
 
 use crate::setting::{MILLISECOND, SECOND};
@@ -89,11 +89,11 @@
         id: HostId(host),
         zone: (host % SITES) as u32,
         size: 1.0,
-        started,
+        started_at: started,
         ..HostEntry::default()
     };
     let entries: Vec<_> = (0..SITES * HOSTS).map(|host| listed(host, 0)).collect();
-    sites.on_list(0, ListKind::Full, &entries);
+    sites.on_list(0, HostListKind::Full, &entries);
     let mut alarms = Alarms { in_a_row: RULES.map(|rule| (rule, 0)).to_vec(), ..Alarms::default() };
     let mut rows = [0_u32; SITES as usize];
     let (mut now, mut next, mut id, mut now_wrong) = (0, 0, 0, Trouble { jump: 1.0, ..Trouble::default() });
@@ -108,7 +108,7 @@
             sites.on_discovery(now, now_wrong.discovery);
             if now_wrong.replaced {
                 let host = rng.below(SITES * HOSTS);
-                sites.on_list(now, ListKind::Delta, &[listed(host, now)]);
+                sites.on_list(now, HostListKind::Delta, &[listed(host, now)]);
             }
         }
         now += rng.exponential(SECOND as f64 / (days.rate * now_wrong.jump)) as Span + 1;
@@ -132,12 +132,12 @@
     alarms
 }
 
-fn attempt(wrong: &Trouble, host: u64, id: u64, rng: &mut Rng) -> Ended {
+fn attempt(wrong: &Trouble, host: u64, id: u64, rng: &mut Rng) -> AttemptEnded {
     let bad = wrong.bad.filter(|(bad, _)| *bad == host).map_or(0.0, |(_, share)| share);
     let at_site = wrong.at_site.filter(|(site, _)| *site == host % SITES).map_or(0.0, |(_, share)| share);
     let drawn = rng.unit();
     let outcome = if drawn < 0.05_f64.max(wrong.anywhere).max(bad).max(at_site) {
-        [Outcome::Timeout, Outcome::Reset, Outcome::NoConnection][(id % 3) as usize]
+        [Outcome::Timeout, Outcome::ConnectionReset, Outcome::ConnectFailed][(id % 3) as usize]
     } else if drawn > 0.95 {
         Outcome::Error
     } else {
@@ -145,15 +145,15 @@
     };
     let slow = if wrong.slow == Some(host) { 5.0 } else { 1.0 };
     let took = (6.0 + rng.exponential(6.0)) * slow * MILLISECOND as f64;
-    Ended {
+    AttemptEnded {
         id: RequestId(id),
         attempt: 0,
         host: HostId(host),
         outcome,
-        took: took as Span,
-        closed: true,
-        used: None,
-        true_units: None,
+        elapsed: took as Span,
+        is_request_closed: true,
+        quota_used: None,
+        actual_units: None,
         report: None,
     }
 }
--- a/crates/site-failover-model/src/gateway.rs
+++ b/crates/site-failover-model/src/gateway.rs
@@ -118,7 +118,7 @@
         id: HostId(number as u64),
         zone: host.site as u32,
         size: host.rate,
-        started: host.started.unwrap_or(0),
+        started_at: host.started.unwrap_or(0),
         ..HostEntry::default()
     }
 }
--- a/crates/site-failover-model/src/host.rs
+++ b/crates/site-failover-model/src/host.rs
@@ -58,9 +58,9 @@
     pub fn serve(&mut self, now: Time, trouble: &Trouble, rng: &mut Rng) -> (Outcome, Span) {
         match self.down {
             Some(Down::Silent) => return (Outcome::Timeout, PATIENCE),
-            Some(Down::Refused) => return (Outcome::NoConnection, MILLISECOND),
-            Some(Down::Reset) => return (Outcome::Reset, MILLISECOND),
-            None if now < self.fallen_until => return (Outcome::NoConnection, MILLISECOND),
+            Some(Down::Refused) => return (Outcome::ConnectFailed, MILLISECOND),
+            Some(Down::Reset) => return (Outcome::ConnectionReset, MILLISECOND),
+            None if now < self.fallen_until => return (Outcome::ConnectFailed, MILLISECOND),
             None => {}
         }
         let warmth = self.warmth(now);
@@ -70,9 +70,9 @@
                 self.fallen_until = now + FALLEN;
                 self.started = Some(now + FALLEN);
                 self.free_at = 0;
-                return (Outcome::Reset, MILLISECOND);
+                return (Outcome::ConnectionReset, MILLISECOND);
             }
-            return (Outcome::Full, MILLISECOND);
+            return (Outcome::Rejected, MILLISECOND);
         }
         let work = SECOND as f64 * self.slow / (self.rate * warmth);
         let own = (6.0 + rng.exponential(6.0)) * self.slow * MILLISECOND as f64;
@@ -82,7 +82,7 @@
         if took > PATIENCE {
             (Outcome::Timeout, PATIENCE)
         } else if drawn < trouble.breaks {
-            (Outcome::Reset, took)
+            (Outcome::ConnectionReset, took)
         } else if drawn < trouble.breaks + trouble.errors {
             (Outcome::Error, took)
         } else {
--- a/crates/site-failover-model/src/world.rs
+++ b/crates/site-failover-model/src/world.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use cluster_model::rng::Rng;
-use policy::api::{Ended, HostId, ListKind, Outcome, RequestId, Span, Time, Why};
+use policy::api::{AttemptEnded, HostId, HostListKind, Outcome, RejectReason, RequestId, Span, Time};
 use site_failover::{Fleet, Plan, Said, SiteSet, Sites, State};
 
 use crate::gateway::{entry, Gateway};
@@ -160,7 +160,7 @@
             let zone = plan.sites.get(me as usize % plan.sites.len().max(1)).map_or(0, |site| site.zones[0]);
             let fleet = Fleet { gateways: setting.gateways, me, zone };
             let mut sites = Sites::new(plan.clone(), fleet, setting.seed ^ u64::from(me), 0);
-            sites.on_list(0, ListKind::Full, &entries);
+            sites.on_list(0, HostListKind::Full, &entries);
             Gateway::new(sites, hosts.len())
         };
         let gateways = (0..setting.gateways).map(gateway).collect();
@@ -291,7 +291,7 @@
         if !entries.is_empty() {
             self.gateways
                 .iter_mut()
-                .for_each(|gateway| gateway.sites.on_list(now, ListKind::Delta, &entries));
+                .for_each(|gateway| gateway.sites.on_list(now, HostListKind::Delta, &entries));
         }
     }
 
@@ -331,10 +331,10 @@
         }
     }
 
-    fn give_up(&mut self, flight: &Flight, why: Why) {
+    fn give_up(&mut self, flight: &Flight, why: RejectReason) {
         let plans = self.setting.plan.ladder.plans.max(1);
         self.gateways[flight.gateway].sites.on_given_up(flight.cell / plans, flight.cell % plans, why);
-        if matches!(why, Why::Hopeless | Why::NoHost) {
+        if matches!(why, RejectReason::QueueTooLong | RejectReason::NoHost) {
             self.second(flight.came).wanting[flight.cell] += 1;
         }
         self.comes_again(flight.cell, flight.times);
@@ -344,10 +344,10 @@
         let now = self.now;
         let gateway = &self.gateways[flight.gateway];
         let Some(host) = gateway.pick(now, flight.to, &self.hosts, &self.waits, &mut self.chance) else {
-            return self.give_up(&flight, Why::NoHost);
+            return self.give_up(&flight, RejectReason::NoHost);
         };
         if self.waits[host] > HOPELESS {
-            return self.give_up(&flight, Why::Hopeless);
+            return self.give_up(&flight, RejectReason::QueueTooLong);
         }
         let site = self.hosts[host].site;
         let withheld = gateway.withholds(site);
@@ -355,7 +355,7 @@
         let (outcome, took) = self.hosts[host].serve(now, &self.setting.trouble, &mut self.chance);
         let fell = self.hosts[host].fell - fell;
         let second = self.second(now);
-        second.sent[site] += u32::from(outcome != Outcome::Full);
+        second.sent[site] += u32::from(outcome != Outcome::Rejected);
         second.trials[site] += u32::from(withheld);
         second.fell += fell;
         (flight.host, flight.outcome, flight.sent) = (host, outcome, now);
@@ -371,16 +371,16 @@
         let Some(mut flight) = self.flights[slot].take() else { return };
         self.free.push(slot);
         let now = self.now;
-        let answered = matches!(flight.outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
-        let ended = Ended {
+        let answered = matches!(flight.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
+        let ended = AttemptEnded {
             id: RequestId(flight.id),
             attempt: flight.attempt,
             host: HostId(flight.host as u64),
             outcome: flight.outcome,
-            took: now - flight.sent,
-            closed: flight.outcome == Outcome::Ok,
-            used: None,
-            true_units: None,
+            elapsed: now - flight.sent,
+            is_request_closed: flight.outcome == Outcome::Ok,
+            quota_used: None,
+            actual_units: None,
             report: None,
         };
         let gateway = &mut self.gateways[flight.gateway];
@@ -393,13 +393,14 @@
             return;
         }
         let is_unsafe = self.setting.traffic.unsafe_cells.contains(&flight.cell);
-        let may_have_run = matches!(flight.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Error);
+        let may_have_run =
+            matches!(flight.outcome, Outcome::Timeout | Outcome::ConnectionReset | Outcome::Error);
         if is_unsafe && may_have_run {
-            return self.give_up(&flight, Why::Once);
+            return self.give_up(&flight, RejectReason::NotIdempotent);
         }
         flight.attempt += 1;
         if flight.attempt >= ATTEMPTS || now - flight.came > AIM {
-            return self.give_up(&flight, Why::Budget);
+            return self.give_up(&flight, RejectReason::RetriesExhausted);
         }
         self.send(flight);
     }
--- a/crates/site-failover/src/ladder.rs
+++ b/crates/site-failover/src/ladder.rs
@@ -1,6 +1,6 @@
 //! What is refused first: a level that follows what is given up for want of slots, and what it means for each cell.
 
-use policy::api::{Span, Why};
+use policy::api::{RejectReason, Span};
 
 use crate::plan::Ladder;
 use crate::verdict::SECOND;
@@ -34,8 +34,8 @@
 }
 
 /// Whether a request was given up because more came than can be served.
-fn for_want(why: Why) -> bool {
-    matches!(why, Why::Hopeless | Why::Waited | Why::NoHost)
+fn for_want(why: RejectReason) -> bool {
+    matches!(why, RejectReason::QueueTooLong | RejectReason::QueuedTooLong | RejectReason::NoHost)
 }
 
 impl Level {
@@ -56,7 +56,7 @@
         }
     }
 
-    pub fn on_given_up(&mut self, why: Why) {
+    pub fn on_given_up(&mut self, why: RejectReason) {
         if for_want(why) {
             self.wanting += 1.0;
         }
--- a/crates/site-failover/src/sites.rs
+++ b/crates/site-failover/src/sites.rs
@@ -3,7 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use policy::api::{Ended, HostEntry, HostId, HostState, ListKind, Outcome, RequestId, Span, Time, Why};
+use policy::api::{
+    AttemptEnded, HostEntry, HostId, HostListKind, HostState, Outcome, RejectReason, RequestId, Span, Time,
+};
 
 use crate::chance::unit;
 use crate::course::{Course, Look, Ramped, State};
@@ -193,11 +195,11 @@
     }
 
     /// News of the host list, as discovery tells it.
-    pub fn on_list(&mut self, now: Time, kind: ListKind, entries: &[HostEntry]) {
-        if kind == ListKind::Failed || self.is_idle() {
+    pub fn on_list(&mut self, now: Time, kind: HostListKind, entries: &[HostEntry]) {
+        if kind == HostListKind::Failed || self.is_idle() {
             return;
         }
-        if kind != ListKind::Delta {
+        if kind != HostListKind::Delta {
             self.hosts.values_mut().for_each(|host| host.leave(now));
         }
         for entry in entries {
@@ -206,7 +208,7 @@
                 zone: entry.zone,
                 site,
                 size: entry.size,
-                started: entry.started,
+                started: entry.started_at,
                 state: entry.state,
                 gone: now,
             });
@@ -217,7 +219,7 @@
                     zone: entry.zone,
                     site,
                     size: entry.size,
-                    started: entry.started,
+                    started: entry.started_at,
                     state: entry.state,
                     gone: now,
                 };
@@ -228,25 +230,25 @@
     }
 
     /// An attempt has ended. What it says of its site depends on how, and on when it was withdrawn.
-    pub fn on_ended(&mut self, now: Time, ended: &Ended) {
+    pub fn on_ended(&mut self, now: Time, ended: &AttemptEnded) {
         if self.is_idle() {
             return;
         }
         let Some(host) = self.hosts.get(&ended.host) else { return };
         let (site, ready) = (host.site, host.state == HostState::Ready);
         let answered = match ended.outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full => true,
-            Outcome::NoConnection | Outcome::Timeout | Outcome::Reset => false,
-            Outcome::Cancelled if self.seen[site].is_long(ended.took) => false,
-            Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::Ok | Outcome::Error | Outcome::Rejected => true,
+            Outcome::ConnectFailed | Outcome::Timeout | Outcome::ConnectionReset => false,
+            Outcome::Cancelled if self.seen[site].is_long(ended.elapsed) => false,
+            Outcome::Cancelled | Outcome::NotSent => return,
         };
         if answered {
-            self.seen[site].on_answer(now, ended.took);
+            self.seen[site].on_answer(now, ended.elapsed);
         } else if ready {
             self.seen[site].on_failure(now, ended.host);
         }
         if let Some(course) = self.courses.get_mut(site) {
-            course.on_ended(now, ended.host, answered, ended.took);
+            course.on_ended(now, ended.host, answered, ended.elapsed);
             if course.is_trial_over() {
                 self.due = self.due.min(now);
             }
@@ -262,7 +264,7 @@
     }
 
     /// A request was given up.
-    pub fn on_given_up(&mut self, _class: usize, _plan: usize, why: Why) {
+    pub fn on_given_up(&mut self, _class: usize, _plan: usize, why: RejectReason) {
         self.level.on_given_up(why);
     }
 
--- a/crates/site-failover/tests/sites/common.rs
+++ b/crates/site-failover/tests/sites/common.rs
@@ -1,6 +1,6 @@
 //! One gateway with its controller and three sites, played by hand.
 
-use policy::api::{Ended, HostEntry, HostId, HostState, ListKind, Outcome, RequestId, Span, Time};
+use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, HostState, Outcome, RequestId, Span, Time};
 use site_failover::{Fleet, Ladder, Plan, Rung, Said, Site, Sites, State, Taker};
 
 pub const SECOND: Span = 1_000_000_000;
@@ -30,7 +30,7 @@
 
 pub fn entry(host: u64, state: HostState, started: Time) -> HostEntry {
     let zone = site_of(host) as u32;
-    HostEntry { id: HostId(host), zone, size: 1.0, state, started, ..HostEntry::default() }
+    HostEntry { id: HostId(host), zone, size: 1.0, state, started_at: started, ..HostEntry::default() }
 }
 
 /// How an attempt at a host ends at a moment, and after what span.
@@ -62,7 +62,7 @@
     pub fn new(plan: Plan, fleet: Fleet) -> Bench {
         let mut sites = Sites::new(plan, fleet, 1, 0);
         let entries: Vec<_> = (0..3 * HOSTS).map(|host| entry(host, HostState::Ready, 0)).collect();
-        sites.on_list(0, ListKind::Full, &entries);
+        sites.on_list(0, HostListKind::Full, &entries);
         Bench {
             sites,
             now: 0,
@@ -81,7 +81,7 @@
 
     pub fn list(&mut self, hosts: std::ops::Range<u64>, state: HostState, started: Time) {
         let entries: Vec<_> = hosts.map(|host| entry(host, state, started)).collect();
-        self.sites.on_list(self.now, ListKind::Delta, &entries);
+        self.sites.on_list(self.now, HostListKind::Delta, &entries);
     }
 
     pub fn tick(&mut self) {
@@ -135,15 +135,15 @@
     }
 
     pub fn ended(&mut self, host: u64, outcome: Outcome, took: Span) {
-        let ended = Ended {
+        let ended = AttemptEnded {
             id: RequestId(self.requests),
             attempt: 0,
             host: HostId(host),
             outcome,
-            took,
-            closed: true,
-            used: None,
-            true_units: None,
+            elapsed: took,
+            is_request_closed: true,
+            quota_used: None,
+            actual_units: None,
             report: None,
         };
         self.sites.on_ended(self.now, &ended);
--- a/crates/site-failover/tests/sites/returns.rs
+++ b/crates/site-failover/tests/sites/returns.rs
@@ -1,7 +1,7 @@
 //! How a site that was lost comes back, and what is refused meanwhile.
 
 use crate::common::{plan, site_of, Bench, Doubt, Return, HOSTS, MILLISECOND, OK, SECOND, SILENT};
-use policy::api::{HostId, HostState, Outcome, RequestId, Span, Time, Why};
+use policy::api::{HostId, HostState, Outcome, RejectReason, RequestId, Span, Time};
 use site_failover::{Fleet, SiteSet, Sites, State};
 use State::{Lost, Returning, Trying, Whole};
 
@@ -240,7 +240,7 @@
             let keep = bench.keep.get(class).copied().unwrap_or(1.0);
             let given_up = (n as u32) * wants / 100 != (n as u32 + 1) * wants / 100;
             if given_up && (n as f64 * 0.618).fract() < keep {
-                bench.sites.on_given_up(class, 0, Why::Hopeless);
+                bench.sites.on_given_up(class, 0, RejectReason::QueueTooLong);
             }
         }
         bench.play(SECOND, 200.0, &lost(1));
@@ -273,7 +273,7 @@
     let mut bench = Bench::usual();
     for _ in 0..20 {
         (0..100).for_each(|_| bench.sites.on_asked(0, 0));
-        (0..50).for_each(|_| bench.sites.on_given_up(0, 0, Why::Waited));
+        (0..50).for_each(|_| bench.sites.on_given_up(0, 0, RejectReason::QueuedTooLong));
         bench.play(SECOND, 200.0, &|_, _| OK);
     }
     assert!(bench.keep.is_empty());
--- a/crates/site-failover/tests/sites/verdicts.rs
+++ b/crates/site-failover/tests/sites/verdicts.rs
@@ -1,7 +1,7 @@
 //! What a site is held for, by what is seen of it.
 
 use crate::common::{entry, plan, site_of, Bench, Ends, HOSTS, MILLISECOND, OK, SECOND, SILENT};
-use policy::api::{HostState, ListKind, Outcome, Span, Time};
+use policy::api::{HostListKind, HostState, Outcome, Span, Time};
 use site_failover::{Fleet, Plan, Sites, State, Told};
 use State::{CutOff, Doubtful, Lost, Slow, Whole};
 
@@ -22,7 +22,7 @@
 #[test]
 fn a_site_is_held_for_what_its_attempts_show() {
     let all_well = |_, _| OK;
-    let reset = |_, host| if site_of(host) == 1 { (Outcome::Reset, MILLISECOND) } else { OK };
+    let reset = |_, host| if site_of(host) == 1 { (Outcome::ConnectionReset, MILLISECOND) } else { OK };
     let withdrawn = |_, host| match site_of(host) {
         1 => (Outcome::Cancelled, 80 * MILLISECOND),
         _ => OK,
@@ -33,7 +33,7 @@
     let two = |_, host| if site_of(host) < 2 { SILENT } else { OK };
     let all = |_, _| SILENT;
     let errors = |_, host| if site_of(host) == 1 { (Outcome::Error, 10 * MILLISECOND) } else { OK };
-    let full = |_, host| if site_of(host) == 1 { (Outcome::Full, MILLISECOND) } else { OK };
+    let full = |_, host| if site_of(host) == 1 { (Outcome::Rejected, MILLISECOND) } else { OK };
     let slow = |_, host| if site_of(host) == 1 { (Outcome::Ok, 60 * MILLISECOND) } else { OK };
     let all_slow = |_, _| (Outcome::Ok, 60 * MILLISECOND);
     let cases: [(&str, Ends, [State; 3]); 14] = [
@@ -71,7 +71,7 @@
     let mut bench = Bench::usual();
     bench.play(30 * SECOND, 1_000.0, &|_, _| OK);
     bench.play(150 * MILLISECOND, 1_000.0, &|_, host| match site_of(host) {
-        1 => (Outcome::NoConnection, MILLISECOND),
+        1 => (Outcome::ConnectFailed, MILLISECOND),
         _ => OK,
     });
     assert_eq!(bench.withheld(), [false; 3]);
@@ -87,7 +87,7 @@
     for _ in 0..1_000 {
         bench.play(10 * MILLISECOND, 100.0, &|_, host| {
             if site_of(host) == 1 {
-                (Outcome::Moot, 0)
+                (Outcome::NotSent, 0)
             } else {
                 OK
             }
@@ -99,7 +99,7 @@
     for host in HOSTS..HOSTS + 4 {
         (0..10).for_each(|_| bench.ended(host, Outcome::Timeout, 300 * MILLISECOND));
     }
-    bench.play(SECOND, 100.0, &|_, host| if site_of(host) == 1 { (Outcome::Moot, 0) } else { OK });
+    bench.play(SECOND, 100.0, &|_, host| if site_of(host) == 1 { (Outcome::NotSent, 0) } else { OK });
     assert_eq!(bench.states()[1], Lost);
 }
 
@@ -192,13 +192,13 @@
     // One that discovery does not even list is not lost to it, and its part falls to nobody.
     let mut sites = Sites::new(plan(), Fleet { gateways: 8, me: 1, zone: 0 }, 1, 0);
     let entries: Vec<_> = (0..2 * HOSTS).map(|host| entry(host, HostState::Ready, 0)).collect();
-    sites.on_list(0, ListKind::Full, &entries);
+    sites.on_list(0, HostListKind::Full, &entries);
     (0..600).for_each(|n| drop(sites.tick(n * 100 * MILLISECOND)));
     assert!(sites.states().all(|site| site.state == Whole));
     // As it comes up it is cold, and returns like any.
     let entries: Vec<_> =
         (2 * HOSTS..3 * HOSTS).map(|host| entry(host, HostState::Ready, 61 * SECOND)).collect();
-    sites.on_list(62 * SECOND, ListKind::Delta, &entries);
+    sites.on_list(62 * SECOND, HostListKind::Delta, &entries);
     sites.tick(62 * SECOND);
     assert_eq!(sites.states().nth(2).unwrap().share, 0.0);
 }
@@ -255,7 +255,7 @@
         let others = |_, host| {
             count.set(count.get() + 1);
             match site_of(host) {
-                1 => (Outcome::Moot, 0),
+                1 => (Outcome::NotSent, 0),
                 _ if count.get() % 5 < elsewhere => SILENT,
                 _ => OK,
             }
@@ -279,7 +279,7 @@
         if n % 10 == 0 {
             bench.ended(n / 10 % 2 * 2 * HOSTS + n / 20 % HOSTS, Outcome::Timeout, 300 * MILLISECOND);
         }
-        bench.play(20 * MILLISECOND, 100.0, &|_, _| (Outcome::Moot, 0));
+        bench.play(20 * MILLISECOND, 100.0, &|_, _| (Outcome::NotSent, 0));
     }
     assert!(bench.changes.iter().all(|change| change.4 == 1.0), "{:?}", bench.changes);
     assert_eq!(bench.states()[1], CutOff);
@@ -289,7 +289,7 @@
 fn a_site_that_has_been_answering_now_and_then_is_not_lost_to_a_longer_run() {
     let mut bench = Bench::usual();
     bench.play(600 * SECOND, 100.0, &|_, _| OK);
-    let others = |_, host| if site_of(host) == 1 { (Outcome::Moot, 0) } else { OK };
+    let others = |_, host| if site_of(host) == 1 { (Outcome::NotSent, 0) } else { OK };
     let fails = |bench: &mut Bench, count: u64| {
         (0..count).for_each(|n| bench.ended(HOSTS + n % HOSTS, Outcome::Timeout, 300 * MILLISECOND));
         bench.play(400 * MILLISECOND, 100.0, &others);
