--- a/crates/api-gateway/tests/config_tools.rs
+++ b/crates/api-gateway/tests/config_tools.rs
@@ -642,8 +642,12 @@
 fn bash_completes_the_words_of_the_tools() {
     let folder = Folder::new();
     let script = folder.run(&["completions", "bash"]).out;
-    let ask = "compopt() { :; }; COMP_WORDS=(api-gateway config f); COMP_CWORD=2\n\
-               _api-gateway api-gateway f config; echo \"${COMPREPLY[@]}\"\n";
+    let registered = script.lines().find(|line| line.trim_start().starts_with("complete -F "));
+    let function = registered.and_then(|line| line.split_whitespace().nth(2)).expect("a completion function");
+    let ask = format!(
+        "compopt() {{ :; }}; COMP_WORDS=(api-gateway config f); COMP_CWORD=2\n\
+         {function} api-gateway f config; echo \"${{COMPREPLY[@]}}\"\n"
+    );
     let bash = Command::new("bash").args(["-c", &format!("{script}\n{ask}")]).output().unwrap();
     let told = Ended::from(bash);
     told.is(0, "fmt\n", "");
