--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -40,8 +40,8 @@
         host: HostId,
         /// When to give the attempt up.
         deadline: Time,
-        /// When the last byte of the request has to be written at the latest; after that none of it may be sent, and
-        /// the attempt ends as [`NotSent`](super::Outcome::NotSent).
+        /// When the last byte of the request has to be written at the latest; after that none of it may be
+        /// sent, and the attempt ends as [`NotSent`](super::Outcome::NotSent).
         write_by: Time,
     },
     /// Cancel an attempt.
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -41,8 +41,8 @@
 }
 
 impl LoadReport {
-    /// Sets one value by the name that the platform's settings give it. Unknown names are skipped; a value that is
-    /// negative or not finite counts as missing.
+    /// Sets one value by the name that the platform's settings give it. Unknown names are skipped; a value
+    /// that is negative or not finite counts as missing.
     pub fn set(&mut self, name: &str, value: f64) {
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
         match name {
@@ -131,11 +131,11 @@
         /// Time that the call took.
         elapsed: Span,
     },
-    /// The plans have changed; they are in the order of the settings. Units available to customers stay, up to the new
-    /// size of their token buckets.
+    /// The plans have changed; they are in the order of the settings. Units available to customers stay, up
+    /// to the new size of their token buckets.
     PlansChanged(Vec<Plan>),
-    /// Load shedding: the fraction of requests to admit from now on, 0 to 1, for each class and plan. The cell of a
-    /// class and a plan is `class * plans + plan`; a missing cell admits all.
+    /// Load shedding: the fraction of requests to admit from now on, 0 to 1, for each class and plan. The
+    /// cell of a class and a plan is `class * plans + plan`; a missing cell admits all.
     AdmissionFractionsChanged(Vec<f64>),
     /// Another gateway has sent bytes.
     PeerMessage {
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -1,7 +1,8 @@
-//! The interface of the decision module: the events that a gateway reports and the actions that it carries out.
+//! The interface of the decision module: the events that a gateway reports and the actions that it carries
+//! out.
 //!
-//! Everything here is plain data. A gateway reads its [`Settings`] once, then reports each [`Event`] with the current
-//! [`Time`] and executes the returned [`Action`]s in order.
+//! Everything here is plain data. A gateway reads its [`Settings`] once, then reports each [`Event`] with the
+//! current [`Time`] and executes the returned [`Action`]s in order.
 
 mod action;
 mod event;
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -8,8 +8,8 @@
     /// The request may be executed any number of times.
     #[default]
     Idempotent,
-    /// The request carries an idempotency key: the hosts within the scope drop duplicates for this long after the
-    /// first attempt.
+    /// The request carries an idempotency key: the hosts within the scope drop duplicates for this long after
+    /// the first attempt.
     WithKey(DedupScope, Span),
     /// The request must not be sent again once it may have been executed.
     NotIdempotent,
@@ -45,7 +45,8 @@
     pub streaming: bool,
 }
 
-/// A customer's plan. Its quota holds for each customer over all gateways together; a zero means no such limit.
+/// A customer's plan. Its quota holds for each customer over all gateways together; a zero means no such
+/// limit.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// Refill rate of the quota's token bucket, in units per second.
@@ -95,7 +96,8 @@
     pub counter_timeout: Span,
     /// Whether the endpoint list must be subscribed to.
     pub must_subscribe: bool,
-    /// Time without a watch event or a poll after which changes of the endpoint list count as notified all the same.
+    /// Time without a watch event or a poll after which changes of the endpoint list count as notified all
+    /// the same.
     pub must_poll_within: Span,
     /// Fraction of its capacity with which a host starts, at the least.
     pub cold_capacity: f64,
--- a/crates/policy/src/class.rs
+++ b/crates/policy/src/class.rs
@@ -1,4 +1,5 @@
-//! What is kept of one class: its slots and who waits for them, how long they waited, and how its attempts fare.
+//! What is kept of one class: its slots and who waits for them, how long they waited, and how its attempts
+//! fare.
 
 use crate::api::{AttemptEnded, Outcome};
 use crate::host::Host;
@@ -27,15 +28,17 @@
     pub failing: f64,     // share of its latest attempts that failed
 }
 
-/// Of all attempts so many get no answer, as far as nothing is known; and how many attempts that is worth, of a class
-/// and of a host.
+/// Of all attempts so many get no answer, as far as nothing is known; and how many attempts that is worth, of
+/// a class and of a host.
 const UNHEARD: f64 = 0.005;
 const THIN: (f64, f64) = (50.0, 60.0);
-/// Of hanging attempts none is held for lost, as far as nothing is known; and how many attempts that is worth.
+/// Of hanging attempts none is held for lost, as far as nothing is known; and how many attempts that is
+/// worth.
 const HUNG: (f64, f64) = (0.0, 6.0);
 
 impl ClassState {
-    /// How many times slower a host is than usual, at least once, and the share of attempts that it does not answer.
+    /// How many times slower a host is than usual, at least once, and the share of attempts that it does not
+    /// answer.
     pub fn silence(&self, host: Option<&Host>) -> (f64, f64) {
         let usual = self.silence.share(UNHEARD, THIN.0);
         let known = host.map(|s| ((1.0 + s.slower).max(1.0), s.silence.share(usual, THIN.1)));
@@ -48,7 +51,8 @@
         let never = match end.outcome {
             Outcome::Ok => 0.0,
             Outcome::Timeout => 1.0,
-            // One that breaks after a long silence was one; a spoilt answer, or one torn off, came in its time.
+            // One that breaks after a long silence was one; a spoilt answer, or one torn off, came in its
+            // time.
             Outcome::ConnectionReset => f64::from(u8::from(hung)),
             // One that was given up for another's answer is taken for what others like it turned out to be.
             Outcome::Cancelled if hung => self.hung.share(HUNG.0, HUNG.1),
--- a/crates/policy/src/counting.rs
+++ b/crates/policy/src/counting.rs
@@ -1,5 +1,6 @@
-//! What the shared counter tells, and what it is told: answers to calls, beats, what was lent while it was away, and
-//! what a fresh one has forgotten. Evidence and recovery; who is let in is decided in `src/quotas.rs`.
+//! What the shared counter tells, and what it is told: answers to calls, beats, what was lent while it was
+//! away, and what a fresh one has forgotten. Evidence and recovery; who is let in is decided in
+//! `src/quotas.rs`.
 
 use crate::account::Account;
 use crate::api::*;
@@ -159,7 +160,8 @@
 }
 
 impl Account {
-    /// The customer asks for these units, whatever becomes of that; `usual`, `since` as for [`quota::Ration::asked`].
+    /// The customer asks for these units, whatever becomes of that; `usual`, `since` as for
+    /// [`quota::Ration::asked`].
     pub fn ask(&mut self, now: Time, units: f64, usual: f64, since: Time) {
         match &mut self.ration {
             Some(ration) => ration.asked(now, units, usual, since),
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -45,8 +45,8 @@
 }
 
 impl Customer {
-    /// One that is met now, with its first request. `lot` is drawn for each store from 0 to the units of that, so
-    /// that gateways do not all begin alike.
+    /// One that is met now, with its first request. `lot` is drawn for each store from 0 to the units of
+    /// that, so that gateways do not all begin alike.
     pub fn met(now: Time, house: &House, plan: usize, set: Set, mut lot: impl FnMut() -> f64) -> Customer {
         let House { alone, epoch, .. } = *house;
         let mut customer = Customer { plan, set, alone, epoch, ..Customer::default() };
@@ -131,8 +131,8 @@
         Rest::of(&self.store, &self.adder, ration).filter(|_| self.late.is_none())
     }
 
-    /// This one, which is new, goes on where one came to rest. One that is rationed now and was not then, or the
-    /// other way round, stays new.
+    /// This one, which is new, goes on where one came to rest. One that is rationed now and was not then, or
+    /// the other way round, stays new.
     fn wake(&mut self, rest: &Rest) {
         if rest.is_rationed() != self.thin {
             return;
--- a/crates/policy/src/customers.rs
+++ b/crates/policy/src/customers.rs
@@ -1,11 +1,11 @@
-//! All customers that this gateway knows: found by their number, kept small while they come seldom, forgotten when
-//! they have not asked for long, and never more than there is room for.
+//! All customers that this gateway knows: found by their number, kept small while they come seldom, forgotten
+//! when they have not asked for long, and never more than there is room for.
 //!
-//! Room is counted in bytes. Where a customer that asks needs more than is left, it is made in this order, each time
-//! from those that have been silent for longest: of those that asked once, full ones become small; small ones are
-//! forgotten; of those that came again, full ones that have not asked since they were looked at last become small;
-//! and these are forgotten. Nobody of whom something is in hand, or owed to the counter, or whose ceiling
-//! has yet to fill, is touched.
+//! Room is counted in bytes. Where a customer that asks needs more than is left, it is made in this order,
+//! each time from those that have been silent for longest: of those that asked once, full ones become small;
+//! small ones are forgotten; of those that came again, full ones that have not asked since they were looked
+//! at last become small; and these are forgotten. Nobody of whom something is in hand, or owed to the
+//! counter, or whose ceiling has yet to fill, is touched.
 
 use crate::api::{CustomerId, Plan, RequestId, Settings, Span, Time};
 use crate::customer::{Customer, Small as Form};
@@ -34,8 +34,8 @@
 pub(crate) const SMALL_BYTES: usize = Slab::<Slot>::bytes() + INDEX;
 pub(crate) const FULL_BYTES: usize = size_of::<Customer>() + BESIDE;
 
-/// Customers that may be known at once within so many bytes: if all of them are in full, and if as many as may be
-/// are small.
+/// Customers that may be known at once within so many bytes: if all of them are in full, and if as many as
+/// may be are small.
 pub fn customers_within(bytes: usize) -> (usize, usize) {
     let full = SMALL_BYTES + FULL_BYTES;
     (bytes / full, (bytes / IN_SMALL.1 * IN_SMALL.0 / SMALL_BYTES).max(bytes / full))
@@ -77,8 +77,8 @@
 /// Where a customer's place stands until it is looked at next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stands {
-    /// Full, and has asked once; or has come again. It may be small by now, or the other way round, and is found out
-    /// to be so when it is looked at.
+    /// Full, and has asked once; or has come again. It may be small by now, or the other way round, and is
+    /// found out to be so when it is looked at.
     Once,
     Known,
     /// Small, and has asked once; or has come again.
@@ -202,7 +202,8 @@
         }
     }
 
-    /// A customer that asks now, in its full form; one that is new gets that from `new`. `None`: there is no room.
+    /// A customer that asks now, in its full form; one that is new gets that from `new`. `None`: there is no
+    /// room.
     pub fn meet(
         &mut self,
         now: Time,
@@ -264,8 +265,9 @@
         self.slots.take_back(place, nobody);
     }
 
-    /// Looks at one that has left its line. If it is idle and has not asked since then, it is forgotten; where that is
-    /// for want of room and there is a small form of it, it gets that instead. Others are looked at again later.
+    /// Looks at one that has left its line. If it is idle and has not asked since then, it is forgotten;
+    /// where that is for want of room and there is a small form of it, it gets that instead. Others are
+    /// looked at again later.
     fn look_at(&mut self, now: Time, place: u32, silent_since: Time, is_short: bool) {
         let born = self.born;
         let Some(slot) = self.slots.get_mut(place) else { return };
@@ -298,7 +300,8 @@
     /// Whether there is room for so many bytes more, or could be made.
     fn make_room(&mut self, now: Time, bytes: usize) -> bool {
         let fits = |all: &Customers| all.bytes().saturating_add(bytes) <= all.most;
-        // Small ones leave room for those that have something in hand: else each of these had to wait for another.
+        // Small ones leave room for those that have something in hand: else each of these had to wait for
+        // another.
         let is_narrow = self.count * SMALL_BYTES > self.most / IN_SMALL.1 * IN_SMALL.0;
         let first = Some(SmallOnce).filter(|_| is_narrow);
         for stands in first.into_iter().chain(Stands::ORDER) {
@@ -320,8 +323,8 @@
         fits(self)
     }
 
-    /// Forgets those that have been silent for long, some at a time. How many were looked at, and when to look again,
-    /// if there are any left.
+    /// Forgets those that have been silent for long, some at a time. How many were looked at, and when to
+    /// look again, if there are any left.
     pub fn age(&mut self, now: Time) -> (u64, Option<Time>) {
         let mut looked = 0;
         let due = |all: &Customers, stands: Stands| {
@@ -339,8 +342,8 @@
         (looked, Stands::ORDER.into_iter().filter_map(|stands| due(self, stands)).min())
     }
 
-    /// The customer in a place, if there is one, and the next place; `None`: there are no more. One that is small is
-    /// given only if it has added to its number on the counter in this epoch, and there is room.
+    /// The customer in a place, if there is one, and the next place; `None`: there are no more. One that is
+    /// small is given only if it has added to its number on the counter in this epoch, and there is room.
     pub fn place(
         &mut self,
         now: Time,
@@ -356,7 +359,8 @@
         (wanted.and_then(|id| Some((id, self.wake(now, place as u32)?))), next)
     }
 
-    /// All that are in their full form, for what changes for all. What is small finds out when it is made full.
+    /// All that are in their full form, for what changes for all. What is small finds out when it is made
+    /// full.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Customer> {
         self.slots.iter_mut().filter_map(|slot| match &mut slot.kept {
             Kept::Full(customer) => Some(customer.as_mut()),
--- a/crates/policy/src/due.rs
+++ b/crates/policy/src/due.rs
@@ -1,5 +1,5 @@
-//! What falls due: kept by steps of time, so that what falls due together costs one wake-up, and nothing is gone
-//! through that is not due.
+//! What falls due: kept by steps of time, so that what falls due together costs one wake-up, and nothing is
+//! gone through that is not due.
 
 use crate::api::{Span, Time};
 use std::collections::BTreeMap;
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,4 +1,5 @@
-//! All hosts, and lists of those that take work: by pool and by cell, so that a choice looks at the right ones only.
+//! All hosts, and lists of those that take work: by pool and by cell, so that a choice looks at the right
+//! ones only.
 
 use crate::api::{HostEntry, HostId};
 use crate::host::Host;
@@ -99,8 +100,8 @@
         self.warm += 1;
     }
 
-    /// Makes the lists anew: for each list of discovery, not for each request. Gives those that take no work any
-    /// more, each once.
+    /// Makes the lists anew: for each list of discovery, not for each request. Gives those that take no work
+    /// any more, each once.
     pub fn sort(&mut self, me: u32, gateways: u32) -> Vec<HostId> {
         let mut ready: Vec<&Host> = self.by_id.values().filter(|host| host.is_ready()).collect();
         ready.sort_unstable_by_key(|host| host.entry.id);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! const SECOND: Span = 1_000_000_000;
 //!
-//! let class = Class { latency_objective: SECOND / 2, deadline: 2 * SECOND, priority_weight: 1.0, ..Class::default() };
+//! let class = Class { latency_objective: SECOND / 2, deadline: 2 * SECOND, ..Class::default() };
 //! let settings = Settings { classes: vec![class], plans: vec![Plan::default()], ..Settings::default() };
 //! let mut policy = Policy::new(settings, 7);
 //! let mut actions = Vec::new();
--- a/crates/policy/src/names.rs
+++ b/crates/policy/src/names.rs
@@ -13,7 +13,8 @@
 /// Place of the number that tells what was lent in the dark.
 pub(crate) const LATE: usize = usize::MAX;
 
-/// Place of the numbers to which a rationed customer's gateways add what they are asked for, one for each window.
+/// Place of the numbers to which a rationed customer's gateways add what they are asked for, one for each
+/// window.
 pub(crate) const ASKED: usize = usize::MAX - 1;
 
 /// The number of one of a customer's stores, by its place, in an epoch.
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -6,7 +6,8 @@
 use hedging::Left;
 use smallvec::SmallVec;
 
-/// Time that the last bytes of a further attempt have to reach its host, at the least; of a long window a tenth.
+/// Time that the last bytes of a further attempt have to reach its host, at the least; of a long window a
+/// tenth.
 const WAY: Span = 100 * MS;
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
@@ -69,8 +70,9 @@
     pub fn ran(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.harmless)
     }
-    /// By when the last byte of another attempt has to be written: hosts drop repeats of a keyed request for a window,
-    /// which begins with the first attempt that may have run, and the bytes take a moment to arrive.
+    /// By when the last byte of another attempt has to be written: hosts drop repeats of a keyed request for
+    /// a window, which begins with the first attempt that may have run, and the bytes take a moment to
+    /// arrive.
     pub fn write_by(&self, effect: Idempotency) -> Time {
         match (effect, self.ran()) {
             (Idempotency::WithKey(_, window), Some(first)) => {
--- a/crates/policy/src/pools.rs
+++ b/crates/policy/src/pools.rs
@@ -1,5 +1,5 @@
-//! Where requests may go: which pools have hosts that take work, the slots of each pool, the limits of routes,
-//! and the requests that wait, in a line for each route so that a full pool holds up no other.
+//! Where requests may go: which pools have hosts that take work, the slots of each pool, the limits of
+//! routes, and the requests that wait, in a line for each route so that a full pool holds up no other.
 
 use crate::api::{HostEntry, HostState, RequestId, Route, RouteLimit};
 use crate::strain::Strain;
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,10 +1,11 @@
 //! How many attempts may be out at a host at once: learnt from what it answers.
 //!
-//! Each host begins with [`LEAST`] slots, for all gateways together, and never gets less. Where its answers take no
-//! longer while all of this gateway's part of them are in use than while few are, and more are wanted, it gets more;
-//! where they take longer, or it turns attempts away, fewer. Where it was never seen calm, more are tried: if its
-//! answers then take longer by half of what was added, it carries no more than before, and it is left in peace for a
-//! while. Nothing is done before chance is ruled out: answers of very different lengths take many more of them.
+//! Each host begins with [`LEAST`] slots, for all gateways together, and never gets less. Where its answers
+//! take no longer while all of this gateway's part of them are in use than while few are, and more are
+//! wanted, it gets more; where they take longer, or it turns attempts away, fewer. Where it was never seen
+//! calm, more are tried: if its answers then take longer by half of what was added, it carries no more than
+//! before, and it is left in peace for a while. Nothing is done before chance is ruled out: answers of very
+//! different lengths take many more of them.
 
 use crate::api::{Span, Time};
 use crate::policy::Policy;
@@ -16,14 +17,15 @@
 /// Shares of our part of the slots in use, at the sending, at which a host is calm, and at which it is busy.
 const CALM: f64 = 0.5;
 const BUSY: f64 = 0.9;
-/// Logarithms of how much longer answers may take while it is busy: up to the first it carries them with ease,
-/// from the second on it is strained.
+/// Logarithms of how much longer answers may take while it is busy: up to the first it carries them with
+/// ease, from the second on it is strained.
 const EASE: f64 = 0.14;
 const STRAIN: f64 = 0.4;
 /// In a period slots grow or shrink by these.
 const GROWS: f64 = 1.25;
 const SHRINKS: f64 = 0.8;
-/// How much longer answers may take after slots have grown, if they are to stay: half of the growth, as a logarithm.
+/// How much longer answers may take after slots have grown, if they are to stay: half of the growth, as a
+/// logarithm.
 const KEPT: f64 = 0.11;
 /// A host that carries no more is left in peace for this long.
 const PEACE: Span = 60_000_000_000;
@@ -101,8 +103,8 @@
 }
 
 impl Room {
-    /// An answer came, so long (a logarithm) against what its class usually takes; `used`: the share of our part of
-    /// the slots that was in use when it was sent.
+    /// An answer came, so long (a logarithm) against what its class usually takes; `used`: the share of our
+    /// part of the slots that was in use when it was sent.
     pub fn answered(&mut self, sent: Time, used: f64, longer: f64) {
         if used <= CALM {
             self.calm.take(longer);
@@ -187,8 +189,8 @@
 pub(crate) struct Usual(Mean);
 
 impl Usual {
-    /// An answer took so long; gives by how much longer than usual that is. Until calm hosts have answered, usual is
-    /// what the class takes anyhow.
+    /// An answer took so long; gives by how much longer than usual that is. Until calm hosts have answered,
+    /// usual is what the class takes anyhow.
     pub fn answered(&mut self, took: Span, used: f64) -> f64 {
         let took = libm::log((took as f64 / 1e9).max(1e-6));
         if used <= CALM || self.0.known().is_none() {
--- a/crates/policy/src/slab.rs
+++ b/crates/policy/src/slab.rs
@@ -1,5 +1,5 @@
-//! Places for records, given again when free, in chunks: so that growth copies nothing and costs no pause. Each place
-//! stands in one line at the most, in the order in which it was put there.
+//! Places for records, given again when free, in chunks: so that growth copies nothing and costs no pause.
+//! Each place stands in one line at the most, in the order in which it was put there.
 
 /// Places in a chunk.
 const CHUNK: usize = 1024;
--- a/crates/policy/src/strain.rs
+++ b/crates/policy/src/strain.rs
@@ -1,10 +1,11 @@
 //! How many slots one of many gateways may use: learnt from how much longer answers take than at ease.
 //!
-//! All gateways divide the slots of the hosts evenly, for nobody tells them more. In a small fleet that part is well
-//! above ordinary use. In a large one it is two or three slots, traffic is uneven, and a busy gateway turns requests
-//! away before idle hosts. So where the part is small, a gateway may use some times its part, up to a few slots, while
-//! answers come as quickly as they do at ease; where they take longer, the hosts have work enough from all gateways
-//! together, and each goes back towards its part. All see the same hosts, so all turn at about the same time.
+//! All gateways divide the slots of the hosts evenly, for nobody tells them more. In a small fleet that part
+//! is well above ordinary use. In a large one it is two or three slots, traffic is uneven, and a busy gateway
+//! turns requests away before idle hosts. So where the part is small, a gateway may use some times its part,
+//! up to a few slots, while answers come as quickly as they do at ease; where they take longer, the hosts
+//! have work enough from all gateways together, and each goes back towards its part. All see the same hosts,
+//! so all turn at about the same time.
 
 /// Times its part that a gateway may use: so much for each gateway there is, and the most.
 const STRETCH: (f64, f64) = (0.1, 4.0);
--- a/crates/policy/src/tests/world.rs
+++ b/crates/policy/src/tests/world.rs
@@ -1,5 +1,6 @@
-//! One module under random legal events, and a gateway in its smallest form that carries out what the module wants.
-//! After each event the five rules are checked, and what the module keeps is held against what there is.
+//! One module under random legal events, and a gateway in its smallest form that carries out what the module
+//! wants. After each event the five rules are checked, and what the module keeps is held against what there
+//! is.
 
 use crate::api::*;
 use crate::due::STEP;
@@ -76,7 +77,8 @@
     Stop {
         ms: u16,
     },
-    /// Time goes on up to a moment that matters, or a nanosecond to either side; what is due then has not come yet.
+    /// Time goes on up to a moment that matters, or a nanosecond to either side; what is due then has not
+    /// come yet.
     Meet {
         pick: usize,
         moment: usize,
@@ -385,7 +387,8 @@
             Action::Fail { id, .. } => self.give_up(id, false),
             Action::AddToCounter { key: name, amount, .. } => {
                 assert!(self.given.settings.has_counter && amount.is_finite() && amount.abs() < 1e9);
-                // A pulse goes on while the answer to the one before is late: what it tells is read, not added up.
+                // A pulse goes on while the answer to the one before is late: what it tells is read, not
+                // added up.
                 let is_pulse = self.policy.names.get(&name).is_some_and(|(customer, ..)| *customer == ALL);
                 let is_first = self.calls.iter().all(|call| call.name != name);
                 assert!(
@@ -446,8 +449,8 @@
         }
     }
 
-    /// What is let in takes its units from the ceiling, and gives them back where it ends without an attempt that
-    /// came whole to a host. That an attempt follows a little later is what the slack is for.
+    /// What is let in takes its units from the ceiling, and gives them back where it ends without an attempt
+    /// that came whole to a host. That an attempt follows a little later is what the slack is for.
     fn count_units(&mut self, actions: &[Action]) {
         for action in actions {
             if let Action::Reject { id, .. } | Action::Fail { id, .. } = action {
