--- a/crates/api-gateway/src/plan/mod.rs
+++ b/crates/api-gateway/src/plan/mod.rs
@@ -9,8 +9,8 @@
 use config_language::model::Operators;
 use config_language::{Diagnostic, Dimension};
 use gateway::Site;
-use site_failover::fit::{outcome, Fit, Loss, Mix, Outcome, Refusal};
-use site_failover::{Facts, Plan, PlanError, SiteSet, Told};
+use site_failover::capacity_check::{outcome, LoadFit, LossOutcome, LossScenario, TierShedding, TrafficMix};
+use site_failover::{FailoverPlan, OperatorOverride, PlanError, PlatformNames, SiteSet};
 use std::ffi::OsString;
 use std::process::ExitCode;
 
@@ -45,13 +45,16 @@
 ///
 /// # Errors
 /// As [`Plan::compile`].
-pub fn compile(operators: &Operators, site: &Site) -> Result<Plan, PlanError> {
-    Plan::compile(operators, &Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones })
+pub fn compile(operators: &Operators, site: &Site) -> Result<FailoverPlan, PlanError> {
+    FailoverPlan::compile(
+        operators,
+        &PlatformNames { classes: &site.classes, plans: &site.plans, zones: &site.zones },
+    )
 }
 
 /// Warnings of a plan that does not carry the loss of some one site, and of figures that it lacks. A plan that says
 /// no figures is none that could be reckoned with.
-pub fn warnings(said: &Operators, plan: &Plan) -> Vec<Diagnostic> {
+pub fn warnings(said: &Operators, plan: &FailoverPlan) -> Vec<Diagnostic> {
     let place = |number: usize| operators::place(&said.sites[number].name.origin);
     if !plan.sites.iter().any(|site| site.capacity.is_some() || site.load.is_some()) {
         return Vec::new();
@@ -61,10 +64,10 @@
         let reason = format!("whether a loss is carried is not known: site \"{name}\" lacks `{key}`");
         return vec![Diagnostic::warning("loss-unknown", &place(number), reason)];
     }
-    let (told, mix) = (told_lost(plan), Mix::even(&plan.ladder));
+    let (told, mix) = (told_lost(plan), TrafficMix::even(&plan.ladder));
     let open = (0..plan.sites.len()).filter(|site| !told.has(*site));
     let warnings = open.filter_map(|number| match outcome(plan, told.with(number), &mix) {
-        Outcome::Known(fit) if !fit.is_carried() => {
+        LossOutcome::Computed(fit) if !fit.is_carried() => {
             let reason = format!(
                 "the loss of site \"{}\" is not carried: {}",
                 plan.sites[number].name,
@@ -81,7 +84,7 @@
 const REFUSALS: &str = "with as many requests of each class and plan; `api-gateway plan show` tells more";
 
 /// The first site that lacks a figure, and which.
-fn lacking(plan: &Plan) -> Option<(usize, &'static str)> {
+fn lacking(plan: &FailoverPlan) -> Option<(usize, &'static str)> {
     plan.sites.iter().enumerate().find_map(|(number, site)| match (site.capacity, site.load) {
         (None, _) => Some((number, "capacity")),
         (_, None) => Some((number, "load")),
@@ -90,13 +93,13 @@
 }
 
 /// The sites that are told lost.
-fn told_lost(plan: &Plan) -> SiteSet {
-    let told = plan.sites.iter().enumerate().filter(|(_, site)| site.told == Some(Told::Lost));
+fn told_lost(plan: &FailoverPlan) -> SiteSet {
+    let told = plan.sites.iter().enumerate().filter(|(_, site)| site.told == Some(OperatorOverride::Lost));
     told.fold(SiteSet::NONE, |set, (number, _)| set.with(number))
 }
 
 /// What is refused, and how much of it.
-fn in_a_line(plan: &Plan, fit: &Fit) -> String {
+fn in_a_line(plan: &FailoverPlan, fit: &LoadFit) -> String {
     let narrowest = &fit.left[fit.narrowest];
     format!(
         "{} of {} ({}) are refused ({}): site \"{}\" is asked for {} and has room for {}",
@@ -111,8 +114,8 @@
 }
 
 /// "shed `reads` 400 of 500", "beyond the sheds 100".
-fn refusals(plan: &Plan, fit: &Fit) -> Vec<String> {
-    let rung = |rung: &Refusal| {
+fn refusals(plan: &FailoverPlan, fit: &LoadFit) -> Vec<String> {
+    let rung = |rung: &TierShedding| {
         let name = &plan.ladder.rungs[rung.rung].name;
         format!("shed `{name}` {} of {}", amount(rung.refused), amount(rung.asked))
     };
@@ -147,7 +150,7 @@
 }
 
 /// The names of the sites that are lost.
-fn names(plan: &Plan, loss: &Loss) -> Vec<String> {
+fn names(plan: &FailoverPlan, loss: &LossScenario) -> Vec<String> {
     let lost = plan.sites.iter().enumerate().filter(|(number, _)| loss.lost.has(*number));
     lost.map(|(_, site)| site.name.clone()).collect()
 }
--- a/crates/api-gateway/src/plan/show.rs
+++ b/crates/api-gateway/src/plan/show.rs
@@ -10,8 +10,8 @@
 use config_language::Dimension;
 use gateway::Site;
 use serde_json::{json, Value};
-use site_failover::fit::{losses, Fit, Loss, Mix, Outcome};
-use site_failover::{Plan, Told};
+use site_failover::capacity_check::{losses, LoadFit, LossOutcome, LossScenario, TrafficMix};
+use site_failover::{FailoverPlan, OperatorOverride};
 use std::path::PathBuf;
 
 /// The words of `plan show`.
@@ -48,7 +48,7 @@
     let plan = compile(&set.operators, &site)?;
     let mix = match &words.mix {
         Some(weights) => weighed(weights, &site).with_context(|| format!("--mix {}", one_line(weights)))?,
-        None => Mix::even(&plan.ladder),
+        None => TrafficMix::even(&plan.ladder),
     };
     let losses = losses(&plan, &mix);
     if words.json {
@@ -60,7 +60,7 @@
 }
 
 /// Weights by class and plan; those that are not named have none.
-fn weighed(weights: &str, site: &Site) -> Result<Mix> {
+fn weighed(weights: &str, site: &Site) -> Result<TrafficMix> {
     let plans = site.plans.len();
     let mut by_cell = vec![0.0; site.classes.len() * plans];
     for part in weights.split(',') {
@@ -75,10 +75,10 @@
         by_cell[class * plans + plan] = weight;
     }
     anyhow::ensure!(by_cell.iter().any(|weight| *weight > 0.0), "nothing weighs anything");
-    Ok(Mix::of(by_cell))
+    Ok(TrafficMix::of(by_cell))
 }
 
-fn text(words: &Words, plan: &Plan, losses: &[Loss], site: &Site) -> String {
+fn text(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], site: &Site) -> String {
     if plan.sites.is_empty() {
         return format!("{}: no site, so nothing is planned for the loss of one\n", path_text(&words.file));
     }
@@ -94,7 +94,7 @@
     )
 }
 
-fn sites(plan: &Plan, platform: &Site) -> String {
+fn sites(plan: &FailoverPlan, platform: &Site) -> String {
     let mut table = Table::new(
         &["site", "zones", "capacity", "load", "headroom", "ramp", "told", "who takes over"],
         &[2, 3, 4, 5],
@@ -116,16 +116,17 @@
     table.text()
 }
 
-fn told(told: Option<Told>) -> Option<&'static str> {
+fn told(told: Option<OperatorOverride>) -> Option<&'static str> {
     told.map(|told| match told {
-        Told::Lost => "lost",
-        Told::Whole => "whole",
+        OperatorOverride::Lost => "lost",
+        OperatorOverride::Healthy => "whole",
     })
 }
 
-fn takers(plan: &Plan, site: &site_failover::Site) -> String {
-    let name =
-        |taker: &site_failover::Taker| format!("{} {}", plan.sites[taker.site].name, percent(taker.share));
+fn takers(plan: &FailoverPlan, site: &site_failover::Site) -> String {
+    let name = |taker: &site_failover::FailoverTarget| {
+        format!("{} {}", plan.sites[taker.site].name, percent(taker.share))
+    };
     let mut parts: Vec<String> = site.takers.iter().map(name).collect();
     let open = 1.0 - site.takers.iter().map(|taker| taker.share).sum::<f64>();
     if open > 1e-9 {
@@ -134,7 +135,7 @@
     parts.join(", ")
 }
 
-fn sheds(plan: &Plan, platform: &Site) -> String {
+fn sheds(plan: &FailoverPlan, platform: &Site) -> String {
     if plan.ladder.rungs.is_empty() {
         return "nothing is named: what does not fit is refused by worth alone\n".into();
     }
@@ -152,23 +153,23 @@
 }
 
 /// `CLASS/PLAN`.
-fn cell_name(plan: &Plan, platform: &Site, cell: usize) -> String {
+fn cell_name(plan: &FailoverPlan, platform: &Site, cell: usize) -> String {
     let plans = plan.ladder.plans;
     let name =
         |names: &[String], number: usize| names.get(number).map_or_else(String::new, |name| one_line(name));
     format!("{}/{}", name(&platform.classes, cell / plans), name(&platform.plans, cell % plans))
 }
 
-fn outcomes(plan: &Plan, losses: &[Loss]) -> String {
+fn outcomes(plan: &FailoverPlan, losses: &[LossScenario]) -> String {
     let mut table = Table::new(&["lost", "carried", "refused", "fullest site", "what is refused"], &[2]);
     for loss in losses {
         let mut what = match &loss.outcome {
-            Outcome::Known(fit) => what_is_refused(plan, fit),
-            Outcome::Unknown(sites) => {
+            LossOutcome::Computed(fit) => what_is_refused(plan, fit),
+            LossOutcome::MissingFigures(sites) => {
                 let lacking: Vec<&str> = sites.iter().map(|site| plan.sites[*site].name.as_str()).collect();
                 vec![format!("`capacity` and `load` are not both known of {}", lacking.join(", "))]
             }
-            Outcome::NobodyLeft => vec!["no site is left".into()],
+            LossOutcome::NoSiteLeft => vec!["no site is left".into()],
         }
         .into_iter();
         let mut row = vec![names(plan, loss).join(" and ")];
@@ -184,11 +185,11 @@
 }
 
 /// Whether it is carried, what is refused if not, and the site that is fullest.
-fn verdict(plan: &Plan, outcome: &Outcome) -> [String; 3] {
+fn verdict(plan: &FailoverPlan, outcome: &LossOutcome) -> [String; 3] {
     let fit = match outcome {
-        Outcome::Known(fit) => fit,
-        Outcome::Unknown(_) => return ["?", "?", ""].map(str::to_owned),
-        Outcome::NobodyLeft => return ["no", "all", ""].map(str::to_owned),
+        LossOutcome::Computed(fit) => fit,
+        LossOutcome::MissingFigures(_) => return ["?", "?", ""].map(str::to_owned),
+        LossOutcome::NoSiteLeft => return ["no", "all", ""].map(str::to_owned),
     };
     let fullest = &fit.left[fit.narrowest];
     let asked = amount(fullest.own + fullest.taken);
@@ -199,7 +200,7 @@
     ["no".into(), format!("{} ({})", amount(fit.refused), percent(fit.share_refused())), fullest]
 }
 
-fn what_is_refused(plan: &Plan, fit: &Fit) -> Vec<String> {
+fn what_is_refused(plan: &FailoverPlan, fit: &LoadFit) -> Vec<String> {
     let mut what = refusals(plan, fit);
     let floors: Vec<&str> = fit.floors_at_risk(&plan.ladder).map(|rung| rung.name.as_str()).collect();
     if !floors.is_empty() {
@@ -208,7 +209,7 @@
     what
 }
 
-fn document(words: &Words, plan: &Plan, losses: &[Loss], platform: &Site) -> Value {
+fn document(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], platform: &Site) -> Value {
     let name = |number: usize| plan.sites[number].name.as_str();
     let site = |site: &site_failover::Site| {
         let zones: Vec<&String> =
@@ -225,7 +226,7 @@
             "takers": takers.collect::<Vec<_>>(),
         })
     };
-    let shed = |rung: &site_failover::Rung| {
+    let shed = |rung: &site_failover::SheddingTier| {
         let cells: Vec<String> = rung.cells.iter().map(|cell| cell_name(plan, platform, *cell)).collect();
         json!({"name": rung.name, "floor": rung.floor, "requests": cells})
     };
@@ -238,16 +239,16 @@
     })
 }
 
-fn loss_document(plan: &Plan, loss: &Loss) -> Value {
+fn loss_document(plan: &FailoverPlan, loss: &LossScenario) -> Value {
     let name = |number: usize| plan.sites[number].name.as_str();
     let lost = names(plan, loss);
     let fit = match &loss.outcome {
-        Outcome::NobodyLeft => return json!({"lost": lost, "verdict": "nobody-left"}),
-        Outcome::Unknown(sites) => {
+        LossOutcome::NoSiteLeft => return json!({"lost": lost, "verdict": "nobody-left"}),
+        LossOutcome::MissingFigures(sites) => {
             let lacking: Vec<&str> = sites.iter().map(|site| name(*site)).collect();
             return json!({"lost": lost, "verdict": "unknown", "lacking": lacking});
         }
-        Outcome::Known(fit) => fit,
+        LossOutcome::Computed(fit) => fit,
     };
     let left = fit.left.iter().map(|placed| {
         json!({"site": name(placed.site), "own": placed.own, "taken": placed.taken, "room": placed.room})
--- a/crates/cluster-emulator/src/plan.rs
+++ b/crates/cluster-emulator/src/plan.rs
@@ -5,7 +5,7 @@
 use config_language::{load, loader::Fs, Severity};
 use gateway::{check_operators, Config, Site};
 use policy::api::{Idempotency, Span, Time};
-use site_failover::{Facts, Plan};
+use site_failover::{FailoverPlan, PlatformNames};
 use site_failover_model::{play, Back, Down, Figures, Loss, Setting};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -55,8 +55,8 @@
     };
     check_operators(&config.site, &set.operators)?;
     let site = &config.site;
-    let facts = Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones };
-    let plan = Plan::compile(&set.operators, &facts)?;
+    let facts = PlatformNames { classes: &site.classes, plans: &site.plans, zones: &site.zones };
+    let plan = FailoverPlan::compile(&set.operators, &facts)?;
     ensure!(!plan.sites.is_empty(), "{}: there is no site in it", words.file.display());
     let setting = setting(site, plan.clone()).with_context(|| {
         format!("{}: each site needs a `capacity` and a `load` to be played", words.file.display())
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-fn setting(site: &Site, plan: Plan) -> Option<Setting> {
+fn setting(site: &Site, plan: FailoverPlan) -> Option<Setting> {
     let (classes, plans) = (&site.settings.classes, site.settings.plans.len());
     let cells = classes.len() * plans;
     let once =
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -25,7 +25,7 @@
 use quota::CounterReport;
 use runtime::{Env, Sleep};
 use rustc_hash::FxHashMap;
-use site_failover::Turn;
+use site_failover::FailoverUpdate;
 use std::collections::{HashSet, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
@@ -489,7 +489,7 @@
 
     /// Carries out what is to be done about sites. What waits for a connection to a host that is withheld now is not
     /// sent any more.
-    fn turn_sites(&mut self, turn: Turn) {
+    fn turn_sites(&mut self, turn: FailoverUpdate) {
         turn.said.iter().for_each(|said| tracing::info!("{said}"));
         if !turn.hosts.is_empty() {
             let mut entries = self.hosts.entries();
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -24,7 +24,7 @@
     /// What the platform grants, tightened by the operators.
     plans: Vec<Plan>,
     /// What to do when a whole site is lost.
-    sites: site_failover::Plan,
+    sites: site_failover::FailoverPlan,
     /// Numbers of the routes, by place. One that is there by its name in the next version keeps its number, so
     /// that its limit counts what is out of both.
     numbers: Vec<u32>,
@@ -39,7 +39,7 @@
     /// The first version.
     pub fn new(site: Arc<Site>, operators: &Operators) -> Result<Routing, Unusable> {
         let plans = site.settings.plans.clone();
-        let sites = site_failover::Plan::default();
+        let sites = site_failover::FailoverPlan::default();
         let routes = Routes::default();
         let numbers = Vec::new();
         let mut routing =
@@ -55,8 +55,8 @@
             Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones, machines: &site.kinds };
         let plans = plans(site, operators)?;
         let facts_of_sites =
-            site_failover::Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones };
-        let sites = site_failover::Plan::compile(operators, &facts_of_sites)?;
+            site_failover::PlatformNames { classes: &site.classes, plans: &site.plans, zones: &site.zones };
+        let sites = site_failover::FailoverPlan::compile(operators, &facts_of_sites)?;
         let routes = Routes::compile_after(&self.routes, self.in_use(), operators, &facts)?;
         self.number(&routes);
         self.plans = plans;
@@ -93,7 +93,7 @@
     }
 
     /// What to do when a whole site is lost.
-    pub fn sites(&self) -> &site_failover::Plan {
+    pub fn sites(&self) -> &site_failover::FailoverPlan {
         &self.sites
     }
 
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -5,11 +5,11 @@
 use policy::api::{
     AttemptEnded, HostEntry, HostListKind, HostState, RejectReason, Request, RequestId, Settings, Time,
 };
-use site_failover::{Fleet, Plan, SiteSet, Sites, Turn};
+use site_failover::{FailoverController, FailoverPlan, FailoverUpdate, GatewayIdentity, SiteSet};
 
 /// The sites of this gateway.
 pub(crate) struct Watch {
-    sites: Sites,
+    sites: FailoverController,
     /// Classes and plans that the platform has.
     cells: (usize, usize),
     /// What of requests is let in, as it was said last.
@@ -20,9 +20,9 @@
 
 impl Watch {
     /// All is held for whole.
-    pub fn new(plan: &Plan, settings: &Settings, seed: u64, now: Time) -> Watch {
+    pub fn new(plan: &FailoverPlan, settings: &Settings, seed: u64, now: Time) -> Watch {
         let Settings { gateways, gateway_index: me, zone, .. } = *settings;
-        let sites = Sites::new(plan.clone(), Fleet { gateways, me, zone }, seed, now);
+        let sites = FailoverController::new(plan.clone(), GatewayIdentity { gateways, me, zone }, seed, now);
         let cells = (settings.classes.len(), settings.plans.len());
         Watch { sites, cells, keep: Vec::new(), armed: Time::MAX }
     }
@@ -33,7 +33,7 @@
     }
 
     /// Another version of the plan.
-    pub fn turn(&mut self, plan: &Plan, now: Time) {
+    pub fn turn(&mut self, plan: &FailoverPlan, now: Time) {
         self.sites.turn(plan.clone(), now);
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Looks; gives what has changed.
-    pub fn tick(&mut self, now: Time, counter_in_doubt: bool) -> Option<Turn> {
+    pub fn tick(&mut self, now: Time, counter_in_doubt: bool) -> Option<FailoverUpdate> {
         self.sites.on_counter(now, counter_in_doubt);
         let turn = self.sites.tick(now)?;
         turn.keep.iter().for_each(|keep| self.keep.clone_from(keep));
--- a/crates/site-failover-model/examples/site_loss.rs
+++ b/crates/site-failover-model/examples/site_loss.rs
@@ -2,7 +2,7 @@
 //! site_loss -- detection|alarms|returns|fleet|ladder|log`.
 
 use policy::api::Time;
-use site_failover::State;
+use site_failover::SiteHealth;
 use site_failover_model::{calm, play, Back, Calm, Down, Played, Setting, Spill};
 
 const SECOND: Time = 1_000_000_000;
@@ -25,7 +25,7 @@
 }
 
 /// When gateways came to hold the first site for something, in seconds.
-fn when(played: &Played, state: State, from: Time) -> Vec<f64> {
+fn when(played: &Played, state: SiteHealth, from: Time) -> Vec<f64> {
     let mut first = std::collections::BTreeMap::new();
     for change in played.changes.iter().filter(|change| change.site == 0 && change.at >= from) {
         if change.state == state && change.was != state {
@@ -49,7 +49,7 @@
                 let mut setting = setting.losing(LOST_AT, lasts, down, Back::Warm);
                 setting.plan.sites.iter_mut().for_each(|site| site.capacity = Some(rate.max(300.0)));
                 setting.lasts = LOST_AT + lasts;
-                times.extend(when(&play(&setting), State::Lost, LOST_AT));
+                times.extend(when(&play(&setting), SiteHealth::Lost, LOST_AT));
             }
             times.sort_by(f64::total_cmp);
             let (median, worst) = (times.get(times.len() / 2), times.last());
@@ -76,8 +76,8 @@
         setting.lasts = 600 * SECOND;
         let back_at = LOST_AT + 30 * SECOND + if back == Back::Flapping { 120 * SECOND } else { 0 };
         let played = play(&setting);
-        let begins = when(&played, State::Returning, LOST_AT + 30 * SECOND);
-        let whole = when(&played, State::Whole, back_at);
+        let begins = when(&played, SiteHealth::Recovering, LOST_AT + 30 * SECOND);
+        let whole = when(&played, SiteHealth::Healthy, back_at);
         let (swings, begun, most) = turns(&played, setting.gateways);
         let fell: u32 = played.seconds.iter().map(|second| second.fell).sum();
         let bare = play(&Setting { spill: Spill::HostByHost, ..setting.clone() });
@@ -103,7 +103,7 @@
         let moves: Vec<bool> = shares.windows(2).filter(|w| w[0] != w[1]).map(|w| w[1] > w[0]).collect();
         let swings = moves.windows(2).filter(|w| w[0] != w[1]).count();
         let begun: Vec<Time> = own()
-            .filter(|change| change.state == State::Returning && change.was != State::Returning)
+            .filter(|change| change.state == SiteHealth::Recovering && change.was != SiteHealth::Recovering)
             .map(|change| change.at)
             .collect();
         let within = |from: Time| begun.iter().filter(|at| (from..from + 60 * SECOND).contains(*at)).count();
@@ -148,7 +148,7 @@
                 (Some(first), Some(last)) => format!("{first:.1} to {last:.1} ({})", times.len()),
                 _ => "-".to_string(),
             };
-            let lost = when(&played, State::Lost, LOST_AT);
+            let lost = when(&played, SiteHealth::Lost, LOST_AT);
             let last_lost = lost.last().map_or(5, |last| *last as u64 + 2);
             let while_lost = |second: &u64| *second >= 30 + last_lost && *second < back_at / SECOND;
             let all = 0..setting.lasts / SECOND;
@@ -160,8 +160,8 @@
             println!(
                 "| {gateways} | {lost_for} s | {} | {} | {} | {trials:?} | {:.2} | {:.2} |",
                 span(&lost),
-                span(&when(&played, State::Returning, back_at)),
-                span(&when(&played, State::Whole, back_at)),
+                span(&when(&played, SiteHealth::Recovering, back_at)),
+                span(&when(&played, SiteHealth::Healthy, back_at)),
                 f64::from(sent.unwrap_or(0)) / share,
                 f64::from(after.unwrap_or(0)) / share,
             );
--- a/crates/site-failover-model/src/calm.rs
+++ b/crates/site-failover-model/src/calm.rs
@@ -2,7 +2,7 @@
 
 use cluster_model::rng::Rng;
 use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, Outcome, RequestId, Span, Time};
-use site_failover::{Fleet, Plan, Said, Site, Sites, State};
+use site_failover::{FailoverController, FailoverPlan, GatewayIdentity, Site, SiteHealth, Transition};
 
 use crate::setting::{MILLISECOND, SECOND};
 
@@ -67,7 +67,7 @@
     }
 }
 
-fn plan() -> Plan {
+fn plan() -> FailoverPlan {
     let site = |number: u64| Site {
         name: format!("site-{number}"),
         zones: vec![number as u32],
@@ -78,13 +78,14 @@
         ramp: 60 * SECOND,
         told: None,
     };
-    Plan { sites: (0..SITES).map(site).collect(), ..Plan::default() }
+    FailoverPlan { sites: (0..SITES).map(site).collect(), ..FailoverPlan::default() }
 }
 
 /// Plays ordinary days.
 pub fn calm(days: &Calm) -> Alarms {
     let mut rng = Rng::stream(days.seed, "calm", 0);
-    let mut sites = Sites::new(plan(), Fleet { gateways: 8, me: 0, zone: 0 }, days.seed, 0);
+    let mut sites =
+        FailoverController::new(plan(), GatewayIdentity { gateways: 8, me: 0, zone: 0 }, days.seed, 0);
     let listed = |host: u64, started: Time| HostEntry {
         id: HostId(host),
         zone: (host % SITES) as u32,
@@ -159,13 +160,13 @@
 }
 
 impl Alarms {
-    fn count(&mut self, said: &Said) {
-        let Said::Site { now, .. } = said else { return };
+    fn count(&mut self, said: &Transition) {
+        let Transition::Site { now, .. } = said else { return };
         match now.state {
-            State::Lost | State::CutOff => self.moved += 1,
-            State::Doubtful => self.doubtful += 1,
-            State::Slow => self.slow += 1,
-            State::Whole | State::Trying | State::Returning => {}
+            SiteHealth::Lost | SiteHealth::Unreachable => self.moved += 1,
+            SiteHealth::Suspect => self.doubtful += 1,
+            SiteHealth::Slow => self.slow += 1,
+            SiteHealth::Healthy | SiteHealth::Probing | SiteHealth::Recovering => {}
         }
     }
 }
--- a/crates/site-failover-model/src/figures.rs
+++ b/crates/site-failover-model/src/figures.rs
@@ -1,7 +1,7 @@
 //! What a played loss comes to, in one row.
 
 use policy::api::Time;
-use site_failover::State;
+use site_failover::SiteHealth;
 
 use crate::setting::{Setting, SECOND};
 use crate::world::Played;
@@ -35,7 +35,7 @@
     pub fn of(played: &Played, setting: &Setting, loss: usize) -> Figures {
         let loss = &setting.losses[loss];
         let back = loss.at + loss.lasts;
-        let when = |state: &[State], from: Time| {
+        let when = |state: &[SiteHealth], from: Time| {
             let mut first = std::collections::BTreeMap::new();
             for change in played.changes.iter().filter(|change| change.site == loss.site && change.at >= from)
             {
@@ -58,9 +58,9 @@
             (0..setting.traffic.cells.len()).map(of).collect()
         };
         Figures {
-            lost: when(&[State::Lost, State::CutOff], loss.at),
-            returning: when(&[State::Returning], back),
-            whole: when(&[State::Whole], back),
+            lost: when(&[SiteHealth::Lost, SiteHealth::Unreachable], loss.at),
+            returning: when(&[SiteHealth::Recovering], back),
+            whole: when(&[SiteHealth::Healthy], back),
             served: share(|second| &second.served, &meanwhile),
             shed: share(|second| &second.shed, &meanwhile),
             served_after: share(|second| &second.served, &after),
--- a/crates/site-failover-model/src/gateway.rs
+++ b/crates/site-failover-model/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use cluster_model::rng::Rng;
 use policy::api::{HostEntry, HostId, Span, Time};
-use site_failover::{SiteSet, Sites, State, Turn};
+use site_failover::{FailoverController, FailoverUpdate, SiteHealth, SiteSet};
 
 use crate::host::Host;
 use crate::setting::{MILLISECOND, SECOND};
@@ -16,7 +16,7 @@
 
 /// A gateway.
 pub(crate) struct Gateway {
-    pub sites: Sites,
+    pub sites: FailoverController,
     pub keep: Vec<f64>,
     withheld: Vec<bool>,
     alone_until: Vec<Time>,
@@ -24,7 +24,7 @@
 }
 
 impl Gateway {
-    pub fn new(sites: Sites, hosts: usize) -> Gateway {
+    pub fn new(sites: FailoverController, hosts: usize) -> Gateway {
         Gateway {
             sites,
             keep: vec![],
@@ -35,7 +35,7 @@
     }
 
     /// Ticks the controller if it is due.
-    pub fn tick(&mut self, now: Time) -> Option<Turn> {
+    pub fn tick(&mut self, now: Time) -> Option<FailoverUpdate> {
         if self.sites.due() > now {
             return None;
         }
@@ -108,7 +108,10 @@
 
     /// Whether a site is withheld here.
     pub fn withholds(&self, site: usize) -> bool {
-        self.sites.states().nth(site).is_some_and(|site| site.share == 0.0 && site.state != State::Whole)
+        self.sites
+            .states()
+            .nth(site)
+            .is_some_and(|site| site.share == 0.0 && site.state != SiteHealth::Healthy)
     }
 }
 
--- a/crates/site-failover-model/src/setting.rs
+++ b/crates/site-failover-model/src/setting.rs
@@ -1,7 +1,7 @@
 //! What is played.
 
 use policy::api::{Span, Time};
-use site_failover::{Ladder, Plan, Rung, Site, Taker};
+use site_failover::{FailoverPlan, FailoverTarget, SheddingTier, SheddingTiers, Site};
 
 /// One second, in nanoseconds.
 pub(crate) const SECOND: Span = 1_000_000_000;
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub struct Setting {
     /// The plan. Hosts are dealt out by the sites' capacities, which have to be given, so that they are about equal.
-    pub plan: Plan,
+    pub plan: FailoverPlan,
     /// Gateways; they stand in the sites' first zones in turn.
     pub gateways: u32,
     /// Hosts of a site of mean capacity.
@@ -117,14 +117,21 @@
             capacity: Some(rate / 2.0),
             load: Some(rate / 3.0),
             headroom: 0.05,
-            takers: (0..3).filter(|other| *other != number).map(|site| Taker { site, share: 0.5 }).collect(),
+            takers: (0..3)
+                .filter(|other| *other != number)
+                .map(|site| FailoverTarget { site, share: 0.5 })
+                .collect(),
             ramp: 60 * SECOND,
             told: None,
         };
-        let rung = |name: &str, cell, floor| Rung { name: name.to_string(), cells: vec![cell], floor };
+        let rung =
+            |name: &str, cell, floor| SheddingTier { name: name.to_string(), cells: vec![cell], floor };
         let rungs = vec![rung("batch", 0, 0.0), rung("browse", 1, 0.3), rung("search", 2, 0.5)];
         Setting {
-            plan: Plan { sites: (0..3).map(site).collect(), ladder: Ladder { rungs, classes: 4, plans: 1 } },
+            plan: FailoverPlan {
+                sites: (0..3).map(site).collect(),
+                ladder: SheddingTiers { rungs, classes: 4, plans: 1 },
+            },
             gateways,
             hosts: 6,
             traffic: Traffic { rate, cells: vec![0.3, 0.4, 0.2, 0.1], unsafe_cells: vec![3], again: 1 },
@@ -140,7 +147,12 @@
 
     /// An operators' plan at its busiest hour: as much is asked for as its sites' loads say, in these parts by cell.
     /// Nothing if a site has no capacity or no load in it.
-    pub fn of_plan(plan: Plan, gateways: u32, cells: Vec<f64>, unsafe_cells: Vec<usize>) -> Option<Setting> {
+    pub fn of_plan(
+        plan: FailoverPlan,
+        gateways: u32,
+        cells: Vec<f64>,
+        unsafe_cells: Vec<usize>,
+    ) -> Option<Setting> {
         let said = |site: &Site| Some((site.capacity.filter(|c| *c > 0.0)?, site.load.filter(|l| *l > 0.0)?));
         let loads: Option<Vec<(f64, f64)>> = plan.sites.iter().map(said).collect();
         let rate: f64 = loads.filter(|loads| !loads.is_empty())?.iter().map(|(_, load)| load).sum();
--- a/crates/site-failover-model/src/world.rs
+++ b/crates/site-failover-model/src/world.rs
@@ -5,7 +5,7 @@
 
 use cluster_model::rng::Rng;
 use policy::api::{AttemptEnded, HostId, HostListKind, Outcome, RejectReason, RequestId, Span, Time};
-use site_failover::{Fleet, Plan, Said, SiteSet, Sites, State};
+use site_failover::{FailoverController, FailoverPlan, GatewayIdentity, SiteHealth, SiteSet, Transition};
 
 use crate::gateway::{entry, Gateway};
 use crate::host::Host;
@@ -55,9 +55,9 @@
     /// The site's number.
     pub site: usize,
     /// What it was held for.
-    pub was: State,
+    pub was: SiteHealth,
     /// What it is held for.
-    pub state: State,
+    pub state: SiteHealth,
     /// The share of its load that it may have.
     pub share: f64,
     /// The line for the log.
@@ -154,12 +154,14 @@
         let entries: Vec<_> = hosts.iter().enumerate().map(|(number, host)| entry(number, host)).collect();
         let plan = match setting.spill {
             Spill::Plan => setting.plan.clone(),
-            Spill::HostByHost => Plan { ladder: setting.plan.ladder.clone(), ..Plan::default() },
+            Spill::HostByHost => {
+                FailoverPlan { ladder: setting.plan.ladder.clone(), ..FailoverPlan::default() }
+            }
         };
         let gateway = |me: u32| {
             let zone = plan.sites.get(me as usize % plan.sites.len().max(1)).map_or(0, |site| site.zones[0]);
-            let fleet = Fleet { gateways: setting.gateways, me, zone };
-            let mut sites = Sites::new(plan.clone(), fleet, setting.seed ^ u64::from(me), 0);
+            let fleet = GatewayIdentity { gateways: setting.gateways, me, zone };
+            let mut sites = FailoverController::new(plan.clone(), fleet, setting.seed ^ u64::from(me), 0);
             sites.on_list(0, HostListKind::Full, &entries);
             Gateway::new(sites, hosts.len())
         };
@@ -257,7 +259,7 @@
             let Some(turn) = turn else { continue };
             for said in turn.said {
                 let line = said.to_string();
-                let Said::Site { was, now: state, .. } = said else { continue };
+                let Transition::Site { was, now: state, .. } = said else { continue };
                 let site = self.setting.plan.sites.iter().position(|site| site.name == state.name);
                 let (gateway, site) = (number as u32, site.unwrap_or(0));
                 let (state, share) = (state.state, state.share);
--- a/crates/site-failover-model/tests/fleets.rs
+++ b/crates/site-failover-model/tests/fleets.rs
@@ -1,11 +1,11 @@
 //! What many gateways, each deciding alone, come to together.
 
-use site_failover::State;
+use site_failover::SiteHealth;
 use site_failover_model::{calm, play, Back, Calm, Down, Figures, Played, Setting, Spill};
 
 const SECOND: u64 = 1_000_000_000;
 
-fn times(played: &Played, gateway: Option<u32>, state: State) -> Vec<u64> {
+fn times(played: &Played, gateway: Option<u32>, state: SiteHealth) -> Vec<u64> {
     let own = played
         .changes
         .iter()
@@ -28,7 +28,7 @@
         let most = played.seconds.iter().skip(40).map(|second| second.sent[0]).max().unwrap_or(0);
         assert!(f64::from(most) < 1.45 * share, "{back:?}: {most} of {share}");
         for gateway in 0..4 {
-            let begun = times(&played, Some(gateway), State::Returning);
+            let begun = times(&played, Some(gateway), SiteHealth::Recovering);
             assert!(!begun.is_empty(), "{back:?}");
             assert!(begun.windows(2).all(|pair| pair[1] - pair[0] >= 60 * SECOND), "{back:?}: {begun:?}");
         }
@@ -47,7 +47,7 @@
     let mut setting = Setting::usual(60, 3_600.0).losing(20 * SECOND, 20 * SECOND, Down::Silent, Back::Cold);
     (setting.hosts, setting.lasts) = (36, 45 * SECOND);
     let played = play(&setting);
-    let lost = times(&played, None, State::Lost);
+    let lost = times(&played, None, SiteHealth::Lost);
     assert_eq!(lost.len(), 60);
     assert!(lost.iter().all(|at| (20 * SECOND..24 * SECOND).contains(at)), "{lost:?}");
     let trials: Vec<u32> = (24..40).map(|second| played.seconds[second].trials[0]).collect();
--- a/crates/site-failover/src/fit.rs
+++ b/crates/site-failover/src/capacity_check.rs
@@ -11,27 +11,27 @@
 //! - It is refused by the ladder, and for that the mix of requests counts ([`Mix`]), which is the same at all sites.
 //! - Hosts are warm.
 
-use crate::plan::{Ladder, Plan, Rung, SiteSet, Told};
+use crate::plan::{FailoverPlan, OperatorOverride, SheddingTier, SheddingTiers, SiteSet};
 
 /// Room that is used beyond this counts as more than all of it, whatever became of the last bit.
 const FULL: f64 = 1.0 + 1e-9;
 
 /// What part of all requests each pair of class and plan is.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Mix(Vec<f64>);
+pub struct TrafficMix(Vec<f64>);
 
-impl Mix {
+impl TrafficMix {
     /// As many requests of each pair of class and plan.
-    pub fn even(ladder: &Ladder) -> Mix {
-        Mix::of(vec![1.0; ladder.classes * ladder.plans])
+    pub fn even(ladder: &SheddingTiers) -> TrafficMix {
+        TrafficMix::of(vec![1.0; ladder.classes * ladder.plans])
     }
 
     /// In proportion to these weights, by cell; even where they come to nothing.
-    pub fn of(weights: Vec<f64>) -> Mix {
+    pub fn of(weights: Vec<f64>) -> TrafficMix {
         let sum: f64 = weights.iter().sum();
         let count = weights.len() as f64;
         let part = |weight: f64| if sum > 0.0 { weight / sum } else { 1.0 / count };
-        Mix(weights.into_iter().map(part).collect())
+        TrafficMix(weights.into_iter().map(part).collect())
     }
 
     fn of_cells(&self, cells: &[usize]) -> f64 {
@@ -41,42 +41,42 @@
 
 /// The loss of some sites, and what comes of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Loss {
+pub struct LossScenario {
     /// The sites that are lost, those that are told so among them.
     pub lost: SiteSet,
     /// What comes of it.
-    pub outcome: Outcome,
+    pub outcome: LossOutcome,
 }
 
 /// What comes of a loss.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum LossOutcome {
     /// Figures are missing: the sites, by number, of which `capacity` or `load` is not said.
-    Unknown(Vec<usize>),
+    MissingFigures(Vec<usize>),
     /// No site is left.
-    NobodyLeft,
+    NoSiteLeft,
     /// It can be worked out.
-    Known(Fit),
+    Computed(LoadFit),
 }
 
 /// How load fits after a loss.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fit {
+pub struct LoadFit {
     /// Requests a second that the fleet is asked for.
     pub asked: f64,
     /// The sites that are left.
-    pub left: Vec<Placed>,
+    pub left: Vec<SiteDemand>,
     /// The one of them that is asked for most against its room, by its place in `left`.
     pub narrowest: usize,
     /// Requests a second that have to be refused.
     pub refused: f64,
     /// What each rung of the ladder refuses, for those that refuse anything.
-    pub rungs: Vec<Refusal>,
+    pub rungs: Vec<TierShedding>,
     /// Requests a second that have to be refused and that the ladder does not refuse.
     pub beyond: f64,
 }
 
-impl Fit {
+impl LoadFit {
     /// Whether all is carried.
     pub fn is_carried(&self) -> bool {
         self.refused <= 0.0
@@ -92,7 +92,7 @@
     }
 
     /// The rungs of which more may be refused than their floor allows, as the ladder is at its end.
-    pub fn floors_at_risk<'a>(&self, ladder: &'a Ladder) -> impl Iterator<Item = &'a Rung> {
+    pub fn floors_at_risk<'a>(&self, ladder: &'a SheddingTiers) -> impl Iterator<Item = &'a SheddingTier> {
         let is_beyond = self.beyond > 0.0;
         ladder.rungs.iter().filter(move |rung| is_beyond && rung.floor > 0.0)
     }
@@ -100,7 +100,7 @@
 
 /// A site that is left.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct SiteDemand {
     /// Its number.
     pub site: usize,
     /// Requests a second of its own.
@@ -111,7 +111,7 @@
     pub room: f64,
 }
 
-impl Placed {
+impl SiteDemand {
     fn used(&self) -> f64 {
         (self.own + self.taken) / self.room
     }
@@ -119,7 +119,7 @@
 
 /// What a rung refuses.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Refusal {
+pub struct TierShedding {
     /// The rung, by number.
     pub rung: usize,
     /// Requests a second that it is asked for.
@@ -130,8 +130,8 @@
 
 /// The losses that a plan is measured by: of each site, then of each two; besides those that are told lost, which
 /// come first by themselves.
-pub fn losses(plan: &Plan, mix: &Mix) -> Vec<Loss> {
-    let is_told = |site: usize| plan.sites[site].told == Some(Told::Lost);
+pub fn losses(plan: &FailoverPlan, mix: &TrafficMix) -> Vec<LossScenario> {
+    let is_told = |site: usize| plan.sites[site].told == Some(OperatorOverride::Lost);
     let (told, open): (Vec<usize>, Vec<usize>) = (0..plan.sites.len()).partition(|site| is_told(*site));
     let told = told.into_iter().fold(SiteSet::NONE, SiteSet::with);
     let ones = open.iter().map(|site| told.with(*site));
@@ -141,39 +141,39 @@
         .flat_map(|(n, first)| open[n + 1..].iter().map(move |then| told.with(*first).with(*then)));
     let first = (told != SiteSet::NONE).then_some(told);
     let sets = first.into_iter().chain(ones).chain(twos);
-    sets.map(|lost| Loss { lost, outcome: outcome(plan, lost, mix) }).collect()
+    sets.map(|lost| LossScenario { lost, outcome: outcome(plan, lost, mix) }).collect()
 }
 
 /// What comes of the loss of these sites.
-pub fn outcome(plan: &Plan, lost: SiteSet, mix: &Mix) -> Outcome {
+pub fn outcome(plan: &FailoverPlan, lost: SiteSet, mix: &TrafficMix) -> LossOutcome {
     let sites = plan.sites.iter().enumerate();
     let lacks =
         sites.filter(|(number, site)| site.load.is_none() || (!lost.has(*number) && site.capacity.is_none()));
     let lacking: Vec<usize> = lacks.map(|(number, _)| number).collect();
     let mut left = left(plan, lost);
     if left.is_empty() {
-        return Outcome::NobodyLeft;
+        return LossOutcome::NoSiteLeft;
     }
     if !lacking.is_empty() {
-        return Outcome::Unknown(lacking);
+        return LossOutcome::MissingFigures(lacking);
     }
     let open = move_load(plan, lost, &mut left);
     pour(&mut left, open);
-    Outcome::Known(fit(plan, left, mix))
+    LossOutcome::Computed(fit(plan, left, mix))
 }
 
-fn left(plan: &Plan, lost: SiteSet) -> Vec<Placed> {
+fn left(plan: &FailoverPlan, lost: SiteSet) -> Vec<SiteDemand> {
     let left = plan.sites.iter().enumerate().filter(|(number, _)| !lost.has(*number));
     let place = |(number, site): (usize, &crate::plan::Site)| {
         let own = site.load.unwrap_or(0.0);
         let room = (site.capacity.unwrap_or(0.0) * (1.0 - site.headroom)).max(own);
-        Placed { site: number, own, taken: 0.0, room }
+        SiteDemand { site: number, own, taken: 0.0, room }
     };
     left.map(place).collect()
 }
 
 /// Gives takers their shares; what is left over has no taker.
-fn move_load(plan: &Plan, lost: SiteSet, left: &mut [Placed]) -> f64 {
+fn move_load(plan: &FailoverPlan, lost: SiteSet, left: &mut [SiteDemand]) -> f64 {
     let mut open = 0.0;
     for (_, site) in plan.sites.iter().enumerate().filter(|(number, _)| lost.has(*number)) {
         let load = site.load.unwrap_or(0.0);
@@ -190,7 +190,7 @@
 }
 
 /// Pours load in where the smallest part of the room is used, as water finds its level.
-fn pour(left: &mut [Placed], load: f64) {
+fn pour(left: &mut [SiteDemand], load: f64) {
     if load <= 0.0 {
         return;
     }
@@ -211,25 +211,25 @@
     }
 }
 
-fn fit(plan: &Plan, left: Vec<Placed>, mix: &Mix) -> Fit {
+fn fit(plan: &FailoverPlan, left: Vec<SiteDemand>, mix: &TrafficMix) -> LoadFit {
     let asked: f64 = plan.sites.iter().filter_map(|site| site.load).sum();
     let fuller = |a: &usize, b: &usize| left[*a].used().total_cmp(&left[*b].used());
     let narrowest = (0..left.len()).max_by(fuller).unwrap_or(0);
-    let used = left.get(narrowest).map_or(0.0, Placed::used);
+    let used = left.get(narrowest).map_or(0.0, SiteDemand::used);
     let refused = if used > FULL { asked * (1.0 - 1.0 / used) } else { 0.0 };
     let (rungs, beyond) = climb(&plan.ladder, asked, refused, mix);
-    Fit { asked, left, narrowest, refused, rungs, beyond }
+    LoadFit { asked, left, narrowest, refused, rungs, beyond }
 }
 
 /// Refuses by the ladder, each rung down to its floor before the next one; and what is left to refuse then.
-fn climb(ladder: &Ladder, asked: f64, refused: f64, mix: &Mix) -> (Vec<Refusal>, f64) {
+fn climb(ladder: &SheddingTiers, asked: f64, refused: f64, mix: &TrafficMix) -> (Vec<TierShedding>, f64) {
     let mut rest = refused;
     let mut rungs = Vec::new();
     for (number, rung) in ladder.rungs.iter().enumerate() {
         let own = asked * mix.of_cells(&rung.cells);
         let here = rest.min(own * (1.0 - rung.floor));
         if here > 0.0 {
-            rungs.push(Refusal { rung: number, asked: own, refused: here });
+            rungs.push(TierShedding { rung: number, asked: own, refused: here });
             rest -= here;
         }
     }
--- a/crates/site-failover/src/course.rs
+++ b/crates/site-failover/src/course.rs
@@ -36,34 +36,34 @@
 
 /// What a gateway holds of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
+pub enum SiteHealth {
     /// It has all its load.
-    Whole,
+    Healthy,
     /// It answers, but takes much longer than is usual for it and than others do. Its load stays.
     Slow,
     /// Something speaks against it, not enough to act on. Its load stays.
-    Doubtful,
+    Suspect,
     /// It cannot be reached from here, and it is not known whether others reach it.
-    CutOff,
+    Unreachable,
     /// It is gone: nothing goes there but trials.
     Lost,
     /// Trials are answered; its return waits for its time.
-    Trying,
+    Probing,
     /// It gets a share of its load, which grows.
-    Returning,
+    Recovering,
 }
 
-impl State {
+impl SiteHealth {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            State::Whole => "whole",
-            State::Slow => "slow",
-            State::Doubtful => "doubtful",
-            State::CutOff => "cut off from here",
-            State::Lost => "lost",
-            State::Trying => "tried",
-            State::Returning => "returning",
+            SiteHealth::Healthy => "whole",
+            SiteHealth::Slow => "slow",
+            SiteHealth::Suspect => "doubtful",
+            SiteHealth::Unreachable => "cut off from here",
+            SiteHealth::Lost => "lost",
+            SiteHealth::Probing => "tried",
+            SiteHealth::Recovering => "returning",
         }
     }
 }
@@ -132,7 +132,7 @@
     /// Another share.
     Moved,
     /// It is done.
-    Whole,
+    Healthy,
     /// Even the least share went badly.
     Failed,
 }
@@ -140,7 +140,7 @@
 /// The course of one site.
 #[derive(Clone, Debug)]
 pub(crate) struct Course {
-    state: State,
+    state: SiteHealth,
     since: Time,
     withheld: bool,
     /// Its hosts' part of all, as of when it was last whole.
@@ -158,7 +158,7 @@
 impl Course {
     pub fn new(now: Time) -> Course {
         Course {
-            state: State::Whole,
+            state: SiteHealth::Healthy,
             since: now,
             withheld: false,
             part: 0.0,
@@ -172,7 +172,7 @@
         }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> SiteHealth {
         self.state
     }
 
@@ -202,7 +202,7 @@
 
     /// Whether its state is one that is none but a remark.
     pub fn is_calm(&self) -> bool {
-        self.is_plain() && self.state != State::CutOff
+        self.is_plain() && self.state != SiteHealth::Unreachable
     }
 
     /// The share of its load that it may have, 0 to 1.
@@ -246,7 +246,7 @@
     pub fn hold(&mut self, now: Time) -> bool {
         self.trial = None;
         self.answered.clear();
-        self.remark(now, State::Lost)
+        self.remark(now, SiteHealth::Lost)
     }
 
     pub fn is_trial_over(&self) -> bool {
@@ -274,7 +274,7 @@
     }
 
     /// Another state, which leaves its load as it is.
-    pub fn remark(&mut self, now: Time, state: State) -> bool {
+    pub fn remark(&mut self, now: Time, state: SiteHealth) -> bool {
         let changed = self.state != state;
         if changed {
             self.state = state;
@@ -284,7 +284,7 @@
     }
 
     /// It is lost, or cut off: nothing goes there.
-    pub fn lose(&mut self, now: Time, state: State) {
+    pub fn lose(&mut self, now: Time, state: SiteHealth) {
         if self.ramp.is_some() || self.returned.is_some_and(|at| now < at + self.between) {
             self.between = (2 * self.between).min(LONGEST_BETWEEN);
         }
@@ -296,7 +296,7 @@
     }
 
     /// It is whole at once, or everything is to be tried.
-    pub fn release(&mut self, now: Time, state: State) {
+    pub fn release(&mut self, now: Time, state: SiteHealth) {
         self.remark(now, state);
         self.withheld = false;
         self.ramp = None;
@@ -305,7 +305,7 @@
 
     /// Trusts it as before once it has been whole for long.
     pub fn forgive(&mut self, now: Time) {
-        if self.state == State::Whole && self.since + LONGEST_BETWEEN <= now {
+        if self.state == SiteHealth::Healthy && self.since + LONGEST_BETWEEN <= now {
             self.between = BETWEEN_RETURNS;
         }
     }
@@ -353,7 +353,7 @@
     }
 
     pub fn begin_return(&mut self, now: Time) {
-        self.release(now, State::Returning);
+        self.release(now, SiteHealth::Recovering);
         self.returned = Some(now);
         self.ramp = Some(Ramp::default());
     }
@@ -375,8 +375,8 @@
             None => look.past,
         };
         let ramped = ramp.judge(look);
-        if ramped == Ramped::Whole {
-            self.release(now, State::Whole);
+        if ramped == Ramped::Healthy {
+            self.release(now, SiteHealth::Healthy);
         }
         ramped
     }
@@ -428,7 +428,7 @@
             return Ramped::Holds;
         }
         if self.step + 1 == STEPS.len() {
-            return Ramped::Whole;
+            return Ramped::Healthy;
         }
         self.go(self.step + 1);
         Ramped::Moved
--- a/crates/site-failover/src/ladder.rs
+++ b/crates/site-failover/src/ladder.rs
@@ -2,7 +2,7 @@
 
 use policy::api::{RejectReason, Span};
 
-use crate::plan::Ladder;
+use crate::plan::SheddingTiers;
 use crate::verdict::SECOND;
 
 /// How fast the mix of what is asked for is forgotten, in seconds.
@@ -39,13 +39,13 @@
 }
 
 impl Level {
-    pub fn new(ladder: &Ladder) -> Level {
+    pub fn new(ladder: &SheddingTiers) -> Level {
         let cells = ladder.classes * ladder.plans;
         Level { asked: vec![0.0; cells], mix: vec![0.0; cells], ..Level::default() }
     }
 
     /// Another ladder: what is known of the mix of another shape is of no use.
-    pub fn turn(&mut self, ladder: &Ladder) {
+    pub fn turn(&mut self, ladder: &SheddingTiers) {
         let told = std::mem::take(&mut self.told);
         *self = Level { told, ..Level::new(ladder) };
     }
@@ -73,7 +73,7 @@
     }
 
     /// Looks at what was given up, once a second, or when enough was asked for to tell. `whole`: all sites are.
-    pub fn tick(&mut self, past: Span, ladder: &Ladder, whole: bool) {
+    pub fn tick(&mut self, past: Span, ladder: &SheddingTiers, whole: bool) {
         self.past += past;
         let asked: f64 = self.asked.iter().sum();
         if self.past < EVERY || asked < ENOUGH && self.past < LONGEST {
@@ -100,21 +100,21 @@
     }
 
     /// What a rung sheds in full, as a share of what is asked for.
-    fn most(&self, ladder: &Ladder, rung: usize) -> f64 {
+    fn most(&self, ladder: &SheddingTiers, rung: usize) -> f64 {
         let rung = &ladder.rungs[rung];
         let all: f64 = self.mix.iter().sum();
         let own: f64 = rung.cells.iter().filter_map(|cell| self.mix.get(*cell)).sum();
         own / all.max(1e-9) * (1.0 - rung.floor)
     }
 
-    fn shed(&self, ladder: &Ladder, level: f64) -> f64 {
+    fn shed(&self, ladder: &SheddingTiers, level: f64) -> f64 {
         (0..ladder.rungs.len())
             .map(|rung| self.most(ladder, rung) * (level - rung as f64).clamp(0.0, 1.0))
             .sum()
     }
 
     /// The level that sheds such a share: each rung to its floor before the next one starts.
-    fn level_for(&self, ladder: &Ladder, shed: f64) -> f64 {
+    fn level_for(&self, ladder: &SheddingTiers, shed: f64) -> f64 {
         let mut left = shed;
         for rung in 0..ladder.rungs.len() {
             let most = self.most(ladder, rung);
@@ -130,7 +130,7 @@
     }
 
     /// Share of requests let in, by cell, if it has changed enough to be told. Empty: all are.
-    pub fn keep(&mut self, ladder: &Ladder) -> Option<Vec<f64>> {
+    pub fn keep(&mut self, ladder: &SheddingTiers) -> Option<Vec<f64>> {
         let mut keep = vec![];
         if self.level > 0.0 {
             keep = vec![1.0; ladder.classes * ladder.plans];
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -2,10 +2,10 @@
 //! is refused first, and how the return is paced. No I/O, no clock, no chance of its own: a gateway tells what it
 //! sees, and asks.
 
+pub mod capacity_check;
 mod chance;
 mod compile;
 mod course;
-pub mod fit;
 mod ladder;
 mod plan;
 mod said;
@@ -13,8 +13,8 @@
 mod sites;
 mod verdict;
 
-pub use compile::{Facts, PlanError, Problem, RAMP};
-pub use course::State;
-pub use plan::{Ladder, Plan, Rung, Site, SiteSet, Taker, Told};
-pub use said::{Cause, Said, SiteState};
-pub use sites::{Fleet, Sites, Turn};
+pub use compile::{PlanError, PlanErrorKind, PlatformNames, DEFAULT_RECOVERY_RAMP};
+pub use course::SiteHealth;
+pub use plan::{FailoverPlan, FailoverTarget, OperatorOverride, SheddingTier, SheddingTiers, Site, SiteSet};
+pub use said::{SiteStatus, Transition, TransitionCause};
+pub use sites::{FailoverController, FailoverUpdate, GatewayIdentity};
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -35,16 +35,16 @@
 
 /// What operators say of a site by hand; it goes before all that is seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum OperatorOverride {
     /// It is lost: nothing goes there.
     Lost,
     /// It is whole: whatever is seen, load goes there.
-    Whole,
+    Healthy,
 }
 
 /// Who takes a part of a lost site's load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Taker {
+pub struct FailoverTarget {
     /// The site that takes it, by number.
     pub site: usize,
     /// Share of the lost site's load, 0 to 1. All takers of a site together have at most 1; what is left goes where
@@ -66,16 +66,16 @@
     /// Share of its capacity that stays free when it takes load of others.
     pub headroom: f64,
     /// Who takes its load when it is lost.
-    pub takers: Vec<Taker>,
+    pub takers: Vec<FailoverTarget>,
     /// How long the return to its full share takes at the least.
     pub ramp: Span,
     /// What operators say of it by hand.
-    pub told: Option<Told>,
+    pub told: Option<OperatorOverride>,
 }
 
 /// A rung: requests that are refused together.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rung {
+pub struct SheddingTier {
     /// Its name.
     pub name: String,
     /// The cells that it covers: class times the number of plans, plus plan. A cell is covered by one rung only, the
@@ -87,9 +87,9 @@
 
 /// What is refused first, in order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ladder {
+pub struct SheddingTiers {
     /// Rungs; the first goes first.
-    pub rungs: Vec<Rung>,
+    pub rungs: Vec<SheddingTier>,
     /// Number of classes.
     pub classes: usize,
     /// Number of plans.
@@ -98,14 +98,14 @@
 
 /// The operators' plan. Without sites it says nothing, and nothing is done.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct FailoverPlan {
     /// Sites, 63 at most.
     pub sites: Vec<Site>,
     /// What is refused first.
-    pub ladder: Ladder,
+    pub ladder: SheddingTiers,
 }
 
-impl Plan {
+impl FailoverPlan {
     /// The site that a zone is in, by number.
     pub fn site_of(&self, zone: u32) -> Option<usize> {
         self.sites.iter().position(|site| site.zones.contains(&zone))
--- a/crates/site-failover/src/said.rs
+++ b/crates/site-failover/src/said.rs
@@ -4,18 +4,18 @@
 
 use policy::api::Time;
 
-use crate::course::State;
-use crate::plan::Told;
+use crate::course::SiteHealth;
+use crate::plan::OperatorOverride;
 
 /// How a site is, with the figures that it is judged by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SiteState {
+pub struct SiteStatus {
     /// Its name.
     pub name: String,
     /// What it is held for.
-    pub state: State,
+    pub state: SiteHealth,
     /// What operators say of it by hand.
-    pub told: Option<Told>,
+    pub told: Option<OperatorOverride>,
     /// The share of its load that it may have, 0 to 1.
     pub share: f64,
     /// Since when it is so.
@@ -32,7 +32,7 @@
     pub failures: (u32, usize),
 }
 
-impl fmt::Display for SiteState {
+impl fmt::Display for SiteStatus {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (failures, at) = self.failures;
         write!(
@@ -48,8 +48,8 @@
             self.failing,
         )?;
         match self.told {
-            Some(Told::Lost) => write!(f, ", told lost by hand"),
-            Some(Told::Whole) => write!(f, ", told whole by hand"),
+            Some(OperatorOverride::Lost) => write!(f, ", told lost by hand"),
+            Some(OperatorOverride::Healthy) => write!(f, ", told whole by hand"),
             None => Ok(()),
         }
     }
@@ -57,7 +57,7 @@
 
 /// Why a site is held for something else now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cause {
+pub enum TransitionCause {
     /// Attempts fail, with what speaks for *gone*, how much is enough, and how likely a failure is anyway.
     Failures {
         /// What speaks for it.
@@ -68,57 +68,57 @@
         anyway: f64,
     },
     /// Attempts fail, and no other site answers either.
-    NoWitness,
+    NoReference,
     /// Discovery has none of its hosts in service, and none answers.
-    Emptied,
+    NoHostsListed,
     /// Discovery has none of its hosts in service, and they answer.
-    EmptiedButAnswers,
+    UnlistedButAnswering,
     /// Attempts are answered.
-    Answers,
+    Answering,
     /// Answers take so many times longer than is usual.
-    Times(f64),
+    SlowResponses(f64),
     /// Its ramp moved, or ended.
-    Ramp,
+    RecoveryProgress,
     /// What it answers as it returns is worse than elsewhere.
-    RampFailed,
+    RecoveryFailed,
     /// Operators say so.
-    Told,
+    SetByOperators,
 }
 
-impl fmt::Display for Cause {
+impl fmt::Display for TransitionCause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Cause::Failures { sum, enough, anyway } => {
+            TransitionCause::Failures { sum, enough, anyway } => {
                 write!(f, "failures weigh {sum:.1} of {enough:.1}, {anyway:.2} fail anyway")
             }
-            Cause::NoWitness => write!(f, "failures, and no other site answers"),
-            Cause::Emptied => write!(f, "discovery has none of its hosts in service"),
-            Cause::EmptiedButAnswers => {
+            TransitionCause::NoReference => write!(f, "failures, and no other site answers"),
+            TransitionCause::NoHostsListed => write!(f, "discovery has none of its hosts in service"),
+            TransitionCause::UnlistedButAnswering => {
                 write!(f, "discovery has none of its hosts in service, yet they answer")
             }
-            Cause::Answers => write!(f, "it answers"),
-            Cause::Times(times) => write!(f, "answers take {times:.1} times the usual"),
-            Cause::Ramp => write!(f, "its return goes on"),
-            Cause::RampFailed => write!(f, "its return went worse than elsewhere"),
-            Cause::Told => write!(f, "told by hand"),
+            TransitionCause::Answering => write!(f, "it answers"),
+            TransitionCause::SlowResponses(times) => write!(f, "answers take {times:.1} times the usual"),
+            TransitionCause::RecoveryProgress => write!(f, "its return goes on"),
+            TransitionCause::RecoveryFailed => write!(f, "its return went worse than elsewhere"),
+            TransitionCause::SetByOperators => write!(f, "told by hand"),
         }
     }
 }
 
 /// One line for the log: a change, with the figures it was decided on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Transition {
     /// Of a site.
     Site {
         /// What it was held for before.
-        was: State,
+        was: SiteHealth,
         /// How it is now.
-        now: SiteState,
+        now: SiteStatus,
         /// Why.
-        cause: Cause,
+        cause: TransitionCause,
     },
     /// Of what is refused.
-    Ladder {
+    Shedding {
         /// Rungs shed down to their floors, and the part of the next that is.
         level: f64,
         /// The rung that was entered or left; nothing if nothing is refused any more.
@@ -126,16 +126,16 @@
     },
 }
 
-impl fmt::Display for Said {
+impl fmt::Display for Transition {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Said::Site { was, now, cause } => {
+            Transition::Site { was, now, cause } => {
                 write!(f, "{now}, was {}: {cause}", was.name())
             }
-            Said::Ladder { level, rung: Some(rung) } => {
+            Transition::Shedding { level, rung: Some(rung) } => {
                 write!(f, "refused first: {rung}, level {level:.2}")
             }
-            Said::Ladder { rung: None, .. } => write!(f, "refused first: nothing any more"),
+            Transition::Shedding { rung: None, .. } => write!(f, "refused first: nothing any more"),
         }
     }
 }
--- a/crates/site-failover/src/shares.rs
+++ b/crates/site-failover/src/shares.rs
@@ -4,7 +4,7 @@
 
 use crate::chance::unit;
 use crate::course::Course;
-use crate::plan::{Plan, SiteSet};
+use crate::plan::{FailoverPlan, SiteSet};
 
 /// What the draws are made for: each is the same for a request wherever and however often it is made, and says nothing
 /// of the others.
@@ -14,7 +14,7 @@
 
 /// Shares of a lost site's load that its takers get, as far as their declared capacities allow. What is left goes where
 /// waits are least.
-fn shares(plan: &Plan, lost: usize) -> impl Iterator<Item = (usize, f64)> + '_ {
+fn shares(plan: &FailoverPlan, lost: usize) -> impl Iterator<Item = (usize, f64)> + '_ {
     let load = plan.sites[lost].load;
     plan.sites[lost].takers.iter().map(move |taker| {
         let site = &plan.sites[taker.site];
@@ -29,7 +29,7 @@
 }
 
 /// The site that takes a request in the place of the lost one that would have had it.
-fn taker(plan: &Plan, courses: &[Course], id: RequestId) -> Option<usize> {
+fn taker(plan: &FailoverPlan, courses: &[Course], id: RequestId) -> Option<usize> {
     let mut drawn = unit(id.0, WHOSE_LOAD);
     let lost = courses.iter().position(|course| {
         let part = if course.is_withheld() { course.part() } else { 0.0 };
@@ -45,7 +45,12 @@
 }
 
 /// The sites that a request may go to.
-pub(crate) fn send_to(plan: &Plan, courses: &[Course], id: RequestId, effect_is_safe: bool) -> SiteSet {
+pub(crate) fn send_to(
+    plan: &FailoverPlan,
+    courses: &[Course],
+    id: RequestId,
+    effect_is_safe: bool,
+) -> SiteSet {
     let mut to = SiteSet::ALL;
     for (site, course) in courses.iter().enumerate() {
         // Hosts that are withheld take no work anyway, and a set of its own would part a request from the usual slots.
--- a/crates/site-failover/src/sites.rs
+++ b/crates/site-failover/src/sites.rs
@@ -8,10 +8,10 @@
 };
 
 use crate::chance::unit;
-use crate::course::{Course, Look, Ramped, State};
+use crate::course::{Course, Look, Ramped, SiteHealth};
 use crate::ladder::Level;
-use crate::plan::{Plan, SiteSet, Told};
-use crate::said::{Cause, Said, SiteState};
+use crate::plan::{FailoverPlan, OperatorOverride, SiteSet};
+use crate::said::{SiteStatus, Transition, TransitionCause};
 use crate::shares;
 use crate::verdict::{Seen, Tally, Tested, MILLISECOND, SECOND};
 
@@ -42,7 +42,7 @@
 
 /// Who this gateway is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct GatewayIdentity {
     /// Gateways in all.
     pub gateways: u32,
     /// This gateway's number among them, from 0.
@@ -53,16 +53,16 @@
 
 /// What has changed with a tick.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Turn {
+pub struct FailoverUpdate {
     /// Hosts that are withheld now and were not, or the other way round.
     pub hosts: Vec<HostId>,
     /// Share of requests let in, by cell, if it has changed; empty: all are.
     pub keep: Option<Vec<f64>>,
     /// What is to be said of it, a log line each.
-    pub said: Vec<Said>,
+    pub said: Vec<Transition>,
 }
 
-impl Turn {
+impl FailoverUpdate {
     fn is_nothing(&self) -> bool {
         self.hosts.is_empty() && self.keep.is_none() && self.said.is_empty()
     }
@@ -92,9 +92,9 @@
 
 /// The controller.
 #[derive(Clone, Debug)]
-pub struct Sites {
-    plan: Plan,
-    fleet: Fleet,
+pub struct FailoverController {
+    plan: FailoverPlan,
+    fleet: GatewayIdentity,
     seed: u64,
     hosts: BTreeMap<HostId, Host>,
     /// By site, and one more for hosts that are in none.
@@ -119,12 +119,12 @@
     due: Time,
 }
 
-impl Sites {
+impl FailoverController {
     /// A gateway that has seen nothing yet and holds all sites for whole. `seed` sets when its turns are.
-    pub fn new(plan: Plan, fleet: Fleet, seed: u64, now: Time) -> Sites {
+    pub fn new(plan: FailoverPlan, fleet: GatewayIdentity, seed: u64, now: Time) -> FailoverController {
         let level = Level::new(&plan.ladder);
-        let mut sites = Sites {
-            plan: Plan::default(),
+        let mut sites = FailoverController {
+            plan: FailoverPlan::default(),
             fleet,
             seed,
             hosts: BTreeMap::new(),
@@ -149,7 +149,7 @@
 
     /// Another version of the plan. Sites that keep their names keep what was seen of them and their course. Lists are
     /// not kept while there are no sites: after a plan without any, the list has to be told again in full.
-    pub fn turn(&mut self, plan: Plan, now: Time) {
+    pub fn turn(&mut self, plan: FailoverPlan, now: Time) {
         let (mut seen, mut courses) = (vec![], vec![]);
         for (number, site) in plan.sites.iter().enumerate() {
             let old = self.plan.sites.iter().position(|old| old.name == site.name);
@@ -326,13 +326,13 @@
     }
 
     /// How the sites are, in the order of the plan.
-    pub fn states(&self) -> impl Iterator<Item = SiteState> + '_ {
+    pub fn states(&self) -> impl Iterator<Item = SiteStatus> + '_ {
         (0..self.courses.len()).map(|site| self.state_of(site))
     }
 
-    fn state_of(&self, site: usize) -> SiteState {
+    fn state_of(&self, site: usize) -> SiteStatus {
         let (course, seen) = (&self.courses[site], &self.seen[site]);
-        SiteState {
+        SiteStatus {
             name: self.plan.sites[site].name.clone(),
             state: course.state(),
             told: self.plan.sites[site].told,
@@ -352,9 +352,9 @@
     }
 
     /// Looks at what came since the last tick. What has changed, if anything.
-    pub fn tick(&mut self, now: Time) -> Option<Turn> {
+    pub fn tick(&mut self, now: Time) -> Option<FailoverUpdate> {
         if self.is_idle() {
-            let mut turn = Turn::default();
+            let mut turn = FailoverUpdate::default();
             self.plain = true;
             self.hosts.clear();
             self.hosts_changed(&mut turn);
@@ -366,13 +366,13 @@
         self.last = now;
         let fresh: Vec<Tally> = self.seen.iter_mut().map(|seen| seen.tick(past)).collect();
         self.take_lists(now);
-        let mut turn = Turn::default();
+        let mut turn = FailoverUpdate::default();
         let cut_off = self.is_cut_off(now);
         for site in 0..self.courses.len() {
             let was = self.courses[site].state();
             let cause = self.judge(now, past, site, &fresh, cut_off);
             if let Some(cause) = cause {
-                turn.said.push(Said::Site { was, now: self.state_of(site), cause });
+                turn.said.push(Transition::Site { was, now: self.state_of(site), cause });
             }
         }
         self.plain = self.courses.iter().all(Course::is_plain);
@@ -458,27 +458,35 @@
     }
 
     /// Moves a site on. Why, if it was to another state or another share.
-    fn judge(&mut self, now: Time, past: Span, site: usize, fresh: &[Tally], cut_off: bool) -> Option<Cause> {
+    fn judge(
+        &mut self,
+        now: Time,
+        past: Span,
+        site: usize,
+        fresh: &[Tally],
+        cut_off: bool,
+    ) -> Option<TransitionCause> {
         match self.plan.sites[site].told {
-            Some(Told::Whole) => {
-                let changed = !self.courses[site].is_plain() || self.courses[site].state() != State::Whole;
-                self.courses[site].release(now, State::Whole);
-                return changed.then_some(Cause::Told);
+            Some(OperatorOverride::Healthy) => {
+                let changed =
+                    !self.courses[site].is_plain() || self.courses[site].state() != SiteHealth::Healthy;
+                self.courses[site].release(now, SiteHealth::Healthy);
+                return changed.then_some(TransitionCause::SetByOperators);
             }
-            Some(Told::Lost) if self.courses[site].is_withheld() => {
-                return self.courses[site].hold(now).then_some(Cause::Told)
+            Some(OperatorOverride::Lost) if self.courses[site].is_withheld() => {
+                return self.courses[site].hold(now).then_some(TransitionCause::SetByOperators)
             }
-            Some(Told::Lost) if self.is_another_left(site) => {
-                self.courses[site].lose(now, State::Lost);
-                return Some(Cause::Told);
+            Some(OperatorOverride::Lost) if self.is_another_left(site) => {
+                self.courses[site].lose(now, SiteHealth::Lost);
+                return Some(TransitionCause::SetByOperators);
             }
-            Some(Told::Lost) | None => {}
+            Some(OperatorOverride::Lost) | None => {}
         }
         if cut_off {
             let course = &mut self.courses[site];
-            let changed = course.state() != State::CutOff || course.is_withheld();
-            course.release(now, State::CutOff);
-            return changed.then_some(Cause::NoWitness);
+            let changed = course.state() != SiteHealth::Unreachable || course.is_withheld();
+            course.release(now, SiteHealth::Unreachable);
+            return changed.then_some(TransitionCause::NoReference);
         }
         if let Some(cause) = self.judge_emptied(now, site) {
             return cause;
@@ -490,7 +498,7 @@
     }
 
     /// Discovery has none of the site's hosts in service, or lists others than it did.
-    fn judge_emptied(&mut self, now: Time, site: usize) -> Option<Option<Cause>> {
+    fn judge_emptied(&mut self, now: Time, site: usize) -> Option<Option<TransitionCause>> {
         let listed = &mut self.listed[site];
         let emptied = listed.emptied?;
         let course = &mut self.courses[site];
@@ -508,31 +516,33 @@
             if is_start || !self.is_another_left(site) {
                 return None;
             }
-            self.courses[site].lose(now, State::Lost);
-            return Some(Some(Cause::Emptied));
+            self.courses[site].lose(now, SiteHealth::Lost);
+            return Some(Some(TransitionCause::NoHostsListed));
         }
         if course.part() == 0.0 {
             return Some(None);
         }
         if self.seen[site].answered.is_some_and(|answered| answered > emptied) {
-            return Some(course.remark(now, State::Doubtful).then_some(Cause::EmptiedButAnswers));
+            return Some(
+                course.remark(now, SiteHealth::Suspect).then_some(TransitionCause::UnlistedButAnswering),
+            );
         }
         if now < emptied + EMPTY_FOR {
             return Some(None);
         }
-        course.lose(now, State::Lost);
-        Some(Some(Cause::Emptied))
+        course.lose(now, SiteHealth::Lost);
+        Some(Some(TransitionCause::NoHostsListed))
     }
 
     /// A site that is withheld: trials, and whether it may return.
-    fn try_site(&mut self, now: Time, site: usize) -> Option<Cause> {
+    fn try_site(&mut self, now: Time, site: usize) -> Option<TransitionCause> {
         let (turn, doubt) = (self.turn_span(), self.in_doubt());
         let ready = &self.listed[site].ready;
         let course = &mut self.courses[site];
         course.try_it(now, ready, turn);
         if !course.is_answering(now, ready.len(), turn) {
-            let back = course.state() == State::Trying && course.remark(now, State::Lost);
-            return back.then_some(Cause::NoWitness);
+            let back = course.state() == SiteHealth::Probing && course.remark(now, SiteHealth::Lost);
+            return back.then_some(TransitionCause::NoReference);
         }
         if course.may_return(now, doubt) {
             if course.part() == 0.0 {
@@ -541,21 +551,28 @@
             }
             course.begin_return(now);
             self.seen[site].forget_run();
-            return Some(Cause::Answers);
+            return Some(TransitionCause::Answering);
         }
-        course.remark(now, State::Trying).then_some(Cause::Answers)
+        course.remark(now, SiteHealth::Probing).then_some(TransitionCause::Answering)
     }
 
     /// A site that gets load: what its failures, or its answers, say.
-    fn judge_failures(&mut self, now: Time, past: Span, site: usize, fresh: &[Tally]) -> Option<Cause> {
+    fn judge_failures(
+        &mut self,
+        now: Time,
+        past: Span,
+        site: usize,
+        fresh: &[Tally],
+    ) -> Option<TransitionCause> {
         let ready = self.listed[site].ready.len();
         let tested = self.seen[site].tested(now, ready, self.others(site));
         if let Some(tested) = tested.filter(|tested| tested.is_gone() && self.is_another_left(site)) {
-            let state = if self.only_own_answers(now, site) { State::CutOff } else { State::Lost };
+            let state =
+                if self.only_own_answers(now, site) { SiteHealth::Unreachable } else { SiteHealth::Lost };
             self.courses[site].lose(now, state);
             return Some(cause_of(tested));
         }
-        if self.courses[site].state() == State::Returning {
+        if self.courses[site].state() == SiteHealth::Recovering {
             return self.ramp(now, past, site, fresh);
         }
         let unreached = tested.is_none() && self.seen[site].unreached(now, ready);
@@ -563,18 +580,24 @@
         let course = &mut self.courses[site];
         course.forgive(now);
         if let Some(tested) = tested.filter(Tested::is_doubtful) {
-            return course.remark(now, State::Doubtful).then_some(cause_of(tested));
+            return course.remark(now, SiteHealth::Suspect).then_some(cause_of(tested));
         }
         if unreached {
-            let state = if course.state() == State::CutOff { State::CutOff } else { State::Doubtful };
-            return course.remark(now, state).then_some(Cause::NoWitness);
+            let state = if course.state() == SiteHealth::Unreachable {
+                SiteHealth::Unreachable
+            } else {
+                SiteHealth::Suspect
+            };
+            return course.remark(now, state).then_some(TransitionCause::NoReference);
         }
-        let no_news = course.state() == State::CutOff
+        let no_news = course.state() == SiteHealth::Unreachable
             && self.seen[site].answered.is_none_or(|answered| answered < course.since());
         match slow {
             _ if no_news => None,
-            Some(times) => course.remark(now, State::Slow).then_some(Cause::Times(times)),
-            None => course.remark(now, State::Whole).then_some(Cause::Answers),
+            Some(times) => {
+                course.remark(now, SiteHealth::Slow).then_some(TransitionCause::SlowResponses(times))
+            }
+            None => course.remark(now, SiteHealth::Healthy).then_some(TransitionCause::Answering),
         }
     }
 
@@ -607,11 +630,11 @@
         let times = |seen: &Seen| Some(seen.now.mean(SLOW_BY)? / seen.usual.mean(SLOW_BY)?.max(1e-6));
         let here = times(&self.seen[site])?;
         let best = self.others(site).filter_map(times).min_by(f64::total_cmp).unwrap_or(1.0);
-        let from = if self.courses[site].state() == State::Slow { SLOW_NO_MORE } else { SLOW };
+        let from = if self.courses[site].state() == SiteHealth::Slow { SLOW_NO_MORE } else { SLOW };
         (here > from && here > best * SLOWER_THAN_OTHERS.min(from)).then_some(here)
     }
 
-    fn ramp(&mut self, now: Time, past: Span, site: usize, fresh: &[Tally]) -> Option<Cause> {
+    fn ramp(&mut self, now: Time, past: Span, site: usize, fresh: &[Tally]) -> Option<TransitionCause> {
         let mut elsewhere = Tally::default();
         let settled = |other: usize| self.courses.get(other).is_none_or(Course::takes);
         for (_, tally) in fresh.iter().enumerate().filter(|(other, _)| *other != site && settled(*other)) {
@@ -622,21 +645,22 @@
             elsewhere: &elsewhere,
             usual: self.seen[site].usual_time(),
             doubt: self.in_doubt(),
-            another: self.courses.iter().filter(|course| course.state() == State::Returning).count() > 1,
+            another: self.courses.iter().filter(|course| course.state() == SiteHealth::Recovering).count()
+                > 1,
             ramp: self.plan.sites[site].ramp,
         };
         match self.courses[site].ramp(now, &look) {
             Ramped::Holds => None,
-            Ramped::Moved | Ramped::Whole => Some(Cause::Ramp),
+            Ramped::Moved | Ramped::Healthy => Some(TransitionCause::RecoveryProgress),
             Ramped::Failed if !self.is_another_left(site) => None,
             Ramped::Failed => {
-                self.courses[site].lose(now, State::Lost);
-                Some(Cause::RampFailed)
+                self.courses[site].lose(now, SiteHealth::Lost);
+                Some(TransitionCause::RecoveryFailed)
             }
         }
     }
 
-    fn hosts_changed(&mut self, turn: &mut Turn) {
+    fn hosts_changed(&mut self, turn: &mut FailoverUpdate) {
         let withholds: Vec<_> = self.courses.iter().map(Course::withholds).collect();
         if !std::mem::take(&mut self.turned) && withholds == self.withholds {
             return;
@@ -652,7 +676,7 @@
         (self.withheld, self.withholds) = (withheld, withholds);
     }
 
-    fn refuse(&mut self, past: Span, turn: &mut Turn) {
+    fn refuse(&mut self, past: Span, turn: &mut FailoverUpdate) {
         let whole = self.courses.iter().all(Course::is_calm);
         let before = rung_of(self.level.level());
         self.level.tick(past, &self.plan.ladder, whole);
@@ -660,7 +684,7 @@
         turn.keep = self.level.keep(&self.plan.ladder);
         if rung_of(level) != before {
             let rung = rung_of(level).and_then(|rung| self.plan.ladder.rungs.get(rung));
-            turn.said.push(Said::Ladder { level, rung: rung.map(|rung| rung.name.clone()) });
+            turn.said.push(Transition::Shedding { level, rung: rung.map(|rung| rung.name.clone()) });
         }
     }
 }
@@ -674,8 +698,8 @@
     }
 }
 
-fn cause_of(tested: Tested) -> Cause {
-    Cause::Failures { sum: tested.sum, enough: tested.enough, anyway: tested.anyway }
+fn cause_of(tested: Tested) -> TransitionCause {
+    TransitionCause::Failures { sum: tested.sum, enough: tested.enough, anyway: tested.anyway }
 }
 
 /// The rung that is being shed at a level.
--- a/crates/site-failover/tests/plans.rs
+++ b/crates/site-failover/tests/plans.rs
@@ -4,8 +4,10 @@
 
 use config_language::loader::Memory;
 use config_language::model::Operators;
-use site_failover::fit::{losses, outcome, Fit, Mix, Outcome};
-use site_failover::{Facts, Plan, SiteSet, Taker, Told, RAMP};
+use site_failover::capacity_check::{losses, outcome, LoadFit, LossOutcome, TrafficMix};
+use site_failover::{
+    FailoverPlan, FailoverTarget, OperatorOverride, PlatformNames, SiteSet, DEFAULT_RECOVERY_RAMP,
+};
 
 fn names(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
@@ -17,14 +19,14 @@
     loaded.set.unwrap_or_else(|| panic!("{messages:#?}\n{text}")).operators
 }
 
-fn compile(operators: &Operators) -> Result<Plan, String> {
+fn compile(operators: &Operators) -> Result<FailoverPlan, String> {
     let (classes, plans) = (names(&["read", "order"]), names(&["standard", "premium"]));
     let zones = names(&["z1", "z2", "z3", "z4"]);
-    let facts = Facts { classes: &classes, plans: &plans, zones: &zones };
-    Plan::compile(operators, &facts).map_err(|error| error.to_string())
+    let facts = PlatformNames { classes: &classes, plans: &plans, zones: &zones };
+    FailoverPlan::compile(operators, &facts).map_err(|error| error.to_string())
 }
 
-fn plan(text: &str) -> Plan {
+fn plan(text: &str) -> FailoverPlan {
     compile(&operators(text)).unwrap()
 }
 
@@ -61,9 +63,9 @@
     let plan = plan(&text);
     let [a, b, c, d] = &plan.sites[..] else { panic!("{plan:?}") };
     assert_eq!((a.name.as_str(), &a.zones[..], a.ramp, a.capacity), ("a", &[0][..], 45_000_000_000, None));
-    assert_eq!((b.capacity, b.headroom, b.ramp, b.told), (Some(1.5), 0.1, RAMP, None));
-    assert_eq!((c.told, &d.zones[..]), (Some(Told::Lost), &[3][..]));
-    let taker = |site, share| Taker { site, share };
+    assert_eq!((b.capacity, b.headroom, b.ramp, b.told), (Some(1.5), 0.1, DEFAULT_RECOVERY_RAMP, None));
+    assert_eq!((c.told, &d.zones[..]), (Some(OperatorOverride::Lost), &[3][..]));
+    let taker = |site, share| FailoverTarget { site, share };
     assert_eq!(a.takers, [taker(1, 0.6), taker(2, 0.2), taker(3, 0.2)]);
     assert_eq!(b.takers, [taker(0, 1.0)]);
     // Reads of both plans, and of the rest standard orders; nothing is left for the third.
@@ -294,10 +296,10 @@
     },
 ];
 
-fn fit(plan: &Plan, lost: &[usize], mix: &Mix) -> Fit {
+fn fit(plan: &FailoverPlan, lost: &[usize], mix: &TrafficMix) -> LoadFit {
     let lost = lost.iter().copied().fold(SiteSet::NONE, SiteSet::with);
     match outcome(plan, lost, mix) {
-        Outcome::Known(fit) => fit,
+        LossOutcome::Computed(fit) => fit,
         other => panic!("{other:?}"),
     }
 }
@@ -311,7 +313,7 @@
 fn declared_capacities_tell_what_a_loss_comes_to() {
     for case in CASES {
         let plan = plan(&(sites(case.sites) + &takeovers(case.takeovers) + SHEDS));
-        let fit = fit(&plan, case.lost, &Mix::even(&plan.ladder));
+        let fit = fit(&plan, case.lost, &TrafficMix::even(&plan.ladder));
         for (placed, (site, asked)) in fit.left.iter().zip(case.asked) {
             assert_eq!(placed.site, *site, "{}", case.title);
             near(placed.own + placed.taken, *asked, case.title);
@@ -330,7 +332,7 @@
     let two = ["capacity = 500 requests/s\n  load = 400 requests/s"; 2];
     let plan = plan(&(sites(&two) + &takeovers("a>b, b>a") + SHEDS));
     // Of 800 requests a tenth are reads, which give 64; standard orders are half, and give 160; premium ones nothing.
-    let fit = fit(&plan, &[0], &Mix::of(vec![1.0, 0.0, 5.0, 4.0]));
+    let fit = fit(&plan, &[0], &TrafficMix::of(vec![1.0, 0.0, 5.0, 4.0]));
     near(fit.refused, 300.0, "refused");
     near(fit.rungs[0].refused, 64.0, "reads");
     near(fit.rungs[1].refused, 160.0, "standard orders");
@@ -339,19 +341,19 @@
 
 #[test]
 fn each_loss_of_one_and_of_two_is_looked_at() {
-    let even = |plan: &Plan| losses(plan, &Mix::even(&plan.ladder));
+    let even = |plan: &FailoverPlan| losses(plan, &TrafficMix::even(&plan.ladder));
     let figures = "capacity = 600 requests/s\n  load = 100 requests/s";
-    let sets = |plan: &Plan| -> Vec<u64> { even(plan).iter().map(|loss| loss.lost.0).collect() };
+    let sets = |plan: &FailoverPlan| -> Vec<u64> { even(plan).iter().map(|loss| loss.lost.0).collect() };
     assert_eq!(sets(&plan(&sites(&[figures; 3]))), [0b1, 0b10, 0b100, 0b11, 0b101, 0b110]);
     // One that is told lost is lost in all of them.
     let night = format!("{figures}\n  told = \"lost\"");
     let told = plan(&sites(&[figures, &night, figures]));
     assert_eq!(sets(&told), [0b10, 0b11, 0b110, 0b111]);
-    assert_eq!(even(&told)[3].outcome, Outcome::NobodyLeft);
+    assert_eq!(even(&told)[3].outcome, LossOutcome::NoSiteLeft);
     // What is not said is not known; the capacity of what is lost does not count.
     let half = plan(&sites(&["load = 100 requests/s", figures, "capacity = 9 requests/s"]));
-    let outcomes: Vec<Outcome> = even(&half).into_iter().map(|loss| loss.outcome).collect();
-    assert_eq!(outcomes[0], Outcome::Unknown(vec![2]));
-    assert_eq!(outcomes[1], Outcome::Unknown(vec![0, 2]));
-    assert_eq!(sets(&Plan::default()), [0; 0]);
+    let outcomes: Vec<LossOutcome> = even(&half).into_iter().map(|loss| loss.outcome).collect();
+    assert_eq!(outcomes[0], LossOutcome::MissingFigures(vec![2]));
+    assert_eq!(outcomes[1], LossOutcome::MissingFigures(vec![0, 2]));
+    assert_eq!(sets(&FailoverPlan::default()), [0; 0]);
 }
--- a/crates/site-failover/tests/sites/common.rs
+++ b/crates/site-failover/tests/sites/common.rs
@@ -1,27 +1,33 @@
 //! One gateway with its controller and three sites, played by hand.
 
 use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, HostState, Outcome, RequestId, Span, Time};
-use site_failover::{Fleet, Ladder, Plan, Rung, Said, Site, Sites, State, Taker};
+use site_failover::{
+    FailoverController, FailoverPlan, FailoverTarget, GatewayIdentity, SheddingTier, SheddingTiers, Site,
+    SiteHealth, Transition,
+};
 
 pub const SECOND: Span = 1_000_000_000;
 pub const MILLISECOND: Span = 1_000_000;
 pub const HOSTS: u64 = 6;
 
 /// Three sites, the hosts of each numbered on from those before; two rungs over three classes of one plan.
-pub fn plan() -> Plan {
+pub fn plan() -> FailoverPlan {
     let site = |number: usize| Site {
         name: ["north", "south", "west"][number].to_string(),
         zones: vec![number as u32],
         capacity: None,
         load: None,
         headroom: 0.0,
-        takers: (0..3).filter(|other| *other != number).map(|site| Taker { site, share: 0.5 }).collect(),
+        takers: (0..3)
+            .filter(|other| *other != number)
+            .map(|site| FailoverTarget { site, share: 0.5 })
+            .collect(),
         ramp: 60 * SECOND,
         told: None,
     };
-    let rung = |name: &str, cell, floor| Rung { name: name.to_string(), cells: vec![cell], floor };
+    let rung = |name: &str, cell, floor| SheddingTier { name: name.to_string(), cells: vec![cell], floor };
     let rungs = vec![rung("batch", 0, 0.1), rung("browse", 1, 0.3)];
-    Plan { sites: (0..3).map(site).collect(), ladder: Ladder { rungs, classes: 3, plans: 1 } }
+    FailoverPlan { sites: (0..3).map(site).collect(), ladder: SheddingTiers { rungs, classes: 3, plans: 1 } }
 }
 
 pub fn site_of(host: u64) -> usize {
@@ -37,7 +43,7 @@
 pub type Ends<'a> = &'a dyn Fn(Time, u64) -> (Outcome, Span);
 
 /// What doubt is told by.
-pub type Doubt = fn(&mut Sites, Time, bool);
+pub type Doubt = fn(&mut FailoverController, Time, bool);
 /// A case's name, how attempts end, and what is wanted: after how many seconds, from and up to what share.
 pub type Return<'a> = (&'a str, Ends<'a>, [(Span, f64, f64); 2]);
 
@@ -45,22 +51,22 @@
 pub const SILENT: (Outcome, Span) = (Outcome::Timeout, 300 * MILLISECOND);
 
 pub struct Bench {
-    pub sites: Sites,
+    pub sites: FailoverController,
     pub now: Time,
-    pub changes: Vec<(Time, usize, State, State, f64)>,
+    pub changes: Vec<(Time, usize, SiteHealth, SiteHealth, f64)>,
     /// Attempts by site.
     pub sent: [u32; 3],
     /// Requests sent to a site that was withheld.
     pub trials: u32,
     pub keep: Vec<f64>,
     /// State, share and hosts of each site, as of the last tick.
-    known: Vec<(State, f64, usize)>,
+    known: Vec<(SiteHealth, f64, usize)>,
     requests: u64,
 }
 
 impl Bench {
-    pub fn new(plan: Plan, fleet: Fleet) -> Bench {
-        let mut sites = Sites::new(plan, fleet, 1, 0);
+    pub fn new(plan: FailoverPlan, fleet: GatewayIdentity) -> Bench {
+        let mut sites = FailoverController::new(plan, fleet, 1, 0);
         let entries: Vec<_> = (0..3 * HOSTS).map(|host| entry(host, HostState::Ready, 0)).collect();
         sites.on_list(0, HostListKind::Full, &entries);
         Bench {
@@ -70,13 +76,13 @@
             sent: [0; 3],
             trials: 0,
             keep: vec![],
-            known: vec![(State::Whole, 1.0, HOSTS as usize); 3],
+            known: vec![(SiteHealth::Healthy, 1.0, HOSTS as usize); 3],
             requests: 0,
         }
     }
 
     pub fn usual() -> Bench {
-        Bench::new(plan(), Fleet { gateways: 8, me: 0, zone: 0 })
+        Bench::new(plan(), GatewayIdentity { gateways: 8, me: 0, zone: 0 })
     }
 
     pub fn list(&mut self, hosts: std::ops::Range<u64>, state: HostState, started: Time) {
@@ -89,7 +95,7 @@
         self.known = self.sites.states().map(|site| (site.state, site.share, site.hosts)).collect();
         let Some(turn) = turn else { return };
         for said in turn.said {
-            let Said::Site { was, now, .. } = said else { continue };
+            let Transition::Site { was, now, .. } = said else { continue };
             let site = self.sites.states().position(|site| site.name == now.name).unwrap();
             self.changes.push((self.now, site, was, now.state, now.share));
         }
@@ -125,7 +131,7 @@
             .filter(|host| to.has(site_of(*host)) && self.known[site_of(*host)].2 > 0)
             .collect();
         // Hosts of a site that returns are idle, and idle hosts are liked best.
-        let returns = |host: &&u64| self.known[site_of(**host)].0 == State::Returning;
+        let returns = |host: &&u64| self.known[site_of(**host)].0 == SiteHealth::Recovering;
         let Some(host) = open.iter().find(returns).or(open.first()).copied() else { return };
         let site = site_of(host);
         self.sent[site] += 1;
@@ -149,7 +155,7 @@
         self.sites.on_ended(self.now, &ended);
     }
 
-    pub fn states(&self) -> Vec<State> {
+    pub fn states(&self) -> Vec<SiteHealth> {
         self.sites.states().map(|site| site.state).collect()
     }
 
@@ -159,7 +165,7 @@
     }
 
     /// When a site came to be held for something, of all the times it did.
-    pub fn came_to(&self, site: usize, state: State) -> Vec<Time> {
+    pub fn came_to(&self, site: usize, state: SiteHealth) -> Vec<Time> {
         let own =
             self.changes.iter().filter(|(_, at, was, now, _)| *at == site && *now == state && was != now);
         own.map(|(at, ..)| *at).collect()
--- a/crates/site-failover/tests/sites/returns.rs
+++ b/crates/site-failover/tests/sites/returns.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{plan, site_of, Bench, Doubt, Return, HOSTS, MILLISECOND, OK, SECOND, SILENT};
 use policy::api::{HostId, HostState, Outcome, RejectReason, RequestId, Span, Time};
-use site_failover::{Fleet, SiteSet, Sites, State};
-use State::{Lost, Returning, Trying, Whole};
+use site_failover::{FailoverController, GatewayIdentity, SiteHealth, SiteSet};
+use SiteHealth::{Healthy, Lost, Probing, Recovering};
 
 fn lost(site: usize) -> impl Fn(Time, u64) -> (Outcome, Span) {
     move |_, host| if site_of(host) == site { SILENT } else { OK }
@@ -14,7 +14,7 @@
     let mut bench = Bench::usual();
     bench.play(30 * SECOND, 200.0, &|_, _| OK);
     bench.play(30 * SECOND, 200.0, &lost(1));
-    assert_eq!(bench.states(), [Whole, Lost, Whole]);
+    assert_eq!(bench.states(), [Healthy, Lost, Healthy]);
     bench
 }
 
@@ -52,9 +52,9 @@
         1 => (Outcome::Ok, 80 * MILLISECOND),
         _ => OK,
     });
-    assert!(bench.share(1) < before && bench.states()[1] == Returning, "{before} {}", bench.share(1));
+    assert!(bench.share(1) < before && bench.states()[1] == Recovering, "{before} {}", bench.share(1));
     bench.play(240 * SECOND, 200.0, &|_, _| OK);
-    assert_eq!(bench.states()[1], Whole);
+    assert_eq!(bench.states()[1], Healthy);
 }
 
 #[test]
@@ -118,7 +118,7 @@
     }
     assert!((5..=11).contains(&tried), "one that may run twice is, each second: {tried}");
     bench.play(5 * SECOND, 200.0, &|_, _| OK);
-    assert_eq!((bench.states()[1], bench.share(1)), (Returning, 0.05));
+    assert_eq!((bench.states()[1], bench.share(1)), (Recovering, 0.05));
     assert!((0..5_000).all(|n| !bench.sites.send_to(bench.now, RequestId(n), false).has(1)));
 }
 
@@ -138,7 +138,7 @@
         for site in &mut plan.sites {
             (site.capacity, site.load, site.headroom) = (capacity, capacity.map(|_| 100.0), 0.1);
         }
-        let mut bench = Bench::new(plan, Fleet { gateways: 8, me: 0, zone: 0 });
+        let mut bench = Bench::new(plan, GatewayIdentity { gateways: 8, me: 0, zone: 0 });
         bench.play(30 * SECOND, 200.0, &|_, _| OK);
         bench.play(5 * SECOND, 200.0, &lost(1));
         let mut bound = [0.0; 3];
@@ -161,35 +161,36 @@
     let flaps =
         |now: Time, host| if site_of(host) == 1 && now / (10 * SECOND) % 2 == 1 { SILENT } else { OK };
     bench.play(900 * SECOND, 200.0, &flaps);
-    let begun = bench.came_to(1, Returning);
+    let begun = bench.came_to(1, Recovering);
     let spans: Vec<Time> = begun.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(!spans.is_empty() && spans.iter().all(|span| *span >= 60 * SECOND), "{spans:?}");
     assert!(spans.windows(2).all(|pair| pair[1] > pair[0]), "{spans:?}");
     // Whole for long, it is trusted as before: two returns in three minutes, not in ten.
     bench.play(1_500 * SECOND, 200.0, &|_, _| OK);
-    assert_eq!(bench.states()[1], Whole);
+    assert_eq!(bench.states()[1], Healthy);
     let from = bench.now;
     bench.play(5 * SECOND, 200.0, &lost(1));
     bench.play(15 * SECOND, 200.0, &|_, _| OK);
     bench.play(5 * SECOND, 200.0, &lost(1));
     bench.play(155 * SECOND, 200.0, &|_, _| OK);
-    assert_eq!(bench.came_to(1, Returning).iter().filter(|at| **at >= from).count(), 2);
+    assert_eq!(bench.came_to(1, Recovering).iter().filter(|at| **at >= from).count(), 2);
 }
 
 #[test]
 fn no_return_begins_in_doubt_but_doubt_that_stays_only_slows_it() {
-    let cases: [(&str, Doubt); 2] = [("discovery", Sites::on_discovery), ("the counter", Sites::on_counter)];
+    let cases: [(&str, Doubt); 2] =
+        [("discovery", FailoverController::on_discovery), ("the counter", FailoverController::on_counter)];
     for (case, doubt) in cases {
         let mut bench = after_a_loss();
         doubt(&mut bench.sites, bench.now, true);
         bench.play(25 * SECOND, 200.0, &|_, _| OK);
-        assert_eq!(bench.states()[1], Trying, "{case}");
+        assert_eq!(bench.states()[1], Probing, "{case}");
         bench.play(15 * SECOND, 200.0, &|_, _| OK);
-        assert_eq!(bench.states()[1], Returning, "{case}");
+        assert_eq!(bench.states()[1], Recovering, "{case}");
         bench.play(90 * SECOND, 200.0, &|_, _| OK);
-        assert_eq!(bench.states()[1], Returning, "{case}: half the pace");
+        assert_eq!(bench.states()[1], Recovering, "{case}: half the pace");
         bench.play(90 * SECOND, 200.0, &|_, _| OK);
-        assert_eq!(bench.states()[1], Whole, "{case}");
+        assert_eq!(bench.states()[1], Healthy, "{case}");
     }
 }
 
@@ -197,16 +198,16 @@
 fn another_site_is_lost_during_a_return() {
     let mut bench = after_a_loss();
     bench.play(25 * SECOND, 200.0, &|_, _| OK);
-    assert_eq!(bench.states(), [Whole, Returning, Whole]);
+    assert_eq!(bench.states(), [Healthy, Recovering, Healthy]);
     bench.play(10 * SECOND, 200.0, &lost(2));
-    assert_eq!(bench.states(), [Whole, Returning, Lost]);
+    assert_eq!(bench.states(), [Healthy, Recovering, Lost]);
     // Both return: neither at the full pace.
     let began = bench.now;
     bench.play(65 * SECOND, 200.0, &|_, _| OK);
-    assert_ne!(bench.states()[2], Whole);
+    assert_ne!(bench.states()[2], Healthy);
     bench.play(120 * SECOND, 200.0, &|_, _| OK);
-    assert_eq!(bench.states(), [Whole; 3]);
-    assert!(bench.came_to(2, Whole)[0] - began > 70 * SECOND);
+    assert_eq!(bench.states(), [Healthy; 3]);
+    assert!(bench.came_to(2, Healthy)[0] - began > 70 * SECOND);
 }
 
 #[test]
@@ -214,7 +215,7 @@
     for gateways in [3, 30, 300] {
         let (mut trials, mut turned) = (0, 0);
         for me in 0..gateways {
-            let mut bench = Bench::new(plan(), Fleet { gateways, me, zone: 0 });
+            let mut bench = Bench::new(plan(), GatewayIdentity { gateways, me, zone: 0 });
             bench.play(10 * SECOND, 50.0, &|_, _| OK);
             bench.play(10 * SECOND, 50.0, &lost(1));
             assert_eq!(bench.states()[1], Lost);
@@ -279,5 +280,5 @@
     assert!(bench.keep.is_empty());
     bench.list(0..1, HostState::Draining, 0);
     bench.play(SECOND, 200.0, &|_, _| OK);
-    assert_eq!(bench.states(), [Whole; 3]);
+    assert_eq!(bench.states(), [Healthy; 3]);
 }
--- a/crates/site-failover/tests/sites/verdicts.rs
+++ b/crates/site-failover/tests/sites/verdicts.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{entry, plan, site_of, Bench, Ends, HOSTS, MILLISECOND, OK, SECOND, SILENT};
 use policy::api::{HostListKind, HostState, Outcome, Span, Time};
-use site_failover::{Fleet, Plan, Sites, State, Told};
-use State::{CutOff, Doubtful, Lost, Slow, Whole};
+use site_failover::{FailoverController, FailoverPlan, GatewayIdentity, OperatorOverride, SiteHealth};
+use SiteHealth::{Healthy, Lost, Slow, Suspect, Unreachable};
 
 /// A number that looks random, from 0 to 1, for each host and moment.
 fn drawn(now: Time, host: u64) -> f64 {
@@ -36,28 +36,28 @@
     let full = |_, host| if site_of(host) == 1 { (Outcome::Rejected, MILLISECOND) } else { OK };
     let slow = |_, host| if site_of(host) == 1 { (Outcome::Ok, 60 * MILLISECOND) } else { OK };
     let all_slow = |_, _| (Outcome::Ok, 60 * MILLISECOND);
-    let cases: [(&str, Ends, [State; 3]); 14] = [
-        ("nothing is wrong", &all_well, [Whole; 3]),
-        ("silent", &lost(1), [Whole, Lost, Whole]),
-        ("reset", &reset, [Whole, Lost, Whole]),
-        ("withdrawn after several usual times", &withdrawn, [Whole, Lost, Whole]),
-        ("withdrawn soon", &soon, [Whole; 3]),
-        ("half the hosts", &half, [Whole; 3]),
-        ("one bad host", &one, [Whole; 3]),
-        ("two of three sites", &two, [Lost, Lost, Whole]),
-        ("all sites alike", &all, [CutOff; 3]),
-        ("errors", &errors, [Whole; 3]),
-        ("turned away", &full, [Whole; 3]),
-        ("slow", &slow, [Whole, Slow, Whole]),
-        ("all slow", &all_slow, [Whole; 3]),
-        ("a third of all attempts", &share_fails(0.33), [Whole; 3]),
+    let cases: [(&str, Ends, [SiteHealth; 3]); 14] = [
+        ("nothing is wrong", &all_well, [Healthy; 3]),
+        ("silent", &lost(1), [Healthy, Lost, Healthy]),
+        ("reset", &reset, [Healthy, Lost, Healthy]),
+        ("withdrawn after several usual times", &withdrawn, [Healthy, Lost, Healthy]),
+        ("withdrawn soon", &soon, [Healthy; 3]),
+        ("half the hosts", &half, [Healthy; 3]),
+        ("one bad host", &one, [Healthy; 3]),
+        ("two of three sites", &two, [Lost, Lost, Healthy]),
+        ("all sites alike", &all, [Unreachable; 3]),
+        ("errors", &errors, [Healthy; 3]),
+        ("turned away", &full, [Healthy; 3]),
+        ("slow", &slow, [Healthy, Slow, Healthy]),
+        ("all slow", &all_slow, [Healthy; 3]),
+        ("a third of all attempts", &share_fails(0.33), [Healthy; 3]),
     ];
     for (case, ends, wanted) in cases {
         let mut bench = Bench::usual();
         bench.play(30 * SECOND, 100.0, &all_well);
         bench.play(10 * SECOND, 100.0, ends);
         // A run of failures that is not over yet is a remark, and moves nothing.
-        let states = bench.states().into_iter().map(|state| if state == Doubtful { Whole } else { state });
+        let states = bench.states().into_iter().map(|state| if state == Suspect { Healthy } else { state });
         assert_eq!(states.collect::<Vec<_>>(), wanted, "{case}");
         let withheld: Vec<bool> = wanted.iter().map(|state| *state == Lost).collect();
         assert_eq!(bench.withheld(), withheld, "{case}");
@@ -120,13 +120,13 @@
 #[test]
 fn a_gateway_that_is_cut_off_acts_for_what_still_answers() {
     // All but the own site fail; whether discovery and the counter are silent as well tells who is cut off.
-    for (silent, state) in [(true, CutOff), (false, Lost)] {
+    for (silent, state) in [(true, Unreachable), (false, Lost)] {
         let mut bench = Bench::usual();
         bench.play(30 * SECOND, 100.0, &|_, _| OK);
         bench.sites.on_discovery(bench.now, silent);
         bench.sites.on_counter(bench.now, silent);
         bench.play(10 * SECOND, 100.0, &|_, host| if site_of(host) == 0 { OK } else { SILENT });
-        assert_eq!(bench.states(), [Whole, state, state], "{silent}");
+        assert_eq!(bench.states(), [Healthy, state, state], "{silent}");
         assert_eq!(bench.withheld(), [false, true, true]);
     }
 }
@@ -140,9 +140,9 @@
         let withheld = bench.withheld().iter().filter(|withheld| **withheld).count();
         assert_eq!(withheld, if gone == 3 { 0 } else { gone }, "{gone} gone");
     }
-    assert_eq!(bench.states(), [CutOff; 3]);
+    assert_eq!(bench.states(), [Unreachable; 3]);
     let mut all_told = plan();
-    all_told.sites.iter_mut().for_each(|site| site.told = Some(Told::Lost));
+    all_told.sites.iter_mut().for_each(|site| site.told = Some(OperatorOverride::Lost));
     bench.sites.turn(all_told, bench.now);
     bench.play(5 * SECOND, 100.0, &|_, _| OK);
     assert!(bench.withheld().contains(&false), "told by hand");
@@ -151,10 +151,10 @@
 #[test]
 fn discovery_that_empties_a_site_is_doubted_while_its_hosts_answer() {
     for (answers, started, after, at_last) in [
-        (true, 0, Doubtful, Whole),
-        (false, 0, Lost, State::Returning),
+        (true, 0, Suspect, Healthy),
+        (false, 0, Lost, SiteHealth::Recovering),
         // Listed anew with hosts that started since: they are cold.
-        (true, 60 * SECOND, Doubtful, State::Returning),
+        (true, 60 * SECOND, Suspect, SiteHealth::Recovering),
     ] {
         let mut bench = Bench::usual();
         bench.play(30 * SECOND, 100.0, &|_, _| OK);
@@ -165,10 +165,10 @@
                 bench.ended(HOSTS, Outcome::Ok, 10 * MILLISECOND);
             }
         }
-        assert_eq!(bench.states(), [Whole, after, Whole]);
+        assert_eq!(bench.states(), [Healthy, after, Healthy]);
         bench.list(HOSTS..2 * HOSTS, HostState::Ready, started);
         bench.play(8 * SECOND, 100.0, &|_, _| OK);
-        assert_eq!(bench.states(), [Whole, at_last, Whole], "{answers} {started}");
+        assert_eq!(bench.states(), [Healthy, at_last, Healthy], "{answers} {started}");
     }
 }
 
@@ -181,20 +181,20 @@
     bench.play(40 * SECOND, ten_a_minute, &lost(1));
     assert_eq!(bench.withheld(), [false; 3], "two or three failures tell nothing");
     bench.play(600 * SECOND, ten_a_minute, &lost(1));
-    assert_eq!(bench.states(), [Whole, Lost, Whole]);
+    assert_eq!(bench.states(), [Healthy, Lost, Healthy]);
 }
 
 #[test]
 fn a_gateway_that_starts_during_the_outage_finds_it() {
     let mut bench = Bench::usual();
     bench.play(5 * SECOND, 100.0, &lost(2));
-    assert_eq!(bench.states(), [Whole, Whole, Lost]);
+    assert_eq!(bench.states(), [Healthy, Healthy, Lost]);
     // One that discovery does not even list is not lost to it, and its part falls to nobody.
-    let mut sites = Sites::new(plan(), Fleet { gateways: 8, me: 1, zone: 0 }, 1, 0);
+    let mut sites = FailoverController::new(plan(), GatewayIdentity { gateways: 8, me: 1, zone: 0 }, 1, 0);
     let entries: Vec<_> = (0..2 * HOSTS).map(|host| entry(host, HostState::Ready, 0)).collect();
     sites.on_list(0, HostListKind::Full, &entries);
     (0..600).for_each(|n| drop(sites.tick(n * 100 * MILLISECOND)));
-    assert!(sites.states().all(|site| site.state == Whole));
+    assert!(sites.states().all(|site| site.state == Healthy));
     // As it comes up it is cold, and returns like any.
     let entries: Vec<_> =
         (2 * HOSTS..3 * HOSTS).map(|host| entry(host, HostState::Ready, 61 * SECOND)).collect();
@@ -208,12 +208,12 @@
     let mut bench = Bench::usual();
     bench.play(10 * SECOND, 100.0, &|_, _| OK);
     let mut told = plan();
-    told.sites[1].told = Some(Told::Lost);
+    told.sites[1].told = Some(OperatorOverride::Lost);
     bench.sites.turn(told.clone(), bench.now);
     bench.sent = [0; 3];
     bench.play(30 * SECOND, 100.0, &|_, _| OK);
     assert_eq!((bench.states()[1], bench.sent[1]), (Lost, 0), "not even trials");
-    told.sites[1].told = Some(Told::Whole);
+    told.sites[1].told = Some(OperatorOverride::Healthy);
     bench.sites.turn(told, bench.now);
     bench.play(10 * SECOND, 100.0, &lost(1));
     assert_eq!(bench.withheld(), [false; 3]);
@@ -234,10 +234,10 @@
     let before = bench.changes.len();
     bench.sites.turn(other, bench.now);
     bench.play(5 * SECOND, 100.0, &lost(1));
-    assert_eq!(bench.states(), [Lost, Whole, Whole], "south comes first now");
+    assert_eq!(bench.states(), [Lost, Healthy, Healthy], "south comes first now");
     assert_eq!(bench.changes.len(), before, "and is not lost anew: {:?}", bench.changes);
     // No sites any more, though there is a ladder still.
-    bench.sites.turn(Plan { sites: vec![], ..plan() }, bench.now);
+    bench.sites.turn(FailoverPlan { sites: vec![], ..plan() }, bench.now);
     assert!(bench.sites.is_idle() && bench.sites.due() <= bench.now);
     let turn = bench.sites.tick(bench.now).unwrap();
     assert!(turn.hosts.len() as u64 >= HOSTS - 1, "what was withheld is let go: {turn:?}");
@@ -248,7 +248,7 @@
 #[test]
 fn what_fails_elsewhere_too_is_held_against_no_site() {
     // Fourteen failures in a row at a site, while others answer all, or three of five.
-    for (elsewhere, wanted) in [(0, Lost), (2, Whole)] {
+    for (elsewhere, wanted) in [(0, Lost), (2, Healthy)] {
         let mut bench = Bench::usual();
         bench.play(30 * SECOND, 100.0, &|_, _| OK);
         let count = std::cell::Cell::new(0);
@@ -282,7 +282,7 @@
         bench.play(20 * MILLISECOND, 100.0, &|_, _| (Outcome::NotSent, 0));
     }
     assert!(bench.changes.iter().all(|change| change.4 == 1.0), "{:?}", bench.changes);
-    assert_eq!(bench.states()[1], CutOff);
+    assert_eq!(bench.states()[1], Unreachable);
 }
 
 #[test]
