--- a/crates/api-gateway/src/operators.rs
+++ b/crates/api-gateway/src/operators.rs
@@ -110,7 +110,7 @@
     match plan::compile(&set.operators, site) {
         Ok(plan) => diagnostics.extend(plan::warnings(&set.operators, &plan)),
         Err(error) => {
-            diagnostics.push(Diagnostic::error("plan", &place(&error.origin), error.problem.to_string()));
+            diagnostics.push(Diagnostic::error("plan", &place(&error.origin), error.kind.to_string()));
         }
     }
     let is_clean = diagnostics.iter().all(|diagnostic| diagnostic.severity != Severity::Error);
--- a/crates/api-gateway/src/plan/mod.rs
+++ b/crates/api-gateway/src/plan/mod.rs
@@ -9,7 +9,9 @@
 use config_language::model::Operators;
 use config_language::{Diagnostic, Dimension};
 use gateway::Site;
-use site_failover::capacity_check::{outcome, LoadFit, LossOutcome, LossScenario, TierShedding, TrafficMix};
+use site_failover::capacity_check::{
+    check_loss, LoadFit, LossOutcome, LossScenario, TierShedding, TrafficMix,
+};
 use site_failover::{FailoverPlan, OperatorOverride, PlanError, PlatformNames, SiteSet};
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -64,9 +66,9 @@
         let reason = format!("whether a loss is carried is not known: site \"{name}\" lacks `{key}`");
         return vec![Diagnostic::warning("loss-unknown", &place(number), reason)];
     }
-    let (told, mix) = (told_lost(plan), TrafficMix::even(&plan.ladder));
-    let open = (0..plan.sites.len()).filter(|site| !told.has(*site));
-    let warnings = open.filter_map(|number| match outcome(plan, told.with(number), &mix) {
+    let (told, mix) = (told_lost(plan), TrafficMix::even(&plan.shedding));
+    let open = (0..plan.sites.len()).filter(|site| !told.contains(*site));
+    let warnings = open.filter_map(|number| match check_loss(plan, told.with(number), &mix) {
         LossOutcome::Computed(fit) if !fit.is_carried() => {
             let reason = format!(
                 "the loss of site \"{}\" is not carried: {}",
@@ -94,34 +96,38 @@
 
 /// The sites that are told lost.
 fn told_lost(plan: &FailoverPlan) -> SiteSet {
-    let told = plan.sites.iter().enumerate().filter(|(_, site)| site.told == Some(OperatorOverride::Lost));
+    let told = plan
+        .sites
+        .iter()
+        .enumerate()
+        .filter(|(_, site)| site.operator_override == Some(OperatorOverride::Lost));
     told.fold(SiteSet::NONE, |set, (number, _)| set.with(number))
 }
 
 /// What is refused, and how much of it.
 fn in_a_line(plan: &FailoverPlan, fit: &LoadFit) -> String {
-    let narrowest = &fit.left[fit.narrowest];
+    let narrowest = &fit.remaining_sites[fit.bottleneck];
     format!(
         "{} of {} ({}) are refused ({}): site \"{}\" is asked for {} and has room for {}",
-        amount(fit.refused),
-        requests(fit.asked),
-        percent(fit.share_refused()),
+        amount(fit.shed),
+        requests(fit.demand),
+        percent(fit.shed_fraction()),
         refusals(plan, fit).join(", "),
         plan.sites[narrowest.site].name,
-        amount(narrowest.own + narrowest.taken),
-        amount(narrowest.room)
+        amount(narrowest.own_load + narrowest.taken_over_load),
+        amount(narrowest.usable_capacity)
     )
 }
 
 /// "shed `reads` 400 of 500", "beyond the sheds 100".
 fn refusals(plan: &FailoverPlan, fit: &LoadFit) -> Vec<String> {
     let rung = |rung: &TierShedding| {
-        let name = &plan.ladder.rungs[rung.rung].name;
-        format!("shed `{name}` {} of {}", amount(rung.refused), amount(rung.asked))
+        let name = &plan.shedding.tiers[rung.tier].name;
+        format!("shed `{name}` {} of {}", amount(rung.shed), amount(rung.demand))
     };
-    let mut parts: Vec<String> = fit.rungs.iter().map(rung).collect();
-    if fit.beyond > 0.0 {
-        parts.push(format!("beyond the sheds {}", amount(fit.beyond)));
+    let mut parts: Vec<String> = fit.shed_by_tier.iter().map(rung).collect();
+    if fit.shed_beyond_tiers > 0.0 {
+        parts.push(format!("beyond the sheds {}", amount(fit.shed_beyond_tiers)));
     }
     parts
 }
@@ -151,6 +157,6 @@
 
 /// The names of the sites that are lost.
 fn names(plan: &FailoverPlan, loss: &LossScenario) -> Vec<String> {
-    let lost = plan.sites.iter().enumerate().filter(|(number, _)| loss.lost.has(*number));
+    let lost = plan.sites.iter().enumerate().filter(|(number, _)| loss.lost.contains(*number));
     lost.map(|(_, site)| site.name.clone()).collect()
 }
--- a/crates/api-gateway/src/plan/show.rs
+++ b/crates/api-gateway/src/plan/show.rs
@@ -10,7 +10,7 @@
 use config_language::Dimension;
 use gateway::Site;
 use serde_json::{json, Value};
-use site_failover::capacity_check::{losses, LoadFit, LossOutcome, LossScenario, TrafficMix};
+use site_failover::capacity_check::{check_losses, LoadFit, LossOutcome, LossScenario, TrafficMix};
 use site_failover::{FailoverPlan, OperatorOverride};
 use std::path::PathBuf;
 
@@ -48,9 +48,9 @@
     let plan = compile(&set.operators, &site)?;
     let mix = match &words.mix {
         Some(weights) => weighed(weights, &site).with_context(|| format!("--mix {}", one_line(weights)))?,
-        None => TrafficMix::even(&plan.ladder),
+        None => TrafficMix::even(&plan.shedding),
     };
-    let losses = losses(&plan, &mix);
+    let losses = check_losses(&plan, &mix);
     if words.json {
         print_json(&document(words, &plan, &losses, &site))?;
     } else {
@@ -75,7 +75,7 @@
         by_cell[class * plans + plan] = weight;
     }
     anyhow::ensure!(by_cell.iter().any(|weight| *weight > 0.0), "nothing weighs anything");
-    Ok(TrafficMix::of(by_cell))
+    Ok(TrafficMix::from_weights(by_cell))
 }
 
 fn text(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], site: &Site) -> String {
@@ -108,8 +108,8 @@
             figure(site.capacity),
             figure(site.load),
             percent(site.headroom),
-            Dimension::Span.text(site.ramp as f64, " "),
-            told(site.told).unwrap_or("-").to_owned(),
+            Dimension::Span.text(site.recovery_ramp as f64, " "),
+            told(site.operator_override).unwrap_or("-").to_owned(),
             takers(plan, site),
         ]);
     }
@@ -125,10 +125,10 @@
 
 fn takers(plan: &FailoverPlan, site: &site_failover::Site) -> String {
     let name = |taker: &site_failover::FailoverTarget| {
-        format!("{} {}", plan.sites[taker.site].name, percent(taker.share))
+        format!("{} {}", plan.sites[taker.site].name, percent(taker.fraction))
     };
-    let mut parts: Vec<String> = site.takers.iter().map(name).collect();
-    let open = 1.0 - site.takers.iter().map(|taker| taker.share).sum::<f64>();
+    let mut parts: Vec<String> = site.failover_targets.iter().map(name).collect();
+    let open = 1.0 - site.failover_targets.iter().map(|taker| taker.fraction).sum::<f64>();
     if open > 1e-9 {
         parts.push(format!("whoever has room {}", percent(open)));
     }
@@ -136,11 +136,11 @@
 }
 
 fn sheds(plan: &FailoverPlan, platform: &Site) -> String {
-    if plan.ladder.rungs.is_empty() {
+    if plan.shedding.tiers.is_empty() {
         return "nothing is named: what does not fit is refused by worth alone\n".into();
     }
     let mut table = Table::new(&["", "shed", "floor", "requests"], &[0, 2]);
-    for (number, rung) in plan.ladder.rungs.iter().enumerate() {
+    for (number, rung) in plan.shedding.tiers.iter().enumerate() {
         let cells = rung.cells.iter().map(|cell| cell_name(plan, platform, *cell));
         table.row(vec![
             (number + 1).to_string(),
@@ -154,7 +154,7 @@
 
 /// `CLASS/PLAN`.
 fn cell_name(plan: &FailoverPlan, platform: &Site, cell: usize) -> String {
-    let plans = plan.ladder.plans;
+    let plans = plan.shedding.plans;
     let name =
         |names: &[String], number: usize| names.get(number).map_or_else(String::new, |name| one_line(name));
     format!("{}/{}", name(&platform.classes, cell / plans), name(&platform.plans, cell % plans))
@@ -191,18 +191,19 @@
         LossOutcome::MissingFigures(_) => return ["?", "?", ""].map(str::to_owned),
         LossOutcome::NoSiteLeft => return ["no", "all", ""].map(str::to_owned),
     };
-    let fullest = &fit.left[fit.narrowest];
-    let asked = amount(fullest.own + fullest.taken);
-    let fullest = format!("{}: asked {asked}, room {}", plan.sites[fullest.site].name, amount(fullest.room));
+    let fullest = &fit.remaining_sites[fit.bottleneck];
+    let asked = amount(fullest.own_load + fullest.taken_over_load);
+    let fullest =
+        format!("{}: asked {asked}, room {}", plan.sites[fullest.site].name, amount(fullest.usable_capacity));
     if fit.is_carried() {
         return ["yes".into(), "-".into(), fullest];
     }
-    ["no".into(), format!("{} ({})", amount(fit.refused), percent(fit.share_refused())), fullest]
+    ["no".into(), format!("{} ({})", amount(fit.shed), percent(fit.shed_fraction())), fullest]
 }
 
 fn what_is_refused(plan: &FailoverPlan, fit: &LoadFit) -> Vec<String> {
     let mut what = refusals(plan, fit);
-    let floors: Vec<&str> = fit.floors_at_risk(&plan.ladder).map(|rung| rung.name.as_str()).collect();
+    let floors: Vec<&str> = fit.floors_at_risk(&plan.shedding).map(|rung| rung.name.as_str()).collect();
     if !floors.is_empty() {
         what.push(format!("floors that cannot be kept: {}", floors.join(", ")));
     }
@@ -214,15 +215,18 @@
     let site = |site: &site_failover::Site| {
         let zones: Vec<&String> =
             site.zones.iter().filter_map(|zone| platform.zones.get(*zone as usize)).collect();
-        let takers = site.takers.iter().map(|taker| json!({"site": name(taker.site), "share": taker.share}));
+        let takers = site
+            .failover_targets
+            .iter()
+            .map(|taker| json!({"site": name(taker.site), "share": taker.fraction}));
         json!({
             "name": site.name,
             "zones": zones,
             "capacity": site.capacity,
             "load": site.load,
             "headroom": site.headroom,
-            "ramp_s": site.ramp as f64 / 1e9,
-            "told": told(site.told),
+            "ramp_s": site.recovery_ramp as f64 / 1e9,
+            "told": told(site.operator_override),
             "takers": takers.collect::<Vec<_>>(),
         })
     };
@@ -234,7 +238,7 @@
         "file": path_text(&words.file),
         "mix": words.mix.as_deref().unwrap_or("even"),
         "sites": plan.sites.iter().map(site).collect::<Vec<_>>(),
-        "sheds": plan.ladder.rungs.iter().map(shed).collect::<Vec<_>>(),
+        "sheds": plan.shedding.tiers.iter().map(shed).collect::<Vec<_>>(),
         "losses": losses.iter().map(|loss| loss_document(plan, loss)).collect::<Vec<_>>(),
     })
 }
@@ -250,21 +254,21 @@
         }
         LossOutcome::Computed(fit) => fit,
     };
-    let left = fit.left.iter().map(|placed| {
-        json!({"site": name(placed.site), "own": placed.own, "taken": placed.taken, "room": placed.room})
+    let left = fit.remaining_sites.iter().map(|placed| {
+        json!({"site": name(placed.site), "own": placed.own_load, "taken": placed.taken_over_load, "room": placed.usable_capacity})
     });
-    let rungs = fit.rungs.iter().map(|rung| {
-        json!({"shed": plan.ladder.rungs[rung.rung].name, "asked": rung.asked, "refused": rung.refused})
+    let rungs = fit.shed_by_tier.iter().map(|rung| {
+        json!({"shed": plan.shedding.tiers[rung.tier].name, "asked": rung.demand, "refused": rung.shed})
     });
     json!({
         "lost": lost,
         "verdict": if fit.is_carried() { "carried" } else { "refused" },
-        "asked": fit.asked,
-        "refused": fit.refused,
+        "asked": fit.demand,
+        "refused": fit.shed,
         "left": left.collect::<Vec<_>>(),
-        "fullest": name(fit.left[fit.narrowest].site),
+        "fullest": name(fit.remaining_sites[fit.bottleneck].site),
         "sheds": rungs.collect::<Vec<_>>(),
-        "beyond": fit.beyond,
-        "floors_at_risk": fit.floors_at_risk(&plan.ladder).map(|rung| rung.name.as_str()).collect::<Vec<_>>(),
+        "beyond": fit.shed_beyond_tiers,
+        "floors_at_risk": fit.floors_at_risk(&plan.shedding).map(|rung| rung.name.as_str()).collect::<Vec<_>>(),
     })
 }
--- a/crates/cluster-emulator/src/plan.rs
+++ b/crates/cluster-emulator/src/plan.rs
@@ -81,7 +81,7 @@
 fn row(setting: &Setting, number: usize, words: &Words) -> String {
     let (lasts, down, back) = (words.lost * SECOND, Down::Silent, Back::Cold);
     let losses = vec![Loss { site: number, at: AT, lasts, down, back }];
-    let after = 2 * setting.plan.sites[number].ramp + 120 * SECOND;
+    let after = 2 * setting.plan.sites[number].recovery_ramp + 120 * SECOND;
     let setting = Setting { losses, lasts: AT + lasts + after, seed: words.seed, ..setting.clone() };
     let figures = Figures::of(&play(&setting), &setting, 0);
     let last = |when: Option<(Time, Time, usize)>| match when {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -490,17 +490,17 @@
     /// Carries out what is to be done about sites. What waits for a connection to a host that is withheld now is not
     /// sent any more.
     fn turn_sites(&mut self, turn: FailoverUpdate) {
-        turn.said.iter().for_each(|said| tracing::info!("{said}"));
-        if !turn.hosts.is_empty() {
+        turn.transitions.iter().for_each(|said| tracing::info!("{said}"));
+        if !turn.changed_hosts.is_empty() {
             let mut entries = self.hosts.entries();
-            entries.retain(|entry| turn.hosts.contains(&entry.id));
+            entries.retain(|entry| turn.changed_hosts.contains(&entry.id));
             self.sites.withhold(&mut entries);
             let withheld = entries.iter().filter(|entry| entry.state == HostState::Draining);
             withheld.for_each(|entry| self.hosts.drop_waiting(entry.id));
             self.people_pools();
             self.tell(Event::HostList { kind: HostListKind::Delta, entries });
         }
-        if let Some(keep) = turn.keep {
+        if let Some(keep) = turn.admission_fractions {
             self.tell(Event::AdmissionFractionsChanged(keep));
         }
         self.report_finished();
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -22,7 +22,12 @@
     /// All is held for whole.
     pub fn new(plan: &FailoverPlan, settings: &Settings, seed: u64, now: Time) -> Watch {
         let Settings { gateways, gateway_index: me, zone, .. } = *settings;
-        let sites = FailoverController::new(plan.clone(), GatewayIdentity { gateways, me, zone }, seed, now);
+        let sites = FailoverController::new(
+            plan.clone(),
+            GatewayIdentity { gateways, gateway_index: me, zone },
+            seed,
+            now,
+        );
         let cells = (settings.classes.len(), settings.plans.len());
         Watch { sites, cells, keep: Vec::new(), armed: Time::MAX }
     }
@@ -34,12 +39,12 @@
 
     /// Another version of the plan.
     pub fn turn(&mut self, plan: &FailoverPlan, now: Time) {
-        self.sites.turn(plan.clone(), now);
+        self.sites.apply_plan(plan.clone(), now);
     }
 
     /// Takes in what discovery tells, and withholds.
     pub fn on_list(&mut self, now: Time, kind: HostListKind, entries: &mut [HostEntry]) {
-        self.sites.on_list(now, kind, entries);
+        self.sites.on_host_list(now, kind, entries);
         self.withhold(entries);
     }
 
@@ -49,7 +54,7 @@
             return;
         }
         let ready = entries.iter_mut().filter(|entry| entry.state == HostState::Ready);
-        ready.filter(|entry| self.sites.is_withheld(entry.id)).for_each(|entry| {
+        ready.filter(|entry| self.sites.is_excluded(entry.id)).for_each(|entry| {
             entry.state = HostState::Draining;
         });
     }
@@ -60,38 +65,38 @@
             return SiteSet::ALL;
         }
         if request.class < self.cells.0 && request.plan < self.cells.1 {
-            self.sites.on_asked(request.class, request.plan);
+            self.sites.on_request_received(request.class, request.plan);
         }
-        self.sites.send_to(now, RequestId(client_id), is_safe)
+        self.sites.allowed_sites(now, RequestId(client_id), is_safe)
     }
 
     /// An attempt has ended.
     pub fn on_ended(&mut self, now: Time, ended: &AttemptEnded) {
-        self.sites.on_ended(now, ended);
+        self.sites.on_attempt_ended(now, ended);
     }
 
     /// A request was given up.
     pub fn on_given_up(&mut self, class: usize, plan: usize, why: RejectReason) {
         if !self.is_idle() && class < self.cells.0 && plan < self.cells.1 {
-            self.sites.on_given_up(class, plan, why);
+            self.sites.on_request_rejected(why);
         }
     }
 
     /// Discovery does not answer, or does again.
     pub fn on_discovery(&mut self, now: Time, silent: bool) {
-        self.sites.on_discovery(now, silent);
+        self.sites.on_discovery_status(now, silent);
     }
 
     /// Whether it is time to look; once more after the last site has left the plan, to let go of what is withheld.
     pub fn is_due(&self, now: Time) -> bool {
-        now >= self.sites.due()
+        now >= self.sites.next_tick_at()
     }
 
     /// Looks; gives what has changed.
     pub fn tick(&mut self, now: Time, counter_in_doubt: bool) -> Option<FailoverUpdate> {
-        self.sites.on_counter(now, counter_in_doubt);
+        self.sites.on_counter_status(now, counter_in_doubt);
         let turn = self.sites.tick(now)?;
-        turn.keep.iter().for_each(|keep| self.keep.clone_from(keep));
+        turn.admission_fractions.iter().for_each(|keep| self.keep.clone_from(keep));
         Some(turn)
     }
 
@@ -102,7 +107,7 @@
 
     /// When to look next, if the timers do not know: the moment that they knew, and the one that counts.
     pub fn arm(&mut self, now: Time) -> Option<(Time, Time)> {
-        let due = self.sites.due().max(now + 1);
+        let due = self.sites.next_tick_at().max(now + 1);
         if due == self.armed {
             return None;
         }
--- a/crates/site-failover-model/src/calm.rs
+++ b/crates/site-failover-model/src/calm.rs
@@ -74,9 +74,9 @@
         capacity: None,
         load: None,
         headroom: 0.0,
-        takers: vec![],
-        ramp: 60 * SECOND,
-        told: None,
+        failover_targets: vec![],
+        recovery_ramp: 60 * SECOND,
+        operator_override: None,
     };
     FailoverPlan { sites: (0..SITES).map(site).collect(), ..FailoverPlan::default() }
 }
@@ -84,8 +84,12 @@
 /// Plays ordinary days.
 pub fn calm(days: &Calm) -> Alarms {
     let mut rng = Rng::stream(days.seed, "calm", 0);
-    let mut sites =
-        FailoverController::new(plan(), GatewayIdentity { gateways: 8, me: 0, zone: 0 }, days.seed, 0);
+    let mut sites = FailoverController::new(
+        plan(),
+        GatewayIdentity { gateways: 8, gateway_index: 0, zone: 0 },
+        days.seed,
+        0,
+    );
     let listed = |host: u64, started: Time| HostEntry {
         id: HostId(host),
         zone: (host % SITES) as u32,
@@ -94,7 +98,7 @@
         ..HostEntry::default()
     };
     let entries: Vec<_> = (0..SITES * HOSTS).map(|host| listed(host, 0)).collect();
-    sites.on_list(0, HostListKind::Full, &entries);
+    sites.on_host_list(0, HostListKind::Full, &entries);
     let mut alarms = Alarms { in_a_row: RULES.map(|rule| (rule, 0)).to_vec(), ..Alarms::default() };
     let mut rows = [0_u32; SITES as usize];
     let (mut now, mut next, mut id, mut now_wrong) = (0, 0, 0, Trouble { jump: 1.0, ..Trouble::default() });
@@ -105,19 +109,19 @@
             next += if was_calm { 20 * SECOND } else { 40 * SECOND };
             now_wrong =
                 if was_calm { trouble(&mut rng) } else { Trouble { jump: 1.0, ..Trouble::default() } };
-            sites.on_counter(now, now_wrong.counter);
-            sites.on_discovery(now, now_wrong.discovery);
+            sites.on_counter_status(now, now_wrong.counter);
+            sites.on_discovery_status(now, now_wrong.discovery);
             if now_wrong.replaced {
                 let host = rng.below(SITES * HOSTS);
-                sites.on_list(now, HostListKind::Delta, &[listed(host, now)]);
+                sites.on_host_list(now, HostListKind::Delta, &[listed(host, now)]);
             }
         }
         now += rng.exponential(SECOND as f64 / (days.rate * now_wrong.jump)) as Span + 1;
         // Ticks that are due before this attempt ends come first.
-        while sites.due() <= now {
-            let due = sites.due();
+        while sites.next_tick_at() <= now {
+            let due = sites.next_tick_at();
             let turn = sites.tick(due);
-            turn.into_iter().flat_map(|turn| turn.said).for_each(|said| alarms.count(&said));
+            turn.into_iter().flat_map(|turn| turn.transitions).for_each(|said| alarms.count(&said));
         }
         id += 1;
         let host = rng.below(SITES * HOSTS);
@@ -128,7 +132,7 @@
         for (rule, count) in &mut alarms.in_a_row {
             *count += u32::from(rows[site] == *rule);
         }
-        sites.on_ended(now, &ended);
+        sites.on_attempt_ended(now, &ended);
     }
     alarms
 }
@@ -161,8 +165,8 @@
 
 impl Alarms {
     fn count(&mut self, said: &Transition) {
-        let Transition::Site { now, .. } = said else { return };
-        match now.state {
+        let Transition::Site { current: now, .. } = said else { return };
+        match now.health {
             SiteHealth::Lost | SiteHealth::Unreachable => self.moved += 1,
             SiteHealth::Suspect => self.doubtful += 1,
             SiteHealth::Slow => self.slow += 1,
--- a/crates/site-failover-model/src/gateway.rs
+++ b/crates/site-failover-model/src/gateway.rs
@@ -36,16 +36,16 @@
 
     /// Ticks the controller if it is due.
     pub fn tick(&mut self, now: Time) -> Option<FailoverUpdate> {
-        if self.sites.due() > now {
+        if self.sites.next_tick_at() > now {
             return None;
         }
         let mut turn = self.sites.tick(now)?;
-        for host in &turn.hosts {
-            self.withheld[host.0 as usize] = self.sites.is_withheld(*host);
+        for host in &turn.changed_hosts {
+            self.withheld[host.0 as usize] = self.sites.is_excluded(*host);
         }
-        if let Some(keep) = turn.keep.take() {
+        if let Some(keep) = turn.admission_fractions.take() {
             self.keep.clone_from(&keep);
-            turn.keep = Some(keep);
+            turn.admission_fractions = Some(keep);
         }
         Some(turn)
     }
@@ -82,7 +82,7 @@
                 true => rng.below(hosts.len() as u64) as usize,
                 false => (offset + n) % hosts.len(),
             };
-            if self.withheld[host] || !to.has(hosts[host].site) || now < self.alone_until[host] {
+            if self.withheld[host] || !to.contains(hosts[host].site) || now < self.alone_until[host] {
                 continue;
             }
             if best.is_none_or(|best| waits[host] < waits[best]) {
@@ -109,9 +109,9 @@
     /// Whether a site is withheld here.
     pub fn withholds(&self, site: usize) -> bool {
         self.sites
-            .states()
+            .statuses()
             .nth(site)
-            .is_some_and(|site| site.share == 0.0 && site.state != SiteHealth::Healthy)
+            .is_some_and(|site| site.traffic_fraction == 0.0 && site.health != SiteHealth::Healthy)
     }
 }
 
--- a/crates/site-failover-model/src/setting.rs
+++ b/crates/site-failover-model/src/setting.rs
@@ -117,12 +117,12 @@
             capacity: Some(rate / 2.0),
             load: Some(rate / 3.0),
             headroom: 0.05,
-            takers: (0..3)
+            failover_targets: (0..3)
                 .filter(|other| *other != number)
-                .map(|site| FailoverTarget { site, share: 0.5 })
+                .map(|site| FailoverTarget { site, fraction: 0.5 })
                 .collect(),
-            ramp: 60 * SECOND,
-            told: None,
+            recovery_ramp: 60 * SECOND,
+            operator_override: None,
         };
         let rung =
             |name: &str, cell, floor| SheddingTier { name: name.to_string(), cells: vec![cell], floor };
@@ -130,7 +130,7 @@
         Setting {
             plan: FailoverPlan {
                 sites: (0..3).map(site).collect(),
-                ladder: SheddingTiers { rungs, classes: 4, plans: 1 },
+                shedding: SheddingTiers { tiers: rungs, classes: 4, plans: 1 },
             },
             gateways,
             hosts: 6,
--- a/crates/site-failover-model/src/world.rs
+++ b/crates/site-failover-model/src/world.rs
@@ -155,14 +155,14 @@
         let plan = match setting.spill {
             Spill::Plan => setting.plan.clone(),
             Spill::HostByHost => {
-                FailoverPlan { ladder: setting.plan.ladder.clone(), ..FailoverPlan::default() }
+                FailoverPlan { shedding: setting.plan.shedding.clone(), ..FailoverPlan::default() }
             }
         };
         let gateway = |me: u32| {
             let zone = plan.sites.get(me as usize % plan.sites.len().max(1)).map_or(0, |site| site.zones[0]);
-            let fleet = GatewayIdentity { gateways: setting.gateways, me, zone };
+            let fleet = GatewayIdentity { gateways: setting.gateways, gateway_index: me, zone };
             let mut sites = FailoverController::new(plan.clone(), fleet, setting.seed ^ u64::from(me), 0);
-            sites.on_list(0, HostListKind::Full, &entries);
+            sites.on_host_list(0, HostListKind::Full, &entries);
             Gateway::new(sites, hosts.len())
         };
         let gateways = (0..setting.gateways).map(gateway).collect();
@@ -255,17 +255,17 @@
         let mut level = 0.0;
         for (number, gateway) in self.gateways.iter_mut().enumerate() {
             let turn = gateway.tick(now);
-            level += gateway.sites.level();
+            level += gateway.sites.shedding_level();
             let Some(turn) = turn else { continue };
-            for said in turn.said {
+            for said in turn.transitions {
                 let line = said.to_string();
-                let Transition::Site { was, now: state, .. } = said else { continue };
+                let Transition::Site { previous: was, current: state, .. } = said else { continue };
                 let site = self.setting.plan.sites.iter().position(|site| site.name == state.name);
                 let (gateway, site) = (number as u32, site.unwrap_or(0));
-                let (state, share) = (state.state, state.share);
+                let (state, share) = (state.health, state.traffic_fraction);
                 self.played.changes.push(Change { at: now, gateway, site, was, state, share, line });
             }
-            if let Some(keep) = turn.keep {
+            if let Some(keep) = turn.admission_fractions {
                 self.played.keeps.push((now, number as u32, keep));
             }
         }
@@ -293,24 +293,24 @@
         if !entries.is_empty() {
             self.gateways
                 .iter_mut()
-                .for_each(|gateway| gateway.sites.on_list(now, HostListKind::Delta, &entries));
+                .for_each(|gateway| gateway.sites.on_host_list(now, HostListKind::Delta, &entries));
         }
     }
 
     fn request(&mut self, cell: usize, times: u32) {
         let gateway = self.chance.below(self.gateways.len() as u64) as usize;
-        let (now, plans) = (self.now, self.setting.plan.ladder.plans.max(1));
+        let (now, plans) = (self.now, self.setting.plan.shedding.plans.max(1));
         self.requests += 1;
         let id = self.requests;
         self.second(now).asked[cell] += 1;
         let at = &mut self.gateways[gateway];
-        at.sites.on_asked(cell / plans, cell % plans);
+        at.sites.on_request_received(cell / plans, cell % plans);
         if !at.lets_in(cell, &mut self.chance) {
             self.second(now).shed[cell] += 1;
             return self.comes_again(cell, times);
         }
         let safe = !self.setting.traffic.unsafe_cells.contains(&cell);
-        let to = at.sites.send_to(now, RequestId(id), safe);
+        let to = at.sites.allowed_sites(now, RequestId(id), safe);
         let flight = Flight {
             id,
             gateway,
@@ -334,8 +334,7 @@
     }
 
     fn give_up(&mut self, flight: &Flight, why: RejectReason) {
-        let plans = self.setting.plan.ladder.plans.max(1);
-        self.gateways[flight.gateway].sites.on_given_up(flight.cell / plans, flight.cell % plans, why);
+        self.gateways[flight.gateway].sites.on_request_rejected(why);
         if matches!(why, RejectReason::QueueTooLong | RejectReason::NoHost) {
             self.second(flight.came).wanting[flight.cell] += 1;
         }
@@ -386,7 +385,7 @@
             report: None,
         };
         let gateway = &mut self.gateways[flight.gateway];
-        gateway.sites.on_ended(now, &ended);
+        gateway.sites.on_attempt_ended(now, &ended);
         gateway.learn(now, flight.host, answered);
         if flight.outcome == Outcome::Ok {
             if now - flight.came <= AIM {
--- a/crates/site-failover-model/tests/fleets.rs
+++ b/crates/site-failover-model/tests/fleets.rs
@@ -62,8 +62,8 @@
     let played = play(&setting);
     assert!(played.keeps.len() > 20);
     for (at, gateway, keep) in played.keeps.iter().filter(|(_, _, keep)| !keep.is_empty()) {
-        for (number, rung) in setting.plan.ladder.rungs.iter().enumerate() {
-            let before = &setting.plan.ladder.rungs[..number];
+        for (number, rung) in setting.plan.shedding.tiers.iter().enumerate() {
+            let before = &setting.plan.shedding.tiers[..number];
             let goes = keep[rung.cells[0]] < 1.0 - 1e-9;
             let spent = before.iter().all(|rung| keep[rung.cells[0]] <= rung.floor + 1e-9);
             assert!(!goes || spent, "{at} {gateway}: {keep:?}");
--- a/crates/site-failover/src/capacity_check.rs
+++ b/crates/site-failover/src/capacity_check.rs
@@ -23,11 +23,11 @@
 impl TrafficMix {
     /// As many requests of each pair of class and plan.
     pub fn even(ladder: &SheddingTiers) -> TrafficMix {
-        TrafficMix::of(vec![1.0; ladder.classes * ladder.plans])
+        TrafficMix::from_weights(vec![1.0; ladder.classes * ladder.plans])
     }
 
     /// In proportion to these weights, by cell; even where they come to nothing.
-    pub fn of(weights: Vec<f64>) -> TrafficMix {
+    pub fn from_weights(weights: Vec<f64>) -> TrafficMix {
         let sum: f64 = weights.iter().sum();
         let count = weights.len() as f64;
         let part = |weight: f64| if sum > 0.0 { weight / sum } else { 1.0 / count };
@@ -63,29 +63,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadFit {
     /// Requests a second that the fleet is asked for.
-    pub asked: f64,
+    pub demand: f64,
     /// The sites that are left.
-    pub left: Vec<SiteDemand>,
+    pub remaining_sites: Vec<SiteDemand>,
     /// The one of them that is asked for most against its room, by its place in `left`.
-    pub narrowest: usize,
+    pub bottleneck: usize,
     /// Requests a second that have to be refused.
-    pub refused: f64,
+    pub shed: f64,
     /// What each rung of the ladder refuses, for those that refuse anything.
-    pub rungs: Vec<TierShedding>,
+    pub shed_by_tier: Vec<TierShedding>,
     /// Requests a second that have to be refused and that the ladder does not refuse.
-    pub beyond: f64,
+    pub shed_beyond_tiers: f64,
 }
 
 impl LoadFit {
     /// Whether all is carried.
     pub fn is_carried(&self) -> bool {
-        self.refused <= 0.0
+        self.shed <= 0.0
     }
 
     /// Share of all requests that has to be refused.
-    pub fn share_refused(&self) -> f64 {
-        if self.asked > 0.0 {
-            self.refused / self.asked
+    pub fn shed_fraction(&self) -> f64 {
+        if self.demand > 0.0 {
+            self.shed / self.demand
         } else {
             0.0
         }
@@ -93,8 +93,8 @@
 
     /// The rungs of which more may be refused than their floor allows, as the ladder is at its end.
     pub fn floors_at_risk<'a>(&self, ladder: &'a SheddingTiers) -> impl Iterator<Item = &'a SheddingTier> {
-        let is_beyond = self.beyond > 0.0;
-        ladder.rungs.iter().filter(move |rung| is_beyond && rung.floor > 0.0)
+        let is_beyond = self.shed_beyond_tiers > 0.0;
+        ladder.tiers.iter().filter(move |rung| is_beyond && rung.floor > 0.0)
     }
 }
 
@@ -104,16 +104,16 @@
     /// Its number.
     pub site: usize,
     /// Requests a second of its own.
-    pub own: f64,
+    pub own_load: f64,
     /// Requests a second that it is asked for in place of lost sites.
-    pub taken: f64,
+    pub taken_over_load: f64,
     /// Requests a second that it has room for.
-    pub room: f64,
+    pub usable_capacity: f64,
 }
 
 impl SiteDemand {
     fn used(&self) -> f64 {
-        (self.own + self.taken) / self.room
+        (self.own_load + self.taken_over_load) / self.usable_capacity
     }
 }
 
@@ -121,17 +121,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct TierShedding {
     /// The rung, by number.
-    pub rung: usize,
+    pub tier: usize,
     /// Requests a second that it is asked for.
-    pub asked: f64,
+    pub demand: f64,
     /// Requests a second of them that are refused.
-    pub refused: f64,
+    pub shed: f64,
 }
 
 /// The losses that a plan is measured by: of each site, then of each two; besides those that are told lost, which
 /// come first by themselves.
-pub fn losses(plan: &FailoverPlan, mix: &TrafficMix) -> Vec<LossScenario> {
-    let is_told = |site: usize| plan.sites[site].told == Some(OperatorOverride::Lost);
+pub fn check_losses(plan: &FailoverPlan, mix: &TrafficMix) -> Vec<LossScenario> {
+    let is_told = |site: usize| plan.sites[site].operator_override == Some(OperatorOverride::Lost);
     let (told, open): (Vec<usize>, Vec<usize>) = (0..plan.sites.len()).partition(|site| is_told(*site));
     let told = told.into_iter().fold(SiteSet::NONE, SiteSet::with);
     let ones = open.iter().map(|site| told.with(*site));
@@ -141,14 +141,14 @@
         .flat_map(|(n, first)| open[n + 1..].iter().map(move |then| told.with(*first).with(*then)));
     let first = (told != SiteSet::NONE).then_some(told);
     let sets = first.into_iter().chain(ones).chain(twos);
-    sets.map(|lost| LossScenario { lost, outcome: outcome(plan, lost, mix) }).collect()
+    sets.map(|lost| LossScenario { lost, outcome: check_loss(plan, lost, mix) }).collect()
 }
 
 /// What comes of the loss of these sites.
-pub fn outcome(plan: &FailoverPlan, lost: SiteSet, mix: &TrafficMix) -> LossOutcome {
+pub fn check_loss(plan: &FailoverPlan, lost: SiteSet, mix: &TrafficMix) -> LossOutcome {
     let sites = plan.sites.iter().enumerate();
-    let lacks =
-        sites.filter(|(number, site)| site.load.is_none() || (!lost.has(*number) && site.capacity.is_none()));
+    let lacks = sites
+        .filter(|(number, site)| site.load.is_none() || (!lost.contains(*number) && site.capacity.is_none()));
     let lacking: Vec<usize> = lacks.map(|(number, _)| number).collect();
     let mut left = left(plan, lost);
     if left.is_empty() {
@@ -163,11 +163,11 @@
 }
 
 fn left(plan: &FailoverPlan, lost: SiteSet) -> Vec<SiteDemand> {
-    let left = plan.sites.iter().enumerate().filter(|(number, _)| !lost.has(*number));
+    let left = plan.sites.iter().enumerate().filter(|(number, _)| !lost.contains(*number));
     let place = |(number, site): (usize, &crate::plan::Site)| {
         let own = site.load.unwrap_or(0.0);
         let room = (site.capacity.unwrap_or(0.0) * (1.0 - site.headroom)).max(own);
-        SiteDemand { site: number, own, taken: 0.0, room }
+        SiteDemand { site: number, own_load: own, taken_over_load: 0.0, usable_capacity: room }
     };
     left.map(place).collect()
 }
@@ -175,13 +175,13 @@
 /// Gives takers their shares; what is left over has no taker.
 fn move_load(plan: &FailoverPlan, lost: SiteSet, left: &mut [SiteDemand]) -> f64 {
     let mut open = 0.0;
-    for (_, site) in plan.sites.iter().enumerate().filter(|(number, _)| lost.has(*number)) {
+    for (_, site) in plan.sites.iter().enumerate().filter(|(number, _)| lost.contains(*number)) {
         let load = site.load.unwrap_or(0.0);
         let mut rest = load;
-        for taker in &site.takers {
+        for taker in &site.failover_targets {
             if let Some(placed) = left.iter_mut().find(|placed| placed.site == taker.site) {
-                placed.taken += load * taker.share;
-                rest -= load * taker.share;
+                placed.taken_over_load += load * taker.fraction;
+                rest -= load * taker.fraction;
             }
         }
         open += rest.max(0.0);
@@ -198,8 +198,8 @@
     order.sort_by(|a, b| left[*a].used().total_cmp(&left[*b].used()));
     let (mut asked, mut room, mut level) = (load, 0.0, 0.0);
     for (n, at) in order.iter().enumerate() {
-        asked += left[*at].own + left[*at].taken;
-        room += left[*at].room;
+        asked += left[*at].own_load + left[*at].taken_over_load;
+        room += left[*at].usable_capacity;
         level = asked / room;
         // The next one is fuller than this makes them.
         if order.get(n + 1).is_none_or(|next| left[*next].used() >= level) {
@@ -207,7 +207,7 @@
         }
     }
     for placed in left {
-        placed.taken = placed.taken.max(level * placed.room - placed.own);
+        placed.taken_over_load = placed.taken_over_load.max(level * placed.usable_capacity - placed.own_load);
     }
 }
 
@@ -217,19 +217,26 @@
     let narrowest = (0..left.len()).max_by(fuller).unwrap_or(0);
     let used = left.get(narrowest).map_or(0.0, SiteDemand::used);
     let refused = if used > FULL { asked * (1.0 - 1.0 / used) } else { 0.0 };
-    let (rungs, beyond) = climb(&plan.ladder, asked, refused, mix);
-    LoadFit { asked, left, narrowest, refused, rungs, beyond }
+    let (rungs, beyond) = climb(&plan.shedding, asked, refused, mix);
+    LoadFit {
+        demand: asked,
+        remaining_sites: left,
+        bottleneck: narrowest,
+        shed: refused,
+        shed_by_tier: rungs,
+        shed_beyond_tiers: beyond,
+    }
 }
 
 /// Refuses by the ladder, each rung down to its floor before the next one; and what is left to refuse then.
 fn climb(ladder: &SheddingTiers, asked: f64, refused: f64, mix: &TrafficMix) -> (Vec<TierShedding>, f64) {
     let mut rest = refused;
     let mut rungs = Vec::new();
-    for (number, rung) in ladder.rungs.iter().enumerate() {
+    for (number, rung) in ladder.tiers.iter().enumerate() {
         let own = asked * mix.of_cells(&rung.cells);
         let here = rest.min(own * (1.0 - rung.floor));
         if here > 0.0 {
-            rungs.push(TierShedding { rung: number, asked: own, refused: here });
+            rungs.push(TierShedding { tier: number, demand: own, shed: here });
             rest -= here;
         }
     }
--- a/crates/site-failover/src/compile.rs
+++ b/crates/site-failover/src/compile.rs
@@ -24,12 +24,12 @@
 
 /// Why a plan cannot be put in force, and the place that it comes from.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{}:{}:{}: {problem}", .origin.file, .origin.line, .origin.column)]
+#[error("{}:{}:{}: {kind}", .origin.file, .origin.line, .origin.column)]
 pub struct PlanError {
     /// Where.
     pub origin: Origin,
     /// What.
-    pub problem: PlanErrorKind,
+    pub kind: PlanErrorKind,
 }
 
 /// What is wrong. The checker of the language finds all of it earlier, and says more.
@@ -75,7 +75,7 @@
 
 impl PlanErrorKind {
     fn at(self, origin: &Origin) -> PlanError {
-        PlanError { origin: origin.clone(), problem: self }
+        PlanError { origin: origin.clone(), kind: self }
     }
 }
 
@@ -89,13 +89,13 @@
         let numbers: BTreeMap<String, usize> =
             sites.iter().enumerate().map(|(number, site)| (site.name.clone(), number)).collect();
         for (number, site) in sites.iter_mut().enumerate() {
-            site.takers = takers(number, &operators.takeovers, &numbers)?;
+            site.failover_targets = takers(number, &operators.takeovers, &numbers)?;
         }
         // Whose lost site there is none never came up above.
         for takeover in &operators.takeovers {
             number_of(&numbers, &takeover.lost)?;
         }
-        Ok(FailoverPlan { sites, ladder: ladder(&operators.sheds, facts)? })
+        Ok(FailoverPlan { sites, shedding: ladder(&operators.sheds, facts)? })
     }
 }
 
@@ -135,9 +135,9 @@
         capacity: figure(&site.capacity),
         load: figure(&site.load),
         headroom: figure(&site.headroom).unwrap_or(0.0),
-        takers: Vec::new(),
-        ramp: site.ramp.as_ref().map_or(DEFAULT_RECOVERY_RAMP, |ramp| ramp.value),
-        told: site.told.as_ref().map(told).transpose()?,
+        failover_targets: Vec::new(),
+        recovery_ramp: site.ramp.as_ref().map_or(DEFAULT_RECOVERY_RAMP, |ramp| ramp.value),
+        operator_override: site.told.as_ref().map(told).transpose()?,
     })
 }
 
@@ -190,7 +190,7 @@
         if takers.iter().any(|taker| taker.site == site) {
             return problem(PlanErrorKind::DuplicateTarget, &takeover.by);
         }
-        takers.push(FailoverTarget { site, share });
+        takers.push(FailoverTarget { site, fraction: share });
     }
     Ok(takers)
 }
@@ -214,7 +214,7 @@
             rungs.push(SheddingTier { name: shed.name.value.clone(), cells, floor });
         }
     }
-    Ok(SheddingTiers { rungs, classes, plans })
+    Ok(SheddingTiers { tiers: rungs, classes, plans })
 }
 
 /// The numbers of the names that are given, or of all.
--- a/crates/site-failover/src/ladder.rs
+++ b/crates/site-failover/src/ladder.rs
@@ -101,14 +101,14 @@
 
     /// What a rung sheds in full, as a share of what is asked for.
     fn most(&self, ladder: &SheddingTiers, rung: usize) -> f64 {
-        let rung = &ladder.rungs[rung];
+        let rung = &ladder.tiers[rung];
         let all: f64 = self.mix.iter().sum();
         let own: f64 = rung.cells.iter().filter_map(|cell| self.mix.get(*cell)).sum();
         own / all.max(1e-9) * (1.0 - rung.floor)
     }
 
     fn shed(&self, ladder: &SheddingTiers, level: f64) -> f64 {
-        (0..ladder.rungs.len())
+        (0..ladder.tiers.len())
             .map(|rung| self.most(ladder, rung) * (level - rung as f64).clamp(0.0, 1.0))
             .sum()
     }
@@ -116,7 +116,7 @@
     /// The level that sheds such a share: each rung to its floor before the next one starts.
     fn level_for(&self, ladder: &SheddingTiers, shed: f64) -> f64 {
         let mut left = shed;
-        for rung in 0..ladder.rungs.len() {
+        for rung in 0..ladder.tiers.len() {
             let most = self.most(ladder, rung);
             if left <= 0.0 {
                 return rung as f64;
@@ -126,7 +126,7 @@
             }
             left -= most;
         }
-        ladder.rungs.len() as f64
+        ladder.tiers.len() as f64
     }
 
     /// Share of requests let in, by cell, if it has changed enough to be told. Empty: all are.
@@ -134,7 +134,7 @@
         let mut keep = vec![];
         if self.level > 0.0 {
             keep = vec![1.0; ladder.classes * ladder.plans];
-            for (number, rung) in ladder.rungs.iter().enumerate() {
+            for (number, rung) in ladder.tiers.iter().enumerate() {
                 let share = 1.0 - (1.0 - rung.floor) * (self.level - number as f64).clamp(0.0, 1.0);
                 for cell in &rung.cells {
                     if let Some(kept) = keep.get_mut(*cell) {
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -18,7 +18,7 @@
     }
 
     /// Whether a site is in it.
-    pub fn has(self, site: usize) -> bool {
+    pub fn contains(self, site: usize) -> bool {
         self.0 >> site & 1 == 1
     }
 
@@ -49,7 +49,7 @@
     pub site: usize,
     /// Share of the lost site's load, 0 to 1. All takers of a site together have at most 1; what is left goes where
     /// waits are least.
-    pub share: f64,
+    pub fraction: f64,
 }
 
 /// A site: hosts that are lost together.
@@ -66,11 +66,11 @@
     /// Share of its capacity that stays free when it takes load of others.
     pub headroom: f64,
     /// Who takes its load when it is lost.
-    pub takers: Vec<FailoverTarget>,
+    pub failover_targets: Vec<FailoverTarget>,
     /// How long the return to its full share takes at the least.
-    pub ramp: Span,
+    pub recovery_ramp: Span,
     /// What operators say of it by hand.
-    pub told: Option<OperatorOverride>,
+    pub operator_override: Option<OperatorOverride>,
 }
 
 /// A rung: requests that are refused together.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SheddingTiers {
     /// Rungs; the first goes first.
-    pub rungs: Vec<SheddingTier>,
+    pub tiers: Vec<SheddingTier>,
     /// Number of classes.
     pub classes: usize,
     /// Number of plans.
@@ -102,7 +102,7 @@
     /// Sites, 63 at most.
     pub sites: Vec<Site>,
     /// What is refused first.
-    pub ladder: SheddingTiers,
+    pub shedding: SheddingTiers,
 }
 
 impl FailoverPlan {
--- a/crates/site-failover/src/said.rs
+++ b/crates/site-failover/src/said.rs
@@ -13,21 +13,21 @@
     /// Its name.
     pub name: String,
     /// What it is held for.
-    pub state: SiteHealth,
+    pub health: SiteHealth,
     /// What operators say of it by hand.
-    pub told: Option<OperatorOverride>,
+    pub operator_override: Option<OperatorOverride>,
     /// The share of its load that it may have, 0 to 1.
-    pub share: f64,
+    pub traffic_fraction: f64,
     /// Since when it is so.
     pub since: Time,
     /// Hosts that discovery has in service.
-    pub hosts: usize,
+    pub ready_hosts: usize,
     /// Its hosts' part of all, 0 to 1, as of when it was last whole.
-    pub part: f64,
+    pub capacity_fraction: f64,
     /// Attempts a second, over the last minutes.
-    pub rate: f64,
+    pub attempts_per_second: f64,
     /// Share of its attempts that failed over the last seconds.
-    pub failing: f64,
+    pub failure_fraction: f64,
     /// Failures since its last answer, and the hosts that they were at.
     pub failures: (u32, usize),
 }
@@ -40,14 +40,14 @@
             "site {} is {}, share {:.2}, hosts in service {}, part {:.2}, attempts {:.1}/s, failing {:.2}, \
              failures since an answer {failures} at {at} hosts",
             self.name,
-            self.state.name(),
-            self.share,
-            self.hosts,
-            self.part,
-            self.rate,
-            self.failing,
+            self.health.name(),
+            self.traffic_fraction,
+            self.ready_hosts,
+            self.capacity_fraction,
+            self.attempts_per_second,
+            self.failure_fraction,
         )?;
-        match self.told {
+        match self.operator_override {
             Some(OperatorOverride::Lost) => write!(f, ", told lost by hand"),
             Some(OperatorOverride::Healthy) => write!(f, ", told whole by hand"),
             None => Ok(()),
@@ -61,11 +61,11 @@
     /// Attempts fail, with what speaks for *gone*, how much is enough, and how likely a failure is anyway.
     Failures {
         /// What speaks for it.
-        sum: f64,
+        evidence: f64,
         /// How much is enough.
-        enough: f64,
+        threshold: f64,
         /// Share of attempts that fail anyway.
-        anyway: f64,
+        baseline: f64,
     },
     /// Attempts fail, and no other site answers either.
     NoReference,
@@ -88,8 +88,8 @@
 impl fmt::Display for TransitionCause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            TransitionCause::Failures { sum, enough, anyway } => {
-                write!(f, "failures weigh {sum:.1} of {enough:.1}, {anyway:.2} fail anyway")
+            TransitionCause::Failures { evidence, threshold, baseline } => {
+                write!(f, "failures weigh {evidence:.1} of {threshold:.1}, {baseline:.2} fail anyway")
             }
             TransitionCause::NoReference => write!(f, "failures, and no other site answers"),
             TransitionCause::NoHostsListed => write!(f, "discovery has none of its hosts in service"),
@@ -111,9 +111,9 @@
     /// Of a site.
     Site {
         /// What it was held for before.
-        was: SiteHealth,
+        previous: SiteHealth,
         /// How it is now.
-        now: SiteStatus,
+        current: SiteStatus,
         /// Why.
         cause: TransitionCause,
     },
@@ -122,20 +122,20 @@
         /// Rungs shed down to their floors, and the part of the next that is.
         level: f64,
         /// The rung that was entered or left; nothing if nothing is refused any more.
-        rung: Option<String>,
+        tier: Option<String>,
     },
 }
 
 impl fmt::Display for Transition {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Transition::Site { was, now, cause } => {
-                write!(f, "{now}, was {}: {cause}", was.name())
+            Transition::Site { previous, current, cause } => {
+                write!(f, "{current}, was {}: {cause}", previous.name())
             }
-            Transition::Shedding { level, rung: Some(rung) } => {
-                write!(f, "refused first: {rung}, level {level:.2}")
+            Transition::Shedding { level, tier: Some(tier) } => {
+                write!(f, "refused first: {tier}, level {level:.2}")
             }
-            Transition::Shedding { rung: None, .. } => write!(f, "refused first: nothing any more"),
+            Transition::Shedding { tier: None, .. } => write!(f, "refused first: nothing any more"),
         }
     }
 }
--- a/crates/site-failover/src/shares.rs
+++ b/crates/site-failover/src/shares.rs
@@ -16,7 +16,7 @@
 /// waits are least.
 fn shares(plan: &FailoverPlan, lost: usize) -> impl Iterator<Item = (usize, f64)> + '_ {
     let load = plan.sites[lost].load;
-    plan.sites[lost].takers.iter().map(move |taker| {
+    plan.sites[lost].failover_targets.iter().map(move |taker| {
         let site = &plan.sites[taker.site];
         let room = match (load, site.capacity, site.load) {
             (Some(load), Some(capacity), Some(own)) if load > 0.0 => {
@@ -24,7 +24,7 @@
             }
             _ => 1.0,
         };
-        (taker.site, taker.share.min(room))
+        (taker.site, taker.fraction.min(room))
     })
 }
 
@@ -61,7 +61,7 @@
         }
     }
     match taker(plan, courses, id) {
-        Some(site) if to.has(site) => SiteSet::one(site),
+        Some(site) if to.contains(site) => SiteSet::one(site),
         _ => to,
     }
 }
--- a/crates/site-failover/src/sites.rs
+++ b/crates/site-failover/src/sites.rs
@@ -46,7 +46,7 @@
     /// Gateways in all.
     pub gateways: u32,
     /// This gateway's number among them, from 0.
-    pub me: u32,
+    pub gateway_index: u32,
     /// This gateway's zone, by the platform's number.
     pub zone: u32,
 }
@@ -55,16 +55,16 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FailoverUpdate {
     /// Hosts that are withheld now and were not, or the other way round.
-    pub hosts: Vec<HostId>,
+    pub changed_hosts: Vec<HostId>,
     /// Share of requests let in, by cell, if it has changed; empty: all are.
-    pub keep: Option<Vec<f64>>,
+    pub admission_fractions: Option<Vec<f64>>,
     /// What is to be said of it, a log line each.
-    pub said: Vec<Transition>,
+    pub transitions: Vec<Transition>,
 }
 
 impl FailoverUpdate {
     fn is_nothing(&self) -> bool {
-        self.hosts.is_empty() && self.keep.is_none() && self.said.is_empty()
+        self.changed_hosts.is_empty() && self.admission_fractions.is_none() && self.transitions.is_empty()
     }
 }
 
@@ -122,7 +122,7 @@
 impl FailoverController {
     /// A gateway that has seen nothing yet and holds all sites for whole. `seed` sets when its turns are.
     pub fn new(plan: FailoverPlan, fleet: GatewayIdentity, seed: u64, now: Time) -> FailoverController {
-        let level = Level::new(&plan.ladder);
+        let level = Level::new(&plan.shedding);
         let mut sites = FailoverController {
             plan: FailoverPlan::default(),
             fleet,
@@ -143,13 +143,13 @@
             last: now,
             due: now + CALM,
         };
-        sites.turn(plan, now);
+        sites.apply_plan(plan, now);
         sites
     }
 
     /// Another version of the plan. Sites that keep their names keep what was seen of them and their course. Lists are
     /// not kept while there are no sites: after a plan without any, the list has to be told again in full.
-    pub fn turn(&mut self, plan: FailoverPlan, now: Time) {
+    pub fn apply_plan(&mut self, plan: FailoverPlan, now: Time) {
         let (mut seen, mut courses) = (vec![], vec![]);
         for (number, site) in plan.sites.iter().enumerate() {
             let old = self.plan.sites.iter().position(|old| old.name == site.name);
@@ -160,8 +160,8 @@
             });
         }
         seen.push(Seen::default());
-        if self.plan.ladder != plan.ladder || plan.sites.is_empty() {
-            self.level.turn(&plan.ladder);
+        if self.plan.shedding != plan.shedding || plan.sites.is_empty() {
+            self.level.turn(&plan.shedding);
         }
         self.listed = vec![Listed::default(); seen.len()];
         (self.seen, self.courses, self.plan) = (seen, courses, plan);
@@ -178,7 +178,7 @@
 
     fn fresh_course(&self, number: usize, now: Time) -> Course {
         let mut course = Course::new(now);
-        let part = f64::from(self.fleet.me) / f64::from(self.fleet.gateways.max(1));
+        let part = f64::from(self.fleet.gateway_index) / f64::from(self.fleet.gateways.max(1));
         let of_site = unit(self.seed, number as u64) * SHORTEST_TURN as f64;
         course.set_turns((part * self.turn_span() as f64 + of_site) as Time);
         course
@@ -195,7 +195,7 @@
     }
 
     /// News of the host list, as discovery tells it.
-    pub fn on_list(&mut self, now: Time, kind: HostListKind, entries: &[HostEntry]) {
+    pub fn on_host_list(&mut self, now: Time, kind: HostListKind, entries: &[HostEntry]) {
         if kind == HostListKind::Failed || self.is_idle() {
             return;
         }
@@ -230,7 +230,7 @@
     }
 
     /// An attempt has ended. What it says of its site depends on how, and on when it was withdrawn.
-    pub fn on_ended(&mut self, now: Time, ended: &AttemptEnded) {
+    pub fn on_attempt_ended(&mut self, now: Time, ended: &AttemptEnded) {
         if self.is_idle() {
             return;
         }
@@ -259,32 +259,32 @@
     }
 
     /// A request of this class and plan has come in, whatever becomes of it.
-    pub fn on_asked(&mut self, class: usize, plan: usize) {
-        self.level.on_asked(class * self.plan.ladder.plans + plan);
+    pub fn on_request_received(&mut self, class: usize, plan: usize) {
+        self.level.on_asked(class * self.plan.shedding.plans + plan);
     }
 
     /// A request was given up.
-    pub fn on_given_up(&mut self, _class: usize, _plan: usize, why: RejectReason) {
+    pub fn on_request_rejected(&mut self, why: RejectReason) {
         self.level.on_given_up(why);
     }
 
     /// Discovery is silent: the subscription is lost or questions fail; or it is back.
-    pub fn on_discovery(&mut self, now: Time, silent: bool) {
+    pub fn on_discovery_status(&mut self, now: Time, silent: bool) {
         self.silent = silent.then(|| self.silent.unwrap_or(now));
     }
 
     /// The counter is away or in doubt, or well again.
-    pub fn on_counter(&mut self, now: Time, doubtful: bool) {
+    pub fn on_counter_status(&mut self, now: Time, doubtful: bool) {
         self.doubtful = doubtful.then(|| self.doubtful.unwrap_or(now));
     }
 
     /// When the next tick is wanted; it may come nearer with an attempt's end or a list. Never, without sites.
-    pub fn due(&self) -> Time {
+    pub fn next_tick_at(&self) -> Time {
         self.due
     }
 
     /// Whether a host is to be kept from new requests though discovery has it in service.
-    pub fn is_withheld(&self, host: HostId) -> bool {
+    pub fn is_excluded(&self, host: HostId) -> bool {
         let Some(host_known) = self.hosts.get(&host) else { return false };
         self.courses
             .get(host_known.site)
@@ -292,7 +292,7 @@
     }
 
     /// The sites that a request may go to. Asked once for each, as it comes in.
-    pub fn send_to(&mut self, now: Time, request: RequestId, effect_is_safe: bool) -> SiteSet {
+    pub fn allowed_sites(&mut self, now: Time, request: RequestId, effect_is_safe: bool) -> SiteSet {
         if let Some((site, _)) = self.asks.filter(|(_, at)| effect_is_safe && now >= *at) {
             self.asks = Some((site, now + self.between_questions()));
             return SiteSet::one(site);
@@ -326,7 +326,7 @@
     }
 
     /// How the sites are, in the order of the plan.
-    pub fn states(&self) -> impl Iterator<Item = SiteStatus> + '_ {
+    pub fn statuses(&self) -> impl Iterator<Item = SiteStatus> + '_ {
         (0..self.courses.len()).map(|site| self.state_of(site))
     }
 
@@ -334,20 +334,20 @@
         let (course, seen) = (&self.courses[site], &self.seen[site]);
         SiteStatus {
             name: self.plan.sites[site].name.clone(),
-            state: course.state(),
-            told: self.plan.sites[site].told,
-            share: course.share(),
+            health: course.state(),
+            operator_override: self.plan.sites[site].operator_override,
+            traffic_fraction: course.share(),
             since: course.since(),
-            hosts: self.listed[site].ready.len(),
-            part: course.part(),
-            rate: seen.rate,
-            failing: seen.now.failing().unwrap_or(0.0),
+            ready_hosts: self.listed[site].ready.len(),
+            capacity_fraction: course.part(),
+            attempts_per_second: seen.rate,
+            failure_fraction: seen.now.failing().unwrap_or(0.0),
             failures: seen.failures(),
         }
     }
 
     /// Rungs of the ladder that are shed down to their floors, and the part of the next that is.
-    pub fn level(&self) -> f64 {
+    pub fn shedding_level(&self) -> f64 {
         self.level.level()
     }
 
@@ -358,7 +358,7 @@
             self.plain = true;
             self.hosts.clear();
             self.hosts_changed(&mut turn);
-            turn.keep = self.level.keep(&self.plan.ladder);
+            turn.admission_fractions = self.level.keep(&self.plan.shedding);
             self.due = Time::MAX;
             return Some(turn).filter(|turn| !turn.is_nothing());
         }
@@ -372,7 +372,11 @@
             let was = self.courses[site].state();
             let cause = self.judge(now, past, site, &fresh, cut_off);
             if let Some(cause) = cause {
-                turn.said.push(Transition::Site { was, now: self.state_of(site), cause });
+                turn.transitions.push(Transition::Site {
+                    previous: was,
+                    current: self.state_of(site),
+                    cause,
+                });
             }
         }
         self.plain = self.courses.iter().all(Course::is_plain);
@@ -466,7 +470,7 @@
         fresh: &[Tally],
         cut_off: bool,
     ) -> Option<TransitionCause> {
-        match self.plan.sites[site].told {
+        match self.plan.sites[site].operator_override {
             Some(OperatorOverride::Healthy) => {
                 let changed =
                     !self.courses[site].is_plain() || self.courses[site].state() != SiteHealth::Healthy;
@@ -647,7 +651,7 @@
             doubt: self.in_doubt(),
             another: self.courses.iter().filter(|course| course.state() == SiteHealth::Recovering).count()
                 > 1,
-            ramp: self.plan.sites[site].ramp,
+            ramp: self.plan.sites[site].recovery_ramp,
         };
         match self.courses[site].ramp(now, &look) {
             Ramped::Holds => None,
@@ -672,19 +676,19 @@
             _ => vec![],
         };
         let withheld: BTreeSet<HostId> = self.listed.iter().enumerate().flat_map(of_site).collect();
-        turn.hosts = self.withheld.symmetric_difference(&withheld).copied().collect();
+        turn.changed_hosts = self.withheld.symmetric_difference(&withheld).copied().collect();
         (self.withheld, self.withholds) = (withheld, withholds);
     }
 
     fn refuse(&mut self, past: Span, turn: &mut FailoverUpdate) {
         let whole = self.courses.iter().all(Course::is_calm);
         let before = rung_of(self.level.level());
-        self.level.tick(past, &self.plan.ladder, whole);
+        self.level.tick(past, &self.plan.shedding, whole);
         let level = self.level.level();
-        turn.keep = self.level.keep(&self.plan.ladder);
+        turn.admission_fractions = self.level.keep(&self.plan.shedding);
         if rung_of(level) != before {
-            let rung = rung_of(level).and_then(|rung| self.plan.ladder.rungs.get(rung));
-            turn.said.push(Transition::Shedding { level, rung: rung.map(|rung| rung.name.clone()) });
+            let rung = rung_of(level).and_then(|rung| self.plan.shedding.tiers.get(rung));
+            turn.transitions.push(Transition::Shedding { level, tier: rung.map(|rung| rung.name.clone()) });
         }
     }
 }
@@ -699,7 +703,7 @@
 }
 
 fn cause_of(tested: Tested) -> TransitionCause {
-    TransitionCause::Failures { sum: tested.sum, enough: tested.enough, anyway: tested.anyway }
+    TransitionCause::Failures { evidence: tested.sum, threshold: tested.enough, baseline: tested.anyway }
 }
 
 /// The rung that is being shed at a level.
--- a/crates/site-failover/tests/plans.rs
+++ b/crates/site-failover/tests/plans.rs
@@ -4,7 +4,7 @@
 
 use config_language::loader::Memory;
 use config_language::model::Operators;
-use site_failover::capacity_check::{losses, outcome, LoadFit, LossOutcome, TrafficMix};
+use site_failover::capacity_check::{check_loss, check_losses, LoadFit, LossOutcome, TrafficMix};
 use site_failover::{
     FailoverPlan, FailoverTarget, OperatorOverride, PlatformNames, SiteSet, DEFAULT_RECOVERY_RAMP,
 };
@@ -62,15 +62,21 @@
             + "shed \"nothing\" {\n  plans = \"standard\"\n  classes = \"read\"\n}\n";
     let plan = plan(&text);
     let [a, b, c, d] = &plan.sites[..] else { panic!("{plan:?}") };
-    assert_eq!((a.name.as_str(), &a.zones[..], a.ramp, a.capacity), ("a", &[0][..], 45_000_000_000, None));
-    assert_eq!((b.capacity, b.headroom, b.ramp, b.told), (Some(1.5), 0.1, DEFAULT_RECOVERY_RAMP, None));
-    assert_eq!((c.told, &d.zones[..]), (Some(OperatorOverride::Lost), &[3][..]));
-    let taker = |site, share| FailoverTarget { site, share };
-    assert_eq!(a.takers, [taker(1, 0.6), taker(2, 0.2), taker(3, 0.2)]);
-    assert_eq!(b.takers, [taker(0, 1.0)]);
+    assert_eq!(
+        (a.name.as_str(), &a.zones[..], a.recovery_ramp, a.capacity),
+        ("a", &[0][..], 45_000_000_000, None)
+    );
+    assert_eq!(
+        (b.capacity, b.headroom, b.recovery_ramp, b.operator_override),
+        (Some(1.5), 0.1, DEFAULT_RECOVERY_RAMP, None)
+    );
+    assert_eq!((c.operator_override, &d.zones[..]), (Some(OperatorOverride::Lost), &[3][..]));
+    let taker = |site, share| FailoverTarget { site, fraction: share };
+    assert_eq!(a.failover_targets, [taker(1, 0.6), taker(2, 0.2), taker(3, 0.2)]);
+    assert_eq!(b.failover_targets, [taker(0, 1.0)]);
     // Reads of both plans, and of the rest standard orders; nothing is left for the third.
     let rungs: Vec<(&str, &[usize], f64)> =
-        plan.ladder.rungs.iter().map(|rung| (rung.name.as_str(), &rung.cells[..], rung.floor)).collect();
+        plan.shedding.tiers.iter().map(|rung| (rung.name.as_str(), &rung.cells[..], rung.floor)).collect();
     assert_eq!(rungs, [("reads", &[0, 1][..], 0.2), ("standard", &[2][..], 0.6)]);
     assert_eq!(compile(&Operators::default()).unwrap().sites, []);
 }
@@ -298,7 +304,7 @@
 
 fn fit(plan: &FailoverPlan, lost: &[usize], mix: &TrafficMix) -> LoadFit {
     let lost = lost.iter().copied().fold(SiteSet::NONE, SiteSet::with);
-    match outcome(plan, lost, mix) {
+    match check_loss(plan, lost, mix) {
         LossOutcome::Computed(fit) => fit,
         other => panic!("{other:?}"),
     }
@@ -313,17 +319,20 @@
 fn declared_capacities_tell_what_a_loss_comes_to() {
     for case in CASES {
         let plan = plan(&(sites(case.sites) + &takeovers(case.takeovers) + SHEDS));
-        let fit = fit(&plan, case.lost, &TrafficMix::even(&plan.ladder));
-        for (placed, (site, asked)) in fit.left.iter().zip(case.asked) {
+        let fit = fit(&plan, case.lost, &TrafficMix::even(&plan.shedding));
+        for (placed, (site, asked)) in fit.remaining_sites.iter().zip(case.asked) {
             assert_eq!(placed.site, *site, "{}", case.title);
-            near(placed.own + placed.taken, *asked, case.title);
+            near(placed.own_load + placed.taken_over_load, *asked, case.title);
         }
-        assert_eq!(fit.left.len(), case.asked.len(), "{}", case.title);
-        near(fit.refused, case.refused, case.title);
+        assert_eq!(fit.remaining_sites.len(), case.asked.len(), "{}", case.title);
+        near(fit.shed, case.refused, case.title);
         assert_eq!(fit.is_carried(), case.refused == 0.0, "{}", case.title);
-        assert_eq!(fit.rungs.len(), case.rungs.len(), "{}: {:?}", case.title, fit.rungs);
-        fit.rungs.iter().zip(case.rungs).for_each(|(rung, refused)| near(rung.refused, *refused, case.title));
-        near(fit.beyond, case.beyond, case.title);
+        assert_eq!(fit.shed_by_tier.len(), case.rungs.len(), "{}: {:?}", case.title, fit.shed_by_tier);
+        fit.shed_by_tier
+            .iter()
+            .zip(case.rungs)
+            .for_each(|(rung, refused)| near(rung.shed, *refused, case.title));
+        near(fit.shed_beyond_tiers, case.beyond, case.title);
     }
 }
 
@@ -332,16 +341,16 @@
     let two = ["capacity = 500 requests/s\n  load = 400 requests/s"; 2];
     let plan = plan(&(sites(&two) + &takeovers("a>b, b>a") + SHEDS));
     // Of 800 requests a tenth are reads, which give 64; standard orders are half, and give 160; premium ones nothing.
-    let fit = fit(&plan, &[0], &TrafficMix::of(vec![1.0, 0.0, 5.0, 4.0]));
-    near(fit.refused, 300.0, "refused");
-    near(fit.rungs[0].refused, 64.0, "reads");
-    near(fit.rungs[1].refused, 160.0, "standard orders");
-    near(fit.beyond, 76.0, "beyond the ladder");
+    let fit = fit(&plan, &[0], &TrafficMix::from_weights(vec![1.0, 0.0, 5.0, 4.0]));
+    near(fit.shed, 300.0, "refused");
+    near(fit.shed_by_tier[0].shed, 64.0, "reads");
+    near(fit.shed_by_tier[1].shed, 160.0, "standard orders");
+    near(fit.shed_beyond_tiers, 76.0, "beyond the ladder");
 }
 
 #[test]
 fn each_loss_of_one_and_of_two_is_looked_at() {
-    let even = |plan: &FailoverPlan| losses(plan, &TrafficMix::even(&plan.ladder));
+    let even = |plan: &FailoverPlan| check_losses(plan, &TrafficMix::even(&plan.shedding));
     let figures = "capacity = 600 requests/s\n  load = 100 requests/s";
     let sets = |plan: &FailoverPlan| -> Vec<u64> { even(plan).iter().map(|loss| loss.lost.0).collect() };
     assert_eq!(sets(&plan(&sites(&[figures; 3]))), [0b1, 0b10, 0b100, 0b11, 0b101, 0b110]);
--- a/crates/site-failover/tests/sites/common.rs
+++ b/crates/site-failover/tests/sites/common.rs
@@ -18,16 +18,19 @@
         capacity: None,
         load: None,
         headroom: 0.0,
-        takers: (0..3)
+        failover_targets: (0..3)
             .filter(|other| *other != number)
-            .map(|site| FailoverTarget { site, share: 0.5 })
+            .map(|site| FailoverTarget { site, fraction: 0.5 })
             .collect(),
-        ramp: 60 * SECOND,
-        told: None,
+        recovery_ramp: 60 * SECOND,
+        operator_override: None,
     };
     let rung = |name: &str, cell, floor| SheddingTier { name: name.to_string(), cells: vec![cell], floor };
     let rungs = vec![rung("batch", 0, 0.1), rung("browse", 1, 0.3)];
-    FailoverPlan { sites: (0..3).map(site).collect(), ladder: SheddingTiers { rungs, classes: 3, plans: 1 } }
+    FailoverPlan {
+        sites: (0..3).map(site).collect(),
+        shedding: SheddingTiers { tiers: rungs, classes: 3, plans: 1 },
+    }
 }
 
 pub fn site_of(host: u64) -> usize {
@@ -68,7 +71,7 @@
     pub fn new(plan: FailoverPlan, fleet: GatewayIdentity) -> Bench {
         let mut sites = FailoverController::new(plan, fleet, 1, 0);
         let entries: Vec<_> = (0..3 * HOSTS).map(|host| entry(host, HostState::Ready, 0)).collect();
-        sites.on_list(0, HostListKind::Full, &entries);
+        sites.on_host_list(0, HostListKind::Full, &entries);
         Bench {
             sites,
             now: 0,
@@ -82,24 +85,28 @@
     }
 
     pub fn usual() -> Bench {
-        Bench::new(plan(), GatewayIdentity { gateways: 8, me: 0, zone: 0 })
+        Bench::new(plan(), GatewayIdentity { gateways: 8, gateway_index: 0, zone: 0 })
     }
 
     pub fn list(&mut self, hosts: std::ops::Range<u64>, state: HostState, started: Time) {
         let entries: Vec<_> = hosts.map(|host| entry(host, state, started)).collect();
-        self.sites.on_list(self.now, HostListKind::Delta, &entries);
+        self.sites.on_host_list(self.now, HostListKind::Delta, &entries);
     }
 
     pub fn tick(&mut self) {
         let turn = self.sites.tick(self.now);
-        self.known = self.sites.states().map(|site| (site.state, site.share, site.hosts)).collect();
+        self.known = self
+            .sites
+            .statuses()
+            .map(|site| (site.health, site.traffic_fraction, site.ready_hosts))
+            .collect();
         let Some(turn) = turn else { return };
-        for said in turn.said {
-            let Transition::Site { was, now, .. } = said else { continue };
-            let site = self.sites.states().position(|site| site.name == now.name).unwrap();
-            self.changes.push((self.now, site, was, now.state, now.share));
+        for said in turn.transitions {
+            let Transition::Site { previous: was, current: now, .. } = said else { continue };
+            let site = self.sites.statuses().position(|site| site.name == now.name).unwrap();
+            self.changes.push((self.now, site, was, now.health, now.traffic_fraction));
         }
-        if let Some(keep) = turn.keep {
+        if let Some(keep) = turn.admission_fractions {
             self.keep = keep;
         }
     }
@@ -110,8 +117,8 @@
         let between = (SECOND as f64 / rate) as Span;
         let mut next = self.now;
         while self.now < until {
-            self.now = until.min(next.min(self.sites.due().max(self.now + 1)));
-            if self.sites.due() <= self.now {
+            self.now = until.min(next.min(self.sites.next_tick_at().max(self.now + 1)));
+            if self.sites.next_tick_at() <= self.now {
                 self.tick();
             }
             if next <= self.now {
@@ -123,12 +130,12 @@
 
     fn request(&mut self, ends: Ends) {
         self.requests += 1;
-        let to = self.sites.send_to(self.now, RequestId(self.requests), true);
+        let to = self.sites.allowed_sites(self.now, RequestId(self.requests), true);
         // A stride that meets all hosts in an order that meets the sites in turn.
         let hosts = (0..3 * HOSTS).map(|n| ((self.requests + n) * 7) % (3 * HOSTS));
         let open: Vec<u64> = hosts
-            .filter(|host| !self.sites.is_withheld(HostId(*host)))
-            .filter(|host| to.has(site_of(*host)) && self.known[site_of(*host)].2 > 0)
+            .filter(|host| !self.sites.is_excluded(HostId(*host)))
+            .filter(|host| to.contains(site_of(*host)) && self.known[site_of(*host)].2 > 0)
             .collect();
         // Hosts of a site that returns are idle, and idle hosts are liked best.
         let returns = |host: &&u64| self.known[site_of(**host)].0 == SiteHealth::Recovering;
@@ -152,16 +159,16 @@
             actual_units: None,
             report: None,
         };
-        self.sites.on_ended(self.now, &ended);
+        self.sites.on_attempt_ended(self.now, &ended);
     }
 
     pub fn states(&self) -> Vec<SiteHealth> {
-        self.sites.states().map(|site| site.state).collect()
+        self.sites.statuses().map(|site| site.health).collect()
     }
 
     /// Whether each site is withheld, but for a host on trial.
     pub fn withheld(&self) -> Vec<bool> {
-        self.sites.states().map(|site| site.share == 0.0).collect()
+        self.sites.statuses().map(|site| site.traffic_fraction == 0.0).collect()
     }
 
     /// When a site came to be held for something, of all the times it did.
@@ -172,6 +179,6 @@
     }
 
     pub fn share(&self, site: usize) -> f64 {
-        self.sites.states().nth(site).unwrap().share
+        self.sites.statuses().nth(site).unwrap().traffic_fraction
     }
 }
--- a/crates/site-failover/tests/sites/returns.rs
+++ b/crates/site-failover/tests/sites/returns.rs
@@ -67,13 +67,13 @@
             break;
         }
         for id in 0..30_000 {
-            let to = bench.sites.send_to(bench.now, RequestId(1_000_000 + id), true);
+            let to = bench.sites.allowed_sites(bench.now, RequestId(1_000_000 + id), true);
             assert_eq!(
                 to,
-                bench.sites.send_to(bench.now, RequestId(1_000_000 + id), true),
+                bench.sites.allowed_sites(bench.now, RequestId(1_000_000 + id), true),
                 "always the same"
             );
-            admitted += u32::from(to.has(1));
+            admitted += u32::from(to.contains(1));
         }
         let of_part = f64::from(admitted) / 30_000.0 * 3.0;
         assert!((of_part - share).abs() < 0.03, "{of_part} of {share}");
@@ -93,13 +93,13 @@
         // The other sites answer, and nothing is sent to this one.
         (0..2).for_each(|site| bench.ended(2 * HOSTS * site, OK.0, OK.1));
         bench.tick();
-        assert_eq!(bench.sites.send_to(bench.now, RequestId(n), false), SiteSet::ALL);
-        asked += u32::from(bench.sites.send_to(bench.now, RequestId(n), true) == SiteSet::one(1));
+        assert_eq!(bench.sites.allowed_sites(bench.now, RequestId(n), false), SiteSet::ALL);
+        asked += u32::from(bench.sites.allowed_sites(bench.now, RequestId(n), true) == SiteSet::one(1));
     }
     assert!((6..=10).contains(&asked), "each 0.2 s: {asked}");
     bench.ended(HOSTS, OK.0, OK.1);
     bench.play(SECOND, 200.0, &|_, _| OK);
-    let to = (0..100).map(|n| bench.sites.send_to(bench.now, RequestId(n), true));
+    let to = (0..100).map(|n| bench.sites.allowed_sites(bench.now, RequestId(n), true));
     assert!(to.into_iter().all(|to| to == SiteSet::ALL), "it has answered");
 }
 
@@ -112,14 +112,14 @@
         bench.tick();
         // A set that holds the site is of no use while all its hosts are withheld.
         let mut hosts = (HOSTS..2 * HOSTS).map(HostId);
-        let is_open = hosts.any(|host| !bench.sites.is_withheld(host));
-        assert!(!is_open || !bench.sites.send_to(bench.now, RequestId(n), false).has(1));
-        tried += u32::from(bench.sites.send_to(bench.now, RequestId(n), true) == SiteSet::one(1));
+        let is_open = hosts.any(|host| !bench.sites.is_excluded(host));
+        assert!(!is_open || !bench.sites.allowed_sites(bench.now, RequestId(n), false).contains(1));
+        tried += u32::from(bench.sites.allowed_sites(bench.now, RequestId(n), true) == SiteSet::one(1));
     }
     assert!((5..=11).contains(&tried), "one that may run twice is, each second: {tried}");
     bench.play(5 * SECOND, 200.0, &|_, _| OK);
     assert_eq!((bench.states()[1], bench.share(1)), (Recovering, 0.05));
-    assert!((0..5_000).all(|n| !bench.sites.send_to(bench.now, RequestId(n), false).has(1)));
+    assert!((0..5_000).all(|n| !bench.sites.allowed_sites(bench.now, RequestId(n), false).contains(1)));
 }
 
 #[test]
@@ -133,17 +133,17 @@
         ([1.0, 0.0], Some(133.4), [0.067, 0.0]),
     ] {
         let mut plan = plan();
-        plan.sites[1].takers[0].share = shares[0];
-        plan.sites[1].takers[1].share = shares[1];
+        plan.sites[1].failover_targets[0].fraction = shares[0];
+        plan.sites[1].failover_targets[1].fraction = shares[1];
         for site in &mut plan.sites {
             (site.capacity, site.load, site.headroom) = (capacity, capacity.map(|_| 100.0), 0.1);
         }
-        let mut bench = Bench::new(plan, GatewayIdentity { gateways: 8, me: 0, zone: 0 });
+        let mut bench = Bench::new(plan, GatewayIdentity { gateways: 8, gateway_index: 0, zone: 0 });
         bench.play(30 * SECOND, 200.0, &|_, _| OK);
         bench.play(5 * SECOND, 200.0, &lost(1));
         let mut bound = [0.0; 3];
         for id in 0..30_000 {
-            let to = bench.sites.send_to(bench.now, RequestId(id), false);
+            let to = bench.sites.allowed_sites(bench.now, RequestId(id), false);
             (0..3).filter(|site| to == SiteSet::one(*site)).for_each(|site| bound[site] += 1.0 / 30_000.0);
         }
         let near = |a: f64, b: f64| (a - b).abs() < 0.015;
@@ -178,8 +178,10 @@
 
 #[test]
 fn no_return_begins_in_doubt_but_doubt_that_stays_only_slows_it() {
-    let cases: [(&str, Doubt); 2] =
-        [("discovery", FailoverController::on_discovery), ("the counter", FailoverController::on_counter)];
+    let cases: [(&str, Doubt); 2] = [
+        ("discovery", FailoverController::on_discovery_status),
+        ("the counter", FailoverController::on_counter_status),
+    ];
     for (case, doubt) in cases {
         let mut bench = after_a_loss();
         doubt(&mut bench.sites, bench.now, true);
@@ -215,7 +217,7 @@
     for gateways in [3, 30, 300] {
         let (mut trials, mut turned) = (0, 0);
         for me in 0..gateways {
-            let mut bench = Bench::new(plan(), GatewayIdentity { gateways, me, zone: 0 });
+            let mut bench = Bench::new(plan(), GatewayIdentity { gateways, gateway_index: me, zone: 0 });
             bench.play(10 * SECOND, 50.0, &|_, _| OK);
             bench.play(10 * SECOND, 50.0, &lost(1));
             assert_eq!(bench.states()[1], Lost);
@@ -236,12 +238,12 @@
     let mut second = |wants: u32| {
         for n in 0..100 {
             let class = n % 3;
-            bench.sites.on_asked(class, 0);
+            bench.sites.on_request_received(class, 0);
             // What is refused already is not given up.
             let keep = bench.keep.get(class).copied().unwrap_or(1.0);
             let given_up = (n as u32) * wants / 100 != (n as u32 + 1) * wants / 100;
             if given_up && (n as f64 * 0.618).fract() < keep {
-                bench.sites.on_given_up(class, 0, RejectReason::QueueTooLong);
+                bench.sites.on_request_rejected(RejectReason::QueueTooLong);
             }
         }
         bench.play(SECOND, 200.0, &lost(1));
@@ -273,8 +275,8 @@
 fn nothing_is_refused_by_the_ladder_while_all_sites_are_whole() {
     let mut bench = Bench::usual();
     for _ in 0..20 {
-        (0..100).for_each(|_| bench.sites.on_asked(0, 0));
-        (0..50).for_each(|_| bench.sites.on_given_up(0, 0, RejectReason::QueuedTooLong));
+        (0..100).for_each(|_| bench.sites.on_request_received(0, 0));
+        (0..50).for_each(|_| bench.sites.on_request_rejected(RejectReason::QueuedTooLong));
         bench.play(SECOND, 200.0, &|_, _| OK);
     }
     assert!(bench.keep.is_empty());
--- a/crates/site-failover/tests/sites/verdicts.rs
+++ b/crates/site-failover/tests/sites/verdicts.rs
@@ -123,8 +123,8 @@
     for (silent, state) in [(true, Unreachable), (false, Lost)] {
         let mut bench = Bench::usual();
         bench.play(30 * SECOND, 100.0, &|_, _| OK);
-        bench.sites.on_discovery(bench.now, silent);
-        bench.sites.on_counter(bench.now, silent);
+        bench.sites.on_discovery_status(bench.now, silent);
+        bench.sites.on_counter_status(bench.now, silent);
         bench.play(10 * SECOND, 100.0, &|_, host| if site_of(host) == 0 { OK } else { SILENT });
         assert_eq!(bench.states(), [Healthy, state, state], "{silent}");
         assert_eq!(bench.withheld(), [false, true, true]);
@@ -142,8 +142,8 @@
     }
     assert_eq!(bench.states(), [Unreachable; 3]);
     let mut all_told = plan();
-    all_told.sites.iter_mut().for_each(|site| site.told = Some(OperatorOverride::Lost));
-    bench.sites.turn(all_told, bench.now);
+    all_told.sites.iter_mut().for_each(|site| site.operator_override = Some(OperatorOverride::Lost));
+    bench.sites.apply_plan(all_told, bench.now);
     bench.play(5 * SECOND, 100.0, &|_, _| OK);
     assert!(bench.withheld().contains(&false), "told by hand");
 }
@@ -190,17 +190,18 @@
     bench.play(5 * SECOND, 100.0, &lost(2));
     assert_eq!(bench.states(), [Healthy, Healthy, Lost]);
     // One that discovery does not even list is not lost to it, and its part falls to nobody.
-    let mut sites = FailoverController::new(plan(), GatewayIdentity { gateways: 8, me: 1, zone: 0 }, 1, 0);
+    let mut sites =
+        FailoverController::new(plan(), GatewayIdentity { gateways: 8, gateway_index: 1, zone: 0 }, 1, 0);
     let entries: Vec<_> = (0..2 * HOSTS).map(|host| entry(host, HostState::Ready, 0)).collect();
-    sites.on_list(0, HostListKind::Full, &entries);
+    sites.on_host_list(0, HostListKind::Full, &entries);
     (0..600).for_each(|n| drop(sites.tick(n * 100 * MILLISECOND)));
-    assert!(sites.states().all(|site| site.state == Healthy));
+    assert!(sites.statuses().all(|site| site.health == Healthy));
     // As it comes up it is cold, and returns like any.
     let entries: Vec<_> =
         (2 * HOSTS..3 * HOSTS).map(|host| entry(host, HostState::Ready, 61 * SECOND)).collect();
-    sites.on_list(62 * SECOND, HostListKind::Delta, &entries);
+    sites.on_host_list(62 * SECOND, HostListKind::Delta, &entries);
     sites.tick(62 * SECOND);
-    assert_eq!(sites.states().nth(2).unwrap().share, 0.0);
+    assert_eq!(sites.statuses().nth(2).unwrap().traffic_fraction, 0.0);
 }
 
 #[test]
@@ -208,17 +209,17 @@
     let mut bench = Bench::usual();
     bench.play(10 * SECOND, 100.0, &|_, _| OK);
     let mut told = plan();
-    told.sites[1].told = Some(OperatorOverride::Lost);
-    bench.sites.turn(told.clone(), bench.now);
+    told.sites[1].operator_override = Some(OperatorOverride::Lost);
+    bench.sites.apply_plan(told.clone(), bench.now);
     bench.sent = [0; 3];
     bench.play(30 * SECOND, 100.0, &|_, _| OK);
     assert_eq!((bench.states()[1], bench.sent[1]), (Lost, 0), "not even trials");
-    told.sites[1].told = Some(OperatorOverride::Healthy);
-    bench.sites.turn(told, bench.now);
+    told.sites[1].operator_override = Some(OperatorOverride::Healthy);
+    bench.sites.apply_plan(told, bench.now);
     bench.play(10 * SECOND, 100.0, &lost(1));
     assert_eq!(bench.withheld(), [false; 3]);
     // Told nothing any more, it is judged again.
-    bench.sites.turn(plan(), bench.now);
+    bench.sites.apply_plan(plan(), bench.now);
     bench.play(10 * SECOND, 100.0, &lost(1));
     assert_eq!(bench.states()[1], Lost);
 }
@@ -230,19 +231,19 @@
     bench.play(5 * SECOND, 100.0, &lost(1));
     let mut other = plan();
     other.sites.swap(0, 1);
-    other.sites.iter_mut().for_each(|site| site.takers.clear());
+    other.sites.iter_mut().for_each(|site| site.failover_targets.clear());
     let before = bench.changes.len();
-    bench.sites.turn(other, bench.now);
+    bench.sites.apply_plan(other, bench.now);
     bench.play(5 * SECOND, 100.0, &lost(1));
     assert_eq!(bench.states(), [Lost, Healthy, Healthy], "south comes first now");
     assert_eq!(bench.changes.len(), before, "and is not lost anew: {:?}", bench.changes);
     // No sites any more, though there is a ladder still.
-    bench.sites.turn(FailoverPlan { sites: vec![], ..plan() }, bench.now);
-    assert!(bench.sites.is_idle() && bench.sites.due() <= bench.now);
+    bench.sites.apply_plan(FailoverPlan { sites: vec![], ..plan() }, bench.now);
+    assert!(bench.sites.is_idle() && bench.sites.next_tick_at() <= bench.now);
     let turn = bench.sites.tick(bench.now).unwrap();
-    assert!(turn.hosts.len() as u64 >= HOSTS - 1, "what was withheld is let go: {turn:?}");
-    assert!(bench.sites.due() == Time::MAX && bench.sites.tick(bench.now).is_none());
-    assert!((0..3 * HOSTS).all(|host| !bench.sites.is_withheld(policy::api::HostId(host))));
+    assert!(turn.changed_hosts.len() as u64 >= HOSTS - 1, "what was withheld is let go: {turn:?}");
+    assert!(bench.sites.next_tick_at() == Time::MAX && bench.sites.tick(bench.now).is_none());
+    assert!((0..3 * HOSTS).all(|host| !bench.sites.is_excluded(policy::api::HostId(host))));
 }
 
 #[test]
