--- a/crates/site-failover/src/capacity_check.rs
+++ b/crates/site-failover/src/capacity_check.rs
@@ -1,88 +1,96 @@
-//! Whether the fleet carries the loss of sites, worked out from what operators declare: pure arithmetic.
+//! Checks by arithmetic whether the fleet carries the loss of sites, from the capacities and loads that operators
+//! declare.
 //!
-//! What is reckoned with:
+//! Assumptions:
 //!
-//! - Each site is asked for its `load`; a lost site's load is asked for as before, from elsewhere.
-//! - A taker gets its share of a lost site's load, whatever room it has. What no takeover names, and the share of a
-//!   taker that is lost too, goes where waits are least: where the part of the room that is used is the smallest.
-//! - A site has room for its capacity but for its headroom, and always for its own load.
-//! - What is refused is refused everywhere alike, as gateways refuse before they choose a site. So the site that is
-//!   asked for most against its room tells how much: with `k` times its room, `1 - 1 / k` of all requests.
-//! - It is refused by the ladder, and for that the mix of requests counts ([`Mix`]), which is the same at all sites.
+//! - Each site receives its declared load; a lost site's load stays the same and is sent elsewhere.
+//! - A failover target receives its fraction of a lost site's load whatever capacity it has. Load without a target, and
+//!   the fraction of a target that is lost too, goes to the sites with the lowest utilization.
+//! - A site can use its capacity less its headroom, and always enough for its own load.
+//! - Gateways shed load before they choose a site, so all sites' requests are shed alike. The site with the highest
+//!   utilization `u` therefore determines the shed fraction of all requests, `1 - 1 / u`.
+//! - Load is shed by tiers. How much a tier sheds depends on the [`TrafficMix`], which is the same at all sites.
 //! - Hosts are warm.
 
-use crate::plan::{FailoverPlan, OperatorOverride, SheddingTier, SheddingTiers, SiteSet};
+use crate::plan::{FailoverPlan, OperatorOverride, SheddingTier, SheddingTiers, Site, SiteSet};
 
-/// Room that is used beyond this counts as more than all of it, whatever became of the last bit.
-const FULL: f64 = 1.0 + 1e-9;
+/// Utilization above which a site is overloaded: 1, with an allowance for rounding errors.
+const OVERLOAD_UTILIZATION: f64 = 1.0 + 1e-9;
 
-/// What part of all requests each pair of class and plan is.
+/// Load beyond the shedding tiers, as a fraction of the demand, that is attributed to rounding errors.
+const NEGLIGIBLE_FRACTION: f64 = 1e-9;
+
+/// Fraction of all requests that each cell (pair of class and customer plan) makes up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficMix(Vec<f64>);
 
 impl TrafficMix {
-    /// As many requests of each pair of class and plan.
-    pub fn even(ladder: &SheddingTiers) -> TrafficMix {
-        TrafficMix::from_weights(vec![1.0; ladder.classes * ladder.plans])
+    /// Returns the mix in which all cells have the same number of requests.
+    #[must_use]
+    pub fn even(shedding: &SheddingTiers) -> TrafficMix {
+        TrafficMix::from_weights(vec![1.0; shedding.cell_count()])
     }
 
-    /// In proportion to these weights, by cell; even where they come to nothing.
+    /// Returns the mix in proportion to weights by cell; an even mix if all weights are zero.
+    #[must_use]
     pub fn from_weights(weights: Vec<f64>) -> TrafficMix {
-        let sum: f64 = weights.iter().sum();
+        let total: f64 = weights.iter().sum();
         let count = weights.len() as f64;
-        let part = |weight: f64| if sum > 0.0 { weight / sum } else { 1.0 / count };
-        TrafficMix(weights.into_iter().map(part).collect())
+        let fraction = |weight: f64| if total > 0.0 { weight / total } else { 1.0 / count };
+        TrafficMix(weights.into_iter().map(fraction).collect())
     }
 
-    fn of_cells(&self, cells: &[usize]) -> f64 {
+    fn fraction_of(&self, cells: &[usize]) -> f64 {
         cells.iter().filter_map(|cell| self.0.get(*cell)).sum()
     }
 }
 
-/// The loss of some sites, and what comes of it.
+/// The loss of some sites, and its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LossScenario {
-    /// The sites that are lost, those that are told so among them.
+    /// Lost sites, including those that operators have set to lost.
     pub lost: SiteSet,
-    /// What comes of it.
+    /// Outcome of the loss.
     pub outcome: LossOutcome,
 }
 
-/// What comes of a loss.
+/// Outcome of a loss.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LossOutcome {
-    /// Figures are missing: the sites, by number, of which `capacity` or `load` is not said.
+    /// The outcome cannot be computed: indices of the sites for which `capacity` or `load` is not declared.
     MissingFigures(Vec<usize>),
-    /// No site is left.
+    /// All sites are lost.
     NoSiteLeft,
-    /// It can be worked out.
+    /// The computed placement of the load.
     Computed(LoadFit),
 }
 
-/// How load fits after a loss.
+/// How the load fits the sites that remain after a loss. Rates are in requests per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadFit {
-    /// Requests a second that the fleet is asked for.
+    /// Load of the whole fleet.
     pub demand: f64,
-    /// The sites that are left.
+    /// Sites that remain.
     pub remaining_sites: Vec<SiteDemand>,
-    /// The one of them that is asked for most against its room, by its place in `left`.
+    /// Index in `remaining_sites` of the site with the highest utilization.
     pub bottleneck: usize,
-    /// Requests a second that have to be refused.
+    /// Load that has to be shed.
     pub shed: f64,
-    /// What each rung of the ladder refuses, for those that refuse anything.
+    /// Load shed by each tier, for the tiers that shed any.
     pub shed_by_tier: Vec<TierShedding>,
-    /// Requests a second that have to be refused and that the ladder does not refuse.
+    /// Load that has to be shed after all tiers are at their floors.
     pub shed_beyond_tiers: f64,
 }
 
 impl LoadFit {
-    /// Whether all is carried.
+    /// Returns whether no load has to be shed.
+    #[must_use]
     pub fn is_carried(&self) -> bool {
         self.shed <= 0.0
     }
 
-    /// Share of all requests that has to be refused.
+    /// Returns the fraction of all requests that has to be shed, 0 to 1.
+    #[must_use]
     pub fn shed_fraction(&self) -> f64 {
         if self.demand > 0.0 {
             self.shed / self.demand
@@ -91,155 +99,161 @@
         }
     }
 
-    /// The rungs of which more may be refused than their floor allows, as the ladder is at its end.
-    pub fn floors_at_risk<'a>(&self, ladder: &'a SheddingTiers) -> impl Iterator<Item = &'a SheddingTier> {
-        let is_beyond = self.shed_beyond_tiers > 0.0;
-        ladder.tiers.iter().filter(move |rung| is_beyond && rung.floor > 0.0)
+    /// Returns the tiers whose floors cannot be guaranteed, because shedding all tiers to their floors is not enough.
+    pub fn floors_at_risk<'a>(&self, shedding: &'a SheddingTiers) -> impl Iterator<Item = &'a SheddingTier> {
+        let is_beyond_tiers = self.shed_beyond_tiers > 0.0;
+        shedding.tiers.iter().filter(move |tier| is_beyond_tiers && tier.floor > 0.0)
     }
 }
 
-/// A site that is left.
+/// Load of a site that remains after a loss. Rates are in requests per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteDemand {
-    /// Its number.
+    /// Index of the site.
     pub site: usize,
-    /// Requests a second of its own.
+    /// The site's own load.
     pub own_load: f64,
-    /// Requests a second that it is asked for in place of lost sites.
+    /// Load that the site takes over from lost sites.
     pub taken_over_load: f64,
-    /// Requests a second that it has room for.
+    /// Capacity less headroom, or the site's own load if that is more.
     pub usable_capacity: f64,
 }
 
 impl SiteDemand {
-    fn used(&self) -> f64 {
+    fn utilization(&self) -> f64 {
         (self.own_load + self.taken_over_load) / self.usable_capacity
     }
 }
 
-/// What a rung refuses.
+/// Load that a shedding tier sheds. Rates are in requests per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TierShedding {
-    /// The rung, by number.
+    /// Index of the tier.
     pub tier: usize,
-    /// Requests a second that it is asked for.
+    /// Load of the tier's cells.
     pub demand: f64,
-    /// Requests a second of them that are refused.
+    /// Part of that load that is shed.
     pub shed: f64,
 }
 
-/// The losses that a plan is measured by: of each site, then of each two; besides those that are told lost, which
-/// come first by themselves.
+/// Returns the outcomes of the losses that a plan has to be prepared for: first the loss of the sites that operators
+/// have set to lost, if any; then, in addition to these, the loss of each other site, and of each two other sites.
+#[must_use]
 pub fn check_losses(plan: &FailoverPlan, mix: &TrafficMix) -> Vec<LossScenario> {
-    let is_told = |site: usize| plan.sites[site].operator_override == Some(OperatorOverride::Lost);
-    let (told, open): (Vec<usize>, Vec<usize>) = (0..plan.sites.len()).partition(|site| is_told(*site));
-    let told = told.into_iter().fold(SiteSet::NONE, SiteSet::with);
-    let ones = open.iter().map(|site| told.with(*site));
-    let twos = open
-        .iter()
-        .enumerate()
-        .flat_map(|(n, first)| open[n + 1..].iter().map(move |then| told.with(*first).with(*then)));
-    let first = (told != SiteSet::NONE).then_some(told);
-    let sets = first.into_iter().chain(ones).chain(twos);
-    sets.map(|lost| LossScenario { lost, outcome: check_loss(plan, lost, mix) }).collect()
+    let is_set_lost = |site: &usize| plan.sites[*site].operator_override == Some(OperatorOverride::Lost);
+    let (set_lost, others): (Vec<usize>, Vec<usize>) = (0..plan.sites.len()).partition(is_set_lost);
+    let set_lost = set_lost.into_iter().fold(SiteSet::NONE, SiteSet::with);
+    let mut scenarios = Vec::new();
+    if set_lost != SiteSet::NONE {
+        scenarios.push(set_lost);
+    }
+    scenarios.extend(others.iter().map(|site| set_lost.with(*site)));
+    for (position, first) in others.iter().enumerate() {
+        let with_first = set_lost.with(*first);
+        scenarios.extend(others[position + 1..].iter().map(|second| with_first.with(*second)));
+    }
+    let check = |lost| LossScenario { lost, outcome: check_loss(plan, lost, mix) };
+    scenarios.into_iter().map(check).collect()
 }
 
-/// What comes of the loss of these sites.
+/// Returns the outcome of the loss of the given sites.
+#[must_use]
 pub fn check_loss(plan: &FailoverPlan, lost: SiteSet, mix: &TrafficMix) -> LossOutcome {
-    let sites = plan.sites.iter().enumerate();
-    let lacks = sites
-        .filter(|(number, site)| site.load.is_none() || (!lost.contains(*number) && site.capacity.is_none()));
-    let lacking: Vec<usize> = lacks.map(|(number, _)| number).collect();
-    let mut left = left(plan, lost);
-    if left.is_empty() {
+    let mut remaining = remaining_sites(plan, lost);
+    if remaining.is_empty() {
         return LossOutcome::NoSiteLeft;
     }
+    // The capacity of a lost site does not matter.
+    let lacks_figures = |(number, site): &(usize, &Site)| {
+        site.load.is_none() || (!lost.contains(*number) && site.capacity.is_none())
+    };
+    let lacking = plan.sites.iter().enumerate().filter(lacks_figures);
+    let lacking: Vec<usize> = lacking.map(|(number, _)| number).collect();
     if !lacking.is_empty() {
         return LossOutcome::MissingFigures(lacking);
     }
-    let open = move_load(plan, lost, &mut left);
-    pour(&mut left, open);
-    LossOutcome::Computed(fit(plan, left, mix))
+    let without_target = move_to_targets(plan, lost, &mut remaining);
+    balance_utilization(&mut remaining, without_target);
+    LossOutcome::Computed(fit_load(plan, remaining, mix))
 }
 
-fn left(plan: &FailoverPlan, lost: SiteSet) -> Vec<SiteDemand> {
-    let left = plan.sites.iter().enumerate().filter(|(number, _)| !lost.contains(*number));
-    let place = |(number, site): (usize, &crate::plan::Site)| {
-        let own = site.load.unwrap_or(0.0);
-        let room = (site.capacity.unwrap_or(0.0) * (1.0 - site.headroom)).max(own);
-        SiteDemand { site: number, own_load: own, taken_over_load: 0.0, usable_capacity: room }
+fn remaining_sites(plan: &FailoverPlan, lost: SiteSet) -> Vec<SiteDemand> {
+    let remaining = plan.sites.iter().enumerate().filter(|(number, _)| !lost.contains(*number));
+    let demand = |(number, site): (usize, &Site)| {
+        let own_load = site.load.unwrap_or(0.0);
+        let usable_capacity = site.usable_capacity().unwrap_or(0.0).max(own_load);
+        SiteDemand { site: number, own_load, taken_over_load: 0.0, usable_capacity }
     };
-    left.map(place).collect()
+    remaining.map(demand).collect()
 }
 
-/// Gives takers their shares; what is left over has no taker.
-fn move_load(plan: &FailoverPlan, lost: SiteSet, left: &mut [SiteDemand]) -> f64 {
-    let mut open = 0.0;
+/// Moves lost sites' load to their failover targets, and returns the load without a target that remains.
+fn move_to_targets(plan: &FailoverPlan, lost: SiteSet, remaining: &mut [SiteDemand]) -> f64 {
+    let mut total_without_target = 0.0;
     for (_, site) in plan.sites.iter().enumerate().filter(|(number, _)| lost.contains(*number)) {
         let load = site.load.unwrap_or(0.0);
-        let mut rest = load;
-        for taker in &site.failover_targets {
-            if let Some(placed) = left.iter_mut().find(|placed| placed.site == taker.site) {
-                placed.taken_over_load += load * taker.fraction;
-                rest -= load * taker.fraction;
+        let mut without_target = load;
+        for target in &site.failover_targets {
+            if let Some(demand) = remaining.iter_mut().find(|demand| demand.site == target.site) {
+                demand.taken_over_load += load * target.fraction;
+                without_target -= load * target.fraction;
             }
         }
-        open += rest.max(0.0);
+        total_without_target += without_target.max(0.0);
     }
-    open
+    total_without_target
 }
 
-/// Pours load in where the smallest part of the room is used, as water finds its level.
-fn pour(left: &mut [SiteDemand], load: f64) {
+/// Distributes load to the sites with the lowest utilization, so that all sites that receive any end up with the same
+/// utilization (water-filling).
+fn balance_utilization(remaining: &mut [SiteDemand], load: f64) {
     if load <= 0.0 {
         return;
     }
-    let mut order: Vec<usize> = (0..left.len()).collect();
-    order.sort_by(|a, b| left[*a].used().total_cmp(&left[*b].used()));
-    let (mut asked, mut room, mut level) = (load, 0.0, 0.0);
-    for (n, at) in order.iter().enumerate() {
-        asked += left[*at].own_load + left[*at].taken_over_load;
-        room += left[*at].usable_capacity;
-        level = asked / room;
-        // The next one is fuller than this makes them.
-        if order.get(n + 1).is_none_or(|next| left[*next].used() >= level) {
+    let mut by_utilization: Vec<usize> = (0..remaining.len()).collect();
+    by_utilization.sort_by(|a, b| remaining[*a].utilization().total_cmp(&remaining[*b].utilization()));
+    let mut demand = load;
+    let mut capacity = 0.0;
+    let mut utilization = 0.0;
+    for (position, site) in by_utilization.iter().enumerate() {
+        demand += remaining[*site].own_load + remaining[*site].taken_over_load;
+        capacity += remaining[*site].usable_capacity;
+        utilization = demand / capacity;
+        let next = by_utilization.get(position + 1);
+        if next.is_none_or(|next| remaining[*next].utilization() >= utilization) {
             break;
         }
     }
-    for placed in left {
-        placed.taken_over_load = placed.taken_over_load.max(level * placed.usable_capacity - placed.own_load);
+    for site in remaining {
+        site.taken_over_load = site.taken_over_load.max(utilization * site.usable_capacity - site.own_load);
     }
 }
 
-fn fit(plan: &FailoverPlan, left: Vec<SiteDemand>, mix: &TrafficMix) -> LoadFit {
-    let asked: f64 = plan.sites.iter().filter_map(|site| site.load).sum();
-    let fuller = |a: &usize, b: &usize| left[*a].used().total_cmp(&left[*b].used());
-    let narrowest = (0..left.len()).max_by(fuller).unwrap_or(0);
-    let used = left.get(narrowest).map_or(0.0, SiteDemand::used);
-    let refused = if used > FULL { asked * (1.0 - 1.0 / used) } else { 0.0 };
-    let (rungs, beyond) = climb(&plan.shedding, asked, refused, mix);
-    LoadFit {
-        demand: asked,
-        remaining_sites: left,
-        bottleneck: narrowest,
-        shed: refused,
-        shed_by_tier: rungs,
-        shed_beyond_tiers: beyond,
-    }
+fn fit_load(plan: &FailoverPlan, remaining_sites: Vec<SiteDemand>, mix: &TrafficMix) -> LoadFit {
+    let demand: f64 = plan.sites.iter().filter_map(|site| site.load).sum();
+    let by_utilization = |a: &usize, b: &usize| {
+        remaining_sites[*a].utilization().total_cmp(&remaining_sites[*b].utilization())
+    };
+    let bottleneck = (0..remaining_sites.len()).max_by(by_utilization).unwrap_or(0);
+    let utilization = remaining_sites.get(bottleneck).map_or(0.0, SiteDemand::utilization);
+    let shed = if utilization > OVERLOAD_UTILIZATION { demand * (1.0 - 1.0 / utilization) } else { 0.0 };
+    let shed_by_tier = shed_by_tiers(&plan.shedding, demand, shed, mix);
+    let not_shed = shed_by_tier.iter().fold(shed, |remaining, tier| remaining - tier.shed);
+    let shed_beyond_tiers = if not_shed > demand * NEGLIGIBLE_FRACTION { not_shed } else { 0.0 };
+    LoadFit { demand, remaining_sites, bottleneck, shed, shed_by_tier, shed_beyond_tiers }
 }
 
-/// Refuses by the ladder, each rung down to its floor before the next one; and what is left to refuse then.
-fn climb(ladder: &SheddingTiers, asked: f64, refused: f64, mix: &TrafficMix) -> (Vec<TierShedding>, f64) {
-    let mut rest = refused;
-    let mut rungs = Vec::new();
-    for (number, rung) in ladder.tiers.iter().enumerate() {
-        let own = asked * mix.of_cells(&rung.cells);
-        let here = rest.min(own * (1.0 - rung.floor));
-        if here > 0.0 {
-            rungs.push(TierShedding { tier: number, demand: own, shed: here });
-            rest -= here;
+/// Sheds load by tiers, each down to its floor before the next one. Tiers that shed nothing are left out.
+fn shed_by_tiers(shedding: &SheddingTiers, demand: f64, shed: f64, mix: &TrafficMix) -> Vec<TierShedding> {
+    let mut remaining = shed;
+    let mut by_tier = Vec::new();
+    for (number, tier) in shedding.tiers.iter().enumerate() {
+        let tier_demand = demand * mix.fraction_of(&tier.cells);
+        let tier_shed = remaining.min(tier_demand * (1.0 - tier.floor));
+        if tier_shed > 0.0 {
+            by_tier.push(TierShedding { tier: number, demand: tier_demand, shed: tier_shed });
+            remaining -= tier_shed;
         }
     }
-    // What the last bits leave is nothing to speak of.
-    (rungs, if rest > asked * 1e-9 { rest } else { 0.0 })
+    by_tier
 }
--- a/crates/site-failover/src/course.rs
+++ b/crates/site-failover/src/course.rs
@@ -4,7 +4,8 @@
 
 use policy::api::{HostId, RequestId, Span, Time};
 
-use crate::verdict::{Tally, SECOND};
+use crate::time::SECOND;
+use crate::verdict::Tally;
 
 /// A site begins to return once in this span at most, twice as long after each return that failed, up to the longest;
 /// whole for the longest, it is trusted as before.
--- a/crates/site-failover/src/ladder.rs
+++ b/crates/site-failover/src/ladder.rs
@@ -3,7 +3,7 @@
 use policy::api::{RejectReason, Span};
 
 use crate::plan::SheddingTiers;
-use crate::verdict::SECOND;
+use crate::time::SECOND;
 
 /// How fast the mix of what is asked for is forgotten, in seconds.
 const MIX: f64 = 5.0;
@@ -40,7 +40,7 @@
 
 impl Level {
     pub fn new(ladder: &SheddingTiers) -> Level {
-        let cells = ladder.classes * ladder.plans;
+        let cells = ladder.cell_count();
         Level { asked: vec![0.0; cells], mix: vec![0.0; cells], ..Level::default() }
     }
 
@@ -133,7 +133,7 @@
     pub fn keep(&mut self, ladder: &SheddingTiers) -> Option<Vec<f64>> {
         let mut keep = vec![];
         if self.level > 0.0 {
-            keep = vec![1.0; ladder.classes * ladder.plans];
+            keep = vec![1.0; ladder.cell_count()];
             for (number, rung) in ladder.tiers.iter().enumerate() {
                 let share = 1.0 - (1.0 - rung.floor) * (self.level - number as f64).clamp(0.0, 1.0);
                 for cell in &rung.cells {
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -4,17 +4,19 @@
 
 pub mod capacity_check;
 mod chance;
-mod compile;
 mod course;
 mod ladder;
 mod plan;
 mod said;
 mod shares;
 mod sites;
+mod time;
 mod verdict;
 
-pub use compile::{PlanError, PlanErrorKind, PlatformNames, DEFAULT_RECOVERY_RAMP};
 pub use course::SiteHealth;
-pub use plan::{FailoverPlan, FailoverTarget, OperatorOverride, SheddingTier, SheddingTiers, Site, SiteSet};
+pub use plan::{
+    FailoverPlan, FailoverTarget, OperatorOverride, PlanError, PlanErrorKind, PlatformNames, SheddingTier,
+    SheddingTiers, Site, SiteSet, DEFAULT_RECOVERY_RAMP,
+};
 pub use said::{SiteStatus, Transition, TransitionCause};
 pub use sites::{FailoverController, FailoverUpdate, GatewayIdentity};
--- a/crates/site-failover/src/shares.rs
+++ b/crates/site-failover/src/shares.rs
@@ -18,10 +18,8 @@
     let load = plan.sites[lost].load;
     plan.sites[lost].failover_targets.iter().map(move |taker| {
         let site = &plan.sites[taker.site];
-        let room = match (load, site.capacity, site.load) {
-            (Some(load), Some(capacity), Some(own)) if load > 0.0 => {
-                ((capacity * (1.0 - site.headroom) - own) / load).max(0.0)
-            }
+        let room = match (load, site.usable_capacity(), site.load) {
+            (Some(load), Some(capacity), Some(own)) if load > 0.0 => ((capacity - own) / load).max(0.0),
             _ => 1.0,
         };
         (taker.site, taker.fraction.min(room))
--- a/crates/site-failover/src/sites.rs
+++ b/crates/site-failover/src/sites.rs
@@ -13,7 +13,8 @@
 use crate::plan::{FailoverPlan, OperatorOverride, SiteSet};
 use crate::said::{SiteStatus, Transition, TransitionCause};
 use crate::shares;
-use crate::verdict::{Seen, Tally, Tested, MILLISECOND, SECOND};
+use crate::time::{MILLISECOND, SECOND};
+use crate::verdict::{Seen, Tally, Tested};
 
 /// Ticks while all is whole, and while something is up.
 const CALM: Span = SECOND;
@@ -260,7 +261,7 @@
 
     /// A request of this class and plan has come in, whatever becomes of it.
     pub fn on_request_received(&mut self, class: usize, plan: usize) {
-        self.level.on_asked(class * self.plan.shedding.plans + plan);
+        self.level.on_asked(self.plan.shedding.cell(class, plan));
     }
 
     /// A request was given up.
--- a/crates/site-failover/src/verdict.rs
+++ b/crates/site-failover/src/verdict.rs
@@ -9,8 +9,7 @@
 
 use policy::api::{HostId, Span, Time};
 
-pub(crate) const MILLISECOND: Span = 1_000_000;
-pub(crate) const SECOND: Span = 1_000 * MILLISECOND;
+use crate::time::{in_seconds, MILLISECOND};
 
 /// Share of attempts that fail at a site that is gone; not all, as some are withdrawn and counted otherwise.
 const FAILS_IF_GONE: f64 = 0.98;
@@ -114,7 +113,7 @@
 impl Seen {
     pub fn on_answer(&mut self, now: Time, took: Span) {
         self.fresh.answers += 1.0;
-        self.fresh.took += took as f64 / SECOND as f64;
+        self.fresh.took += in_seconds(took);
         self.answered = Some(now);
         // A run that ends with an answer was no loss: so many fail here anyway.
         for _ in 0..self.failures().0.min(LATELY as u32) {
@@ -132,7 +131,7 @@
 
     /// Whether an attempt that was withdrawn after this span counts as failed.
     pub fn is_long(&self, took: Span) -> bool {
-        self.usual_time().is_some_and(|usual| took as f64 / SECOND as f64 > LONG * usual)
+        self.usual_time().is_some_and(|usual| in_seconds(took) > LONG * usual)
     }
 
     /// Seconds that its answers usually take, if that is known.
@@ -156,7 +155,7 @@
 
     /// Takes in what came since the last tick.
     pub fn tick(&mut self, past: Span) -> Tally {
-        let seconds = past as f64 / SECOND as f64;
+        let seconds = in_seconds(past);
         let fresh = std::mem::take(&mut self.fresh);
         self.now.fade(libm::exp(-seconds / NOW));
         self.now.add(&fresh);
