--- a/crates/site-failover/src/plan/site_set.rs
+++ b/crates/site-failover/src/plan/site_set.rs
@@ -6,7 +6,7 @@
 pub struct SiteSet(pub u64);
 
 impl SiteSet {
-    /// The empty set.
+    /// The empty set, which contains no site.
     pub const NONE: SiteSet = SiteSet(0);
     /// All sites, and the hosts that belong to no site: requests are not restricted.
     pub const ALL: SiteSet = SiteSet(u64::MAX);
--- a/crates/site-failover/tests/sites/verdicts.rs
+++ b/crates/site-failover/tests/sites/verdicts.rs
@@ -200,7 +200,7 @@
     let entries: Vec<_> =
         (2 * HOSTS..3 * HOSTS).map(|host| entry(host, HostState::Ready, 61 * SECOND)).collect();
     sites.on_host_list(62 * SECOND, HostListKind::Delta, &entries);
-    sites.tick(62 * SECOND);
+    drop(sites.tick(62 * SECOND));
     assert_eq!(sites.statuses().nth(2).unwrap().traffic_fraction, 0.0);
 }
 
