--- a/crates/policy/src/class.rs
+++ b/crates/policy/src/class.rs
@@ -7,7 +7,7 @@
 use crate::pools::Waiting;
 use crate::room::Usual;
 use crate::strain::Ease;
-use hedging::{Silence, Times};
+use hedging::{LatencyDistribution, LossRate};
 
 #[derive(Default)]
 pub(crate) struct ClassState {
@@ -22,10 +22,10 @@
     pub latency: f64, // usual latency in seconds: a geometric mean, which rare long answers hardly move
     pub ease: Ease,
     pub usual: Usual,
-    pub times: Times,     // what answers take, in seconds at a host of usual speed
-    pub silence: Silence, // the share of attempts that nobody answers
-    pub hung: Silence,    // the same of those that counted as hanging
-    pub failing: f64,     // share of its latest attempts that failed
+    pub times: LatencyDistribution, // what answers take, in seconds at a host of usual speed
+    pub silence: LossRate,          // the share of attempts that nobody answers
+    pub hung: LossRate,             // the same of those that counted as hanging
+    pub failing: f64,               // share of its latest attempts that failed
 }
 
 /// Of all attempts so many get no answer, as far as nothing is known; and how many attempts that is worth, of
@@ -40,8 +40,8 @@
     /// How many times slower a host is than usual, at least once, and the share of attempts that it does not
     /// answer.
     pub fn silence(&self, host: Option<&Host>) -> (f64, f64) {
-        let usual = self.silence.share(UNHEARD, THIN.0);
-        let known = host.map(|s| ((1.0 + s.slower).max(1.0), s.silence.share(usual, THIN.1)));
+        let usual = self.silence.estimate(UNHEARD, THIN.0);
+        let known = host.map(|s| ((1.0 + s.slower).max(1.0), s.silence.estimate(usual, THIN.1)));
         known.unwrap_or((1.0, usual))
     }
 
@@ -55,19 +55,19 @@
             // time.
             Outcome::ConnectionReset => f64::from(u8::from(hung)),
             // One that was given up for another's answer is taken for what others like it turned out to be.
-            Outcome::Cancelled if hung => self.hung.share(HUNG.0, HUNG.1),
+            Outcome::Cancelled if hung => self.hung.estimate(HUNG.0, HUNG.1),
             _ => return,
         };
         match end.outcome {
-            Outcome::Ok => self.times.answered(seconds),
-            Outcome::Cancelled => self.times.given_up(seconds, never),
+            Outcome::Ok => self.times.record_response(seconds),
+            Outcome::Cancelled => self.times.record_abandoned(seconds, never),
             _ => {}
         }
         if hung && end.outcome != Outcome::Cancelled {
-            self.hung.over(never);
+            self.hung.record(never);
         }
-        self.silence.over(never);
-        host.silence.over(never);
+        self.silence.record(never);
+        host.silence.record(never);
     }
 
     /// A request begins to wait for a slot at this moment of the gateway's life.
--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/host.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Fleet;
 use crate::pace::{seconds, Pace, SECOND};
 use crate::room::Room;
-use hedging::Silence;
+use hedging::LossRate;
 use libm::exp;
 
 const COLD_OUT: f64 = 2.0; // attempts out at a cold host, from all gateways, before it has answered any
@@ -32,7 +32,7 @@
     pub tokens: f64,               // sends a cold host may get now, filled up to `fed`
     pub credit: f64, // more of them while the warm ones are too few: its answers bring them back
     pub fed: Time,
-    pub silence: Silence,      // the share of attempts that it does not answer
+    pub silence: LossRate,     // the share of attempts that it does not answer
     pub did: Vec<(f64, Time)>, // from 1 (failed) to -1 (served), for each class, and as a whole last
 }
 
--- a/crates/policy/src/hosts.rs
+++ b/crates/policy/src/hosts.rs
@@ -213,7 +213,7 @@
         let (slow, lost) = k.silence(self.fleet.get(host));
         let load = (self.out() + self.classes.iter().map(|k| k.held).sum::<f64>()) / self.pace.total.max(1.0);
         let price = PRICE.0 + PRICE.1 * (load * load).min(1.0);
-        let odds = || k.times.patience(r.left(now, slow, c.late_fraction), lost, price);
+        let odds = || k.times.hedge_delay(r.left(now, slow, c.late_fraction), lost, price);
         let usual = if k.latency > 0.0 { HANGS * k.latency } else { c.latency_objective as f64 / SECOND };
         // One in the place of another, not beside it, has to wait until that is surely out no more.
         let by_odds = c.idempotency == Idempotency::Idempotent && self.s.may_hedge;
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -3,7 +3,7 @@
 use crate::api::*;
 use crate::due::STEP;
 use crate::pace::{MS, SECOND};
-use hedging::Left;
+use hedging::RemainingTime;
 use smallvec::SmallVec;
 
 /// Time that the last bytes of a further attempt have to reach its host, at the least; of a long window a
@@ -62,9 +62,13 @@
         self.aim_at - takes.max(2 * STEP).min(self.aim_at)
     }
     /// What time its answer has, at a host so many times slower than usual.
-    pub fn left(&self, now: Time, slow: f64, late_worth: f64) -> Left {
+    pub fn left(&self, now: Time, slow: f64, late_worth: f64) -> RemainingTime {
         let until = |at: Time| (at as f64 - now as f64) / SECOND / slow;
-        Left { aim: until(self.aim_at), deadline: until(self.deadline), late_worth }
+        RemainingTime {
+            until_objective: until(self.aim_at),
+            until_deadline: until(self.deadline),
+            late_fraction: late_worth,
+        }
     }
     /// The first attempt that may have run.
     pub fn ran(&self) -> Option<&Attempt> {
