--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -115,8 +115,8 @@
         self.ready = ready.into_iter().map(|host| host.entry.id).collect();
         let numbers: Vec<u64> = self.ready.iter().map(|id| id.0).collect();
         let (me, gateways) = (me as usize, gateways.max(1) as usize);
-        self.circles = subset::circles(numbers.len(), gateways) as f64;
-        let circle = subset::circle(&numbers, me, gateways);
+        self.circles = subset::subset_count(numbers.len(), gateways) as f64;
+        let circle = subset::subset_of_gateway(&numbers, me, gateways);
         self.near = circle.into_iter().map(|index| self.ready[index]).collect();
         let far = 1.0 / self.circles();
         self.by_id.values_mut().for_each(|host| host.near = far);
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -14,20 +14,20 @@
 //! in a round is a power of two, so that it stays as well, but where the hosts double or halve.
 
 /// A circle has so many hosts at the least; up to twice as many, or all there are.
-pub const LEAST: usize = 16;
+pub const MIN_SUBSET_SIZE: usize = 16;
 /// So many gateways at the least have a host in their circle: fewer would leave it the traffic of some.
-pub const SHARED: usize = 20;
+pub const MIN_GATEWAYS_PER_HOST: usize = 20;
 
 /// Circles in a round, a power of two, for so many hosts and gateways. One circle is all hosts.
-pub fn circles(hosts: usize, gateways: usize) -> usize {
-    let most = (hosts / LEAST).min(gateways / SHARED).max(1);
+pub fn subset_count(hosts: usize, gateways: usize) -> usize {
+    let most = (hosts / MIN_SUBSET_SIZE).min(gateways / MIN_GATEWAYS_PER_HOST).max(1);
     1 << most.ilog2()
 }
 
 /// The circle of the gateway with number `me`, counted from 0, among so many: indices into `hosts`, ascending. `hosts`
 /// are numbers that are the same at all gateways, each once, in any order.
-pub fn circle(hosts: &[u64], me: usize, gateways: usize) -> Vec<usize> {
-    let circles = circles(hosts.len(), gateways);
+pub fn subset_of_gateway(hosts: &[u64], me: usize, gateways: usize) -> Vec<usize> {
+    let circles = subset_count(hosts.len(), gateways);
     if circles == 1 {
         return (0..hosts.len()).collect();
     }
@@ -60,14 +60,14 @@
     }
 
     fn members(hosts: &[u64], me: usize, gateways: usize) -> BTreeSet<u64> {
-        circle(hosts, me, gateways).into_iter().map(|index| hosts[index]).collect()
+        subset_of_gateway(hosts, me, gateways).into_iter().map(|index| hosts[index]).collect()
     }
 
     #[test]
     fn small_fleets_use_all_hosts() {
         for (count, gateways) in [(10, 3), (120, 12), (9, 300), (200, 3), (31, 300)] {
             let hosts = hosts(count);
-            let all = (0..gateways).all(|me| circle(&hosts, me, gateways).len() == hosts.len());
+            let all = (0..gateways).all(|me| subset_of_gateway(&hosts, me, gateways).len() == hosts.len());
             assert!(all, "{count} hosts, {gateways} gateways");
         }
     }
@@ -78,13 +78,14 @@
             let hosts = hosts(count);
             let mut held = vec![0_usize; hosts.len()];
             for me in 0..gateways {
-                let circle = circle(&hosts, me, gateways);
+                let circle = subset_of_gateway(&hosts, me, gateways);
                 assert!(
-                    (LEAST..=2 * LEAST).contains(&circle.len()) || gateways / SHARED < hosts.len() / LEAST
+                    (MIN_SUBSET_SIZE..=2 * MIN_SUBSET_SIZE).contains(&circle.len())
+                        || gateways / MIN_GATEWAYS_PER_HOST < hosts.len() / MIN_SUBSET_SIZE
                 );
                 circle.into_iter().for_each(|index| held[index] += 1);
             }
-            let rounds = gateways / circles(hosts.len(), gateways);
+            let rounds = gateways / subset_count(hosts.len(), gateways);
             assert!(
                 held.iter().all(|held| (rounds..=rounds + 1).contains(held)),
                 "{count} {gateways}: {held:?}"
@@ -112,7 +113,7 @@
         let hosts = hosts(200);
         let turned: Vec<u64> = hosts.iter().rev().copied().collect();
         assert_eq!(members(&hosts, 42, 300), members(&turned, 42, 300));
-        let circles = circles(200, 300);
+        let circles = subset_count(200, 300);
         assert_ne!(members(&hosts, 0, 300), members(&hosts, circles, 300), "the same place of another round");
     }
 
@@ -121,8 +122,8 @@
         fn gateways_of_one_round_share_out_all_hosts(ids in prop::collection::btree_set(any::<u64>(), 32..400),
                                                      gateways in 40_usize..600, round in 0_usize..20) {
             let hosts: Vec<u64> = ids.into_iter().collect();
-            let circles = circles(hosts.len(), gateways);
-            let all: Vec<usize> = (0..circles).flat_map(|place| circle(&hosts, round * circles + place, gateways))
+            let circles = subset_count(hosts.len(), gateways);
+            let all: Vec<usize> = (0..circles).flat_map(|place| subset_of_gateway(&hosts, round * circles + place, gateways))
                 .collect();
             prop_assert_eq!(all.len(), hosts.len());
             prop_assert_eq!(all.into_iter().collect::<BTreeSet<_>>().len(), hosts.len());
