--- a/crates/api-gateway/src/main.rs
+++ b/crates/api-gateway/src/main.rs
@@ -14,7 +14,7 @@
 use clap::Parser;
 use command::{Command, CommandLine, Files, LogFormat, Serve};
 use gateway::{Config, Signal, Site, MIN_SOCKETS};
-use quota::bound::{beyond, Failure, Quota};
+use quota::bound::{max_overshoot, Failure, Quota};
 use source::Source;
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
@@ -134,9 +134,10 @@
 fn say_bounds(site: &Site) {
     for (name, plan) in site.plans.iter().zip(&site.settings.plans).filter(|(_, plan)| plan.rate > 0.0) {
         let spread = site.settings.gateways;
-        let quota = Quota { rate: plan.rate, burst: plan.burst, spread, most_units: site.units_top };
-        let lost = Failure::lost(LOST_S, &quota);
-        let (known, greedy) = (beyond(&quota, &lost, true), beyond(&quota, &lost, false));
+        let quota =
+            Quota { rate: plan.rate, burst: plan.burst, set_size: spread, max_request_units: site.units_top };
+        let lost = Failure::counter_unreachable(LOST_S, &quota);
+        let (known, greedy) = (max_overshoot(&quota, &lost, true), max_overshoot(&quota, &lost, false));
         println!(
             "  plan {name}: with the counter lost for {LOST_S} s a customer gets at most {known:.0} units beyond \
              its quota, one that asks for more than all of it {greedy:.0}"
--- a/crates/api-gateway/tests/pages.rs
+++ b/crates/api-gateway/tests/pages.rs
@@ -1,6 +1,6 @@
 //! The operators' pages on counter failures say what the program says.
 
-use quota::bound::{beyond, Failure, Quota};
+use quota::bound::{max_overshoot, Failure, Quota};
 use quota::CounterState;
 use std::process::Command;
 
@@ -10,22 +10,22 @@
 
 /// A quota at a site of three gateways with requests of up to six units.
 fn quota(rate: f64, burst: f64) -> Quota {
-    Quota { rate, burst, spread: 3, most_units: 6.0 }
+    Quota { rate, burst, set_size: 3, max_request_units: 6.0 }
 }
 
 fn two_minutes(sides: u32, answers: bool, replaced: u32) -> Failure {
-    Failure { span_s: 120.0, sides, answers, replaced }
+    Failure { duration_s: 120.0, partitions: sides, counter_answers: answers, counter_resets: replaced }
 }
 
 /// The bound in whole units, rounded up: for a known customer, and for one that asks for too much.
 fn bounds(quota: &Quota, failure: &Failure) -> [f64; 2] {
-    [true, false].map(|known| (beyond(quota, failure, known) - 1e-6).ceil())
+    [true, false].map(|known| (max_overshoot(quota, failure, known) - 1e-6).ceil())
 }
 
 #[test]
 fn each_line_that_the_log_may_say_stands_in_the_page() {
-    let apart = CounterState::Apart { heard: 2, of: 3 };
-    for state in [CounterState::Unused, CounterState::Whole, apart, CounterState::Away] {
+    let apart = CounterState::Partitioned { alive: 2, gateways: 3 };
+    for state in [CounterState::Unused, CounterState::Complete, apart, CounterState::Unreachable] {
         let line = format!(" counter {state}\n");
         assert!(OPERATORS.contains(&line), "the page lacks: {line}");
     }
@@ -52,7 +52,7 @@
     ];
     for (name, rate, burst) in plans {
         let quota = quota(rate, burst);
-        let [known, greedy] = bounds(&quota, &Failure::lost(120.0, &quota));
+        let [known, greedy] = bounds(&quota, &Failure::counter_unreachable(120.0, &quota));
         let row = format!("| {name} | {rate} and {burst} | {known} units | {greedy} units |\n");
         assert!(OPERATORS.contains(&row), "the page lacks: {row}");
     }
--- a/crates/api-gateway/tests/quota.rs
+++ b/crates/api-gateway/tests/quota.rs
@@ -6,7 +6,7 @@
 use cluster_model::scenario::{CounterFault, CounterSpec};
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
-use quota::bound::{beyond, Failure, Quota};
+use quota::bound::{max_overshoot, Failure, Quota};
 use runtime::Real;
 use serde_json::Value;
 use sockets::*;
@@ -18,7 +18,7 @@
 use tokio::runtime::Runtime;
 
 const GATEWAYS: u32 = 3;
-const QUOTA: Quota = Quota { rate: 40.0, burst: 40.0, spread: GATEWAYS, most_units: UNITS };
+const QUOTA: Quota = Quota { rate: 40.0, burst: 40.0, set_size: GATEWAYS, max_request_units: UNITS };
 /// Of each request.
 const UNITS: f64 = 2.0;
 /// The counter is away for so long.
@@ -152,8 +152,8 @@
     let tried: u64 = greedy.into_iter().map(|asking| asking.end().0).sum();
     let took_s = begun.elapsed().as_secs_f64();
     let passed = units(GREEDY);
-    let failure = Failure { replaced: 1, ..Failure::lost(away.as_secs_f64(), &QUOTA) };
-    let most = QUOTA.rate * took_s + QUOTA.burst + beyond(&QUOTA, &failure, false);
+    let failure = Failure { counter_resets: 1, ..Failure::counter_unreachable(away.as_secs_f64(), &QUOTA) };
+    let most = QUOTA.rate * took_s + QUOTA.burst + max_overshoot(&QUOTA, &failure, false);
     assert!(tried as f64 * UNITS > most, "it asked for no more than {most} units: {tried} tries");
     assert!(passed <= most, "{passed} of {most} units in {took_s} s");
     assert!(lent >= 0.3 * QUOTA.rate * CUT.as_secs_f64(), "{lent} units while the counter was away");
--- a/crates/cluster-emulator/src/stated.rs
+++ b/crates/cluster-emulator/src/stated.rs
@@ -21,7 +21,7 @@
 use cluster_model::scenario::{CounterFault, Event, LinkEnd, PlanSpec, Scenario, Side, Site};
 use cluster_model::Span;
 use history_checker::{Bound, Terms};
-use quota::bound::{beyond, Failure, Quota, BLOCK_S};
+use quota::bound::{max_overshoot, Failure, Quota, LEASE_HORIZON_S};
 
 /// Terms for the history of a run of this scenario, in virtual time or on sockets.
 pub fn stated(scenario: &Scenario, on_sockets: bool) -> Terms {
@@ -41,49 +41,60 @@
     let quota = Quota {
         rate: plan.rate,
         burst: plan.burst,
-        spread: plan.spread.min(scenario.site.gateways),
-        most_units: f64::from(scenario.traffic.most_units),
+        set_size: plan.spread.min(scenario.site.gateways),
+        max_request_units: f64::from(scenario.traffic.most_units),
     };
-    let none = Failure { span_s: 0.0, sides: 1, answers: true, replaced: 0 };
-    let mut units = beyond(&quota, &none, true);
+    let none = Failure { duration_s: 0.0, partitions: 1, counter_answers: true, counter_resets: 0 };
+    let mut units = max_overshoot(&quota, &none, true);
     for timed in &scenario.events {
         units +=
             failure(&timed.event, &scenario.site, &quota).map_or(0.0, |failure| at_most(&quota, &failure));
         units += f64::from(ends(&timed.event, &scenario.site))
-            * (quota.burst + BLOCK_S * quota.rate + quota.most_units);
+            * (quota.burst + LEASE_HORIZON_S * quota.rate + quota.max_request_units);
         units += quota.rate * seconds(held_back(&timed.event));
     }
     if on_sockets {
-        units += at_most(&quota, &Failure::lost(seconds(scenario.length), &quota));
+        units += at_most(&quota, &Failure::counter_unreachable(seconds(scenario.length), &quota));
     }
     units
 }
 
 /// What the statement says, or what gateways that know nothing of one another could let in, if that is less.
 fn at_most(quota: &Quota, failure: &Failure) -> f64 {
-    let others = f64::from(quota.spread.saturating_sub(1));
-    let alone = others * (quota.rate * failure.span_s + quota.burst);
-    let leased = BLOCK_S * quota.rate + f64::from(quota.spread) * (quota.most_units + 1.0);
-    let replaced = beyond(quota, &Failure { span_s: 0.0, sides: 1, answers: true, ..*failure }, true);
-    beyond(quota, failure, true).min(alone + leased + replaced)
+    let others = f64::from(quota.set_size.saturating_sub(1));
+    let alone = others * (quota.rate * failure.duration_s + quota.burst);
+    let leased = LEASE_HORIZON_S * quota.rate + f64::from(quota.set_size) * (quota.max_request_units + 1.0);
+    let replaced = max_overshoot(
+        quota,
+        &Failure { duration_s: 0.0, partitions: 1, counter_answers: true, ..*failure },
+        true,
+    );
+    max_overshoot(quota, failure, true).min(alone + leased + replaced)
 }
 
 /// What an event is to the counter's callers.
 fn failure(event: &Event, site: &Site, quota: &Quota) -> Option<Failure> {
-    let lost = |span: Span| Some(Failure::lost(seconds(span), quota));
+    let lost = |span: Span| Some(Failure::counter_unreachable(seconds(span), quota));
     // Some are without the counter, and it goes on answering the others.
-    let apart = |span: Span| Some(Failure { answers: true, ..Failure::lost(seconds(span), quota) });
+    let apart = |span: Span| {
+        Some(Failure { counter_answers: true, ..Failure::counter_unreachable(seconds(span), quota) })
+    };
     match event {
         Event::Counter(CounterFault::Fresh, _) => {
-            Some(Failure { span_s: 0.0, sides: 1, answers: true, replaced: 1 })
+            Some(Failure { duration_s: 0.0, partitions: 1, counter_answers: true, counter_resets: 1 })
         }
         Event::Counter(CounterFault::Split(groups), span) => {
-            let sides = groups.len() as u32 + quota.spread;
-            Some(Failure { span_s: seconds(*span), sides, answers: true, replaced: 0 })
+            let sides = groups.len() as u32 + quota.set_size;
+            Some(Failure {
+                duration_s: seconds(*span),
+                partitions: sides,
+                counter_answers: true,
+                counter_resets: 0,
+            })
         }
         // Each return of the counter is believed anew, and gains of several spells add up.
         Event::Counter(CounterFault::Flapping(_), span) => {
-            Some(Failure { answers: true, ..Failure::lost(seconds(*span), quota) })
+            Some(Failure { counter_answers: true, ..Failure::counter_unreachable(seconds(*span), quota) })
         }
         Event::Counter(_, span) | Event::GarbleCounter(_, span) | Event::StopCounter(span) => lost(*span),
         Event::Cut(a, b, span, _) if [a, b].iter().any(|side| reaches_counter(side)) => apart(*span),
@@ -93,7 +104,7 @@
         Event::Links(_, LinkEnd::Counter, _, span) => apart(*span),
         // With all that it knew, and its gateways with it.
         Event::LoseBuilding(building, span) if *building == site.counter.building => {
-            Some(Failure { replaced: 1, ..Failure::lost(seconds(*span), quota) })
+            Some(Failure { counter_resets: 1, ..Failure::counter_unreachable(seconds(*span), quota) })
         }
         // Others take over from one that stands still. When it goes on its calls have run out of time.
         Event::StopGateways(..) | Event::FreezeGateways(..) => apart(0),
--- a/crates/cluster-emulator/tests/quota/mix.rs
+++ b/crates/cluster-emulator/tests/quota/mix.rs
@@ -6,7 +6,7 @@
 use cluster_model::scenario::{PlanSpec, Scenario};
 use cluster_model::{file, Time, SECOND};
 use invariants::{CustomerFigures, Verdict};
-use quota::bound::{beyond, Failure, Quota, LENT, SAVED};
+use quota::bound::{max_overshoot, Failure, Quota, OVERDRAFT_BURST_FRACTION, SAVED_BURST_FRACTION};
 use std::collections::BTreeMap;
 
 /// When the first request is due: two seconds after an epoch of the counter's names has begun.
@@ -66,9 +66,13 @@
 
     fn failure(&self, quota: &Quota) -> Failure {
         match self.failure {
-            Taken::Dark => Failure::lost(FAILS_S, quota),
-            Taken::Apart(sides) => Failure { span_s: FAILS_S, sides, answers: true, replaced: 0 },
-            Taken::Replaced(replaced) => Failure { span_s: 0.0, sides: 1, answers: true, replaced },
+            Taken::Dark => Failure::counter_unreachable(FAILS_S, quota),
+            Taken::Apart(sides) => {
+                Failure { duration_s: FAILS_S, partitions: sides, counter_answers: true, counter_resets: 0 }
+            }
+            Taken::Replaced(replaced) => {
+                Failure { duration_s: 0.0, partitions: 1, counter_answers: true, counter_resets: replaced }
+            }
         }
     }
 }
@@ -144,8 +148,12 @@
 fn quotas() -> Vec<Quota> {
     let Scenario { site, traffic, .. } = scenario("");
     let most_units = f64::from(traffic.most_units);
-    let quota =
-        |plan: &PlanSpec| Quota { rate: plan.rate, burst: plan.burst, spread: plan.spread, most_units };
+    let quota = |plan: &PlanSpec| Quota {
+        rate: plan.rate,
+        burst: plan.burst,
+        set_size: plan.spread,
+        max_request_units: most_units,
+    };
     site.plans.iter().map(quota).collect()
 }
 
@@ -161,14 +169,14 @@
         let quota = &quotas[now.plan as usize];
         let failure = fault.failure(quota);
         // Nobody in the mix asks for too much all day: each was known to keep within its quota at some time.
-        let bound = beyond(quota, &failure, true);
-        let sides = f64::from(failure.sides.clamp(1, quota.spread));
+        let bound = max_overshoot(quota, &failure, true);
+        let sides = f64::from(failure.partitions.clamp(1, quota.set_size));
         Fared {
             seed,
             customer: now.customer,
             is_within: is_within(then),
             bound,
-            lent: quota.burst * (SAVED * (sides - 1.0) + LENT * sides),
+            lent: quota.burst * (SAVED_BURST_FRACTION * (sides - 1.0) + OVERDRAFT_BURST_FRACTION * sides),
             allowed: now.allowed_units,
             over_day: now.passed_units - now.allowed_units,
             over_span: of(failing, now.customer, |tally| tally.deepest),
--- a/crates/cluster-emulator/tests/quota/table.rs
+++ b/crates/cluster-emulator/tests/quota/table.rs
@@ -4,7 +4,7 @@
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use invariants::Verdict;
-use quota::bound::{beyond, Failure, Quota};
+use quota::bound::{max_overshoot, Failure, Quota};
 
 /// One customer of 25 units a second and a burst of 46, through three gateways; hosts that never bind.
 pub const SITE: &str = "
@@ -18,7 +18,7 @@
   full 0 %, heavy 0 % x 1, spiky 0 % x 1, most-excess 1000 %
 ";
 /// Its quota.
-pub const QUOTA: Quota = Quota { rate: 25.0, burst: 46.0, spread: 3, most_units: 6.0 };
+pub const QUOTA: Quota = Quota { rate: 25.0, burst: 46.0, set_size: 3, max_request_units: 6.0 };
 
 /// It asks for five times its quota, the same at all gateways.
 pub const GREEDY: &str = "greedy 100 % x 5";
@@ -36,15 +36,15 @@
 
 /// No gateway gets an answer for so long.
 fn dark(span_s: f64) -> Failure {
-    Failure::lost(span_s, &QUOTA)
+    Failure::counter_unreachable(span_s, &QUOTA)
 }
 
 fn apart(span_s: f64, sides: u32) -> Failure {
-    Failure { span_s, sides, answers: true, replaced: 0 }
+    Failure { duration_s: span_s, partitions: sides, counter_answers: true, counter_resets: 0 }
 }
 
 fn replaced(replaced: u32) -> Failure {
-    Failure { span_s: 0.0, sides: 1, answers: true, replaced }
+    Failure { duration_s: 0.0, partitions: 1, counter_answers: true, counter_resets: replaced }
 }
 
 /// All rows.
@@ -112,6 +112,6 @@
     let passed: f64 = verdict.customers.iter().map(|customer| customer.passed_units).sum();
     let allowed: f64 = verdict.customers.iter().map(|customer| customer.allowed_units).sum();
     // It asks for too much from its first second on: nobody knows it to keep within its quota.
-    let bound = beyond(&QUOTA, &row.failure, false);
+    let bound = max_overshoot(&QUOTA, &row.failure, false);
     ((passed / allowed - 1.0) * 100.0, bound / allowed * 100.0)
 }
--- a/crates/cluster-emulator/tests/quota/totals.rs
+++ b/crates/cluster-emulator/tests/quota/totals.rs
@@ -11,7 +11,7 @@
 use gateway::{serve, Config};
 use policy::api::{CounterKey, CustomerId};
 use policy::names::{leased, told_late, EPOCH};
-use quota::bound::{beyond, Failure, Quota};
+use quota::bound::{max_overshoot, Failure, Quota};
 use resp::{decode, fill, put_bulk, put_header, Frame};
 use runtime::{Env, Stream, Time};
 use simulated_runtime::SimEnv;
@@ -107,7 +107,11 @@
 
 /// What is leased or in doubt of a greedy customer, and nothing else, by the statement.
 fn doubt(plan: &PlanSpec, site: &Site) -> f64 {
-    let quota =
-        Quota { rate: plan.rate, burst: plan.burst, spread: plan.spread.min(site.gateways), most_units: 6.0 };
-    beyond(&quota, &Failure::lost(0.0, &quota), false)
+    let quota = Quota {
+        rate: plan.rate,
+        burst: plan.burst,
+        set_size: plan.spread.min(site.gateways),
+        max_request_units: 6.0,
+    };
+    max_overshoot(&quota, &Failure::counter_unreachable(0.0, &quota), false)
 }
--- a/crates/gateway/src/counter_log.rs
+++ b/crates/gateway/src/counter_log.rs
@@ -3,8 +3,8 @@
 
 use crate::lasting::Lasting;
 use policy::api::Settings;
-use quota::bound::{beyond, Failure, Quota};
-use quota::{CounterReport, CounterState, Lent};
+use quota::bound::{max_overshoot, Failure, Quota};
+use quota::{CounterReport, CounterState, LocalGrants};
 use runtime::{Span, Time};
 use std::fmt;
 
@@ -64,52 +64,60 @@
     /// Looks: the lines to be written.
     pub fn look(&mut self, now: Time, report: &CounterReport) -> Vec<Line> {
         let mut lines = Vec::new();
-        if report.replaced > self.replaced {
-            self.replaced = report.replaced;
+        if report.counter_resets > self.replaced {
+            self.replaced = report.counter_resets;
             lines.push(Line::Warn(format!(
                 "counter replaced: it has begun anew (time {} since the start); gateways tell it what it has forgotten",
-                report.replaced
+                report.counter_resets
             )));
         }
         match self.state.look(now, report.state) {
-            Some(state) if state.is_in_doubt() => {
+            Some(state) if state.is_degraded() => {
                 let since = self.trouble.map_or(now, |trouble| trouble.since);
                 self.trouble = Some(Trouble { state, since, told: now, again: AGAIN });
                 lines.push(Line::Warn(format!("counter {state}")));
             }
             Some(state) => {
-                let before = self.trouble.take().map(|trouble| self.account(now, &trouble, &report.lent));
+                let before =
+                    self.trouble.take().map(|trouble| self.account(now, &trouble, &report.local_grants));
                 let before = before.map_or(String::new(), |account| format!("; {account}"));
                 lines.push(Line::Info(format!("counter {state}{before}")));
             }
-            None => lines.extend(self.remind(now, &report.lent)),
+            None => lines.extend(self.remind(now, &report.local_grants)),
         }
         lines
     }
 
     /// Whether nothing is in doubt, nor about to be told: what was lent counts from here on.
     pub fn is_calm(&self, report: &CounterReport) -> bool {
-        self.trouble.is_none() && !report.state.is_in_doubt()
+        self.trouble.is_none() && !report.state.is_degraded()
     }
 
-    fn remind(&mut self, now: Time, lent: &Lent) -> Option<Line> {
+    fn remind(&mut self, now: Time, lent: &LocalGrants) -> Option<Line> {
         let mut trouble = self.trouble.filter(|trouble| now >= trouble.told.saturating_add(trouble.again))?;
         trouble.told = now;
         trouble.again = (2 * trouble.again).min(AGAIN_AT_MOST);
         self.trouble = Some(trouble);
-        let name = if trouble.state == CounterState::Away { "away" } else { "apart" };
+        let name = if trouble.state == CounterState::Unreachable { "away" } else { "apart" };
         Some(Line::Warn(format!("counter still {name}; {}", self.account(now, &trouble, lent))))
     }
 
     /// What a trouble came to up to now.
-    fn account(&self, now: Time, trouble: &Trouble, lent: &Lent) -> Account<'_> {
+    fn account(&self, now: Time, trouble: &Trouble, lent: &LocalGrants) -> Account<'_> {
         let failure = |quota: &Quota| {
             let (span_s, answers) =
-                ((now - trouble.since) as f64 / SECOND as f64, trouble.state != CounterState::Away);
-            Failure { span_s, sides: quota.spread, answers, replaced: 0 }
+                ((now - trouble.since) as f64 / SECOND as f64, trouble.state != CounterState::Unreachable);
+            Failure {
+                duration_s: span_s,
+                partitions: quota.set_size,
+                counter_answers: answers,
+                counter_resets: 0,
+            }
         };
-        let stated =
-            self.plans.iter().map(|(name, quota)| (&**name, beyond(quota, &failure(quota), true).ceil()));
+        let stated = self
+            .plans
+            .iter()
+            .map(|(name, quota)| (&**name, max_overshoot(quota, &failure(quota), true).ceil()));
         Account { span_s: (now - trouble.since) / SECOND, lent: *lent, stated: stated.collect() }
     }
 }
@@ -117,13 +125,13 @@
 /// What a trouble came to, in words.
 struct Account<'a> {
     span_s: u64,
-    lent: Lent,
+    lent: LocalGrants,
     stated: Vec<(&'a str, f64)>,
 }
 
 impl fmt::Display for Account<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Lent { units, beyond, most } = self.lent;
+        let LocalGrants { units, overshoot_units: beyond, max_customer_overshoot: most } = self.lent;
         let Account { span_s, stated, .. } = self;
         write!(
             f,
@@ -142,7 +150,12 @@
 /// The quotas of a site's plans, as far as they have one.
 pub(crate) fn quotas(settings: &Settings, names: &[String], most_units: f64) -> Vec<(String, Quota)> {
     let plans = names.iter().zip(&settings.plans).filter(|(_, plan)| plan.rate > 0.0);
-    let quota = |rate, burst| Quota { rate, burst, spread: settings.gateways.max(1), most_units };
+    let quota = |rate, burst| Quota {
+        rate,
+        burst,
+        set_size: settings.gateways.max(1),
+        max_request_units: most_units,
+    };
     plans.map(|(name, plan)| (name.clone(), quota(plan.rate, plan.burst))).collect()
 }
 
@@ -150,15 +163,23 @@
 mod tests {
     use super::*;
 
-    const AWAY: CounterState = CounterState::Away;
-    const WHOLE: CounterState = CounterState::Whole;
+    const AWAY: CounterState = CounterState::Unreachable;
+    const WHOLE: CounterState = CounterState::Complete;
 
     fn report(state: CounterState, replaced: u32, beyond: f64) -> CounterReport {
-        CounterReport { state, replaced, lent: Lent { units: 10.0 * beyond, beyond, most: beyond / 2.0 } }
+        CounterReport {
+            state,
+            counter_resets: replaced,
+            local_grants: LocalGrants {
+                units: 10.0 * beyond,
+                overshoot_units: beyond,
+                max_customer_overshoot: beyond / 2.0,
+            },
+        }
     }
 
     fn log() -> CounterLog {
-        let quota = Quota { rate: 30.0, burst: 60.0, spread: 3, most_units: 6.0 };
+        let quota = Quota { rate: 30.0, burst: 60.0, set_size: 3, max_request_units: 6.0 };
         CounterLog::new(0, vec![("premium".into(), quota)])
     }
 
@@ -196,12 +217,14 @@
     #[test]
     fn the_operators_page_shows_these_lines() {
         let page = include_str!("../../../docs/counter-failures.md");
-        let plan = |name: &str, rate, burst| (name.into(), Quota { rate, burst, spread: 3, most_units: 6.0 });
+        let plan = |name: &str, rate, burst| {
+            (name.into(), Quota { rate, burst, set_size: 3, max_request_units: 6.0 })
+        };
         let mut log = CounterLog::new(0, vec![plan("standard", 4.0, 20.0), plan("premium", 30.0, 60.0)]);
         let report = |state, replaced, units| CounterReport {
             state,
-            replaced,
-            lent: Lent { units, beyond: 31.0, most: 12.0 },
+            counter_resets: replaced,
+            local_grants: LocalGrants { units, overshoot_units: 31.0, max_customer_overshoot: 12.0 },
         };
         let mut lines = Vec::new();
         for (at, state, replaced, units) in [
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -476,7 +476,7 @@
     fn look_at_sites(&mut self) {
         let now = self.env.now();
         if self.sites.is_due(now) {
-            let counter_in_doubt = self.module.counter_report(now).state.is_in_doubt();
+            let counter_in_doubt = self.module.counter_report(now).state.is_degraded();
             if let Some(turn) = self.sites.tick(now, counter_in_doubt) {
                 self.turn_sites(turn);
             }
--- a/crates/policy/src/counting.rs
+++ b/crates/policy/src/counting.rs
@@ -9,7 +9,7 @@
 use crate::pace::Due;
 use crate::policy::Policy;
 use crate::quotas::CALL_ODDS;
-use quota::{Contact, CounterReport, Late, Pulse};
+use quota::{CounterEpoch, CounterHealth, CounterReport, HeartbeatCall, Reconciliation};
 
 const CROWDED: f64 = 0.4; // a counter's answer that takes this share of the time-out: it has no room left
 const LOOKED_THROUGH: usize = 64; // customers looked through in a step for what a new counter forgot
@@ -22,7 +22,7 @@
 
     /// Counts from here on what rests on this gateway's word.
     pub fn forget_lent(&mut self) {
-        self.contact.forget_lent();
+        self.contact.clear_local_grants();
     }
 
     /// Records held: requests, customers, hosts and calls that are out.
@@ -51,7 +51,7 @@
         let Some((customer, store, epoch)) = self.names.remove(&name) else { return };
         let good = outcome == Outcome::Ok && total.is_finite();
         self.on_answer(now, outcome, good, took);
-        if customer == ALL && good && self.contact.heard(now, store as u32 - 1, epoch, total) {
+        if customer == ALL && good && self.contact.record_heartbeats(now, store as u32 - 1, epoch, total) {
             self.look_through(now);
         }
         let Some(c) = self.customers.get_mut(customer) else { return };
@@ -62,18 +62,21 @@
         let may_count = outcome == Outcome::Timeout;
         let mut begun_anew = false;
         match (good, store) {
-            (true, LATE) => drop(a.late().map(|late| late.answered(now, &self.contact, epoch, total))),
-            (false, LATE) => drop(a.late().map(|late| late.unanswered(may_count))),
+            (true, LATE) => drop(a.late().map(|late| late.complete_call(now, &self.contact, epoch, total))),
+            (false, LATE) => drop(a.late().map(|late| late.fail_call(may_count))),
             (true, ASKED) => {
-                let known = a.ration().times(now).is_some();
+                let known = a.ration().demand_ratio(now).is_some();
                 let share = a.rationed(now, epoch, total);
                 self.rations[plan] += if known { 0.0 } else { 0.05 * (share - self.rations[plan]) };
             }
-            (true, _) => begun_anew = a.counted(now, &self.contact, (epoch, epoch * EPOCH), total),
+            (true, _) => {
+                let epoch = CounterEpoch { number: epoch, start: epoch * EPOCH };
+                begun_anew = a.counted(now, &self.contact, epoch, total);
+            }
             (false, _) => a.silent(now, &self.contact, may_count),
         }
         self.debts.owe(now, &mut self.dues, customer, c);
-        if begun_anew && self.contact.has_begun_anew(now) {
+        if begun_anew && self.contact.record_reset(now) {
             self.look_through(now);
         }
         self.settle(now, customer);
@@ -87,8 +90,8 @@
         let step = [if outcome == Outcome::Timeout { 0.75 } else { 0.9 }, 1.1][usize::from(quick)];
         pace.call_odds = (pace.call_odds * step).clamp(CALL_ODDS.0, CALL_ODDS.1);
         match good {
-            true => self.contact.answered(now),
-            false => self.contact.unanswered(now),
+            true => self.contact.record_answer(now),
+            false => self.contact.record_failure(now),
         }
     }
 
@@ -99,13 +102,13 @@
         if self.counter_down(now) {
             return self.debts.put(now, &mut self.dues);
         }
-        for _ in 0..self.contact.spare_calls(now).clamp(1, 2) {
+        for _ in 0..self.contact.background_calls(now).clamp(1, 2) {
             let next =
                 self.debts.customers.pop_front().and_then(|id| Some((id, self.customers.get_mut(id)?)));
             let Some((customer, c)) = next else { break };
             match c.stores.first_mut().filter(|a| a.owes()).and_then(Account::late) {
                 Some(late) => {
-                    let amount = late.call(&self.contact, now / EPOCH);
+                    let amount = late.start_call(&self.contact, now / EPOCH);
                     self.call(now, (customer, LATE, now / EPOCH), amount);
                 }
                 // Given back meanwhile: it is told once it owes again.
@@ -124,10 +127,10 @@
         if self.counter_down(now) {
             return self.dues.put(now + STEP, Due::Beat);
         }
-        for Pulse { group, epoch, amount } in self.contact.beat(now) {
+        for HeartbeatCall { group, epoch, amount } in self.contact.heartbeat_calls(now) {
             self.call(now, (ALL, 1 + group as usize, epoch), amount);
         }
-        self.dues.put(now + self.contact.beat_span(), Due::Beat);
+        self.dues.put(now + self.contact.heartbeat_interval(), Due::Beat);
     }
 
     /// The counter has begun anew: all totals are looked at again.
@@ -140,7 +143,7 @@
     /// do not ask any more.
     fn look_again(&mut self, epoch: u64, now: Time) {
         let Some(mut place) = self.debts.recheck else { return };
-        let (mut calls, mut looked) = (self.contact.spare_calls(now).min(2), 0);
+        let (mut calls, mut looked) = (self.contact.background_calls(now).min(2), 0);
         while calls > 0 && looked < LOOKED_THROUGH {
             let (customer, next) = self.customers.place(now, place, epoch);
             looked += 1;
@@ -161,49 +164,49 @@
 
 impl Account {
     /// The customer asks for these units, whatever becomes of that; `usual`, `since` as for
-    /// [`quota::Ration::asked`].
+    /// [`quota::WindowedLimiter::record_request`].
     pub fn ask(&mut self, now: Time, units: f64, usual: f64, since: Time) {
         match &mut self.ration {
-            Some(ration) => ration.asked(now, units, usual, since),
-            None => self.store.ask(units),
+            Some(ration) => ration.record_request(now, units, usual, since),
+            None => self.store.record_demand(units),
         }
     }
 
     /// Takes in a total of a rationed customer: the share of what is asked for that its quota covers.
     pub fn rationed(&mut self, now: Time, window: u64, total: f64) -> f64 {
-        self.store.light_up();
-        let amount = self.adder.answered(window, total, false).landed;
-        self.ration().counted(now, window, total, amount);
-        1.0 / self.ration().times(now).unwrap_or(1.0).max(1.0)
+        self.store.set_counter_reachable();
+        let amount = self.adder.complete_call(window, total, false).confirmed_units;
+        self.ration().record_total(now, window, total, amount);
+        1.0 / self.ration().demand_ratio(now).unwrap_or(1.0).max(1.0)
     }
 
     /// Takes in a total. Whether it shows that the counter has begun anew, where that is not known yet.
-    pub fn counted(&mut self, now: Time, contact: &Contact, epoch: (u64, Time), total: f64) -> bool {
+    pub fn counted(&mut self, now: Time, contact: &CounterHealth, epoch: CounterEpoch, total: f64) -> bool {
         self.refill(now, contact);
-        let suspected = contact.is_fresh_since(self.store.seen_at());
-        let told = self.adder.answered(epoch.0, total, suspected);
+        let suspected = contact.was_reset_since(self.store.last_total_at());
+        let told = self.adder.complete_call(epoch.number, total, suspected);
         // What a new counter has forgotten is told it again, beside what is leased from now on.
-        self.owe(told.lost);
-        self.store.counted(now, contact, epoch, &told, self.adder.marks());
+        self.owe(told.forgotten_units);
+        self.store.record_total(now, contact, epoch, &told, self.adder.mark_scheme());
         self.next_call = now;
-        told.lost > 0.0 && !suspected
+        told.forgotten_units > 0.0 && !suspected
     }
 
     /// The counter has begun anew: a call that looks for what it has forgotten, if it was told anything in
     /// this epoch. What it was told late is looked at as well.
     pub fn recheck(&mut self, epoch: u64) -> Option<f64> {
-        self.late.iter_mut().for_each(|late| late.doubt(epoch));
-        let looks = !self.thin && !self.adder.is_out() && self.adder.has_added(epoch);
-        looks.then(|| self.adder.call(epoch, 0.0, false))
+        self.late.iter_mut().for_each(|late| late.request_recheck(epoch));
+        let looks = !self.thin && !self.adder.is_call_in_flight() && self.adder.has_added_in(epoch);
+        looks.then(|| self.adder.start_call(epoch, 0.0, false))
     }
 
     /// What the counter has yet to be told.
-    pub fn late(&mut self) -> Option<&mut Late> {
+    pub fn late(&mut self) -> Option<&mut Reconciliation> {
         self.late.as_deref_mut().filter(|_| !self.thin)
     }
 
     /// Whether the counter has yet to be told something.
     pub fn owes(&self) -> bool {
-        !self.thin && self.late.as_ref().is_some_and(|late| late.is_due())
+        !self.thin && self.late.as_ref().is_some_and(|late| late.needs_call())
     }
 }
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -3,7 +3,7 @@
 use crate::account::Account;
 use crate::api::{Plan, RequestId, Time};
 use crate::customers::House;
-use quota::{Contact, Rest, Set, Terms};
+use quota::{BucketConfig, CompactState, CounterHealth, GatewaySet, QuotaState};
 use smallvec::SmallVec;
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
     pub open: u32,
     pub in_hand: u32, // requests of it that are not over, or have attempts out
     pub owing: bool,  // among those that the counter is to be told of
-    set: Set,
+    set: GatewaySet,
     alone: bool, // there is no counter
     epoch: u64,  // in which this gateway started
 }
@@ -28,13 +28,13 @@
     first: u16,
     spread: u16,
     /// Of its quota; `None`: it has none.
-    rest: Option<Rest>,
+    rest: Option<CompactState>,
 }
 
 impl Small {
     /// Whether the counter holds something of it in this epoch.
     pub fn has_added(&self, epoch: u64) -> bool {
-        self.rest.is_some_and(|rest| rest.has_added(epoch))
+        self.rest.is_some_and(|rest| rest.has_added_in(epoch))
     }
 }
 
@@ -47,7 +47,13 @@
 impl Customer {
     /// One that is met now, with its first request. `lot` is drawn for each store from 0 to the units of
     /// that, so that gateways do not all begin alike.
-    pub fn met(now: Time, house: &House, plan: usize, set: Set, mut lot: impl FnMut() -> f64) -> Customer {
+    pub fn met(
+        now: Time,
+        house: &House,
+        plan: usize,
+        set: GatewaySet,
+        mut lot: impl FnMut() -> f64,
+    ) -> Customer {
         let House { alone, epoch, .. } = *house;
         let mut customer = Customer { plan, set, alone, epoch, ..Customer::default() };
         customer.stores = customer.new_stores(now, &house.plans[plan], &mut lot);
@@ -56,10 +62,10 @@
 
     /// One that was small, in its full form. Where its plan has other limits by now it is met anew.
     pub fn woken(now: Time, house: &House, small: Small) -> Customer {
-        let set = Set {
-            first: small.first.into(),
-            spread: small.spread.into(),
-            me: house.me,
+        let set = GatewaySet {
+            first_gateway: small.first.into(),
+            set_size: small.spread.into(),
+            gateway_index: house.me,
             gateways: house.gateways,
         };
         let mut customer = Customer::met(now, house, small.plan.into(), set, || 0.0);
@@ -76,7 +82,7 @@
             [account] => Some(account.rest()?),
             _ => return None,
         };
-        let Set { first, spread, .. } = self.set;
+        let GatewaySet { first_gateway: first, set_size: spread, .. } = self.set;
         let small = |n: u32| u16::try_from(n).ok();
         let (plan, first, spread) = (u16::try_from(self.plan).ok()?, small(first)?, small(spread)?);
         Some(Small { plan, first, spread, rest }).filter(|_| !self.is_busy())
@@ -84,7 +90,7 @@
 
     /// Whether it has taken units from a ceiling that are not back: met anew it would get them twice.
     pub fn has_drawn(&self, now: Time) -> bool {
-        self.stores.iter().any(|a| a.is_strict() && !a.store.has_filled(now))
+        self.stores.iter().any(|a| a.is_strict() && !a.store.is_full_by(now))
     }
 
     /// Whether anything of it is open, or to come.
@@ -102,11 +108,12 @@
     fn new_stores(&self, now: Time, plan: &Plan, lot: &mut impl FnMut() -> f64) -> SmallVec<[Account; 1]> {
         let (set, alone, epoch) = (self.set, self.alone, self.epoch);
         let account = |(rate, burst, strict)| {
-            let terms = Terms { rate, burst, strict, alone, set };
+            let terms =
+                BucketConfig { rate, burst, is_ceiling: strict, has_no_counter: alone, gateway_set: set };
             let mut account = Account::new(now, terms, epoch, plan.ceiling_rate <= 0.0);
             let lot = lot();
             if account.thin {
-                account.ration().begin(lot);
+                account.ration().set_initial_credit(lot);
             }
             account
         };
@@ -114,7 +121,7 @@
     }
 
     /// Its plan is another from now on. What is left in a store stays; one that was not there begins full.
-    pub fn change_plan(&mut self, now: Time, contact: &Contact, plan: &Plan) {
+    pub fn change_plan(&mut self, now: Time, contact: &CounterHealth, plan: &Plan) {
         if limits(plan).count() != self.stores.len() {
             self.stores = self.new_stores(now, plan, &mut || 0.0);
         }
@@ -126,20 +133,25 @@
 
 impl Account {
     /// Its small form, if nothing is in doubt, on the way or owed.
-    fn rest(&self) -> Option<Rest> {
+    fn rest(&self) -> Option<CompactState> {
         let ration = self.ration.as_deref().filter(|_| self.thin);
-        Rest::of(&self.store, &self.adder, ration).filter(|_| self.late.is_none())
+        CompactState::of(&self.store, &self.adder, ration).filter(|_| self.late.is_none())
     }
 
     /// This one, which is new, goes on where one came to rest. One that is rationed now and was not then, or
     /// the other way round, stays new.
-    fn wake(&mut self, rest: &Rest) {
-        if rest.is_rationed() != self.thin {
+    fn wake(&mut self, rest: &CompactState) {
+        if rest.is_windowed() != self.thin {
             return;
         }
-        let new = (std::mem::take(&mut self.store), std::mem::take(&mut self.adder));
-        let (store, adder, ration) = rest.wake(new.0, new.1, self.ration.take().map(|ration| *ration));
-        (self.store, self.adder) = (store, adder);
-        self.ration = ration.map(Box::new);
+        let fresh = QuotaState {
+            bucket: std::mem::take(&mut self.store),
+            adder: std::mem::take(&mut self.adder),
+            limiter: self.ration.take().map(|ration| *ration),
+        };
+        let restored = rest.restore(fresh);
+        self.store = restored.bucket;
+        self.adder = restored.adder;
+        self.ration = restored.limiter.map(Box::new);
     }
 }
--- a/crates/policy/src/customers.rs
+++ b/crates/policy/src/customers.rs
@@ -375,7 +375,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use quota::Set;
+    use quota::GatewaySet;
 
     const S: Time = 1_000_000_000;
 
@@ -390,7 +390,7 @@
     }
 
     fn new(now: Time, house: &House) -> Customer {
-        let set = Set { first: 0, spread: 1, me: 0, gateways: 1 };
+        let set = GatewaySet { first_gateway: 0, set_size: 1, gateway_index: 0, gateways: 1 };
         Customer::met(now, house, 0, set, || 0.0)
     }
 
@@ -463,13 +463,13 @@
     #[test]
     fn whoever_comes_again_finds_its_quota_as_it_left_it() {
         let mut customers = customers(full(10));
-        let mut contact = quota::Contact::new(0, 1);
+        let mut contact = quota::CounterHealth::new(0, 1);
         let mut use_up = |customers: &mut Customers, id: u64, units: f64| {
             let customer = customers.meet(S, CustomerId(id), |house| new(S, house)).unwrap();
             let account = &mut customer.stores[0];
             account.go_dark(S, &contact);
             account.spend(units, &mut contact);
-            account.store.ready()
+            account.store.spendable()
         };
         // Without a counter a gateway lends all of it.
         assert_eq!([0, 1, 2].map(|id| use_up(&mut customers, id, 15.0)), [5.0; 3]);
--- a/crates/policy/src/names.rs
+++ b/crates/policy/src/names.rs
@@ -35,12 +35,12 @@
     count_name(customer, LATE, at / EPOCH)
 }
 
-/// What the gateways of a rationed customer are asked for in a window, see [`quota::Ration`].
+/// What the gateways of a rationed customer are asked for in a window, see [`quota::WindowedLimiter`].
 pub fn asked(customer: CustomerId, window: u64) -> CounterKey {
     count_name(customer, ASKED, window)
 }
 
-/// The pulse of a group of gateways, see [`quota::Hearing`].
+/// The pulse of a group of gateways, see [`quota::FailureDetector`].
 pub fn pulse(group: u32, at: Time) -> CounterKey {
-    count_name(ALL, 1 + group as usize, at / quota::PULSE_EPOCH)
+    count_name(ALL, 1 + group as usize, at / quota::HEARTBEAT_EPOCH)
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -16,7 +16,7 @@
 use crate::pools::Pools;
 use crate::quotas::IN_VAIN;
 use crate::slots::PERIOD;
-use quota::{Contact, Set};
+use quota::{CounterHealth, GatewaySet};
 use std::collections::HashMap;
 
 pub use crate::fuzzy::fuzzy;
@@ -43,7 +43,7 @@
     pub(crate) actions: Vec<Action>,
     pub(crate) pace: Pace,
     pub(crate) rations: Vec<f64>, // of each plan: the usual ration of a customer met for the first time
-    pub(crate) contact: Contact,  // what is known of the counter itself
+    pub(crate) contact: CounterHealth, // what is known of the counter itself
     pub(crate) debts: Debts,
     pub(crate) quotas: bool, // there are any that are counted
     pub(crate) work: u64,    // records looked at, ever
@@ -71,7 +71,7 @@
             actions: Vec::new(),
             pace: Pace::new(s.gateways),
             rations: s.plans.iter().map(|_| 0.7).collect(),
-            contact: Contact::new(s.gateway_index, s.gateways),
+            contact: CounterHealth::new(s.gateway_index, s.gateways),
             debts: Debts::default(),
             quotas: s.has_counter && s.plans.iter().any(|p| p.rate > 0.0 || p.ceiling_rate > 0.0),
             work: 0,
@@ -129,7 +129,7 @@
         (pace.met, pace.warmed, pace.saved_at) = (now, now, now);
         self.customers.house.epoch = now / EPOCH;
         self.dues.put(now + PERIOD, Due::Control);
-        self.dues.put(now + 1 + self.contact.first_beat(|| self.rng.unit()), Due::Beat);
+        self.dues.put(now + 1 + self.contact.first_heartbeat_delay(|| self.rng.unit()), Due::Beat);
         if self.s.must_subscribe {
             self.dues.put(now + 1, Due::Subscribe);
         }
@@ -229,7 +229,12 @@
         if let Some((_, why)) = against.into_iter().find(|(is_so, _)| *is_so) {
             return self.give_up(id, why);
         }
-        let set = Set { first, spread, me: self.s.gateway_index, gateways: self.s.gateways };
+        let set = GatewaySet {
+            first_gateway: first,
+            set_size: spread,
+            gateway_index: self.s.gateway_index,
+            gateways: self.s.gateways,
+        };
         let met = |house: &House| Customer::met(now, house, plan, set, || units * self.rng.unit());
         let met = self.customers.meet(now, customer, met);
         // More customers at once than there is room for.
--- a/crates/policy/src/quotas.rs
+++ b/crates/policy/src/quotas.rs
@@ -94,7 +94,7 @@
     /// Takes a request's units from every store of its customer, or from none: (did so, should wait).
     fn ask(&mut self, now: Time, customer: CustomerId, id: RequestId) -> (bool, bool) {
         let (down, epoch) = (self.counter_down(now), now / EPOCH);
-        let paced = self.contact.is_paced(now);
+        let paced = self.contact.must_defer_calls(now);
         let found = self.requests.get(&id).zip(self.customers.get_mut(customer));
         let Some((r, c)) = found else { return (false, false) };
         for a in &mut c.stores {
@@ -119,7 +119,7 @@
                 self.debts.owe(now, &mut self.dues, customer, c);
             }
         }
-        let short = |a: &Account| !a.is_blind() && a.store.ready() < units && !a.is_calling();
+        let short = |a: &Account| !a.is_blind() && a.store.spendable() < units && !a.is_calling();
         let may = c.stores.iter().all(|a| !a.is_blind() || a.covers(units, back));
         let mut wait = !inside && may;
         for (i, a) in c.stores.iter_mut().enumerate().filter(|(_, a)| wait && short(a)) {
@@ -130,7 +130,7 @@
             calls.push((i, a.call(&self.contact, epoch, units, HORIZON)));
         }
         if let Some((i, _)) = calls.first() {
-            self.contact.leased(now, &c.stores[*i].store.terms().set);
+            self.contact.record_lease(now, &c.stores[*i].store.config().gateway_set);
         }
         calls.into_iter().for_each(|(i, amount)| self.call(now, (customer, i, epoch), amount));
         (inside, wait)
@@ -145,7 +145,7 @@
         let Some(c) = self.customers.get_mut(customer) else { return (false, false) };
         let a = &mut c.stores[0];
         let (calling, first) = (a.is_calling(), !std::mem::replace(&mut r.counted, true));
-        let odds = if a.ration().is_fresh(now) { AGAIN * odds } else { odds };
+        let odds = if a.ration().has_recent_total(now) { AGAIN * odds } else { odds };
         if first && lot < odds && !down && !calling {
             let (window, amount) = a.call_for(now, units / odds);
             self.call(now, (customer, ASKED, window), amount);
@@ -155,19 +155,19 @@
             return (false, true);
         }
         self.pace.top += 0.01 * units.min(10.0) * (f64::from(u8::from(worthiest)) - self.pace.top);
-        let odds = a.ration().odds(now, worthiest, self.pace.top.clamp(0.01, 0.99));
-        (a.ration().grant(units, odds), false)
+        let odds = a.ration().admission_probability(now, worthiest, self.pace.top.clamp(0.01, 0.99));
+        (a.ration().admit(units, odds), false)
     }
 
     /// No counter, or several calls in a row failed and the next try is not due.
     pub(crate) fn counter_down(&self, now: Time) -> bool {
-        !self.s.has_counter || self.contact.is_down(now)
+        !self.s.has_counter || self.contact.is_backing_off(now)
     }
 
     pub(crate) fn call(&mut self, now: Time, whose: (CustomerId, usize, u64), amount: f64) {
         let name = count_name(whose.0, whose.1, whose.2);
         self.names.insert(name, whose);
-        self.contact.called(now);
+        self.contact.record_call(now);
         let keep = if whose.1 == ASKED { KEEP_ASKED } else { KEEP };
         self.actions.push(Action::AddToCounter { key: name, amount, time_to_live: keep });
     }
--- a/crates/policy/tests/doubt.rs
+++ b/crates/policy/tests/doubt.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use quota::bound::{beyond, Failure, Quota, BLOCK_S};
+use quota::bound::{max_overshoot, Failure, Quota, LEASE_HORIZON_S};
 
 /// After a failure all is as it was within so long.
 const SETTLED_IN: Span = 5_000 * MS;
@@ -116,13 +116,19 @@
     fn stated(&self, c: &Customer, gateways: usize) -> f64 {
         let span_s = self.span as f64 / 1e9;
         let set = c.gateways(gateways);
-        let dark = Failure { span_s, sides: c.spread as u32, answers: false, replaced: 0 };
-        let two = Failure { sides: 2, answers: true, ..dark };
+        let dark = Failure {
+            duration_s: span_s,
+            partitions: c.spread as u32,
+            counter_answers: false,
+            counter_resets: 0,
+        };
+        let two = Failure { partitions: 2, counter_answers: true, ..dark };
         let is_new = self.from < c.from + 10_000 * MS;
         let stated = |failure: Failure| {
-            let others = f64::from(failure.sides.saturating_sub(1));
-            let stores = if failure.answers && is_new && !is_within(c) { others * c.burst } else { 0.0 };
-            beyond(&quota(c), &failure, may_be_known(c)) + stores
+            let others = f64::from(failure.partitions.saturating_sub(1));
+            let stores =
+                if failure.counter_answers && is_new && !is_within(c) { others * c.burst } else { 0.0 };
+            max_overshoot(&quota(c), &failure, may_be_known(c)) + stores
         };
         match self.kind {
             Kind::CutOff | Kind::Killed if !set.contains(&self.gateway(gateways)) => 0.0,
@@ -133,9 +139,11 @@
                 let mut met: Vec<usize> = set.iter().map(|gateway| sides[*gateway]).collect();
                 met.sort_unstable();
                 met.dedup();
-                stated(Failure { sides: met.len() as u32, answers: true, ..dark })
+                stated(Failure { partitions: met.len() as u32, counter_answers: true, ..dark })
+            }
+            Kind::Fresh => {
+                stated(Failure { duration_s: 0.0, partitions: 1, counter_answers: false, counter_resets: 1 })
             }
-            Kind::Fresh => stated(Failure { span_s: 0.0, sides: 1, answers: false, replaced: 1 }),
             Kind::Flapping | Kind::Late => {
                 stated(dark) + c.rate * span_s * (c.spread as f64 - 1.0) / c.spread as f64
             }
@@ -146,7 +154,7 @@
 
 fn quota(c: &Customer) -> Quota {
     let most_units = c.most_units as f64 * c.truth.max(1.0);
-    Quota { rate: c.rate, burst: c.burst, spread: c.spread as u32, most_units }
+    Quota { rate: c.rate, burst: c.burst, set_size: c.spread as u32, max_request_units: most_units }
 }
 
 fn is_within(c: &Customer) -> bool {
@@ -223,8 +231,13 @@
     /// counter: a burst each, each time. And a rationed customer gets in the dark the part that it got before
     /// of whatever it asks for; and from the odds at any time two requests at each gateway.
     fn stated(&self, c: &Customer) -> f64 {
-        let none = Failure { span_s: 0.0, sides: c.spread as u32, answers: false, replaced: 0 };
-        let calm = beyond(&quota(c), &none, false);
+        let none = Failure {
+            duration_s: 0.0,
+            partitions: c.spread as u32,
+            counter_answers: false,
+            counter_resets: 0,
+        };
+        let calm = max_overshoot(&quota(c), &none, false);
         let each: f64 = self.blows.iter().map(|blow| blow.stated(c, self.gateways)).sum();
         let moves = !matches!(c.habit, Habit::Even(_)) && !is_within(c);
         let epochs = (START + self.phase + self.length()) / names::EPOCH - START / names::EPOCH + 1;
@@ -232,7 +245,7 @@
         let unseen = if moves { anew * (c.spread - 1) as f64 * c.burst } else { 0.0 };
         let over = (c.habit.times() - 1.0).max(0.0) * c.rate;
         let spans: f64 = self.blows.iter().map(|blow| (blow.span + SETTLED_IN) as f64 / 1e9).sum();
-        let odds = 2.0 * c.spread as f64 * quota(c).most_units;
+        let odds = 2.0 * c.spread as f64 * quota(c).max_request_units;
         calm + each + unseen + if is_thin(c) { over * spans + odds } else { 0.0 }
     }
 
@@ -258,14 +271,14 @@
     /// which all together is two stores, and as much in doubt; and where an epoch ends before an answer comes,
     /// what was told before is told again.
     fn outstanding(&self, c: &Customer) -> (f64, f64) {
-        let requests = c.spread as f64 * quota(c).most_units;
-        let blocks = 0.5 * (c.spread - 1) as f64 * (BLOCK_S * c.rate + requests);
+        let requests = c.spread as f64 * quota(c).max_request_units;
+        let blocks = 0.5 * (c.spread - 1) as f64 * (LEASE_HORIZON_S * c.rate + requests);
         let hidden = self.count(Kind::Fresh) as f64 * blocks;
         let in_doubt =
             |blow: &&Blow| matches!(blow.kind, Kind::Mute | Kind::Slow | Kind::Late | Kind::CutOff);
         let again = |blow: &&Blow| self.turns(blow.from, blow.span + SETTLED_IN);
         let twice = self.blows.iter().filter(in_doubt).filter(again).map(|blow| blow.span as f64 / 1e9);
-        let leased = 4.0 * c.burst.max(BLOCK_S * c.rate);
+        let leased = 4.0 * c.burst.max(LEASE_HORIZON_S * c.rate);
         (-(0.5 * c.spread as f64 + requests + hidden), leased + requests + twice.sum::<f64>() * c.rate)
     }
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -5,7 +5,7 @@
 use common::*;
 use policy::api::*;
 use policy::names;
-use quota::{Ration, Set};
+use quota::{GatewaySet, WindowedLimiter};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Sends a request and answers its call with the total that other gateways leave.
@@ -186,8 +186,8 @@
 /// all gateways together are asked for `use_of_rate` times the customer's rate.
 fn let_in_when_spread(use_of_rate: f64) -> usize {
     let many = Settings { gateways: 200, ..settings() };
-    let set = Set { first: 0, spread: 200, me: 0, gateways: 200 };
-    let windows = Ration::new(many.plans[0].rate, many.plans[0].burst, set.phase(), set.spread);
+    let set = GatewaySet { first_gateway: 0, set_size: 200, gateway_index: 0, gateways: 200 };
+    let windows = WindowedLimiter::new(many.plans[0].rate, many.plans[0].burst, set.phase(), set.set_size);
     let mut g = Harness::new(many, 60);
     let mut sent = 0;
     for id in 1..=200 {
@@ -201,9 +201,9 @@
         let mut actions = g.on(Event::Request(request));
         for (name, amount) in calls(&actions) {
             // In a window, which has a number of its own, all are asked for as much as was said.
-            let window = windows.window(g.now);
+            let window = windows.window_at(g.now);
             assert_eq!(name, names::asked(CustomerId(0), window));
-            let lasted = (g.now - windows.begun(window)) as f64 / windows.span() as f64;
+            let lasted = (g.now - windows.window_start(window)) as f64 / windows.window_length() as f64;
             let asked = use_of_rate * 20.0 * lasted;
             actions.extend(g.counted(name, Outcome::Ok, asked + amount));
         }
@@ -680,7 +680,7 @@
     }
     for beats in 0..80 {
         for group in 0..50 {
-            let at = START + beats * quota::PULSE_EPOCH;
+            let at = START + beats * quota::HEARTBEAT_EPOCH;
             assert!(all.insert(names::pulse(group, at)), "pulse of group {group}, epoch {beats}");
         }
     }
--- a/crates/quota/src/bound.rs
+++ b/crates/quota/src/bound.rs
@@ -6,7 +6,7 @@
 //! `r * time + b` at most
 //!
 //! - `(m - 1) * r * D` where each side's counter goes on answering: until the others are missed, each side may
-//!   take all; `D` is [`WITHIN`](crate::WITHIN) and a beat;
+//!   take all; `D` is [`ALIVE_TIMEOUT`](crate::ALIVE_TIMEOUT) and a beat;
 //! - `b * (SAVED * (m - 1) + LENT * m)` if it was known to keep within its quota: each side may save up more
 //!   than its part, and lends a little beyond it; nothing of the kind for one that asks for more;
 //! - `b * (m - 1) / m`, since a side that has not met it before gives it an even part of a full store;
@@ -18,22 +18,22 @@
 //! - a block of [`BLOCK_S`] seconds that is leased and in doubt at the beginning, and one request at each of its
 //!   gateways, of which the true units are not known yet; units are leased in whole ones.
 
-use crate::{BEAT, SECOND, WITHIN};
+use crate::{ALIVE_TIMEOUT, HEARTBEAT_INTERVAL, SECOND};
 
 /// Of what its part lacks to the whole burst, a side saves up so much for a known customer.
-pub const SAVED: f64 = 0.5;
+pub const SAVED_BURST_FRACTION: f64 = 0.5;
 /// Bursts that a side lends a known customer beyond its part.
-pub const LENT: f64 = 0.4;
+pub const OVERDRAFT_BURST_FRACTION: f64 = 0.4;
 /// How far the shares of all gateways may add up to more than one, at first.
-pub const MOVED: f64 = 0.25;
+pub const FRACTION_SUM_EXCESS: f64 = 0.25;
 /// Seconds apart after which what is remembered counts for a third, and the rest is even.
-pub const FADES: f64 = 25.0;
+pub const FRACTION_DECAY_S: f64 = 25.0;
 /// Part of its share that a side gives a known customer beyond it.
-pub const AMPLE: f64 = 0.03;
+pub const PARTITION_RATE_MARGIN: f64 = 0.03;
 /// Seconds of the rate that a replaced counter may hide.
-pub const STALE: f64 = 1.5;
+pub const FORGOTTEN_LEASE_S: f64 = 1.5;
 /// A block is for so many seconds of recent demand at the most.
-pub const BLOCK_S: f64 = 1.5;
+pub const LEASE_HORIZON_S: f64 = 1.5;
 
 /// A customer's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,43 +43,53 @@
     /// Units that its store holds.
     pub burst: f64,
     /// Gateways that it comes through.
-    pub spread: u32,
+    pub set_size: u32,
     /// Units of the largest request.
-    pub most_units: f64,
+    pub max_request_units: f64,
 }
 
 /// A failure of the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Failure {
     /// How long it lasts, in seconds.
-    pub span_s: f64,
+    pub duration_s: f64,
     /// Sides that act for themselves; in the dark each gateway is one.
-    pub sides: u32,
+    pub partitions: u32,
     /// Each side's counter goes on answering.
-    pub answers: bool,
+    pub counter_answers: bool,
     /// How often a counter came that knew nothing.
-    pub replaced: u32,
+    pub counter_resets: u32,
 }
 
 impl Failure {
     /// No gateway gets an answer for so many seconds.
-    pub fn lost(span_s: f64, quota: &Quota) -> Failure {
-        Failure { span_s, sides: quota.spread.max(1), answers: false, replaced: 0 }
+    pub fn counter_unreachable(span_s: f64, quota: &Quota) -> Failure {
+        Failure {
+            duration_s: span_s,
+            partitions: quota.set_size.max(1),
+            counter_answers: false,
+            counter_resets: 0,
+        }
     }
 }
 
 /// Units beyond the quota at the most. `known`: the customer kept within it before.
-pub fn beyond(quota: &Quota, failure: &Failure, known: bool) -> f64 {
-    let sides = f64::from(failure.sides.clamp(1, quota.spread.max(1)));
-    let missed = (WITHIN + BEAT) as f64 / SECOND;
-    let unnoticed = if failure.answers { (sides - 1.0) * quota.rate * missed } else { 0.0 };
+pub fn max_overshoot(quota: &Quota, failure: &Failure, known: bool) -> f64 {
+    let sides = f64::from(failure.partitions.clamp(1, quota.set_size.max(1)));
+    let missed = (ALIVE_TIMEOUT + HEARTBEAT_INTERVAL) as f64 / SECOND;
+    let unnoticed = if failure.counter_answers { (sides - 1.0) * quota.rate * missed } else { 0.0 };
     let met = quota.burst * (sides - 1.0) / sides;
-    let lent = if known { quota.burst * (SAVED * (sides - 1.0) + LENT * sides) } else { 0.0 };
-    let moved = MOVED * FADES * (1.0 - libm::exp(-failure.span_s / FADES));
-    let ample = if known { AMPLE * failure.span_s } else { 0.0 };
+    let lent = if known {
+        quota.burst * (SAVED_BURST_FRACTION * (sides - 1.0) + OVERDRAFT_BURST_FRACTION * sides)
+    } else {
+        0.0
+    };
+    let moved =
+        FRACTION_SUM_EXCESS * FRACTION_DECAY_S * (1.0 - libm::exp(-failure.duration_s / FRACTION_DECAY_S));
+    let ample = if known { PARTITION_RATE_MARGIN * failure.duration_s } else { 0.0 };
     let apart = if sides > 1.0 { quota.rate * (moved + ample) } else { 0.0 };
-    let forgotten = f64::from(failure.replaced) * STALE * quota.rate;
-    let leased = BLOCK_S * quota.rate + f64::from(quota.spread) * (quota.most_units + 1.0);
+    let forgotten = f64::from(failure.counter_resets) * FORGOTTEN_LEASE_S * quota.rate;
+    let leased = LEASE_HORIZON_S * quota.rate + f64::from(quota.set_size) * (quota.max_request_units + 1.0);
     unnoticed + met + lent + apart + forgotten + leased
 }
 
@@ -87,28 +97,34 @@
 mod tests {
     use super::*;
 
-    const PREMIUM: Quota = Quota { rate: 30.0, burst: 65.0, spread: 3, most_units: 6.0 };
+    const PREMIUM: Quota = Quota { rate: 30.0, burst: 65.0, set_size: 3, max_request_units: 6.0 };
 
     #[test]
     fn two_minutes_without_a_counter_cost_so_much() {
-        let lost = Failure::lost(120.0, &PREMIUM);
+        let lost = Failure::counter_unreachable(120.0, &PREMIUM);
         // 0.25 * 30 * 25 (less what has not faded) + 1.5 * 30 + 3 * 7
-        assert!((beyond(&PREMIUM, &lost, false) - 295.29).abs() < 0.01);
+        assert!((max_overshoot(&PREMIUM, &lost, false) - 295.29).abs() < 0.01);
         // 65 * (0.5 * 2 + 0.4 * 3) + 0.03 * 30 * 120 more
-        assert!((beyond(&PREMIUM, &lost, true) - beyond(&PREMIUM, &lost, false) - 251.0).abs() < 1e-9);
+        assert!(
+            (max_overshoot(&PREMIUM, &lost, true) - max_overshoot(&PREMIUM, &lost, false) - 251.0).abs()
+                < 1e-9
+        );
     }
 
     #[test]
     fn a_split_costs_what_passes_unnoticed_as_well() {
-        let split = Failure { span_s: 120.0, sides: 2, answers: true, replaced: 0 };
-        let apart = Failure { answers: false, ..split };
-        assert!((beyond(&PREMIUM, &split, false) - beyond(&PREMIUM, &apart, false) - 97.5).abs() < 1e-9);
+        let split = Failure { duration_s: 120.0, partitions: 2, counter_answers: true, counter_resets: 0 };
+        let apart = Failure { counter_answers: false, ..split };
+        assert!(
+            (max_overshoot(&PREMIUM, &split, false) - max_overshoot(&PREMIUM, &apart, false) - 97.5).abs()
+                < 1e-9
+        );
     }
 
     #[test]
     fn a_customer_of_one_gateway_is_not_touched_by_splits() {
-        let quota = Quota { spread: 1, ..PREMIUM };
-        let split = Failure { span_s: 120.0, sides: 3, answers: true, replaced: 0 };
-        assert!(beyond(&quota, &split, false) <= 45.0 + 7.0 + 1e-9);
+        let quota = Quota { set_size: 1, ..PREMIUM };
+        let split = Failure { duration_s: 120.0, partitions: 3, counter_answers: true, counter_resets: 0 };
+        assert!(max_overshoot(&quota, &split, false) <= 45.0 + 7.0 + 1e-9);
     }
 }
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/counter_report.rs
@@ -9,22 +9,22 @@
     #[default]
     Unused,
     /// It answers, and all gateways are heard through it.
-    Whole,
+    Complete,
     /// It answers, and only so many gateways are heard through it, with this one.
-    Apart {
+    Partitioned {
         /// How many.
-        heard: u32,
+        alive: u32,
         /// Of how many.
-        of: u32,
+        gateways: u32,
     },
     /// It does not answer, or turns all calls away.
-    Away,
+    Unreachable,
 }
 
 impl CounterState {
     /// Whether quotas rest on less than a whole counter.
-    pub fn is_in_doubt(&self) -> bool {
-        matches!(self, CounterState::Apart { .. } | CounterState::Away)
+    pub fn is_degraded(&self) -> bool {
+        matches!(self, CounterState::Partitioned { .. } | CounterState::Unreachable)
     }
 }
 
@@ -32,13 +32,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CounterState::Unused => f.write_str("not used"),
-            CounterState::Whole => f.write_str("whole: all gateways are heard through it"),
-            CounterState::Apart { heard, of } => write!(
+            CounterState::Complete => f.write_str("whole: all gateways are heard through it"),
+            CounterState::Partitioned { alive, gateways } => write!(
                 f,
-                "apart: {heard} of {of} gateways are heard through it; the others are down, or it is split. \
+                "apart: {alive} of {gateways} gateways are heard through it; the others are down, or it is split. \
                  Quotas are held to this side's part"
             ),
-            CounterState::Away => f.write_str(
+            CounterState::Unreachable => f.write_str(
                 "away: no answer. Each gateway lends its share of the quotas, and tells when it is back",
             ),
         }
@@ -50,22 +50,22 @@
 /// Each gateway estimates its own; what all together passed beyond a quota is at most the sum of theirs, but for
 /// what a split lets through before it is noticed, and what a gateway that died had leased.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Lent {
+pub struct LocalGrants {
     /// Passed on without the counter.
     pub units: f64,
     /// Of those, beyond this gateway's parts of the quotas, over all customers.
-    pub beyond: f64,
+    pub overshoot_units: f64,
     /// The same of the customer of whom it is most.
-    pub most: f64,
+    pub max_customer_overshoot: f64,
 }
 
-impl Lent {
+impl LocalGrants {
     /// A customer was let in for so many units, and is now so far beyond this gateway's part of its quota; it
     /// was before by `from` at the most.
-    pub fn add(&mut self, units: f64, from: f64, to: f64) {
+    pub fn record(&mut self, units: f64, from: f64, to: f64) {
         self.units += units;
-        self.beyond += (to - from).max(0.0);
-        self.most = self.most.max(to);
+        self.overshoot_units += (to - from).max(0.0);
+        self.max_customer_overshoot = self.max_customer_overshoot.max(to);
     }
 }
 
@@ -75,7 +75,7 @@
     /// What it looks like now.
     pub state: CounterState,
     /// How often it has begun anew since this gateway started, as far as it was noticed.
-    pub replaced: u32,
+    pub counter_resets: u32,
     /// What rests on this gateway's word.
-    pub lent: Lent,
+    pub local_grants: LocalGrants,
 }
--- a/crates/quota/src/hearing.rs
+++ b/crates/quota/src/failure_detector.rs
@@ -8,17 +8,17 @@
 //! to the groups of those with whom it shares a leased customer, beats only while there are any, and more slowly, so
 //! that the calls of all do not grow with the fleet's square and leave the counter to the quotas.
 
-use crate::marks::{Digits, Marks};
-use crate::side::Set;
+use crate::contribution_marks::{MarkScheme, MemberCounters};
+use crate::partition_view::GatewaySet;
 use crate::{Span, Time};
 
 /// Between the adds of a gateway to its pulse.
-pub const BEAT: Span = 750_000_000;
+pub const HEARTBEAT_INTERVAL: Span = 750_000_000;
 /// Whoever was heard this lately, as far as its beats prove, is heard. Two readings prove that there was a beat
 /// between them, and a beat may miss the one and come twice in the next: so three beats, and a little.
-pub const WITHIN: Span = 2_500_000_000;
+pub const ALIVE_TIMEOUT: Span = 2_500_000_000;
 /// Pulses start anew this often.
-pub const EPOCH: Span = 25_000_000_000;
+pub const HEARTBEAT_EPOCH: Span = 25_000_000_000;
 /// Gateways that share a pulse.
 const MEMBERS: u32 = 4;
 /// A fleet of no more groups than this hears itself whole.
@@ -34,7 +34,7 @@
 
 /// One call to a pulse.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pulse {
+pub struct HeartbeatCall {
     /// Number of the group whose pulse it is.
     pub group: u32,
     /// In which epoch.
@@ -46,12 +46,12 @@
 /// What is known of a group's pulse.
 #[derive(Clone, Copy, Debug, Default)]
 struct Group {
-    seen: Option<(Time, u64, Digits)>,
+    seen: Option<(Time, u64, MemberCounters)>,
 }
 
 /// Who has been heard, and when.
 #[derive(Clone, Debug)]
-pub struct Hearing {
+pub struct FailureDetector {
     me: u32,
     heard: Vec<Time>,
     groups: Vec<Group>,
@@ -71,30 +71,30 @@
 /// Between two beats of one of so many gateways.
 fn beat(gateways: u32) -> Span {
     let slower = (f64::from(gateways) / f64::from(QUICK)).max(1.0);
-    ((BEAT as f64 * slower) as Span).min(SLOWEST)
+    ((HEARTBEAT_INTERVAL as f64 * slower) as Span).min(SLOWEST)
 }
 
 /// Whoever was heard this lately is heard, where so many other groups are read in turn.
 fn within(beat: Span, groups: Span) -> Span {
-    (WITHIN as f64 / BEAT as f64 * beat as f64) as Span + 2 * beat * groups
+    (ALIVE_TIMEOUT as f64 / HEARTBEAT_INTERVAL as f64 * beat as f64) as Span + 2 * beat * groups
 }
 
 /// After so long one of so many gateways is missed at the latest by one that shares a leased customer's set of
 /// `spread` with it, once it is dead or on the other side of a split.
-pub fn missed(gateways: u32, spread: u32) -> Span {
+pub fn detection_time(gateways: u32, spread: u32) -> Span {
     let all = gateways.div_ceil(MEMBERS);
     let groups = if all as usize <= FEW { all } else { all.min(spread.div_ceil(MEMBERS) + 1) };
     within(beat(gateways), Span::from(groups - 1)) + beat(gateways)
 }
 
-impl Hearing {
+impl FailureDetector {
     /// Of a gateway with this number, counted from 0, among so many.
-    pub fn new(me: u32, gateways: u32) -> Hearing {
+    pub fn new(me: u32, gateways: u32) -> FailureDetector {
         let gateways = gateways.max(1).max(me + 1);
         let groups = gateways.div_ceil(MEMBERS);
         let is_small = groups as usize <= FEW;
         let others = (0..groups).filter(|group| is_small && *group != me / MEMBERS);
-        Hearing {
+        FailureDetector {
             me,
             heard: vec![0; gateways as usize],
             groups: vec![Group::default(); groups as usize],
@@ -109,14 +109,14 @@
     }
 
     /// A customer of this set is leased for: its gateways are listened to from now on, for a while.
-    pub fn listen(&mut self, now: Time, set: &Set) {
-        if self.groups.len() <= FEW || set.spread < 2 {
+    pub fn watch_gateways(&mut self, now: Time, set: &GatewaySet) {
+        if self.groups.len() <= FEW || set.set_size < 2 {
             return;
         }
         self.beats_until = now + LISTENS;
         let mut last = self.own_group();
-        for member in 0..set.spread {
-            let group = set.gateway(member) / MEMBERS;
+        for member in 0..set.set_size {
+            let group = set.gateway_at(member) / MEMBERS;
             if group == std::mem::replace(&mut last, group) || group == self.own_group() {
                 continue;
             }
@@ -128,12 +128,12 @@
     }
 
     /// Between two beats of this gateway.
-    pub fn beat_span(&self) -> Span {
+    pub fn heartbeat_interval(&self) -> Span {
         self.beat
     }
 
-    fn marks() -> Marks {
-        Marks::pulse(MEMBERS, BASE)
+    fn marks() -> MarkScheme {
+        MarkScheme::heartbeat(MEMBERS, BASE)
     }
 
     fn own_group(&self) -> u32 {
@@ -141,8 +141,8 @@
     }
 
     /// The calls of this beat: the own pulse, and in turn one of another group; none while nobody is listened to.
-    pub fn beat(&mut self, now: Time) -> Vec<Pulse> {
-        let epoch = now / EPOCH;
+    pub fn heartbeat_calls(&mut self, now: Time) -> Vec<HeartbeatCall> {
+        let epoch = now / HEARTBEAT_EPOCH;
         self.listened.retain(|(_, until)| now < *until);
         if now >= self.beats_until {
             return Vec::new();
@@ -157,10 +157,10 @@
         // After an add without an answer the digit may be either: reading tells. One that is full stays.
         let digit = self.digit.filter(|digit| !self.is_out && u32::from(*digit) + 1 < BASE);
         self.is_out = digit.is_some();
-        let amount = digit.map_or(0.0, |digit| Self::marks().next(self.me % MEMBERS, digit).fraction);
-        let mut calls = vec![Pulse { group: own, epoch, amount }];
+        let amount = digit.map_or(0.0, |digit| Self::marks().next_mark(self.me % MEMBERS, digit).fraction);
+        let mut calls = vec![HeartbeatCall { group: own, epoch, amount }];
         self.turn = (self.turn + 1) % self.listened.len().max(1);
-        calls.extend(self.listened.get(self.turn).map(|(group, _)| Pulse {
+        calls.extend(self.listened.get(self.turn).map(|(group, _)| HeartbeatCall {
             group: *group,
             epoch,
             amount: 0.0,
@@ -169,27 +169,28 @@
     }
 
     /// A group's pulse has been read. Whether a digit went back, which none does while the counter remembers.
-    pub fn read(&mut self, now: Time, group: u32, epoch: u64, total: f64) -> bool {
+    pub fn record_total(&mut self, now: Time, group: u32, epoch: u64, total: f64) -> bool {
         let marks = Self::marks();
-        let Some(digits) = marks.read(total).digits else { return false };
+        let Some(digits) = marks.decode(total).counters else { return false };
         let Some(known) = self.groups.get_mut(group as usize) else { return false };
         let before = known.seen.replace((now, epoch, digits)).filter(|(_, then, _)| *then == epoch);
-        let went_back = |(_, _, then): (Time, u64, Digits)| {
-            (0..MEMBERS).any(|member| digits.of(member) < then.of(member))
+        let went_back = |(_, _, then): (Time, u64, MemberCounters)| {
+            (0..MEMBERS).any(|member| digits.get(member) < then.get(member))
         };
         let mut is_fresh = before.is_some_and(went_back);
         // Met for the first time, what stands there has come since the epoch began.
-        let (at, then) = before.map_or((epoch * EPOCH, Digits::default()), |(at, _, then)| (at, then));
+        let (at, then) =
+            before.map_or((epoch * HEARTBEAT_EPOCH, MemberCounters::default()), |(at, _, then)| (at, then));
         for member in 0..MEMBERS {
             let gateway = (group * MEMBERS + member) as usize;
-            if digits.of(member) != then.of(member) {
+            if digits.get(member) != then.get(member) {
                 // Some time since then: the earliest is what is sure.
                 self.heard.iter_mut().skip(gateway).take(1).for_each(|heard| *heard = (*heard).max(at));
             }
         }
         if group == self.own_group() && epoch == self.epoch {
             // An add that was answered counts.
-            let found = digits.of(self.me % MEMBERS);
+            let found = digits.get(self.me % MEMBERS);
             is_fresh |= self.digit.is_some_and(|digit| found < digit + u8::from(self.is_out));
             self.digit = Some(found);
             self.is_out = false;
@@ -198,22 +199,22 @@
     }
 
     /// Whether a gateway is heard: this one always hears itself.
-    pub fn hears(&self, gateway: u32, now: Time) -> bool {
+    pub fn is_alive(&self, gateway: u32, now: Time) -> bool {
         gateway == self.me
             || self.heard.get(gateway as usize).is_some_and(|heard| now < heard + self.within())
     }
 
     /// Of the gateways listened to, with this one's group, how many are heard, and how many there are.
-    pub fn count(&self, now: Time) -> (u32, u32) {
+    pub fn count_alive(&self, now: Time) -> (u32, u32) {
         let own = Some(self.own_group()).filter(|_| now < self.beats_until);
         let groups = own.into_iter().chain(self.listened.iter().map(|(group, _)| *group));
         let all = self.heard.len() as u32;
         let gateways = groups.flat_map(|group| group * MEMBERS..((group + 1) * MEMBERS).min(all));
-        gateways.fold((0, 0), |(heard, of), gateway| (heard + u32::from(self.hears(gateway, now)), of + 1))
+        gateways.fold((0, 0), |(heard, of), gateway| (heard + u32::from(self.is_alive(gateway, now)), of + 1))
     }
 
     /// When a gateway was heard last, as far as that is sure.
-    pub fn last(&self, gateway: u32) -> Time {
+    pub fn last_heartbeat_at(&self, gateway: u32) -> Time {
         self.heard.get(gateway as usize).copied().unwrap_or(0)
     }
 
@@ -231,7 +232,7 @@
 
     /// Gateways that beat on one counter, or on several.
     struct Site {
-        all: Vec<Hearing>,
+        all: Vec<FailureDetector>,
         totals: Vec<BTreeMap<(u32, u64), f64>>,
         side: Vec<usize>,
         now: Time,
@@ -239,26 +240,31 @@
 
     impl Site {
         fn new(gateways: u32) -> Site {
-            let all = (0..gateways).map(|me| Hearing::new(me, gateways)).collect();
-            Site { all, totals: vec![BTreeMap::new(); 3], side: vec![0; gateways as usize], now: 100 * EPOCH }
+            let all = (0..gateways).map(|me| FailureDetector::new(me, gateways)).collect();
+            Site {
+                all,
+                totals: vec![BTreeMap::new(); 3],
+                side: vec![0; gateways as usize],
+                now: 100 * HEARTBEAT_EPOCH,
+            }
         }
 
         /// Each beats once, with phases that wander.
         fn beat(&mut self, beating: impl Fn(usize) -> bool) {
             let count = self.all.len() as u64;
             for (n, hearing) in self.all.iter_mut().enumerate().filter(|(n, _)| beating(*n)) {
-                let at = self.now + BEAT * n as Span / count + self.now % 37_000_000;
-                for pulse in hearing.beat(at) {
+                let at = self.now + HEARTBEAT_INTERVAL * n as Span / count + self.now % 37_000_000;
+                for pulse in hearing.heartbeat_calls(at) {
                     let total = self.totals[self.side[n]].entry((pulse.group, pulse.epoch)).or_default();
                     *total += pulse.amount;
-                    hearing.read(at, pulse.group, pulse.epoch, *total);
+                    hearing.record_total(at, pulse.group, pulse.epoch, *total);
                 }
             }
-            self.now += BEAT;
+            self.now += HEARTBEAT_INTERVAL;
         }
 
         fn counts(&self) -> Vec<u32> {
-            self.all.iter().map(|hearing| hearing.count(self.now).0).collect()
+            self.all.iter().map(|hearing| hearing.count_alive(self.now).0).collect()
         }
     }
 
@@ -268,7 +274,12 @@
         assert_eq!(site.counts(), [1, 1, 1]);
         (0..3).for_each(|_| site.beat(|_| true));
         for _ in 0..300 {
-            assert_eq!(site.counts(), [3, 3, 3], "at {} beats of an epoch", site.now % EPOCH / BEAT);
+            assert_eq!(
+                site.counts(),
+                [3, 3, 3],
+                "at {} beats of an epoch",
+                site.now % HEARTBEAT_EPOCH / HEARTBEAT_INTERVAL
+            );
             site.beat(|_| true);
         }
     }
@@ -300,11 +311,11 @@
 
     #[test]
     fn a_beat_without_an_answer_is_not_guessed_at() {
-        let mut hearing = Hearing::new(0, 3);
+        let mut hearing = FailureDetector::new(0, 3);
         let mut beat = |n: u64, answer: Option<f64>| {
-            let pulse = hearing.beat(EPOCH + n * BEAT)[0];
+            let pulse = hearing.heartbeat_calls(HEARTBEAT_EPOCH + n * HEARTBEAT_INTERVAL)[0];
             if let Some(total) = answer {
-                hearing.read(EPOCH + n * BEAT, 0, pulse.epoch, total);
+                hearing.record_total(HEARTBEAT_EPOCH + n * HEARTBEAT_INTERVAL, 0, pulse.epoch, total);
             }
             pulse.amount
         };
@@ -318,7 +329,7 @@
     fn a_gateway_that_starts_anew_goes_on_from_the_digit_that_it_finds() {
         let mut site = Site::new(2);
         (0..8).for_each(|_| site.beat(|_| true));
-        site.all[1] = Hearing::new(1, 2);
+        site.all[1] = FailureDetector::new(1, 2);
         for _ in 0..12 {
             site.beat(|_| true);
             assert_eq!(site.counts()[0], 2);
@@ -328,7 +339,7 @@
 
     #[test]
     fn how_long_a_split_goes_unnoticed_grows_with_the_fleet_up_to_a_bound() {
-        let tenths = |gateways| (missed(gateways, 3) + S / 20) * 10 / S;
+        let tenths = |gateways| (detection_time(gateways, 3) + S / 20) * 10 / S;
         assert_eq!([3, 16, 30, 60, 150, 1_000].map(tenths), [33, 78, 89, 178, 380, 380]);
     }
 
@@ -338,9 +349,9 @@
         (0..16).for_each(|_| site.beat(|_| true));
         assert!(site.counts().iter().all(|count| *count == 16), "{:?}", site.counts());
         // A lease is no reason to stop: a small fleet hears itself for good.
-        let set = Set { first: 0, spread: 16, me: 0, gateways: 16 };
-        site.all[0].listen(site.now, &set);
-        assert_eq!(site.all[0].beat(site.now + 2 * LISTENS).len(), 2);
+        let set = GatewaySet { first_gateway: 0, set_size: 16, gateway_index: 0, gateways: 16 };
+        site.all[0].watch_gateways(site.now, &set);
+        assert_eq!(site.all[0].heartbeat_calls(site.now + 2 * LISTENS).len(), 2);
     }
 
     #[test]
@@ -350,28 +361,33 @@
             let mut calls = 0;
             for me in 0..300_u32 {
                 if listens {
-                    let set = Set { first: (me / 3) * 3, spread: 3, me, gateways: 300 };
-                    site.all[me as usize].listen(site.now, &set);
+                    let set = GatewaySet {
+                        first_gateway: (me / 3) * 3,
+                        set_size: 3,
+                        gateway_index: me,
+                        gateways: 300,
+                    };
+                    site.all[me as usize].watch_gateways(site.now, &set);
                 }
-                for pulse in site.all[me as usize].beat(site.now) {
+                for pulse in site.all[me as usize].heartbeat_calls(site.now) {
                     calls += 1;
                     let total = site.totals[0].entry((pulse.group, pulse.epoch)).or_default();
                     *total += pulse.amount;
                     let total = *total;
-                    site.all[me as usize].read(site.now, pulse.group, pulse.epoch, total);
+                    site.all[me as usize].record_total(site.now, pulse.group, pulse.epoch, total);
                 }
             }
-            site.now += site.all[0].beat_span();
+            site.now += site.all[0].heartbeat_interval();
             calls
         };
         assert_eq!(calls(&mut site, false), 0);
-        assert_eq!(site.all[7].count(site.now), (0, 0), "nobody is missed");
+        assert_eq!(site.all[7].count_alive(site.now), (0, 0), "nobody is missed");
         let most = (0..12).map(|_| calls(&mut site, true)).max();
-        assert!(most <= Some(600) && site.all[0].beat_span() >= 5 * S, "100 a second: {most:?}");
+        assert!(most <= Some(600) && site.all[0].heartbeat_interval() >= 5 * S, "100 a second: {most:?}");
         for me in 0..300_u32 {
             let hearing = &site.all[me as usize];
-            assert!((me / 3 * 3..me / 3 * 3 + 3).all(|other| hearing.hears(other, site.now)), "{me}");
-            let (heard, of) = hearing.count(site.now);
+            assert!((me / 3 * 3..me / 3 * 3 + 3).all(|other| hearing.is_alive(other, site.now)), "{me}");
+            let (heard, of) = hearing.count_alive(site.now);
             assert!(heard == of && of <= 8, "{me}: {heard} of {of}");
         }
         site.now += 2 * LISTENS;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -2,35 +2,36 @@
 //! be overrun meanwhile. No I/O and no clock; the decision module asks.
 //!
 //! The counter does one thing: it adds to a named number and gives the total. Everything here rests on that.
-//! [`Marks`] lets a total tell which gateways have added to it, so that a call without an answer is settled by
-//! proof; [`Hearing`] keeps who has been heard through the counter, so that a split is noticed; [`Shares`]
+//! [`MarkScheme`] lets a total tell which gateways have added to it, so that a call without an answer is settled by
+//! proof; [`FailureDetector`] keeps who has been heard through the counter, so that a split is noticed; [`TrafficFractions`]
 //! remembers whose part of a customer's traffic came through whom, for the time in which nobody can ask; and
 //! [`bound`] states in advance what that may cost.
 
-mod adder;
 pub mod bound;
-mod contact;
-mod hearing;
-mod late;
-mod marks;
-mod ration;
-mod rest;
-mod shares;
-mod side;
-mod state;
-mod store;
+mod compact_state;
+mod contribution_marks;
+mod counter_health;
+mod counter_report;
+mod failure_detector;
+mod idempotent_adder;
+mod partition_view;
+mod reconciliation;
+mod token_bucket;
+mod traffic_fractions;
+mod windowed_limiter;
 
-pub use adder::{Adder, Told};
-pub use contact::{Contact, RETRY};
-pub use hearing::{missed, Hearing, Pulse, BEAT, EPOCH as PULSE_EPOCH, WITHIN};
-pub use late::Late;
-pub use marks::{Digits, Mark, Marks, Reading};
-pub use ration::Ration;
-pub use rest::Rest;
-pub use shares::Shares;
-pub use side::{Light, Set, Side};
-pub use state::{CounterReport, CounterState, Lent};
-pub use store::{Store, Terms};
+pub use compact_state::{CompactState, QuotaState};
+pub use contribution_marks::{ContributionMark, MarkScheme, MarkedTotal, MemberCounters};
+pub use counter_health::{CounterHealth, RETRY_INTERVAL};
+pub use counter_report::{CounterReport, CounterState, LocalGrants};
+pub use failure_detector::{detection_time, FailureDetector, HeartbeatCall};
+pub use failure_detector::{ALIVE_TIMEOUT, HEARTBEAT_EPOCH, HEARTBEAT_INTERVAL};
+pub use idempotent_adder::{AddOutcome, IdempotentAdder};
+pub use partition_view::{CounterReachability, GatewaySet, PartitionView};
+pub use reconciliation::Reconciliation;
+pub use token_bucket::{BucketConfig, CounterEpoch, TokenBucket};
+pub use traffic_fractions::TrafficFractions;
+pub use windowed_limiter::WindowedLimiter;
 
 /// A moment in nanoseconds.
 pub type Time = u64;
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/traffic_fractions.rs
@@ -1,8 +1,8 @@
 //! Whose part of a customer's traffic came through which gateway of its set: remembered for the time in which
 //! nobody can ask. All gateways see the same totals, so their shares of one customer add up to one.
 
-use crate::bound::FADES;
-use crate::marks::MOST_MEMBERS;
+use crate::bound::FRACTION_DECAY_S;
+use crate::contribution_marks::MOST_MEMBERS;
 use crate::{Span, Time, SECOND};
 
 /// Seconds that the shares look back.
@@ -20,7 +20,7 @@
 
 /// What of a customer's traffic came through each member, as this gateway last saw it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shares {
+pub struct TrafficFractions {
     members: u32,
     /// Units a second that came through each, as last seen.
     used: [f32; MOST_MEMBERS as usize],
@@ -30,10 +30,10 @@
     learnt: f32,
 }
 
-impl Shares {
+impl TrafficFractions {
     /// Of a customer with this rate and so many members in its set.
-    pub fn new(now: Time, members: u32, rate: f64) -> Shares {
-        Shares {
+    pub fn new(now: Time, members: u32, rate: f64) -> TrafficFractions {
+        TrafficFractions {
             members: members.max(1),
             used: [0.0; MOST_MEMBERS as usize],
             rate: rate.max(1e-9) as f32,
@@ -43,36 +43,36 @@
     }
 
     /// Members are kept apart, not too many of them.
-    pub fn are_kept(&self) -> bool {
+    pub fn are_tracked(&self) -> bool {
         self.members <= MOST_MEMBERS
     }
 
     /// How far what was seen is believed, 0 to 1.
-    pub fn learnt(&self) -> f64 {
+    pub fn confidence(&self) -> f64 {
         f64::from(self.learnt) / LEARNS
     }
 
     /// When something was seen last.
-    pub fn at(&self) -> Time {
+    pub fn updated_at(&self) -> Time {
         self.at
     }
 
     /// As they were before anything was seen.
-    pub fn unlearnt(&self) -> Shares {
-        Shares { used: [0.0; MOST_MEMBERS as usize], learnt: 0.0, ..*self }
+    pub fn unlearned(&self) -> TrafficFractions {
+        TrafficFractions { used: [0.0; MOST_MEMBERS as usize], learnt: 0.0, ..*self }
     }
 
     /// These, if they were learnt by then; else as they were before anything was seen.
-    pub fn if_sure(&self, by: Time) -> Shares {
+    pub fn learned_by(&self, by: Time) -> TrafficFractions {
         if self.at <= by {
             *self
         } else {
-            self.unlearnt()
+            self.unlearned()
         }
     }
 
     /// Units went through these members since the last sighting: (member, units) for each that is not nought.
-    pub fn saw(&mut self, now: Time, units: impl Iterator<Item = (u32, f64)>) {
+    pub fn record_usage(&mut self, now: Time, units: impl Iterator<Item = (u32, f64)>) {
         let fading = libm::exp(-seconds(self.at, now) / LOOKS_BACK) as f32;
         self.learnt = (f64::from(self.learnt) + seconds(self.at, now)).min(LEARNS) as f32;
         self.used.iter_mut().for_each(|used| *used *= fading);
@@ -86,16 +86,16 @@
 
     /// A member's share, 0 to 1: the less is known of it the more even. `unseen`: for so long this gateway had not
     /// looked when it could no longer, which is so long ago.
-    pub fn of(&self, member: u32, unseen: Span, ago: Span) -> f64 {
+    pub fn fraction_of(&self, member: u32, unseen: Span, ago: Span) -> f64 {
         let even = 1.0 / f64::from(self.members);
-        if !self.are_kept() || member >= self.members {
+        if !self.are_tracked() || member >= self.members {
             return even;
         }
         let floor = EVEN * f64::from(self.rate) / f64::from(self.members);
         let part = |member: usize| f64::from(self.used[member]) + floor;
         let all: f64 = (0..self.members as usize).map(part).sum();
         let seen = if all > 0.0 { part(member as usize) / all } else { even };
-        let learnt = self.learnt();
+        let learnt = self.confidence();
         let known = even + (seen - even) * learnt;
         // What a busy customer's other gateways have seen meanwhile they count as theirs; of one that leaves room
         // it only grows old. One of whom little is known may be either.
@@ -107,19 +107,19 @@
     }
 
     /// The share of a member that has never seen anything of the customer, where the others may have: with them it
-    /// makes no more than [`MOVED`](crate::bound::MOVED) beyond the whole.
-    pub fn of_unmet(&self, ago: Span) -> f64 {
+    /// makes no more than [`FRACTION_SUM_EXCESS`](crate::bound::FRACTION_SUM_EXCESS) beyond the whole.
+    pub fn fraction_of_unseen(&self, ago: Span) -> f64 {
         self.faded(UNMET / f64::from(self.members), ago as f64 / SECOND)
     }
 
     /// What is left of a share after so many seconds; the rest is even.
     fn faded(&self, share: f64, age: f64) -> f64 {
         let even = 1.0 / f64::from(self.members);
-        even + (share - even) * libm::exp(-age / FADES)
+        even + (share - even) * libm::exp(-age / FRACTION_DECAY_S)
     }
 
     /// Units a second through all members but this one, as last seen.
-    pub fn others(&self, me: u32) -> f64 {
+    pub fn usage_by_others(&self, me: u32) -> f64 {
         let others = self.used.iter().enumerate().filter(|(member, _)| *member != me as usize);
         others.map(|(_, used)| f64::from(*used)).sum()
     }
@@ -138,22 +138,26 @@
 
     #[test]
     fn shares_add_up_to_one_and_follow_what_was_seen() {
-        let mut shares = Shares::new(0, 3, 30.0);
-        assert!((0..3).all(|member| (shares.of(member, 0, 0) - 1.0 / 3.0).abs() < 1e-9));
+        let mut shares = TrafficFractions::new(0, 3, 30.0);
+        assert!((0..3).all(|member| (shares.fraction_of(member, 0, 0) - 1.0 / 3.0).abs() < 1e-9));
         for second in 1..=30 {
-            shares.saw(second * S, [(0, 20.0), (1, 10.0)].into_iter());
+            shares.record_usage(second * S, [(0, 20.0), (1, 10.0)].into_iter());
         }
-        let all: Vec<f64> = (0..3).map(|member| shares.of(member, 0, 0)).collect();
+        let all: Vec<f64> = (0..3).map(|member| shares.fraction_of(member, 0, 0)).collect();
         assert!((all.iter().sum::<f64>() - 1.0).abs() < 1e-9);
         assert!(all[0] > 0.5 && all[1] > 0.28 && all[2] < 0.1, "{all:?}");
-        assert!((shares.others(0) - 10.0).abs() < 1.0);
+        assert!((shares.usage_by_others(0) - 10.0).abs() < 1.0);
     }
 
     #[test]
     fn what_is_long_ago_counts_for_less() {
-        let mut shares = Shares::new(0, 3, 30.0);
-        (1..=30).for_each(|second| shares.saw(second * S, [(0, 30.0)].into_iter()));
-        let (now, later, late) = (shares.of(0, 0, 0), shares.of(0, 0, 15 * S), shares.of(0, 0, 600 * S));
+        let mut shares = TrafficFractions::new(0, 3, 30.0);
+        (1..=30).for_each(|second| shares.record_usage(second * S, [(0, 30.0)].into_iter()));
+        let (now, later, late) = (
+            shares.fraction_of(0, 0, 0),
+            shares.fraction_of(0, 0, 15 * S),
+            shares.fraction_of(0, 0, 600 * S),
+        );
         assert!(
             now > 0.7 && later > 0.5 && later < now && (late - 1.0 / 3.0).abs() < 0.01,
             "{now} {later} {late}"
@@ -163,10 +167,11 @@
     #[test]
     fn a_share_that_nobody_looked_at_shrinks_the_faster_the_more_of_the_quota_was_used() {
         let held = |used: f64| {
-            let mut shares = Shares::new(0, 2, 30.0);
-            (1..=30)
-                .for_each(|second| shares.saw(second * S, [(0, used / 2.0), (1, used / 2.0)].into_iter()));
-            shares.of(0, 20 * S, 0) / shares.of(0, 0, 0)
+            let mut shares = TrafficFractions::new(0, 2, 30.0);
+            (1..=30).for_each(|second| {
+                shares.record_usage(second * S, [(0, used / 2.0), (1, used / 2.0)].into_iter())
+            });
+            shares.fraction_of(0, 20 * S, 0) / shares.fraction_of(0, 0, 0)
         };
         let all: Vec<f64> = [3.0, 10.0, 20.0, 30.0].map(held).to_vec();
         assert!(all.windows(2).all(|two| two[0] > two[1]) && all[0] > 0.99 && all[3] < 0.2, "{all:?}");
@@ -174,8 +179,8 @@
 
     #[test]
     fn too_many_members_share_evenly() {
-        let mut shares = Shares::new(0, 20, 30.0);
-        shares.saw(S, [(0, 30.0)].into_iter());
-        assert!((shares.of(0, 0, 0) - 0.05).abs() < 1e-9);
+        let mut shares = TrafficFractions::new(0, 20, 30.0);
+        shares.record_usage(S, [(0, 30.0)].into_iter());
+        assert!((shares.fraction_of(0, 0, 0) - 0.05).abs() < 1e-9);
     }
 }
