--- a/crates/api-gateway/src/plan/show.rs
+++ b/crates/api-gateway/src/plan/show.rs
@@ -10,8 +10,8 @@
 use config_language::Dimension;
 use gateway::Site;
 use serde_json::{json, Value};
-use site_failover::fit::{losses, Fit, Loss, Mix, Outcome};
-use site_failover::{Plan, Told};
+use site_failover::capacity_check::{check_losses, LoadFit, LossOutcome, LossScenario, TrafficMix};
+use site_failover::{FailoverPlan, OperatorOverride};
 use std::path::PathBuf;
 
 /// The words of `plan show`.
@@ -48,9 +48,9 @@
     let plan = compile(&set.operators, &site)?;
     let mix = match &words.mix {
         Some(weights) => weighed(weights, &site).with_context(|| format!("--mix {}", one_line(weights)))?,
-        None => Mix::even(&plan.ladder),
+        None => TrafficMix::even(&plan.shedding),
     };
-    let losses = losses(&plan, &mix);
+    let losses = check_losses(&plan, &mix);
     if words.json {
         print_json(&document(words, &plan, &losses, &site))?;
     } else {
@@ -60,7 +60,7 @@
 }
 
 /// Weights by class and plan; those that are not named have none.
-fn weighed(weights: &str, site: &Site) -> Result<Mix> {
+fn weighed(weights: &str, site: &Site) -> Result<TrafficMix> {
     let plans = site.plans.len();
     let mut by_cell = vec![0.0; site.classes.len() * plans];
     for part in weights.split(',') {
@@ -75,10 +75,10 @@
         by_cell[class * plans + plan] = weight;
     }
     anyhow::ensure!(by_cell.iter().any(|weight| *weight > 0.0), "nothing weighs anything");
-    Ok(Mix::of(by_cell))
+    Ok(TrafficMix::from_weights(by_cell))
 }
 
-fn text(words: &Words, plan: &Plan, losses: &[Loss], site: &Site) -> String {
+fn text(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], site: &Site) -> String {
     if plan.sites.is_empty() {
         return format!("{}: no site, so nothing is planned for the loss of one\n", path_text(&words.file));
     }
@@ -94,7 +94,7 @@
     )
 }
 
-fn sites(plan: &Plan, platform: &Site) -> String {
+fn sites(plan: &FailoverPlan, platform: &Site) -> String {
     let mut table = Table::new(
         &["site", "zones", "capacity", "load", "headroom", "ramp", "told", "who takes over"],
         &[2, 3, 4, 5],
@@ -108,38 +108,39 @@
             figure(site.capacity),
             figure(site.load),
             percent(site.headroom),
-            Dimension::Span.text(site.ramp as f64, " "),
-            told(site.told).unwrap_or("-").to_owned(),
+            Dimension::Span.text(site.recovery_ramp as f64, " "),
+            told(site.operator_override).unwrap_or("-").to_owned(),
             takers(plan, site),
         ]);
     }
     table.text()
 }
 
-fn told(told: Option<Told>) -> Option<&'static str> {
+fn told(told: Option<OperatorOverride>) -> Option<&'static str> {
     told.map(|told| match told {
-        Told::Lost => "lost",
-        Told::Whole => "whole",
+        OperatorOverride::Lost => "lost",
+        OperatorOverride::Healthy => "whole",
     })
 }
 
-fn takers(plan: &Plan, site: &site_failover::Site) -> String {
-    let name =
-        |taker: &site_failover::Taker| format!("{} {}", plan.sites[taker.site].name, percent(taker.share));
-    let mut parts: Vec<String> = site.takers.iter().map(name).collect();
-    let open = 1.0 - site.takers.iter().map(|taker| taker.share).sum::<f64>();
+fn takers(plan: &FailoverPlan, site: &site_failover::Site) -> String {
+    let name = |taker: &site_failover::FailoverTarget| {
+        format!("{} {}", plan.sites[taker.site].name, percent(taker.fraction))
+    };
+    let mut parts: Vec<String> = site.failover_targets.iter().map(name).collect();
+    let open = 1.0 - site.failover_targets.iter().map(|taker| taker.fraction).sum::<f64>();
     if open > 1e-9 {
         parts.push(format!("whoever has room {}", percent(open)));
     }
     parts.join(", ")
 }
 
-fn sheds(plan: &Plan, platform: &Site) -> String {
-    if plan.ladder.rungs.is_empty() {
+fn sheds(plan: &FailoverPlan, platform: &Site) -> String {
+    if plan.shedding.tiers.is_empty() {
         return "nothing is named: what does not fit is refused by worth alone\n".into();
     }
     let mut table = Table::new(&["", "shed", "floor", "requests"], &[0, 2]);
-    for (number, rung) in plan.ladder.rungs.iter().enumerate() {
+    for (number, rung) in plan.shedding.tiers.iter().enumerate() {
         let cells = rung.cells.iter().map(|cell| cell_name(plan, platform, *cell));
         table.row(vec![
             (number + 1).to_string(),
@@ -152,23 +153,23 @@
 }
 
 /// `CLASS/PLAN`.
-fn cell_name(plan: &Plan, platform: &Site, cell: usize) -> String {
-    let plans = plan.ladder.plans;
+fn cell_name(plan: &FailoverPlan, platform: &Site, cell: usize) -> String {
+    let plans = plan.shedding.plans;
     let name =
         |names: &[String], number: usize| names.get(number).map_or_else(String::new, |name| one_line(name));
     format!("{}/{}", name(&platform.classes, cell / plans), name(&platform.plans, cell % plans))
 }
 
-fn outcomes(plan: &Plan, losses: &[Loss]) -> String {
+fn outcomes(plan: &FailoverPlan, losses: &[LossScenario]) -> String {
     let mut table = Table::new(&["lost", "carried", "refused", "fullest site", "what is refused"], &[2]);
     for loss in losses {
         let mut what = match &loss.outcome {
-            Outcome::Known(fit) => what_is_refused(plan, fit),
-            Outcome::Unknown(sites) => {
+            LossOutcome::Computed(fit) => what_is_refused(plan, fit),
+            LossOutcome::MissingFigures(sites) => {
                 let lacking: Vec<&str> = sites.iter().map(|site| plan.sites[*site].name.as_str()).collect();
                 vec![format!("`capacity` and `load` are not both known of {}", lacking.join(", "))]
             }
-            Outcome::NobodyLeft => vec!["no site is left".into()],
+            LossOutcome::NoSiteLeft => vec!["no site is left".into()],
         }
         .into_iter();
         let mut row = vec![names(plan, loss).join(" and ")];
@@ -184,48 +185,52 @@
 }
 
 /// Whether it is carried, what is refused if not, and the site that is fullest.
-fn verdict(plan: &Plan, outcome: &Outcome) -> [String; 3] {
+fn verdict(plan: &FailoverPlan, outcome: &LossOutcome) -> [String; 3] {
     let fit = match outcome {
-        Outcome::Known(fit) => fit,
-        Outcome::Unknown(_) => return ["?", "?", ""].map(str::to_owned),
-        Outcome::NobodyLeft => return ["no", "all", ""].map(str::to_owned),
+        LossOutcome::Computed(fit) => fit,
+        LossOutcome::MissingFigures(_) => return ["?", "?", ""].map(str::to_owned),
+        LossOutcome::NoSiteLeft => return ["no", "all", ""].map(str::to_owned),
     };
-    let fullest = &fit.left[fit.narrowest];
-    let asked = amount(fullest.own + fullest.taken);
-    let fullest = format!("{}: asked {asked}, room {}", plan.sites[fullest.site].name, amount(fullest.room));
+    let fullest = &fit.remaining_sites[fit.bottleneck];
+    let asked = amount(fullest.own_load + fullest.taken_over_load);
+    let fullest =
+        format!("{}: asked {asked}, room {}", plan.sites[fullest.site].name, amount(fullest.usable_capacity));
     if fit.is_carried() {
         return ["yes".into(), "-".into(), fullest];
     }
-    ["no".into(), format!("{} ({})", amount(fit.refused), percent(fit.share_refused())), fullest]
+    ["no".into(), format!("{} ({})", amount(fit.shed), percent(fit.shed_fraction())), fullest]
 }
 
-fn what_is_refused(plan: &Plan, fit: &Fit) -> Vec<String> {
+fn what_is_refused(plan: &FailoverPlan, fit: &LoadFit) -> Vec<String> {
     let mut what = refusals(plan, fit);
-    let floors: Vec<&str> = fit.floors_at_risk(&plan.ladder).map(|rung| rung.name.as_str()).collect();
+    let floors: Vec<&str> = fit.floors_at_risk(&plan.shedding).map(|rung| rung.name.as_str()).collect();
     if !floors.is_empty() {
         what.push(format!("floors that cannot be kept: {}", floors.join(", ")));
     }
     what
 }
 
-fn document(words: &Words, plan: &Plan, losses: &[Loss], platform: &Site) -> Value {
+fn document(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], platform: &Site) -> Value {
     let name = |number: usize| plan.sites[number].name.as_str();
     let site = |site: &site_failover::Site| {
         let zones: Vec<&String> =
             site.zones.iter().filter_map(|zone| platform.zones.get(*zone as usize)).collect();
-        let takers = site.takers.iter().map(|taker| json!({"site": name(taker.site), "share": taker.share}));
+        let takers = site
+            .failover_targets
+            .iter()
+            .map(|taker| json!({"site": name(taker.site), "share": taker.fraction}));
         json!({
             "name": site.name,
             "zones": zones,
             "capacity": site.capacity,
             "load": site.load,
             "headroom": site.headroom,
-            "ramp_s": site.ramp as f64 / 1e9,
-            "told": told(site.told),
+            "ramp_s": site.recovery_ramp as f64 / 1e9,
+            "told": told(site.operator_override),
             "takers": takers.collect::<Vec<_>>(),
         })
     };
-    let shed = |rung: &site_failover::Rung| {
+    let shed = |rung: &site_failover::SheddingTier| {
         let cells: Vec<String> = rung.cells.iter().map(|cell| cell_name(plan, platform, *cell)).collect();
         json!({"name": rung.name, "floor": rung.floor, "requests": cells})
     };
@@ -233,37 +238,37 @@
         "file": path_text(&words.file),
         "mix": words.mix.as_deref().unwrap_or("even"),
         "sites": plan.sites.iter().map(site).collect::<Vec<_>>(),
-        "sheds": plan.ladder.rungs.iter().map(shed).collect::<Vec<_>>(),
+        "sheds": plan.shedding.tiers.iter().map(shed).collect::<Vec<_>>(),
         "losses": losses.iter().map(|loss| loss_document(plan, loss)).collect::<Vec<_>>(),
     })
 }
 
-fn loss_document(plan: &Plan, loss: &Loss) -> Value {
+fn loss_document(plan: &FailoverPlan, loss: &LossScenario) -> Value {
     let name = |number: usize| plan.sites[number].name.as_str();
     let lost = names(plan, loss);
     let fit = match &loss.outcome {
-        Outcome::NobodyLeft => return json!({"lost": lost, "verdict": "nobody-left"}),
-        Outcome::Unknown(sites) => {
+        LossOutcome::NoSiteLeft => return json!({"lost": lost, "verdict": "nobody-left"}),
+        LossOutcome::MissingFigures(sites) => {
             let lacking: Vec<&str> = sites.iter().map(|site| name(*site)).collect();
             return json!({"lost": lost, "verdict": "unknown", "lacking": lacking});
         }
-        Outcome::Known(fit) => fit,
+        LossOutcome::Computed(fit) => fit,
     };
-    let left = fit.left.iter().map(|placed| {
-        json!({"site": name(placed.site), "own": placed.own, "taken": placed.taken, "room": placed.room})
+    let left = fit.remaining_sites.iter().map(|placed| {
+        json!({"site": name(placed.site), "own": placed.own_load, "taken": placed.taken_over_load, "room": placed.usable_capacity})
     });
-    let rungs = fit.rungs.iter().map(|rung| {
-        json!({"shed": plan.ladder.rungs[rung.rung].name, "asked": rung.asked, "refused": rung.refused})
+    let rungs = fit.shed_by_tier.iter().map(|rung| {
+        json!({"shed": plan.shedding.tiers[rung.tier].name, "asked": rung.demand, "refused": rung.shed})
     });
     json!({
         "lost": lost,
         "verdict": if fit.is_carried() { "carried" } else { "refused" },
-        "asked": fit.asked,
-        "refused": fit.refused,
+        "asked": fit.demand,
+        "refused": fit.shed,
         "left": left.collect::<Vec<_>>(),
-        "fullest": name(fit.left[fit.narrowest].site),
+        "fullest": name(fit.remaining_sites[fit.bottleneck].site),
         "sheds": rungs.collect::<Vec<_>>(),
-        "beyond": fit.beyond,
-        "floors_at_risk": fit.floors_at_risk(&plan.ladder).map(|rung| rung.name.as_str()).collect::<Vec<_>>(),
+        "beyond": fit.shed_beyond_tiers,
+        "floors_at_risk": fit.floors_at_risk(&plan.shedding).map(|rung| rung.name.as_str()).collect::<Vec<_>>(),
     })
 }
