--- a/crates/cluster-emulator/tests/quota/totals.rs
+++ b/crates/cluster-emulator/tests/quota/totals.rs
@@ -12,7 +12,7 @@
 use policy::api::{CounterKey, CustomerId};
 use policy::names::{leased, told_late, EPOCH};
 use quota::bound::{beyond, Failure, Quota};
-use resp::{decode, fill, put_bulk, put_header, Frame};
+use resp::{decode, encode_array_header, encode_bulk, fill, Frame};
 use runtime::{Env, Stream, Time};
 use simulated_runtime::SimEnv;
 use std::collections::BTreeMap;
@@ -72,9 +72,9 @@
 /// A call that adds nothing.
 fn ask(name: CounterKey) -> BytesMut {
     let mut out = BytesMut::new();
-    put_header(&mut out, b'*', 4);
+    encode_array_header(&mut out, 4);
     for word in ["ADDGET", &format!("{:016x}", name.0), "0", "60000"] {
-        put_bulk(&mut out, word.as_bytes());
+        encode_bulk(&mut out, word.as_bytes());
     }
     out
 }
--- a/crates/cluster-emulator/tests/wrongdoers/proxy.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/proxy.rs
@@ -6,7 +6,7 @@
 use cluster_emulator::{Document, GatewayMaker, GatewayStart};
 use cluster_model::{MS, SECOND};
 use gateway::{Lifecycle, Member, Membership, Signal};
-use resp::{decode, fill, put_bulk, put_header, Frame, RespError};
+use resp::{decode, encode_array_header, encode_bulk, fill, Frame, RespError};
 use runtime::{Env, Listener, Span, Time};
 use serde_json::Value;
 use simulated_runtime::{SimEnv, SimStream};
@@ -106,7 +106,7 @@
     fn bytes(&self) -> BytesMut {
         let mut out = BytesMut::new();
         match self {
-            Reply::Value(value) => put_bulk(&mut out, value),
+            Reply::Value(value) => encode_bulk(&mut out, value),
             Reply::Busy => out.extend_from_slice(b"-BUSY\r\n"),
             Reply::Failed => out.extend_from_slice(b"-ERR failed\r\n"),
         }
@@ -135,8 +135,8 @@
         let list = std::str::from_utf8(words.get(3)?).ok()?;
         let pairs: BTreeMap<&str, &str> = list.split(',').filter_map(|pair| pair.split_once('=')).collect();
         let mut command = BytesMut::new();
-        put_header(&mut command, b'*', words.len());
-        words.iter().for_each(|word| put_bulk(&mut command, word));
+        encode_array_header(&mut command, words.len());
+        words.iter().for_each(|word| encode_bulk(&mut command, word));
         Some(Call {
             command,
             order: &words[0][..] == b"CALL.POST",
--- a/crates/fake-services/src/agent.rs
+++ b/crates/fake-services/src/agent.rs
@@ -10,7 +10,6 @@
 use cluster_model::seen::What;
 use cluster_model::MS;
 use http::Request;
-use resp;
 use runtime::{Env, Listener, Span, Stream, Task, Time, Writer};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/fake-services/src/client/call.rs
+++ b/crates/fake-services/src/client/call.rs
@@ -6,7 +6,7 @@
 use cluster_model::seen::Got;
 use cluster_model::traffic::Arrival;
 use cluster_model::MS;
-use resp::{self as resp, Frame};
+use resp::Frame;
 use runtime::Span;
 
 /// Writes commands.
@@ -58,8 +58,8 @@
 /// A command of these words.
 pub(super) fn command<T: AsRef<[u8]>>(words: &[T]) -> Bytes {
     let mut text = BytesMut::new();
-    resp::put_header(&mut text, b'*', words.len());
-    words.iter().for_each(|word| resp::put_bulk(&mut text, word.as_ref()));
+    resp::encode_array_header(&mut text, words.len());
+    words.iter().for_each(|word| resp::encode_bulk(&mut text, word.as_ref()));
     text.freeze()
 }
 
--- a/crates/fake-services/src/client/line.rs
+++ b/crates/fake-services/src/client/line.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use cluster_model::seen::{Got, What};
 use cluster_model::MS;
-use resp::{self as resp, Frame, RespError};
+use resp::{Frame, RespError};
 use runtime::{Env, Span, Time};
 use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
--- a/crates/fake-services/src/counter.rs
+++ b/crates/fake-services/src/counter.rs
@@ -13,7 +13,6 @@
 use command::Command;
 use desk::{Desk, PipeId, View, Way};
 use pipe::Batch;
-use resp;
 use runtime::{Env, Listener, Span, Stream, Task, Time, Writer};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/fake-services/src/counter/desk.rs
+++ b/crates/fake-services/src/counter/desk.rs
@@ -10,7 +10,6 @@
 use cluster_model::scenario::CounterFault;
 use cluster_model::seen::What;
 use cluster_model::{Span, Time};
-use resp;
 use std::collections::BTreeMap;
 
 /// Connections that a gateway may have; further ones are reset.
@@ -340,7 +339,7 @@
             return (Bytes::from_static(self.noise()), true);
         }
         let mut text = BytesMut::new();
-        resp::put_bulk(&mut text, total.to_string().as_bytes());
+        resp::encode_bulk(&mut text, total.to_string().as_bytes());
         (text.freeze(), false)
     }
 
--- a/crates/fake-services/src/host/answer.rs
+++ b/crates/fake-services/src/host/answer.rs
@@ -3,7 +3,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use cluster_model::draw;
 use cluster_model::rng::Rng;
-use resp::{put_bulk, put_header};
+use resp::{encode_array_header, encode_bulk};
 
 /// What a host sends at the most of a value that it said to be huge, and then falls silent.
 const HUGE_SENT: usize = 64 * 1024;
@@ -37,10 +37,10 @@
 
 fn array(id: u64, figures: Option<&str>) -> Bytes {
     let mut out = BytesMut::with_capacity(96);
-    put_header(&mut out, b'*', 3);
-    put_bulk(&mut out, draw::value(id).as_bytes());
+    encode_array_header(&mut out, 3);
+    encode_bulk(&mut out, draw::value(id).as_bytes());
     match figures {
-        Some(text) => put_bulk(&mut out, text.as_bytes()),
+        Some(text) => encode_bulk(&mut out, text.as_bytes()),
         None => out.put_slice(NULL),
     }
     out.put_slice(NULL);
--- a/crates/fake-services/tests/client/gateway.rs
+++ b/crates/fake-services/tests/client/gateway.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use cluster_model::draw;
-use resp::{self as resp, Frame};
+use resp::Frame;
 use runtime::{Env, Listener, Span, Stream, Task, Writer};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use platform_settings::Site;
 use policy::api::{CustomerId, Idempotency, Request, RequestId, Span};
-use resp::{self as resp, Frame};
+use resp::Frame;
 
 const MS: Span = 1_000_000;
 /// Names in a call's list that mean something here, in the order in which `values` takes them apart.
@@ -57,20 +57,20 @@
     pub fn for_host(&self, wait: Span) -> Text {
         let short = self.body.as_ref().filter(|body| body.len() <= COPIED);
         let mut text = BytesMut::with_capacity(256 + short.map_or(0, Bytes::len));
-        resp::put_header(&mut text, b'*', 4 + usize::from(self.body.is_some()));
-        self.head.iter().for_each(|part| resp::put_bulk(&mut text, part));
+        resp::encode_array_header(&mut text, 4 + usize::from(self.body.is_some()));
+        self.head.iter().for_each(|part| resp::encode_bulk(&mut text, part));
         let d = (wait / MS).max(1).to_string();
-        resp::put_header(&mut text, b'$', self.before.len() + d.len() + self.after.len());
+        resp::encode_bulk_header(&mut text, self.before.len() + d.len() + self.after.len());
         for part in [&self.before[..], d.as_bytes(), &self.after[..], b"\r\n"] {
             text.extend_from_slice(part);
         }
         let long = match (&self.body, short) {
             (_, Some(body)) => {
-                resp::put_bulk(&mut text, body);
+                resp::encode_bulk(&mut text, body);
                 Bytes::new()
             }
             (Some(body), None) => {
-                resp::put_header(&mut text, b'$', body.len());
+                resp::encode_bulk_header(&mut text, body.len());
                 body.clone()
             }
             (None, None) => Bytes::new(),
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -10,7 +10,7 @@
 use bytes_utils::SegmentedBuf;
 use platform_settings::Site;
 use policy::api::{RequestId, Span, Time};
-use resp::{self as resp, Frame, RespError};
+use resp::{Frame, RespError};
 use runtime::{Env, Listener, Stream, Writer};
 use std::collections::VecDeque;
 use std::future::{poll_fn, Future};
@@ -574,12 +574,12 @@
                 // One piece costs less than to write several.
                 Reply::Value(value) if value.len() <= COPIED => {
                     let mut all = BytesMut::with_capacity(value.len() + 16);
-                    resp::put_bulk(&mut all, &value);
+                    resp::encode_bulk(&mut all, &value);
                     self.put(all.freeze());
                 }
                 Reply::Value(value) => {
                     let mut header = BytesMut::with_capacity(16);
-                    resp::put_header(&mut header, b'$', value.len());
+                    resp::encode_bulk_header(&mut header, value.len());
                     self.put(header.freeze());
                     self.put(value);
                     self.put(Bytes::from_static(b"\r\n"));
--- a/crates/gateway/src/clients/tests.rs
+++ b/crates/gateway/src/clients/tests.rs
@@ -42,11 +42,11 @@
 
 fn a_call() -> BytesMut {
     let mut call = BytesMut::new();
-    resp::put_header(&mut call, b'*', 4);
+    resp::encode_array_header(&mut call, 4);
     for word in
         ["CALL.GET", "0000000000000001", "0000000000000002", "c=read,t=team,d=900,units=1,spread=1,first=0"]
     {
-        resp::put_bulk(&mut call, word.as_bytes());
+        resp::encode_bulk(&mut call, word.as_bytes());
     }
     call
 }
@@ -178,8 +178,8 @@
     context.room = Room::within(&Budget::within(8 * 64 * 1024, 0));
     let address = accepting(context);
     let mut begun = BytesMut::new();
-    resp::put_header(&mut begun, b'*', 5);
-    resp::put_header(&mut begun, b'$', resp::MAX_VALUE);
+    resp::encode_array_header(&mut begun, 5);
+    resp::encode_bulk_header(&mut begun, resp::MAX_VALUE);
     begun.resize(40 * 1024, b'x');
     let mut first = TcpStream::connect(address).await.unwrap();
     first.write_all(&begun).await.unwrap();
@@ -369,10 +369,10 @@
         let list = "c=read,t=team,d=900,units=1,spread=1,first=0";
         let words = ["CALL.GET", "0000000000000001", "0000000000000002", list];
         let mut call = BytesMut::new();
-        resp::put_header(&mut call, b'*', words.len() + usize::from(length > 0));
-        words.iter().for_each(|word| resp::put_bulk(&mut call, word.as_bytes()));
+        resp::encode_array_header(&mut call, words.len() + usize::from(length > 0));
+        words.iter().for_each(|word| resp::encode_bulk(&mut call, word.as_bytes()));
         if length > 0 {
-            resp::put_bulk(&mut call, &vec![b'x'; length]);
+            resp::encode_bulk(&mut call, &vec![b'x'; length]);
         }
         call
     };
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -6,7 +6,7 @@
 use crate::outage::Outage;
 use bytes::{Buf, Bytes, BytesMut};
 use policy::api::{CounterKey, Outcome, Span, Time};
-use resp::{self as resp, Frame, RespError};
+use resp::{Frame, RespError};
 use runtime::{Env, Stream};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -186,9 +186,9 @@
     let (name, amount) = (format!("{:016x}", name.0), format!("{amount:.6}"));
     let keep = (keep / MS).max(1).to_string();
     let mut text = BytesMut::with_capacity(96);
-    resp::put_header(&mut text, b'*', 4);
+    resp::encode_array_header(&mut text, 4);
     for word in ["ADDGET", &name, &amount, &keep] {
-        resp::put_bulk(&mut text, word.as_bytes());
+        resp::encode_bulk(&mut text, word.as_bytes());
     }
     text.freeze()
 }
@@ -219,7 +219,7 @@
             self.tell(job.call, Outcome::ConnectFailed, 0.0);
         }
         match error {
-            Some(error) if error.is_nonsense() => {
+            Some(error) if error.is_protocol_violation() => {
                 let _ = self.gateway.send(Input::Counter(CounterEvent::Nonsense { address, error }));
             }
             Some(error) => tracing::debug!("counter: {error}"),
--- a/crates/gateway/src/host_line.rs
+++ b/crates/gateway/src/host_line.rs
@@ -4,7 +4,7 @@
 use crate::crash::{self, CrashPoint};
 use crate::messages::{ConnId, HostEvent, Input};
 use bytes::{Buf, Bytes, BytesMut};
-use resp::{self as resp, Frame, RespError};
+use resp::{Frame, RespError};
 use runtime::{Env, Sleep, Span, Stream, Time, Writer};
 use std::io;
 use std::net::SocketAddr;
@@ -154,7 +154,7 @@
             self.shared.put(writer);
             self.tell(HostEvent::Up(self.id));
             if let Err(error) = self.carry(reader, rests).await {
-                if error.is_nonsense() {
+                if error.is_protocol_violation() {
                     self.tell(HostEvent::Nonsense { id: self.id, error });
                 }
             }
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -6,7 +6,7 @@
 use cluster_model::{MS, SECOND};
 use config_language::{load, loader::Memory};
 use gateway::{serve, Config, Signal};
-use resp::{decode, put_bulk, put_header, Frame};
+use resp::{decode, encode_array_header, encode_bulk, Frame};
 use runtime::{Env, Listener, Reader, Span, Stream, Time, Writer};
 use serde_json::{json, Value};
 use simulated_runtime::{
@@ -682,8 +682,8 @@
 /// A command.
 pub fn command(words: &[&str]) -> Bytes {
     let mut bytes = BytesMut::new();
-    put_header(&mut bytes, b'*', words.len());
-    words.iter().for_each(|word| put_bulk(&mut bytes, word.as_bytes()));
+    encode_array_header(&mut bytes, words.len());
+    words.iter().for_each(|word| encode_bulk(&mut bytes, word.as_bytes()));
     bytes.freeze()
 }
 
--- a/crates/load-generator/src/client.rs
+++ b/crates/load-generator/src/client.rs
@@ -7,7 +7,7 @@
 use crate::stats::{End, Kind, Stats};
 use bytes::BytesMut;
 use cluster_model::scenario::ClassSpec;
-use resp::{decode, put_bulk, put_header, Frame};
+use resp::{decode, encode_array_header, encode_bulk, Frame};
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
@@ -130,13 +130,13 @@
         let plan = if ask.is_premium { "premium" } else { "standard" };
         let wait = class.deadline / 1_000_000;
         let list = format!("c={},t={plan},d={wait},units={},spread=1,first=0", class.name, ask.units);
-        put_header(out, b'*', 4 + usize::from(ask.is_order));
-        put_bulk(out, if ask.is_order { b"CALL.POST" } else { b"CALL.GET" });
-        put_bulk(out, format!("{:016x}", ask.customer).as_bytes());
-        put_bulk(out, format!("{id:016x}").as_bytes());
-        put_bulk(out, list.as_bytes());
+        encode_array_header(out, 4 + usize::from(ask.is_order));
+        encode_bulk(out, if ask.is_order { b"CALL.POST" } else { b"CALL.GET" });
+        encode_bulk(out, format!("{:016x}", ask.customer).as_bytes());
+        encode_bulk(out, format!("{id:016x}").as_bytes());
+        encode_bulk(out, list.as_bytes());
         if ask.is_order {
-            put_bulk(out, &vec![b'b'; self.spec.body]);
+            encode_bulk(out, &vec![b'b'; self.spec.body]);
         }
         id
     }
--- a/crates/load-generator/src/counter.rs
+++ b/crates/load-generator/src/counter.rs
@@ -2,7 +2,7 @@
 //! quotas.
 
 use bytes::BytesMut;
-use resp::{decode, put_bulk, Frame};
+use resp::{decode, encode_bulk, Frame};
 use std::collections::HashMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -40,7 +40,7 @@
                 let total = totals.entry(key.to_vec()).or_default();
                 *total += amount(by).unwrap_or(0.0);
                 // Seven digits are exact, as the protocol says.
-                put_bulk(out, format!("{:.6e}", *total).as_bytes());
+                encode_bulk(out, format!("{:.6e}", *total).as_bytes());
             }
             [name] if name.eq_ignore_ascii_case(b"PING") => out.extend_from_slice(b"+PONG\r\n"),
             _ => out.extend_from_slice(b"-ERR unknown\r\n"),
--- a/crates/load-generator/src/hosts.rs
+++ b/crates/load-generator/src/hosts.rs
@@ -2,7 +2,7 @@
 //! in work at once as it has cores. When an answer is due is known the moment its command has come.
 
 use bytes::{BufMut, BytesMut};
-use resp::{decode, put_bulk, put_header, Frame};
+use resp::{decode, encode_array_header, encode_bulk, Frame};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -155,11 +155,11 @@
         return Due { at: now, answer };
     };
     work.served.fetch_add(1, Ordering::Relaxed);
-    put_header(&mut answer, b'*', 3);
+    encode_array_header(&mut answer, 3);
     let mut value = BytesMut::with_capacity(spec.value);
     value.put_slice(id);
     value.resize(spec.value.max(id.len()), b'.');
-    put_bulk(&mut answer, &value);
+    encode_bulk(&mut answer, &value);
     answer.put_slice(b"$-1\r\n$-1\r\n");
     Due { at, answer }
 }
--- a/crates/load-generator/src/relay.rs
+++ b/crates/load-generator/src/relay.rs
@@ -2,7 +2,7 @@
 //! pipelined connections each. What it costs is the floor that any proxy of this kind pays on this runtime.
 
 use bytes::BytesMut;
-use resp::{decode, put_bulk, put_header, Frame};
+use resp::{decode, encode_array_header, encode_bulk, Frame};
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
@@ -133,9 +133,9 @@
         Frame::Error(text) => line(b'-', text),
         Frame::Integer(text) => line(b':', text),
         Frame::Null => line(b'$', b"-1"),
-        Frame::Bulk(value) => put_bulk(out, value),
+        Frame::Bulk(value) => encode_bulk(out, value),
         Frame::Array(parts) => {
-            put_header(out, b'*', parts.len());
+            encode_array_header(out, parts.len());
             parts.iter().for_each(|part| put(part, out));
         }
     }
--- /dev/null
+++ b/crates/resp/src/decode.rs
@@ -0,0 +1,205 @@
+//! Reads bytes from a peer and takes complete frames off the buffer.
+
+use crate::{Frame, RespError, MAX_FRAME, MAX_VALUE};
+use bytes::{Buf, Bytes, BytesMut};
+use tokio::io::{AsyncRead, AsyncReadExt};
+
+/// Maximum length of a line, in bytes.
+pub(crate) const MAX_LINE: usize = 1024;
+/// Maximum number of items in an array.
+const MAX_ITEMS: usize = 16;
+/// Bytes of free capacity to read into.
+const READ_CAPACITY: usize = 4 * 1024;
+/// Frames below this length, in bytes, are copied: a slice would keep the complete read buffer alive.
+const MIN_SHARED: usize = 1024;
+/// An empty read buffer beyond this capacity is released.
+const MAX_IDLE_CAPACITY: usize = 4 * READ_CAPACITY;
+/// The length of a missing value or array.
+const NULL_LENGTH: i64 = -1;
+
+/// Reads the available bytes of a peer into the buffer, waiting for the first of them.
+///
+/// # Errors
+/// [`RespError::Closed`] at the end of the stream, [`RespError::Io`] where reading fails.
+pub async fn fill<R: AsyncRead + Unpin>(from: &mut R, buffer: &mut BytesMut) -> Result<(), RespError> {
+    buffer.reserve(READ_CAPACITY);
+    match from.read_buf(buffer).await? {
+        0 => Err(RespError::Closed),
+        _ => Ok(()),
+    }
+}
+
+/// Takes the first complete frame off the buffer; `None` if more bytes are needed.
+///
+/// # Errors
+/// [`RespError::Malformed`] or [`RespError::TooLong`]; the stream cannot be followed any further then.
+pub fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, RespError> {
+    let mut scanner = Scanner { buffer, position: 0 };
+    let Some(parsed) = scanner.frame()? else { return Ok(None) };
+    let length = scanner.position;
+    let bytes = take(buffer, length);
+    Ok(Some(parsed.into_frame(&bytes)))
+}
+
+/// Takes the first bytes off the buffer.
+fn take(buffer: &mut BytesMut, count: usize) -> Bytes {
+    if count >= MIN_SHARED {
+        return buffer.split_to(count).freeze();
+    }
+    let bytes = Bytes::copy_from_slice(&buffer[..count]);
+    buffer.advance(count);
+    if buffer.is_empty() && buffer.capacity() > MAX_IDLE_CAPACITY {
+        *buffer = BytesMut::new();
+    }
+    bytes
+}
+
+/// A decoded frame whose contents still lie in the buffer.
+enum ParsedFrame {
+    Item(Item),
+    Array(Vec<Item>),
+    NullArray,
+}
+
+impl ParsedFrame {
+    fn into_frame(self, bytes: &Bytes) -> Frame {
+        match self {
+            ParsedFrame::Item(item) => item.to_frame(bytes),
+            ParsedFrame::Array(items) => {
+                Frame::Array(items.iter().map(|item| item.to_frame(bytes)).collect())
+            }
+            ParsedFrame::NullArray => Frame::Null,
+        }
+    }
+}
+
+#[derive(Clone, Copy)]
+enum ItemKind {
+    Simple,
+    Error,
+    Integer,
+    Bulk,
+    Null,
+}
+
+/// An item by the place of its content in the buffer.
+struct Item {
+    kind: ItemKind,
+    start: usize,
+    end: usize,
+}
+
+impl Item {
+    fn to_frame(&self, bytes: &Bytes) -> Frame {
+        let content = || bytes.slice(self.start..self.end);
+        match self.kind {
+            ItemKind::Simple => Frame::Simple(content()),
+            ItemKind::Error => Frame::Error(content()),
+            ItemKind::Integer => Frame::Integer(content()),
+            ItemKind::Bulk => Frame::Bulk(content()),
+            ItemKind::Null => Frame::Null,
+        }
+    }
+}
+
+/// The place of a line in the buffer, without its end.
+struct Line {
+    start: usize,
+    end: usize,
+}
+
+/// Goes through the buffer without changing it. Each method returns `None` if more bytes are needed.
+struct Scanner<'a> {
+    buffer: &'a [u8],
+    position: usize,
+}
+
+impl Scanner<'_> {
+    fn frame(&mut self) -> Result<Option<ParsedFrame>, RespError> {
+        if self.buffer.first() == Some(&b'*') {
+            self.array()
+        } else {
+            Ok(self.item()?.map(ParsedFrame::Item))
+        }
+    }
+
+    fn array(&mut self) -> Result<Option<ParsedFrame>, RespError> {
+        let Some(line) = self.line()? else { return Ok(None) };
+        let count = match self.length_in(&line)? {
+            NULL_LENGTH => return Ok(Some(ParsedFrame::NullArray)),
+            count => usize::try_from(count).map_err(|_| RespError::Malformed("array length"))?,
+        };
+        if count > MAX_ITEMS {
+            return Err(RespError::TooLong("array"));
+        }
+        let mut items = Vec::with_capacity(count);
+        for _ in 0..count {
+            let Some(item) = self.item()? else { return Ok(None) };
+            items.push(item);
+        }
+        Ok(Some(ParsedFrame::Array(items)))
+    }
+
+    fn item(&mut self) -> Result<Option<Item>, RespError> {
+        let kind = match self.buffer.get(self.position) {
+            None => return Ok(None),
+            Some(b'+') => ItemKind::Simple,
+            Some(b'-') => ItemKind::Error,
+            Some(b':') => ItemKind::Integer,
+            Some(b'$') => ItemKind::Bulk,
+            Some(_) => return Err(RespError::Malformed("frame type")),
+        };
+        let Some(line) = self.line()? else { return Ok(None) };
+        match kind {
+            ItemKind::Bulk => self.bulk(&line),
+            _ => Ok(Some(Item { kind, start: line.start + 1, end: line.end })),
+        }
+    }
+
+    /// The bulk string that a header line announces.
+    fn bulk(&mut self, header: &Line) -> Result<Option<Item>, RespError> {
+        let length = match self.length_in(header)? {
+            NULL_LENGTH => {
+                return Ok(Some(Item { kind: ItemKind::Null, start: header.end, end: header.end }))
+            }
+            length => usize::try_from(length).map_err(|_| RespError::Malformed("bulk length"))?,
+        };
+        let start = self.position;
+        let end = start.saturating_add(length);
+        if length > MAX_VALUE || end > MAX_FRAME {
+            return Err(RespError::TooLong("value"));
+        }
+        match self.buffer.get(end..end + 2) {
+            None => Ok(None),
+            Some(b"\r\n") => {
+                self.position = end + 2;
+                Ok(Some(Item { kind: ItemKind::Bulk, start, end }))
+            }
+            Some(_) => Err(RespError::Malformed("bulk end")),
+        }
+    }
+
+    /// The next line, with the byte of its frame type.
+    fn line(&mut self) -> Result<Option<Line>, RespError> {
+        let rest = &self.buffer[self.position..];
+        let Some(length) = rest.iter().take(MAX_LINE).position(|byte| *byte == b'\r') else {
+            return if rest.len() < MAX_LINE { Ok(None) } else { Err(RespError::TooLong("line")) };
+        };
+        match rest.get(length + 1) {
+            None => Ok(None),
+            Some(b'\n') => {
+                let line = Line { start: self.position, end: self.position + length };
+                self.position = line.end + 2;
+                Ok(Some(line))
+            }
+            Some(_) => Err(RespError::Malformed("line end")),
+        }
+    }
+
+    /// The length in a header line, behind the byte of its frame type.
+    fn length_in(&self, header: &Line) -> Result<i64, RespError> {
+        let digits = &self.buffer[header.start + 1..header.end];
+        let text = std::str::from_utf8(digits).ok().filter(|text| !text.starts_with('+'));
+        text.and_then(|text| text.parse().ok()).ok_or(RespError::Malformed("length"))
+    }
+}
--- /dev/null
+++ b/crates/resp/src/frame.rs
@@ -0,0 +1,20 @@
+//! The frames of the protocol.
+
+use bytes::Bytes;
+
+/// One frame. An array holds no arrays.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Frame {
+    /// `+`: a status line.
+    Simple(Bytes),
+    /// `-`: an error line.
+    Error(Bytes),
+    /// `:`: the digits of a number as the peer wrote them.
+    Integer(Bytes),
+    /// `$`: a value of any bytes.
+    Bulk(Bytes),
+    /// `$-1` or `*-1`: a missing value or array.
+    Null,
+    /// `*`: several frames of the other kinds.
+    Array(Vec<Frame>),
+}
--- /dev/null
+++ b/crates/resp/src/tests.rs
@@ -0,0 +1,66 @@
+use super::decode::MAX_LINE;
+use super::*;
+use bytes::{Bytes, BytesMut};
+use proptest::prelude::*;
+use proptest::test_runner::{Config, RngSeed};
+
+fn bulk(text: &[u8]) -> Frame {
+    Frame::Bulk(Bytes::copy_from_slice(text))
+}
+
+#[test]
+fn frames_of_every_kind_are_decoded() {
+    let mut buf = BytesMut::from(
+        &b"+OK\r\n-BUSY 5\r\n:7\r\n$2\r\nhi\r\n$-1\r\n*2\r\n$0\r\n\r\n$-1\r\n*-1\r\n*0\r\n"[..],
+    );
+    let text = Bytes::from_static;
+    for wanted in [
+        Frame::Simple(text(b"OK")),
+        Frame::Error(text(b"BUSY 5")),
+        Frame::Integer(text(b"7")),
+        bulk(b"hi"),
+        Frame::Null,
+        Frame::Array(vec![bulk(b""), Frame::Null]),
+        Frame::Null,
+        Frame::Array(vec![]),
+    ] {
+        assert_eq!(decode(&mut buf).unwrap(), Some(wanted));
+    }
+    assert!(buf.is_empty());
+}
+
+#[test]
+fn lengths_and_counts_beyond_the_bounds_are_rejected() {
+    let long = format!("+{}", "x".repeat(MAX_LINE));
+    let nested = "*1\r\n".repeat(20_000);
+    let many_values = format!("*2\r\n$65536\r\n{}\r\n$65536\r\n", "x".repeat(MAX_VALUE));
+    for text in ["$65537\r\n", "*17\r\n", "$-2\r\n", "$+1\r\n", "*1e3\r\n", &long, &nested, &many_values] {
+        assert!(decode(&mut BytesMut::from(text)).is_err(), "{}", &text[..text.len().min(20)]);
+    }
+}
+
+proptest! {
+    #![proptest_config(Config { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() })]
+
+    #[test]
+    fn a_command_decodes_alike_however_it_is_fragmented(
+        words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..6),
+        cut in 0usize..2000,
+    ) {
+        let mut text = BytesMut::new();
+        encode_array_header(&mut text, words.len());
+        words.iter().for_each(|word| encode_bulk(&mut text, word));
+        let cut = cut.min(text.len() - 1);
+        let mut buf = BytesMut::from(&text[..cut]);
+        prop_assert_eq!(decode(&mut buf).unwrap(), None);
+        buf.extend_from_slice(&text[cut..]);
+        let wanted = Frame::Array(words.iter().map(|word| bulk(word)).collect());
+        prop_assert_eq!(decode(&mut buf).unwrap(), Some(wanted));
+    }
+
+    #[test]
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let mut buf = BytesMut::from(&bytes[..]);
+        while let Ok(Some(_)) = decode(&mut buf) {}
+    }
+}
