--- a/crates/quota/src/bound.rs
+++ b/crates/quota/src/bound.rs
@@ -18,7 +18,8 @@
 //! - a block of [`BLOCK_S`] seconds that is leased and in doubt at the beginning, and one request at each of its
 //!   gateways, of which the true units are not known yet; units are leased in whole ones.
 
-use crate::{ALIVE_TIMEOUT, HEARTBEAT_INTERVAL, SECOND};
+use crate::time::NANOS_PER_SECOND;
+use crate::{ALIVE_TIMEOUT, HEARTBEAT_INTERVAL};
 
 /// Of what its part lacks to the whole burst, a side saves up so much for a known customer.
 pub const SAVED_BURST_FRACTION: f64 = 0.5;
@@ -76,7 +77,7 @@
 /// Units beyond the quota at the most. `known`: the customer kept within it before.
 pub fn max_overshoot(quota: &Quota, failure: &Failure, known: bool) -> f64 {
     let sides = f64::from(failure.partitions.clamp(1, quota.set_size.max(1)));
-    let missed = (ALIVE_TIMEOUT + HEARTBEAT_INTERVAL) as f64 / SECOND;
+    let missed = (ALIVE_TIMEOUT + HEARTBEAT_INTERVAL) as f64 / NANOS_PER_SECOND;
     let unnoticed = if failure.counter_answers { (sides - 1.0) * quota.rate * missed } else { 0.0 };
     let met = quota.burst * (sides - 1.0) / sides;
     let lent = if known {
--- a/crates/quota/src/compact_state.rs
+++ b/crates/quota/src/compact_state.rs
@@ -2,7 +2,7 @@
 //! bytes in place of six hundred. It is nothing but a smaller form: whoever asks again goes on where it was, but that
 //! it is not known any more which gateways it came through.
 
-use crate::idempotent_adder::{CompactAdder, IdempotentAdder};
+use crate::idempotent_add::{CompactAdder, IdempotentAdder};
 use crate::token_bucket::{BucketConfig, CompactBucket, TokenBucket};
 use crate::windowed_limiter::{CompactLimiter, WindowedLimiter};
 
@@ -41,7 +41,7 @@
             Some(ration) => Kind::Rationed(ration.rest()?),
             None => Kind::Leased(store.rest()?),
         };
-        Some(CompactState { adder: adder.rest()?, kind })
+        Some(CompactState { adder: adder.compact()?, kind })
     }
 
     /// Whether it is one of a customer that is rationed.
@@ -58,7 +58,7 @@
     /// one has nothing in its store.
     pub fn restore(&self, fresh: QuotaState) -> QuotaState {
         let config: BucketConfig = *fresh.bucket.config();
-        let adder = fresh.adder.woken(self.adder);
+        let adder = fresh.adder.restored(self.adder);
         match self.kind {
             Kind::Leased(rest) => {
                 QuotaState { bucket: TokenBucket::woken(rest, config), adder, limiter: None }
--- a/crates/quota/src/counter_health.rs
+++ b/crates/quota/src/counter_health.rs
@@ -4,21 +4,20 @@
 use crate::counter_report::{CounterReport, CounterState, LocalGrants};
 use crate::failure_detector::{FailureDetector, HeartbeatCall};
 use crate::partition_view::GatewaySet;
-use crate::{Span, Time, SECOND};
+use crate::time::{Span, Time, MILLISECOND, NANOS_PER_SECOND};
 
-const MS: Span = 1_000_000;
 /// A silent counter is asked again after this.
-pub const RETRY_INTERVAL: Span = 500 * MS;
+pub const RETRY_INTERVAL: Span = 500 * MILLISECOND;
 /// Calls in a row without an answer after which the counter is taken to be away, whoever asks.
 const GIVEN_UP: u32 = 3;
 /// A counter that is back is asked no more than `BACK_CALLS` for so long.
-const BACK: Span = 3_000 * MS;
+const BACK: Span = 3_000 * MILLISECOND;
 /// Calls a second of all gateways together to one that is just back, or that has begun anew.
 const BACK_CALLS: f64 = 300.0;
 /// So long after it is back others may not have found out and still lend.
-const OTHERS_FIND_OUT: Span = RETRY_INTERVAL + 50 * MS;
+const OTHERS_FIND_OUT: Span = RETRY_INTERVAL + 50 * MILLISECOND;
 /// Signs that the counter has begun anew within so long are signs of one beginning.
-const ONE_BEGINNING: Span = 1_000 * MS;
+const ONE_BEGINNING: Span = 1_000 * MILLISECOND;
 
 /// What a gateway makes of the counter, over all customers.
 #[derive(Clone, Debug)]
@@ -79,7 +78,7 @@
             self.away_since = Some(now);
         }
         // All gateways together ask a silent counter a hundred times a second at the most.
-        self.retry_at = now + RETRY_INTERVAL.max(Span::from(self.gateways) * 10 * MS);
+        self.retry_at = now + RETRY_INTERVAL.max(Span::from(self.gateways) * 10 * MILLISECOND);
     }
 
     /// A call is made.
@@ -112,7 +111,7 @@
     /// Calls that may be made by now: so many a second, a few saved up.
     fn left(&self, now: Time) -> f64 {
         let a_second = BACK_CALLS / f64::from(self.gateways);
-        let span = now.saturating_sub(self.filled) as f64 / SECOND;
+        let span = now.saturating_sub(self.filled) as f64 / NANOS_PER_SECOND;
         (self.calls_left + a_second * span).min(BACK_CALLS / 20.0)
     }
 
@@ -201,7 +200,7 @@
     /// One that was away, and whose first answer comes at `START`.
     fn back() -> CounterHealth {
         let mut contact = CounterHealth::new(0, 3);
-        (0..3).for_each(|n| contact.record_failure(START - 2 * S + n * 100 * MS));
+        (0..3).for_each(|n| contact.record_failure(START - 2 * S + n * 100 * MILLISECOND));
         contact.record_answer(START);
         contact
     }
@@ -233,7 +232,7 @@
     fn many_gateways_ask_a_silent_counter_ever_more_seldom_each() {
         let mut contact = CounterHealth::new(0, 100);
         (0..3).for_each(|_| contact.record_failure(START));
-        assert!(contact.is_backing_off(START + S - MS) && !contact.is_backing_off(START + S));
+        assert!(contact.is_backing_off(START + S - MILLISECOND) && !contact.is_backing_off(START + S));
     }
 
     #[test]
@@ -241,7 +240,7 @@
         let mut contact = back();
         let mut calls = 0;
         for tick in 0..150 {
-            let now = START + tick * 20 * MS;
+            let now = START + tick * 20 * MILLISECOND;
             while !contact.must_defer_calls(now) && calls < 10_000 {
                 contact.record_call(now);
                 calls += 1;
--- a/crates/quota/src/failure_detector.rs
+++ b/crates/quota/src/failure_detector.rs
@@ -8,9 +8,9 @@
 //! to the groups of those with whom it shares a leased customer, beats only while there are any, and more slowly, so
 //! that the calls of all do not grow with the fleet's square and leave the counter to the quotas.
 
-use crate::contribution_marks::{MarkScheme, MemberCounters};
+use crate::idempotent_add::{MarkScheme, MemberCounters};
 use crate::partition_view::GatewaySet;
-use crate::{Span, Time};
+use crate::time::{Span, Time};
 
 /// Between the adds of a gateway to its pulse.
 pub const HEARTBEAT_INTERVAL: Span = 750_000_000;
--- /dev/null
+++ b/crates/quota/src/idempotent_add.rs
@@ -0,0 +1,9 @@
+//! Adds to one number of the counter that are settled exactly once, although a call may get no answer.
+
+mod adder;
+mod contribution_marks;
+
+pub(crate) use adder::CompactAdder;
+pub use adder::{AddOutcome, IdempotentAdder};
+pub(crate) use contribution_marks::MAX_MEMBERS;
+pub use contribution_marks::{ContributionMark, MarkScheme, MarkedTotal, MemberCounters};
--- /dev/null
+++ b/crates/quota/src/idempotent_add/contribution_marks.rs
@@ -0,0 +1,146 @@
+//! Contribution marks: a total of the counter shows which members have added to it, and how often.
+//!
+//! The counter adds an amount to a named number and returns the total. Units are whole numbers, so the decimals of a
+//! total are free. They hold one small counter for each gateway that may add to the number (a *member*), as the digits
+//! of one integer whose base is the number of values of a counter. With each add a member raises its own counter by
+//! one, and from the highest value it goes back to zero, so that no carry reaches the counter of the next member.
+//!
+//! The counter keeps seven significant digits of a total. The digits that the units do not need hold the marks.
+
+#[cfg(test)]
+mod tests;
+
+/// Most members of one number. Seven digits have room for eight counters of two values each.
+pub(crate) const MAX_MEMBERS: u32 = 8;
+/// Steps of a total that seven significant digits distinguish: half of ten million, so that each step is at least two
+/// units of the last digit.
+const EXACT_STEPS: f64 = 5e6;
+/// Fewest values of a member's counter that show a change.
+const MIN_BASE: u32 = 2;
+/// Most values of a member's counter; one has to fit into a byte.
+const MAX_BASE: u32 = 200;
+/// Totals of this many steps or more are beyond what any number is marked for.
+const UNREADABLE_STEPS: f64 = 1e15;
+
+/// Describes how the adds of one number's members are told apart.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MarkScheme {
+    /// Values of one member's counter.
+    base: u32,
+    members: u32,
+    /// Steps in one unit.
+    scale: f64,
+}
+
+/// The counters of all members, in the order of their member index.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MemberCounters([u8; MAX_MEMBERS as usize]);
+
+/// A total, split into units and marks.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MarkedTotal {
+    /// Units that all members have added.
+    pub units: f64,
+    /// The members' counters; `None` if the decimals of the total are no marks.
+    pub counters: Option<MemberCounters>,
+}
+
+/// The mark of one add.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ContributionMark {
+    /// The decimals that are added to the amount; negative where the member's counter goes back to zero.
+    pub fraction: f64,
+    /// The member's counter after the add.
+    pub counter: u8,
+}
+
+impl MarkScheme {
+    /// Returns the scheme for this number of members and totals up to `max_total` units, with the largest base that
+    /// fits; `None` if there is no room for the members' counters.
+    pub fn new(members: u32, max_total: f64) -> Option<MarkScheme> {
+        if members == 0 || members > MAX_MEMBERS {
+            return None;
+        }
+        let mut scale = EXACT_STEPS;
+        let mut covered_total = 1.0;
+        while covered_total < max_total {
+            covered_total *= 10.0;
+            scale /= 10.0;
+        }
+        let fits = |base: &u32| u64::from(*base).saturating_pow(members) as f64 <= scale;
+        let base = (MIN_BASE..=MAX_BASE).rev().find(fits)?;
+        Some(MarkScheme { base, members, scale })
+    }
+
+    /// Returns the scheme of a heartbeat number, which holds marks and no units: each step is a whole unit, and a
+    /// member's counter has `base` values.
+    pub fn heartbeat(members: u32, base: u32) -> MarkScheme {
+        MarkScheme { base, members: members.min(MAX_MEMBERS), scale: 1.0 }
+    }
+
+    /// Returns the number of values of a member's counter.
+    pub fn base(&self) -> u32 {
+        self.base
+    }
+
+    /// Returns the amount by which a member's counter grows by one.
+    fn step(&self, member: u32) -> f64 {
+        u64::from(self.base).saturating_pow(member) as f64 / self.scale
+    }
+
+    /// Returns the mark of a member's next add, given the present value of its counter.
+    pub fn next_mark(&self, member: u32, counter: u8) -> ContributionMark {
+        let highest = (self.base - 1) as u8;
+        if counter >= highest {
+            return ContributionMark { fraction: -f64::from(highest) * self.step(member), counter: 0 };
+        }
+        ContributionMark { fraction: self.step(member), counter: counter + 1 }
+    }
+
+    /// Splits a total into units and marks.
+    pub fn decode(&self, total: f64) -> MarkedTotal {
+        let steps = (total * self.scale).round();
+        if !(0.0..UNREADABLE_STEPS).contains(&steps) {
+            return MarkedTotal { units: total, counters: None };
+        }
+        let steps = steps as u64;
+        let steps_per_unit = self.scale as u64;
+        let is_heartbeat = steps_per_unit <= 1;
+        let units = if is_heartbeat { 0 } else { steps / steps_per_unit };
+        let marks = if is_heartbeat { steps } else { steps % steps_per_unit };
+        let (counters, remainder) = self.split_counters(marks);
+        // Above the totals that the scheme was made for, the last digits are not exact.
+        let is_exact = is_heartbeat || (units * steps_per_unit) as f64 <= EXACT_STEPS;
+        if remainder == 0 && is_exact {
+            return MarkedTotal { units: units as f64, counters: Some(counters) };
+        }
+        // A counter that went back to zero on a number that was reset leaves the total a little below its units.
+        MarkedTotal { units: total.round(), counters: None }
+    }
+
+    /// Splits the marks of a total into the members' counters, and returns what no member's counter accounts for.
+    fn split_counters(&self, marks: u64) -> (MemberCounters, u64) {
+        let base = u64::from(self.base);
+        let mut counters = MemberCounters::default();
+        let mut remainder = marks;
+        for counter in counters.0.iter_mut().take(self.members as usize) {
+            *counter = (remainder % base) as u8;
+            remainder /= base;
+        }
+        (counters, remainder)
+    }
+
+    /// Returns how often a member has added between two totals; a full turn of its counter is not seen.
+    pub fn additions_between(&self, member: u32, before: MemberCounters, after: MemberCounters) -> u32 {
+        let before = u32::from(before.get(member));
+        let after = u32::from(after.get(member));
+        (after + self.base - before) % self.base
+    }
+}
+
+impl MemberCounters {
+    /// Returns a member's counter; zero for a member beyond the last one.
+    pub fn get(&self, member: u32) -> u8 {
+        self.0.get(member as usize).copied().unwrap_or(0)
+    }
+}
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -9,33 +9,27 @@
 
 pub mod bound;
 mod compact_state;
-mod contribution_marks;
 mod counter_health;
 mod counter_report;
 mod failure_detector;
-mod idempotent_adder;
+mod idempotent_add;
 mod partition_view;
 mod reconciliation;
+mod time;
 mod token_bucket;
 mod traffic_fractions;
 mod windowed_limiter;
 
 pub use compact_state::{CompactState, QuotaState};
-pub use contribution_marks::{ContributionMark, MarkScheme, MarkedTotal, MemberCounters};
 pub use counter_health::{CounterHealth, RETRY_INTERVAL};
 pub use counter_report::{CounterReport, CounterState, LocalGrants};
 pub use failure_detector::{detection_time, FailureDetector, HeartbeatCall};
 pub use failure_detector::{ALIVE_TIMEOUT, HEARTBEAT_EPOCH, HEARTBEAT_INTERVAL};
-pub use idempotent_adder::{AddOutcome, IdempotentAdder};
+pub use idempotent_add::{AddOutcome, IdempotentAdder};
+pub use idempotent_add::{ContributionMark, MarkScheme, MarkedTotal, MemberCounters};
 pub use partition_view::{CounterReachability, GatewaySet, PartitionView};
 pub use reconciliation::Reconciliation;
+pub use time::{Span, Time};
 pub use token_bucket::{BucketConfig, CounterEpoch, TokenBucket};
 pub use traffic_fractions::TrafficFractions;
 pub use windowed_limiter::WindowedLimiter;
-
-/// A moment in nanoseconds.
-pub type Time = u64;
-/// A span of time in nanoseconds.
-pub type Span = u64;
-
-const SECOND: f64 = 1e9;
--- a/crates/quota/src/partition_view.rs
+++ b/crates/quota/src/partition_view.rs
@@ -1,10 +1,10 @@
 //! The side that a gateway is on: which gateways of a customer's set reach the counter that it reaches, and what
 //! part of the customer's quota is theirs.
 
-use crate::contribution_marks::{MarkScheme, MemberCounters, MOST_MEMBERS};
 use crate::failure_detector::FailureDetector;
+use crate::idempotent_add::{MarkScheme, MemberCounters, MAX_MEMBERS};
+use crate::time::{Span, Time};
 use crate::traffic_fractions::TrafficFractions;
-use crate::{Span, Time};
 
 /// Of a customer that all its gateways ask for all the time, one that has not for this long may be apart.
 const QUIET: Span = 900_000_000;
@@ -73,7 +73,7 @@
     lately: TrafficFractions,
     before: TrafficFractions,
     /// When each member was seen to add last, as far as that is sure.
-    seen: [Time; MOST_MEMBERS as usize],
+    seen: [Time; MAX_MEMBERS as usize],
 }
 
 /// This gateway's side, for one customer.
@@ -249,7 +249,7 @@
             return;
         }
         let theirs = |member: &u32| *member != me;
-        let kept = self.set.set_size.min(MOST_MEMBERS);
+        let kept = self.set.set_size.min(MAX_MEMBERS);
         let all: f64 = (0..kept).filter(theirs).map(adds).sum();
         let even = 1.0 / f64::from(kept.max(2) - 1);
         let units = |member| match member {
--- a/crates/quota/src/reconciliation.rs
+++ b/crates/quota/src/reconciliation.rs
@@ -2,8 +2,8 @@
 //! counter which has begun anew has forgotten. They are told once, under a name of their own.
 
 use crate::counter_health::CounterHealth;
-use crate::idempotent_adder::IdempotentAdder;
-use crate::Time;
+use crate::idempotent_add::IdempotentAdder;
+use crate::time::Time;
 
 /// Less than this need not be told.
 const LEAST: f64 = 0.5;
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -5,14 +5,13 @@
 //! and says what was leased and spent.
 
 use crate::bound::{OVERDRAFT_BURST_FRACTION, PARTITION_RATE_MARGIN, SAVED_BURST_FRACTION};
-use crate::contribution_marks::{MarkScheme, MemberCounters};
 use crate::counter_health::CounterHealth;
-use crate::idempotent_adder::AddOutcome;
+use crate::idempotent_add::AddOutcome;
+use crate::idempotent_add::{MarkScheme, MemberCounters};
 use crate::partition_view::{CounterReachability, GatewaySet, PartitionView};
-use crate::{Span, Time, SECOND};
+use crate::time::{seconds_between, Span, Time, MILLISECOND};
 use libm::exp;
 
-const MS: Span = 1_000_000;
 /// Seconds that what a customer asks for looks back.
 const ASKED_SPAN: f64 = 8.0;
 /// Who asks for so many times its rate gets no credit.
@@ -153,12 +152,12 @@
         if strict || !is_whole || is_dark || self.is_just_back {
             return None;
         }
-        let wary_ms = self.wary_until.saturating_sub(self.at).div_ceil(MS);
+        let wary_ms = self.wary_until.saturating_sub(self.at).div_ceil(MILLISECOND);
         let seen_epoch = u32::try_from(self.seen.map_or(0, |seen| seen.epoch)).ok()?;
         let digits = self.seen.and_then(|seen| seen.digits);
         Some(CompactBucket {
             at: self.at,
-            age_ms: u32::try_from(self.at.saturating_sub(self.born) / MS).unwrap_or(u32::MAX),
+            age_ms: u32::try_from(self.at.saturating_sub(self.born) / MILLISECOND).unwrap_or(u32::MAX),
             held: self.held as f32,
             level: (self.level / self.side.burst_fraction().max(1e-3)) as f32,
             whole: self.whole_now() as f32,
@@ -178,7 +177,7 @@
     /// then, and to find its part.
     pub(crate) fn woken(rest: CompactBucket, terms: BucketConfig) -> TokenBucket {
         let CompactBucket { at, seen_epoch, digits, .. } = rest;
-        let born = at.saturating_sub(u64::from(rest.age_ms) * MS);
+        let born = at.saturating_sub(u64::from(rest.age_ms) * MILLISECOND);
         let new = TokenBucket::new(at, terms);
         let (level, whole) = (f64::from(rest.level), f64::from(rest.whole));
         let digits = rest.has_digits.then_some(digits);
@@ -193,7 +192,7 @@
             seen: rest.is_seen.then_some(seen),
             asked: rest.asked.into(),
             greedy: rest.greedy,
-            wary_until: at + u64::from(rest.wary_ms) * MS,
+            wary_until: at + u64::from(rest.wary_ms) * MILLISECOND,
             known: rest.is_known.then_some(born),
             born,
             ..new
@@ -226,7 +225,7 @@
         self.whole = self.whole_now();
         self.whole_at = now;
         if let Some(dark) = &mut self.dark {
-            dark.filled += self.terms.rate * dark.part * seconds(dark.at, now);
+            dark.filled += self.terms.rate * dark.part * seconds_between(dark.at, now);
             dark.at = now;
         }
         self.terms = BucketConfig { rate, burst, ..self.terms };
@@ -234,7 +233,7 @@
 
     /// Lets the store fill, and finds the part that it fills with.
     pub fn refill(&mut self, now: Time, contact: &CounterHealth) {
-        let span = seconds(self.at, now);
+        let span = seconds_between(self.at, now);
         self.at = now;
         self.asked *= exp(-span / ASKED_SPAN);
         let gain = self.terms.rate * span * self.side.fraction() * self.ample();
@@ -300,11 +299,11 @@
     pub fn is_full_by(&self, then: Time) -> bool {
         let BucketConfig { rate, burst, gateway_set: set, .. } = self.terms;
         let part = self.side.fraction().max(1.0 / f64::from(set.set_size));
-        self.level + rate * part * seconds(self.at, then) >= burst * part - self.held.max(0.0) - 1e-6
+        self.level + rate * part * seconds_between(self.at, then) >= burst * part - self.held.max(0.0) - 1e-6
     }
 
     fn whole_now(&self) -> f64 {
-        let filled = self.whole + self.terms.rate * seconds(self.whole_at, self.at);
+        let filled = self.whole + self.terms.rate * seconds_between(self.whole_at, self.at);
         filled.min(self.terms.burst - self.held.max(0.0))
     }
 
@@ -335,7 +334,7 @@
     /// The customer asks for these units, whatever becomes of that.
     pub fn record_demand(&mut self, units: f64) {
         self.asked += units;
-        let age = seconds(self.born, self.at).max(1.0);
+        let age = seconds_between(self.born, self.at).max(1.0);
         let asked = self.asked / (ASKED_SPAN * (1.0 - exp(-age / ASKED_SPAN)));
         let over = GREEDY * self.terms.rate;
         // Apart from the others, what they saw last counts no more, and a verdict stays.
@@ -429,11 +428,11 @@
         });
         let forgotten = self.seen.filter(|_| told.forgotten_units > 0.0).map_or(0.0, |seen| {
             // What others took between the latest total and the beginning of this counter no total shows.
-            self.side.usage_by_others() * seconds(seen.at, contact.last_reset_at().unwrap_or(now))
+            self.side.usage_by_others() * seconds_between(seen.at, contact.last_reset_at().unwrap_or(now))
         });
         let growth = told.total_units - before.map_or(0.0, |seen| seen.whole) + forgotten;
         let others = (growth - told.confirmed_units).max(0.0);
-        let since_epoch = self.terms.burst + self.terms.rate * seconds(epoch.start, now);
+        let since_epoch = self.terms.burst + self.terms.rate * seconds_between(epoch.start, now);
         let whole = self.seen.map_or(since_epoch, |_| self.whole_now()) - growth;
         self.whole = whole.clamp(-self.terms.rate, self.terms.burst);
         self.whole_at = now;
@@ -461,7 +460,7 @@
     fn after(&mut self, now: Time, landed: f64, others: f64, growth: f64, since_epoch: f64) -> f64 {
         let left = match (self.dark.take(), self.seen) {
             (Some(dark), seen) => {
-                let filled = dark.filled + self.terms.rate * dark.part * seconds(dark.at, now);
+                let filled = dark.filled + self.terms.rate * dark.part * seconds_between(dark.at, now);
                 // Met in the dark: the number holds what was leased since the epoch began.
                 let filled = seen.map_or(filled.max(since_epoch), |_| filled);
                 let left = self.after_dark(dark, filled - if dark.own { landed } else { growth });
@@ -470,7 +469,7 @@
                 }
                 left
             }
-            (None, Some(seen)) => self.after_quiet(seconds(seen.at, now), landed, others),
+            (None, Some(seen)) => self.after_quiet(seconds_between(seen.at, now), landed, others),
             // Met for the first time: likewise.
             (None, None) if self.terms.is_ceiling => {
                 (since_epoch - self.terms.burst) * self.side.fraction() - growth
@@ -511,7 +510,3 @@
         (left - dark.spent).min(whole)
     }
 }
-
-fn seconds(from: Time, to: Time) -> f64 {
-    to.saturating_sub(from) as f64 / SECOND
-}
--- a/crates/quota/src/traffic_fractions.rs
+++ b/crates/quota/src/traffic_fractions.rs
@@ -2,8 +2,8 @@
 //! nobody can ask. All gateways see the same totals, so their shares of one customer add up to one.
 
 use crate::bound::FRACTION_DECAY_S;
-use crate::contribution_marks::MOST_MEMBERS;
-use crate::{Span, Time, SECOND};
+use crate::idempotent_add::MAX_MEMBERS;
+use crate::time::{seconds_between, Span, Time, NANOS_PER_SECOND};
 
 /// Seconds that the shares look back.
 const LOOKS_BACK: f64 = 8.0;
@@ -23,7 +23,7 @@
 pub struct TrafficFractions {
     members: u32,
     /// Units a second that came through each, as last seen.
-    used: [f32; MOST_MEMBERS as usize],
+    used: [f32; MAX_MEMBERS as usize],
     rate: f32,
     at: Time,
     /// Seconds of sightings, up to those that it takes to be believed.
@@ -35,7 +35,7 @@
     pub fn new(now: Time, members: u32, rate: f64) -> TrafficFractions {
         TrafficFractions {
             members: members.max(1),
-            used: [0.0; MOST_MEMBERS as usize],
+            used: [0.0; MAX_MEMBERS as usize],
             rate: rate.max(1e-9) as f32,
             at: now,
             learnt: 0.0,
@@ -44,7 +44,7 @@
 
     /// Members are kept apart, not too many of them.
     pub fn are_tracked(&self) -> bool {
-        self.members <= MOST_MEMBERS
+        self.members <= MAX_MEMBERS
     }
 
     /// How far what was seen is believed, 0 to 1.
@@ -59,7 +59,7 @@
 
     /// As they were before anything was seen.
     pub fn unlearned(&self) -> TrafficFractions {
-        TrafficFractions { used: [0.0; MOST_MEMBERS as usize], learnt: 0.0, ..*self }
+        TrafficFractions { used: [0.0; MAX_MEMBERS as usize], learnt: 0.0, ..*self }
     }
 
     /// These, if they were learnt by then; else as they were before anything was seen.
@@ -73,8 +73,8 @@
 
     /// Units went through these members since the last sighting: (member, units) for each that is not nought.
     pub fn record_usage(&mut self, now: Time, units: impl Iterator<Item = (u32, f64)>) {
-        let fading = libm::exp(-seconds(self.at, now) / LOOKS_BACK) as f32;
-        self.learnt = (f64::from(self.learnt) + seconds(self.at, now)).min(LEARNS) as f32;
+        let fading = libm::exp(-seconds_between(self.at, now) / LOOKS_BACK) as f32;
+        self.learnt = (f64::from(self.learnt) + seconds_between(self.at, now)).min(LEARNS) as f32;
         self.used.iter_mut().for_each(|used| *used *= fading);
         for (member, units) in units {
             if let Some(used) = self.used.get_mut(member as usize) {
@@ -101,15 +101,15 @@
         // it only grows old. One of whom little is known may be either.
         let used: f64 = self.used.iter().map(|used| f64::from(*used)).sum();
         let busy = libm::pow((used / f64::from(self.rate)).min(1.0), 4.0).max(1.0 - learnt);
-        let unseen = unseen as f64 / SECOND;
+        let unseen = unseen as f64 / NANOS_PER_SECOND;
         let kept = libm::exp(-unseen * busy / STALE);
-        self.faded(known * kept, ago as f64 / SECOND + unseen * (1.0 - busy))
+        self.faded(known * kept, ago as f64 / NANOS_PER_SECOND + unseen * (1.0 - busy))
     }
 
     /// The share of a member that has never seen anything of the customer, where the others may have: with them it
     /// makes no more than [`FRACTION_SUM_EXCESS`](crate::bound::FRACTION_SUM_EXCESS) beyond the whole.
     pub fn fraction_of_unseen(&self, ago: Span) -> f64 {
-        self.faded(UNMET / f64::from(self.members), ago as f64 / SECOND)
+        self.faded(UNMET / f64::from(self.members), ago as f64 / NANOS_PER_SECOND)
     }
 
     /// What is left of a share after so many seconds; the rest is even.
@@ -125,11 +125,6 @@
     }
 }
 
-fn seconds(from: Time, to: Time) -> f64 {
-    let span: Span = to.saturating_sub(from);
-    span as f64 / SECOND
-}
-
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/quota/src/windowed_limiter.rs
+++ b/crates/quota/src/windowed_limiter.rs
@@ -6,7 +6,7 @@
 //! of the quota covers is let in, those that are worth most first; who did not ask the counter goes by what was seen
 //! just now, or else by how often the customer comes here.
 
-use crate::{Span, Time, SECOND};
+use crate::time::{Span, Time, NANOS_PER_SECOND};
 
 /// Spans of a window at the least and at the most, in seconds.
 const WINDOW: (f64, f64) = (1.0, 5.0);
@@ -124,7 +124,7 @@
 
     /// How long a window is, in nanoseconds.
     pub fn window_length(&self) -> Span {
-        ((self.burst / self.rate).clamp(WINDOW.0, WINDOW.1) * SECOND) as Span
+        ((self.burst / self.rate).clamp(WINDOW.0, WINDOW.1) * NANOS_PER_SECOND) as Span
     }
 
     /// The window at this moment, the same at all gateways whose clocks agree.
@@ -141,7 +141,7 @@
 
     /// A window's part of the quota, in units.
     fn part(&self) -> f64 {
-        self.rate * self.window_length() as f64 / SECOND
+        self.rate * self.window_length() as f64 / NANOS_PER_SECOND
     }
 
     /// Begins somewhere between nothing and one request, so that gateways do not all begin alike.
@@ -162,7 +162,8 @@
             self.guess = Guess { times: usual, at: since.max(now.saturating_sub(STALE)), latest: 0.0 };
         }
         let Guess { times, at, latest } = self.guess;
-        let (weight, covered) = (self.weight(units), self.fair * now.saturating_sub(at) as f64 / SECOND);
+        let (weight, covered) =
+            (self.weight(units), self.fair * now.saturating_sub(at) as f64 / NANOS_PER_SECOND);
         let times = (weight * times + latest) / (weight + covered);
         self.guess = Guess { times, at: now, latest: units };
     }
@@ -172,7 +173,8 @@
     pub fn record_total(&mut self, now: Time, window: u64, total: f64, amount: f64) {
         let part = self.part();
         let (asked, begun) = (total - amount, self.window_start(window));
-        let lasted = self.rate * now.saturating_sub(begun).min(self.window_length()) as f64 / SECOND;
+        let lasted =
+            self.rate * now.saturating_sub(begun).min(self.window_length()) as f64 / NANOS_PER_SECOND;
         let before = self.demand_ratio(now).unwrap_or(1.0);
         let times = (asked + BEFORE * part * before) / (lasted + BEFORE * part);
         let chance = (amount - COARSE * part).max(0.0);
@@ -203,7 +205,7 @@
             false => ((FULL - top * times) / (times * (1.0 - top))).clamp(0.0, 1.0),
         };
         let Some(sight) = seen.filter(|sight| sight.window == window) else { return share };
-        let since = now.saturating_sub(sight.at) as f64 / SECOND;
+        let since = now.saturating_sub(sight.at) as f64 / NANOS_PER_SECOND;
         let asked = sight.asked + times * self.rate * since;
         let is_covered = asked <= share * times * self.part() + sight.chance;
         f64::from(u8::from(is_covered))
