--- a/crates/quota/src/compact_state.rs
+++ b/crates/quota/src/compact_state.rs
@@ -38,7 +38,7 @@
         ration: Option<&WindowedLimiter>,
     ) -> Option<CompactState> {
         let kind = match ration {
-            Some(ration) => Kind::Rationed(ration.rest()?),
+            Some(ration) => Kind::Rationed(ration.compact()?),
             None => Kind::Leased(store.rest()?),
         };
         Some(CompactState { adder: adder.compact()?, kind })
@@ -66,7 +66,7 @@
             Kind::Rationed(rest) => QuotaState {
                 bucket: fresh.bucket,
                 adder,
-                limiter: fresh.limiter.map(|limiter| limiter.woken(rest)),
+                limiter: fresh.limiter.map(|limiter| limiter.restored(rest)),
             },
         }
     }
--- /dev/null
+++ b/crates/quota/src/windowed_limiter/tests.rs
@@ -0,0 +1,123 @@
+use super::*;
+
+const S: Time = 1_000_000_000;
+
+/// Windows of two seconds that begin at even seconds.
+fn new_limiter() -> WindowedLimiter {
+    WindowedLimiter::new(10.0, 20.0, 0, 100)
+}
+
+/// Returns a limiter that read, a second into a window, that all gateways were asked for this many units.
+fn with_total(requested_units: f64) -> WindowedLimiter {
+    let mut limiter = new_limiter();
+    let window = limiter.window_at(101 * S);
+    limiter.record_total(101 * S, window, requested_units + 2.0, 2.0);
+    limiter
+}
+
+#[test]
+fn one_total_shows_the_demand_at_all_gateways() {
+    assert_eq!(new_limiter().demand_ratio(101 * S), None);
+    let ratio = |requested_units| with_total(requested_units).demand_ratio(101 * S).unwrap();
+    assert!(
+        (ratio(40.0) - 45.0 / 15.0).abs() < 1e-9,
+        "40 units, and 5 as expected before, where 15 are covered"
+    );
+    assert!(ratio(3.0) < 1.0 && ratio(10.0) == 1.0);
+}
+
+#[test]
+fn a_window_admits_up_to_its_part_of_the_quota_with_the_highest_priority_first() {
+    // (units requested before, whether of the highest priority, probability of admission)
+    let cases =
+        [(8.0, false, 1.0), (19.0, true, 1.0), (19.0, false, 0.0), (60.0, false, 0.0), (60.0, true, 1.0)];
+    for (requested_units, is_top_priority, probability) in cases {
+        assert_eq!(
+            with_total(requested_units).admission_probability(101 * S, is_top_priority, 0.16),
+            probability,
+            "{requested_units} {is_top_priority}"
+        );
+    }
+    let single_priority = with_total(19.0).admission_probability(101 * S, true, 0.99);
+    assert_eq!(single_priority, 1.0, "with a single priority no other one is preceded");
+    assert_eq!(with_total(60.0).admission_probability(101 * S, true, 0.99), 0.0);
+}
+
+#[test]
+fn a_total_decides_beyond_its_window_until_the_own_estimate_takes_over() {
+    let mut limiter = with_total(60.0);
+    let ratio = limiter.demand_ratio(101 * S).unwrap();
+    let probability = |limiter: &WindowedLimiter, at: u64| limiter.admission_probability(at * S, false, 0.0);
+    assert_eq!(probability(&limiter, 102), TARGET_UTILIZATION / ratio);
+    assert!(limiter.has_recent_total(104 * S) && !limiter.has_recent_total(106 * S));
+    assert!(limiter.demand_ratio(130 * S).is_some() && limiter.demand_ratio(132 * S).is_none());
+    // The quota covers 0.1 units per second here: ten seconds without a request weigh half a request of two units.
+    limiter.record_request(111 * S, 2.0, 1.0, 0);
+    assert!((probability(&limiter, 111) - TARGET_UTILIZATION / (ratio / 1.5)).abs() < 1e-9);
+    limiter.record_request(112 * S, 2.0, 1.0, 0);
+    assert!(
+        probability(&limiter, 112) < TARGET_UTILIZATION / (ratio / 1.5),
+        "two requests within a second show a high demand"
+    );
+}
+
+#[test]
+fn without_a_total_a_customer_is_admitted_by_how_often_it_comes_here() {
+    // The quota covers 0.1 units per second here, and the customer asks for two units at this interval in seconds:
+    // in ten minutes it gets 60 units, and a request or two in advance.
+    for (interval_s, min_units, max_units) in
+        [(60, 18.0, 20.0), (20, 50.0, 60.0), (5, 50.0, 62.0), (1, 50.0, 64.0)]
+    {
+        let mut limiter = new_limiter();
+        let mut admitted = 0.0;
+        for n in 0..600 / interval_s {
+            let now = (100 + n * interval_s) * S;
+            limiter.record_request(now, 2.0, 1.5, 90 * S);
+            let probability = limiter.admission_probability(now, false, 0.0);
+            admitted += if limiter.admit(2.0, probability) { 2.0 } else { 0.0 };
+        }
+        assert!((min_units..=max_units).contains(&admitted), "every {interval_s} s: {admitted}");
+    }
+    let mut limiter = new_limiter();
+    limiter.record_request(100 * S, 2.0, 1.5, 100 * S);
+    assert_eq!(
+        limiter.admission_probability(100 * S, false, 0.0),
+        TARGET_UTILIZATION / 1.5,
+        "the first request is decided by the usual demand"
+    );
+}
+
+#[test]
+fn a_call_on_behalf_of_many_requests_rejects_none_by_sampling_error() {
+    let mut limiter = new_limiter();
+    // A customer with little demand makes one call on behalf of twenty requests.
+    limiter.record_total(101 * S, limiter.window_at(101 * S), 60.0, 40.0);
+    assert_eq!(limiter.admission_probability(101 * S, false, 0.0), 1.0);
+    limiter.record_total(101 * S, limiter.window_at(101 * S), 120.0, 40.0);
+    assert_eq!(
+        limiter.admission_probability(101 * S, false, 0.0),
+        0.0,
+        "three such calls are no sampling error"
+    );
+}
+
+#[test]
+fn windows_follow_one_another_and_their_starts_depend_on_the_phase() {
+    let limiter = WindowedLimiter::new(10.0, 20.0, 700_000_000, 100);
+    let window = limiter.window_at(100 * S);
+    assert_eq!(limiter.window_at(limiter.window_start(window)), window);
+    assert_eq!(limiter.window_at(limiter.window_start(window) - 1), window - 1);
+    assert_eq!(limiter.window_start(window + 1) - limiter.window_start(window), limiter.window_length());
+    assert_ne!(
+        limiter.window_start(window) % limiter.window_length(),
+        new_limiter().window_start(window) % new_limiter().window_length()
+    );
+    assert_eq!(WindowedLimiter::new(10.0, 2.0, 0, 100).window_length(), S, "a second at least");
+    assert_eq!(WindowedLimiter::new(1.0, 60.0, 0, 100).window_length(), 5 * S);
+}
+
+#[test]
+fn admissions_follow_the_probability_evenly() {
+    let mut limiter = new_limiter();
+    assert_eq!((0..100).filter(|_| limiter.admit(2.0, 0.25)).count(), 25);
+}
