--- a/crates/api-gateway/src/config/show.rs
+++ b/crates/api-gateway/src/config/show.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context as _, Result};
 use clap::Args;
 use config_language::{show, Dimension};
-use routing::{Figure, InForce, Source};
+use routing::{EffectiveQuota, Limit, LimitSource};
 use std::path::PathBuf;
 
 /// The words of `config show`.
@@ -46,20 +46,21 @@
 }
 
 /// A plan, as comments: quotas of the platform are none of the operators' to write.
-fn plan(quota: &InForce) -> String {
+fn plan(quota: &EffectiveQuota) -> String {
     let metered = quota.rate.value > 0.0;
     let rate = figure(&quota.rate, Dimension::Rate, metered);
     let burst = figure(&quota.burst, Dimension::Units, metered);
-    let open = Figure { value: f64::from(quota.open.value), source: quota.open.source.clone() };
+    let open =
+        Limit { value: f64::from(quota.max_concurrent.value), source: quota.max_concurrent.source.clone() };
     let open = figure(&open, Dimension::Attempts, open.value > 0.0);
     let name = one_line(&quota.plan);
     format!("# plan {name}\n#   rate: {rate}\n#   burst: {burst}\n#   open: {open}\n")
 }
 
-fn figure(figure: &Figure<f64>, dimension: Dimension, is_bound: bool) -> String {
+fn figure(figure: &Limit<f64>, dimension: Dimension, is_bound: bool) -> String {
     let value = if is_bound { dimension.text(figure.value, "_") } else { "no bound".into() };
     match &figure.source {
-        Source::Platform => format!("{value}, from the platform's settings"),
-        Source::Policy { name, origin } => format!("{value}, from quota policy `{name}`, {origin}"),
+        LimitSource::Platform => format!("{value}, from the platform's settings"),
+        LimitSource::Policy { name, origin } => format!("{value}, from quota policy `{name}`, {origin}"),
     }
 }
--- a/crates/api-gateway/src/operators.rs
+++ b/crates/api-gateway/src/operators.rs
@@ -7,7 +7,10 @@
 use config_language::model::{Operators, Origin};
 use config_language::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
 use gateway::Site;
-use routing::{tighten, Facts, InForce, Problem, Quota, RouteError, Routes};
+use routing::{
+    effective_quotas, EffectiveQuota, GrantedQuota, PlatformNames, RoutingError, RoutingErrorKind,
+    RoutingTable,
+};
 use std::path::Path;
 
 /// What the platform's settings say, as far as checks of the operators' files need it.
@@ -33,25 +36,30 @@
 }
 
 /// The names that routes and pools speak of.
-pub fn facts(site: &Site) -> Facts<'_> {
-    Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones, machines: &site.kinds }
+pub fn facts(site: &Site) -> PlatformNames<'_> {
+    PlatformNames {
+        classes: &site.classes,
+        plans: &site.plans,
+        zones: &site.zones,
+        machine_types: &site.kinds,
+    }
 }
 
 /// What is in force for each plan, in the platform's order.
 ///
 /// # Errors
-/// As [`tighten`].
-pub fn quotas(operators: &Operators, site: &Site) -> Result<Vec<InForce>, RouteError> {
+/// As [`effective_quotas`].
+pub fn quotas(operators: &Operators, site: &Site) -> Result<Vec<EffectiveQuota>, RoutingError> {
     let plans = site.plans.iter().zip(&site.settings.plans);
-    let granted: Vec<Quota> = plans
-        .map(|(name, plan)| Quota {
+    let granted: Vec<GrantedQuota> = plans
+        .map(|(name, plan)| GrantedQuota {
             plan: name,
             rate: plan.rate,
             burst: plan.burst,
-            open: plan.max_concurrent,
+            max_concurrent: plan.max_concurrent,
         })
         .collect();
-    tighten(operators, &granted)
+    effective_quotas(operators, &granted)
 }
 
 /// Why a file set cannot be used: its first error in one line, with file, line, column and reason, and how many
@@ -118,13 +126,13 @@
 }
 
 /// Why a gateway could not put it in force: bounds of its tables, and quotas that need more than a figure.
-fn refused(operators: &Operators, site: &Site) -> Vec<RouteError> {
-    let routes = Routes::compile(operators, &facts(site)).err();
+fn refused(operators: &Operators, site: &Site) -> Vec<RoutingError> {
+    let routes = RoutingTable::compile(operators, &facts(site)).err();
     routes.into_iter().chain(quotas(operators, site).err()).collect()
 }
 
-fn diagnostic(error: &RouteError) -> Diagnostic {
-    Diagnostic::error(word(&error.problem), &place(&error.origin), error.problem.to_string())
+fn diagnostic(error: &RoutingError) -> Diagnostic {
+    Diagnostic::error(word(&error.kind), &place(&error.origin), error.kind.to_string())
 }
 
 /// Where a message stands.
@@ -134,21 +142,21 @@
 }
 
 /// The word of the message, for scripts. Most of these problems were found by the checker, under the same word.
-fn word(problem: &Problem) -> &'static str {
+fn word(problem: &RoutingErrorKind) -> &'static str {
     match problem {
-        Problem::UnknownClass(_)
-        | Problem::UnknownPlan(_)
-        | Problem::UnknownZone(_)
-        | Problem::UnknownMachine(_)
-        | Problem::UnknownPool(_) => "unknown",
-        Problem::SecondPool(_) | Problem::SecondRoute(_) => "twice",
-        Problem::NotAQuota { .. } => "bounds",
-        Problem::TooManyPools(_)
-        | Problem::TooManyParts { .. }
-        | Problem::TooManyRoutes(_)
-        | Problem::TooManyRanges(_) => "too-many",
-        Problem::NoPlace(_) => "no-place",
-        Problem::RateWithoutBurst(_) | Problem::BurstWithoutRate(_) => "half-quota",
+        RoutingErrorKind::UnknownClass(_)
+        | RoutingErrorKind::UnknownPlan(_)
+        | RoutingErrorKind::UnknownZone(_)
+        | RoutingErrorKind::UnknownMachineType(_)
+        | RoutingErrorKind::UnknownPool(_) => "unknown",
+        RoutingErrorKind::DuplicatePool(_) | RoutingErrorKind::DuplicateRoute(_) => "twice",
+        RoutingErrorKind::InvalidLimit { .. } => "bounds",
+        RoutingErrorKind::TooManyPools(_)
+        | RoutingErrorKind::TooManySitePools { .. }
+        | RoutingErrorKind::TooManyRoutes(_)
+        | RoutingErrorKind::TooManyRanges(_) => "too-many",
+        RoutingErrorKind::NoFreePoolBit(_) => "no-place",
+        RoutingErrorKind::RateWithoutBurst(_) | RoutingErrorKind::BurstWithoutRate(_) => "half-quota",
     }
 }
 
--- a/crates/gateway/src/hosts.rs
+++ b/crates/gateway/src/hosts.rs
@@ -14,7 +14,7 @@
 use platform_settings::Site;
 use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, HostState, Outcome, Span, Time};
 use resp::{Frame, RespError};
-use routing::HostFacts;
+use routing::HostAttributes;
 use runtime::{Env, Task};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -76,8 +76,8 @@
 }
 
 impl Names {
-    fn facts(&self, cell: u32) -> HostFacts<'_> {
-        HostFacts { id: &self.id, zone: &self.zone, machine: &self.machine, cell }
+    fn facts(&self, cell: u32) -> HostAttributes<'_> {
+        HostAttributes { id: &self.id, zone: &self.zone, machine_type: &self.machine, cell }
     }
 }
 
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -3,7 +3,10 @@
 use config_language::model::Operators;
 use platform_settings::Site;
 use policy::api::{Plan, Request, Route, RouteLimit};
-use routing::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
+use routing::{
+    effective_quotas, Destination, EffectiveQuota, GrantedQuota, HostAttributes, PlatformNames, PoolMask,
+    RoutingError, RoutingTable,
+};
 use site_failover::{PlanError, SiteSet};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Unusable {
     #[error(transparent)]
-    Route(#[from] RouteError),
+    Route(#[from] RoutingError),
     #[error(transparent)]
     Plan(#[from] PlanError),
 }
@@ -20,7 +23,7 @@
 /// One version of the operators' files after the other, and what requests in hand still hold of earlier ones.
 pub(crate) struct Routing {
     site: Arc<Site>,
-    routes: Routes,
+    routes: RoutingTable,
     /// What the platform grants, tightened by the operators.
     plans: Vec<Plan>,
     /// What to do when a whole site is lost.
@@ -40,7 +43,7 @@
     pub fn new(site: Arc<Site>, operators: &Operators) -> Result<Routing, Unusable> {
         let plans = site.settings.plans.clone();
         let sites = site_failover::Plan::default();
-        let routes = Routes::default();
+        let routes = RoutingTable::default();
         let numbers = Vec::new();
         let mut routing =
             Routing { site, routes, plans, sites, numbers, next_number: 0, held: [0; 64], peopled: 0 };
@@ -51,13 +54,17 @@
     /// Puts another version in force as a whole, or leaves all as it was.
     pub fn turn(&mut self, operators: &Operators) -> Result<(), Unusable> {
         let site = &self.site;
-        let facts =
-            Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones, machines: &site.kinds };
+        let facts = PlatformNames {
+            classes: &site.classes,
+            plans: &site.plans,
+            zones: &site.zones,
+            machine_types: &site.kinds,
+        };
         let plans = plans(site, operators)?;
         let facts_of_sites =
             site_failover::Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones };
         let sites = site_failover::Plan::compile(operators, &facts_of_sites)?;
-        let routes = Routes::compile_after(&self.routes, self.in_use(), operators, &facts)?;
+        let routes = RoutingTable::compile_after(&self.routes, self.in_use(), operators, &facts)?;
         self.number(&routes);
         self.plans = plans;
         self.sites = sites;
@@ -65,7 +72,7 @@
         Ok(())
     }
 
-    fn number(&mut self, next: &Routes) {
+    fn number(&mut self, next: &RoutingTable) {
         let mut kept = BTreeMap::new();
         for (number, successor) in self.numbers.iter().zip(self.routes.successors(next)) {
             if let Some(successor) = successor {
@@ -103,7 +110,7 @@
     }
 
     /// The pools that a host is in.
-    pub fn pools_of(&self, host: &HostFacts) -> u64 {
+    pub fn pools_of(&self, host: &HostAttributes) -> u64 {
         self.routes.pools_of(host).0
     }
 
@@ -114,18 +121,19 @@
 
     /// Says where a request may go that is kept to these sites, and holds the pools for it until [`Routing::let_go`].
     pub fn choose(&mut self, request: &Request, sites: SiteSet) -> Route {
-        let choice = self.routes.choose(request.class, request.plan, request.customer.0);
+        let choice = self.routes.lookup(request.class, request.plan, request.customer.0);
         let route = self.route(&choice);
         let route = if sites == SiteSet::ALL { route } else { self.within(route, sites) };
         self.count(&route, 1);
         route
     }
 
-    fn route(&self, choice: &Choice) -> Route {
+    fn route(&self, choice: &Destination) -> Route {
         let Some(number) = choice.route.and_then(|route| self.numbers.get(route.index()).copied()) else {
             return Route::default();
         };
-        let limit = choice.most_out.map(|most_out| RouteLimit { route: number, max_in_flight: most_out });
+        let limit =
+            choice.max_in_flight.map(|most_out| RouteLimit { route: number, max_in_flight: most_out });
         Route { pools: choice.pool.0, fallback: choice.fallback.0, limit }
     }
 
@@ -133,7 +141,7 @@
     /// take no work anyway. Once those sites have no host any more, the rest of its pool takes over, and only where
     /// there is no rest, what its route falls back on.
     fn within(&self, route: Route, sites: SiteSet) -> Route {
-        let part = |sites: SiteSet| self.routes.within(PoolMask(route.pools), sites.0).0;
+        let part = |sites: SiteSet| self.routes.pools_in_sites(PoolMask(route.pools), sites.0).0;
         let (here, all) = (part(sites), part(SiteSet::ALL));
         if here & self.peopled == 0 {
             return route;
@@ -169,17 +177,22 @@
 }
 
 /// What the platform grants, tightened.
-fn plans(site: &Site, operators: &Operators) -> Result<Vec<Plan>, RouteError> {
+fn plans(site: &Site, operators: &Operators) -> Result<Vec<Plan>, RoutingError> {
     let granted = &site.settings.plans;
     let mut quotas = Vec::with_capacity(granted.len());
     for (name, plan) in site.plans.iter().zip(granted) {
-        quotas.push(Quota { plan: name, rate: plan.rate, burst: plan.burst, open: plan.max_concurrent });
+        quotas.push(GrantedQuota {
+            plan: name,
+            rate: plan.rate,
+            burst: plan.burst,
+            max_concurrent: plan.max_concurrent,
+        });
     }
-    let in_force = tighten(operators, &quotas)?;
-    let plan = |(plan, force): (&Plan, InForce)| Plan {
+    let in_force = effective_quotas(operators, &quotas)?;
+    let plan = |(plan, force): (&Plan, EffectiveQuota)| Plan {
         rate: force.rate.value,
         burst: force.burst.value,
-        max_concurrent: force.open.value,
+        max_concurrent: force.max_concurrent.value,
         ..plan.clone()
     };
     Ok(granted.iter().zip(in_force).map(plan).collect())
@@ -236,7 +249,7 @@
         routing.let_go(&again);
         let next = operators(&format!("pool \"new\" {{}}\n{}", route("a", "new")));
         routing.turn(&next).unwrap();
-        let host = HostFacts { id: "s-1", zone: "a", machine: "m", cell: 0 };
+        let host = HostAttributes { id: "s-1", zone: "a", machine_type: "m", cell: 0 };
         assert_ne!(routing.pools_of(&host) & held.pools, 0, "its request may still go there");
         routing.let_go(&held);
         routing.turn(&next).unwrap();
--- a/crates/routing/examples/look_up.rs
+++ b/crates/routing/examples/look_up.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use config_language::model::{At, Operators, Origin, Pool, Route};
-use routing::{Facts, Routes};
+use routing::{PlatformNames, RoutingTable};
 
 const CUSTOMERS: u64 = 1 << 33;
 const CLASSES: usize = 6;
@@ -33,7 +33,7 @@
     mixed ^ mixed >> 31
 }
 
-/// Routes for ranges of customers that overlap here and there.
+/// RoutingTable for ranges of customers that overlap here and there.
 fn operators(count: usize, kind: Kind) -> Operators {
     let mut state = 7;
     let pool = |number: usize| Pool {
@@ -90,23 +90,23 @@
 fn report(count: usize, kind: Kind) {
     let names = |kind: &str, count| (0..count).map(|n| format!("{kind}-{n}")).collect::<Vec<_>>();
     let (classes, plans) = (names("class", CLASSES), names("plan", PLANS));
-    let facts = Facts { classes: &classes, plans: &plans, ..Facts::default() };
+    let facts = PlatformNames { classes: &classes, plans: &plans, ..PlatformNames::default() };
     let operators = operators(count, kind);
     let before = memory("VmRSS:").unwrap_or(0);
     let begun = Instant::now();
-    let routes = Routes::compile(&operators, &facts).expect("the routes are sound");
+    let routes = RoutingTable::compile(&operators, &facts).expect("the routes are sound");
     let took = begun.elapsed().as_secs_f64() * 1e3;
     let most = memory("VmHWM:").unwrap_or(0).saturating_sub(before);
     let drawing = pace(|class, plan, customer| {
         black_box((class, plan, customer));
     });
     let both = pace(|class, plan, customer| {
-        black_box(routes.choose(black_box(class), black_box(plan), black_box(customer)));
+        black_box(routes.lookup(black_box(class), black_box(plan), black_box(customer)));
     });
     println!(
         "{count:6} {kind:6?} {:9} {:9.1} {took:9.1} {most:9} {:7.1}",
-        routes.ranges(),
-        routes.bytes() as f64 / 1024.0,
+        routes.range_count(),
+        routes.lookup_bytes() as f64 / 1024.0,
         both - drawing,
     );
 }
--- a/crates/routing/src/groups.rs
+++ b/crates/routing/src/groups.rs
@@ -4,7 +4,7 @@
 
 use config_language::model::At;
 
-use crate::{Problem, RouteError};
+use crate::{RoutingError, RoutingErrorKind};
 
 /// Finds names in a list of the platform's. A name that stands there twice means both positions.
 pub(crate) struct Names<'a>(BTreeMap<&'a str, Vec<usize>>);
@@ -22,8 +22,8 @@
     pub(crate) fn find(
         &self,
         names: &At<Vec<String>>,
-        unknown: impl Fn(String) -> Problem,
-    ) -> Result<Vec<usize>, RouteError> {
+        unknown: impl Fn(String) -> RoutingErrorKind,
+    ) -> Result<Vec<usize>, RoutingError> {
         let mut positions = Vec::new();
         for name in &names.value {
             let found = self.0.get(name.as_str());
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -5,13 +5,13 @@
 
 use config_language::model::{At, Pool};
 
-use crate::{Facts, Problem, RouteError};
+use crate::{PlatformNames, RoutingError, RoutingErrorKind};
 
 /// The most pools that may stand at a time: one for each bit of a mask.
-pub const MOST_POOLS: usize = 64;
+pub const MAX_POOLS: usize = 64;
 
 /// A set of pools, a bit each. Which pool a bit stands for stays the same from one version of the routes to the
-/// next while the pool's name stays, see [`Routes::compile_after`](crate::Routes::compile_after).
+/// next while the pool's name stays, see [`RoutingTable::compile_after`](crate::RoutingTable::compile_after).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolMask(pub u64);
 
@@ -24,7 +24,7 @@
 
     /// Whether a request sent to these pools may go to a host that is in those.
     #[inline]
-    pub fn takes(self, host: PoolMask) -> bool {
+    pub fn accepts(self, host: PoolMask) -> bool {
         self.0 & host.0 != 0 || self == PoolMask::ALL
     }
 
@@ -53,13 +53,13 @@
 
 /// What discovery tells of a host, as far as pools are chosen by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HostFacts<'a> {
+pub struct HostAttributes<'a> {
     /// Its id.
     pub id: &'a str,
     /// The name of its zone.
     pub zone: &'a str,
     /// Its kind of machine.
-    pub machine: &'a str,
+    pub machine_type: &'a str,
     /// Its cell.
     pub cell: u32,
 }
@@ -78,12 +78,12 @@
         &self.pool.name.value
     }
 
-    fn holds(&self, host: &HostFacts) -> bool {
+    fn holds(&self, host: &HostAttributes) -> bool {
         fn any<T>(wanted: &Option<At<Vec<T>>>, holds: impl Fn(&T) -> bool) -> bool {
             wanted.as_ref().is_none_or(|list| list.value.iter().any(holds))
         }
         any(&self.pool.zones, |zone| zone == host.zone)
-            && any(&self.pool.machines, |machine| machine == host.machine)
+            && any(&self.pool.machines, |machine| machine == host.machine_type)
             && any(&self.pool.cells, |cells| cells.contains(&host.cell))
             && any(&self.pool.ids, |beginning| host.id.starts_with(beginning.as_str()))
     }
@@ -98,13 +98,13 @@
     /// keeps its bit if that is `in_use`.
     pub(crate) fn new(
         pools: &[Pool],
-        facts: &Facts,
+        facts: &PlatformNames,
         before: &Pools,
         in_use: PoolMask,
-    ) -> Result<Pools, RouteError> {
+    ) -> Result<Pools, RoutingError> {
         check(pools, facts)?;
         let named: BTreeSet<&str> = pools.iter().map(|pool| pool.name.value.as_str()).collect();
-        let kept = |seat: &&Seat| !named.contains(seat.name()) && PoolMask::bit(seat.bit).takes(in_use);
+        let kept = |seat: &&Seat| !named.contains(seat.name()) && PoolMask::bit(seat.bit).accepts(in_use);
         let mut seats: Vec<Seat> =
             before.0.iter().filter(kept).map(|seat| Seat { removed: true, ..seat.clone() }).collect();
         let old: BTreeMap<&str, u32> = before.0.iter().map(|seat| (seat.name(), seat.bit)).collect();
@@ -112,8 +112,8 @@
         let mut taken = seats.iter().map(|seat| seat.bit).chain(known).fold(0, |all, bit| all | 1_u64 << bit);
         for pool in pools {
             let bit = old.get(pool.name.value.as_str()).copied().unwrap_or(taken.trailing_ones());
-            if bit as usize == MOST_POOLS {
-                return Err(Problem::NoPlace(pool.name.value.clone()).at(&pool.name.origin));
+            if bit as usize == MAX_POOLS {
+                return Err(RoutingErrorKind::NoFreePoolBit(pool.name.value.clone()).at(&pool.name.origin));
             }
             taken |= 1 << bit;
             seats.push(Seat { bit, pool: pool.clone(), removed: false });
@@ -123,13 +123,13 @@
     }
 
     /// The pools that a host is in.
-    pub(crate) fn of(&self, host: &HostFacts) -> PoolMask {
+    pub(crate) fn of(&self, host: &HostAttributes) -> PoolMask {
         let held = self.0.iter().filter(|seat| seat.holds(host));
         held.fold(PoolMask::NONE, |all, seat| all | PoolMask::bit(seat.bit))
     }
 
     /// The pools that a host is in here but not in `after`, by the bits here.
-    pub(crate) fn left_by(&self, after: &Pools, host: &HostFacts) -> PoolMask {
+    pub(crate) fn left_by(&self, after: &Pools, host: &HostAttributes) -> PoolMask {
         let stays = |name| after.0.iter().any(|seat| seat.name() == name && seat.holds(host));
         let left = self.0.iter().filter(|seat| seat.holds(host) && !stays(seat.name()));
         left.fold(PoolMask::NONE, |all, seat| all | PoolMask::bit(seat.bit))
@@ -148,17 +148,17 @@
 }
 
 /// Whether there are few enough, each has a name of its own and all that they name is there.
-fn check(pools: &[Pool], facts: &Facts) -> Result<(), RouteError> {
-    if let Some(pool) = pools.get(MOST_POOLS) {
-        return Err(Problem::TooManyPools(pool.name.value.clone()).at(&pool.name.origin));
+fn check(pools: &[Pool], facts: &PlatformNames) -> Result<(), RoutingError> {
+    if let Some(pool) = pools.get(MAX_POOLS) {
+        return Err(RoutingErrorKind::TooManyPools(pool.name.value.clone()).at(&pool.name.origin));
     }
     let mut names = BTreeSet::new();
     for pool in pools {
         if !names.insert(&pool.name.value) {
-            return Err(Problem::SecondPool(pool.name.value.clone()).at(&pool.name.origin));
+            return Err(RoutingErrorKind::DuplicatePool(pool.name.value.clone()).at(&pool.name.origin));
         }
-        check_names(&pool.zones, facts.zones, Problem::UnknownZone)?;
-        check_names(&pool.machines, facts.machines, Problem::UnknownMachine)?;
+        check_names(&pool.zones, facts.zones, RoutingErrorKind::UnknownZone)?;
+        check_names(&pool.machines, facts.machine_types, RoutingErrorKind::UnknownMachineType)?;
     }
     Ok(())
 }
@@ -166,8 +166,8 @@
 fn check_names(
     wanted: &Option<At<Vec<String>>>,
     known: &[String],
-    unknown: impl Fn(String) -> Problem,
-) -> Result<(), RouteError> {
+    unknown: impl Fn(String) -> RoutingErrorKind,
+) -> Result<(), RoutingError> {
     let Some(wanted) = wanted else { return Ok(()) };
     match wanted.value.iter().find(|name| !known.contains(name)) {
         Some(name) => Err(unknown(name.clone()).at(&wanted.origin)),
--- a/crates/routing/src/quota.rs
+++ b/crates/routing/src/quota.rs
@@ -4,11 +4,11 @@
 
 use config_language::model::{At, Operators, Origin, QuotaPolicy};
 
-use crate::{Problem, RouteError};
+use crate::{RoutingError, RoutingErrorKind};
 
 /// What the platform grants each customer of a plan. A rate of zero: no quota; `open` of zero: no such limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Quota<'a> {
+pub struct GrantedQuota<'a> {
     /// The plan's name.
     pub plan: &'a str,
     /// Units a second, from 0 up.
@@ -16,12 +16,12 @@
     /// Units that the store holds, from 0 up.
     pub burst: f64,
     /// Attempts out at once.
-    pub open: u32,
+    pub max_concurrent: u32,
 }
 
 /// Where a figure comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Source {
+pub enum LimitSource {
     /// The platform's settings.
     Platform,
     /// A quota policy.
@@ -35,24 +35,24 @@
 
 /// A figure in force, and where it comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figure<T> {
-    /// The figure, in the unit and with the zero of [`Quota`].
+pub struct Limit<T> {
+    /// The figure, in the unit and with the zero of [`GrantedQuota`].
     pub value: T,
     /// Where it comes from; the platform where both say the same.
-    pub source: Source,
+    pub source: LimitSource,
 }
 
 /// What is in force for a plan.
 #[derive(Clone, Debug, PartialEq)]
-pub struct InForce {
+pub struct EffectiveQuota {
     /// The plan's name.
     pub plan: String,
     /// Units a second.
-    pub rate: Figure<f64>,
+    pub rate: Limit<f64>,
     /// Units that the store holds.
-    pub burst: Figure<f64>,
+    pub burst: Limit<f64>,
     /// Attempts out at once.
-    pub open: Figure<u32>,
+    pub max_concurrent: Limit<u32>,
 }
 
 /// What is in force for each plan, in the platform's order. A policy tightens and never loosens: of two figures the
@@ -61,20 +61,23 @@
 /// # Errors
 /// A plan that the platform does not have, a figure that is not above zero (a zero would lift the limit), and half
 /// a quota, a rate or a burst alone, where the platform sets none to go with it.
-pub fn tighten(operators: &Operators, platform: &[Quota]) -> Result<Vec<InForce>, RouteError> {
+pub fn effective_quotas(
+    operators: &Operators,
+    platform: &[GrantedQuota],
+) -> Result<Vec<EffectiveQuota>, RoutingError> {
     let mut policies: BTreeMap<&str, Vec<&QuotaPolicy>> =
         platform.iter().map(|quota| (quota.plan, Vec::new())).collect();
     for policy in &operators.policies {
         check(policy)?;
         let of_plan = policies.get_mut(policy.plan.value.as_str());
-        let unknown = || Problem::UnknownPlan(policy.plan.value.clone()).at(&policy.plan.origin);
+        let unknown = || RoutingErrorKind::UnknownPlan(policy.plan.value.clone()).at(&policy.plan.origin);
         of_plan.ok_or_else(unknown)?.push(policy);
     }
     platform.iter().map(|quota| tightened(quota, &policies[quota.plan])).collect()
 }
 
 /// Whether each figure can be a limit at all.
-fn check(policy: &QuotaPolicy) -> Result<(), RouteError> {
+fn check(policy: &QuotaPolicy) -> Result<(), RoutingError> {
     let units = |figure: &Option<At<f64>>| {
         figure.as_ref().filter(|at| !(at.value.is_finite() && at.value > 0.0)).map(|at| at.origin.clone())
     };
@@ -82,27 +85,29 @@
     let wrong = [("rate", units(&policy.rate)), ("burst", units(&policy.burst)), ("open", open)];
     match wrong.into_iter().find_map(|(figure, origin)| Some((figure, origin?))) {
         Some((figure, origin)) => {
-            Err(Problem::NotAQuota { policy: policy.name.value.clone(), figure }.at(&origin))
+            Err(RoutingErrorKind::InvalidLimit { policy: policy.name.value.clone(), limit: figure }
+                .at(&origin))
         }
         None => Ok(()),
     }
 }
 
-fn tightened(quota: &Quota, policies: &[&QuotaPolicy]) -> Result<InForce, RouteError> {
+fn tightened(quota: &GrantedQuota, policies: &[&QuotaPolicy]) -> Result<EffectiveQuota, RoutingError> {
     let metered = quota.rate > 0.0;
     let rate = lowest(quota.rate, metered, policies, |policy| policy.rate.as_ref());
     // With a rate, a store of zero holds nothing; without one its figure means nothing, unless there is one.
     let stored = metered || quota.burst > 0.0;
     let burst = lowest(quota.burst, stored, policies, |policy| policy.burst.as_ref());
-    let open = lowest(quota.open, quota.open > 0, policies, |policy| policy.open.as_ref());
+    let open =
+        lowest(quota.max_concurrent, quota.max_concurrent > 0, policies, |policy| policy.open.as_ref());
     match (&rate.source, &burst.source) {
-        (Source::Policy { origin, .. }, Source::Platform) if !stored => {
-            Err(Problem::RateWithoutBurst(quota.plan.into()).at(origin))
+        (LimitSource::Policy { origin, .. }, LimitSource::Platform) if !stored => {
+            Err(RoutingErrorKind::RateWithoutBurst(quota.plan.into()).at(origin))
         }
-        (Source::Platform, Source::Policy { origin, .. }) if !metered => {
-            Err(Problem::BurstWithoutRate(quota.plan.into()).at(origin))
+        (LimitSource::Platform, LimitSource::Policy { origin, .. }) if !metered => {
+            Err(RoutingErrorKind::BurstWithoutRate(quota.plan.into()).at(origin))
         }
-        _ => Ok(InForce { plan: quota.plan.into(), rate, burst, open }),
+        _ => Ok(EffectiveQuota { plan: quota.plan.into(), rate, burst, max_concurrent: open }),
     }
 }
 
@@ -112,13 +117,13 @@
     mut limited: bool,
     policies: &[&QuotaPolicy],
     figure: impl Fn(&QuotaPolicy) -> Option<&At<T>>,
-) -> Figure<T> {
-    let mut lowest = Figure { value: platform, source: Source::Platform };
+) -> Limit<T> {
+    let mut lowest = Limit { value: platform, source: LimitSource::Platform };
     for policy in policies {
         let Some(at) = figure(policy) else { continue };
         if !limited || at.value < lowest.value {
-            let source = Source::Policy { name: policy.name.value.clone(), origin: at.origin.clone() };
-            lowest = Figure { value: at.value, source };
+            let source = LimitSource::Policy { name: policy.name.value.clone(), origin: at.origin.clone() };
+            lowest = Limit { value: at.value, source };
             limited = true;
         }
     }
--- a/crates/routing/src/routes.rs
+++ b/crates/routing/src/routes.rs
@@ -9,18 +9,18 @@
 use crate::pools::Pools;
 use crate::sites::{with_parts, Parts};
 use crate::tables::{Span, Tables};
-use crate::{Facts, HostFacts, PoolMask, Problem, RouteError, MOST_RANGES};
+use crate::{HostAttributes, PlatformNames, PoolMask, RoutingError, RoutingErrorKind, MAX_RANGES};
 
 /// The most routes of a file set.
-pub const MOST_ROUTES: usize = 65_535;
+pub const MAX_ROUTES: usize = 65_535;
 
 /// A route of one version, by its place in the order. The next version may have another in that place, see
-/// [`Routes::successors`].
+/// [`RoutingTable::successors`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteId(u16);
 
 impl RouteId {
-    /// Its place in the order, from 0, below [`Routes::len`].
+    /// Its place in the order, from 0, below [`RoutingTable::len`].
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
@@ -28,7 +28,7 @@
 
 /// Where a request goes. It keeps to this until it is answered, whatever is reloaded meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Choice {
+pub struct Destination {
     /// The route, in the version that was asked; none if none holds.
     pub route: Option<RouteId>,
     /// The pool; [`PoolMask::ALL`] without a route.
@@ -37,19 +37,19 @@
     pub fallback: PoolMask,
     /// Attempts of this route that may be out at once, from one gateway; none: no such limit. Zero is a limit too:
     /// the route lets nothing out.
-    pub most_out: Option<u32>,
+    pub max_in_flight: Option<u32>,
 }
 
-impl Default for Choice {
+impl Default for Destination {
     /// What holds without a route: all hosts, no limit.
-    fn default() -> Choice {
-        Choice { route: None, pool: PoolMask::ALL, fallback: PoolMask::NONE, most_out: None }
+    fn default() -> Destination {
+        Destination { route: None, pool: PoolMask::ALL, fallback: PoolMask::NONE, max_in_flight: None }
     }
 }
 
-impl Choice {
-    /// The pools that it names: none without a route. What [`Routes::compile_after`] has to be told.
-    pub fn pools(&self) -> PoolMask {
+impl Destination {
+    /// The pools that it names: none without a route. What [`RoutingTable::compile_after`] has to be told.
+    pub fn named_pools(&self) -> PoolMask {
         match self.route {
             Some(_) => self.pool | self.fallback,
             None => PoolMask::NONE,
@@ -59,7 +59,7 @@
 
 /// One version of the operators' pools and routes, compiled. The default has neither: all requests go to all hosts.
 #[derive(Clone, Debug, Default)]
-pub struct Routes {
+pub struct RoutingTable {
     pools: Pools,
     /// What sites make of pools.
     parts: Parts,
@@ -67,33 +67,33 @@
     plans: Groups,
     tables: Tables,
     /// What each route chooses.
-    choices: Box<[Choice]>,
+    choices: Box<[Destination]>,
     /// The name of each route.
     names: Box<[Box<str>]>,
 }
 
-impl Routes {
+impl RoutingTable {
     /// Compiles a first version.
     ///
     /// # Errors
     /// A name that is not known or not alone, too many pools or routes, or tables beyond their bound. The checker
     /// of the language finds all but the bounds earlier and says more.
-    pub fn compile(operators: &Operators, facts: &Facts) -> Result<Routes, RouteError> {
-        Routes::compile_after(&Routes::default(), PoolMask::NONE, operators, facts)
+    pub fn compile(operators: &Operators, facts: &PlatformNames) -> Result<RoutingTable, RoutingError> {
+        RoutingTable::compile_after(&RoutingTable::default(), PoolMask::NONE, operators, facts)
     }
 
     /// Compiles the version that follows `before`. Pools keep their bits by name. `in_use` has the pools of all
-    /// choices that requests in hand hold ([`Choice::pools`]): those keep their bits and hosts even if they are
+    /// choices that requests in hand hold ([`Destination::named_pools`]): those keep their bits and hosts even if they are
     /// removed.
     ///
     /// # Errors
-    /// As [`Routes::compile`], and if a new pool finds no bit because removed ones are in use: that passes.
+    /// As [`RoutingTable::compile`], and if a new pool finds no bit because removed ones are in use: that passes.
     pub fn compile_after(
-        before: &Routes,
+        before: &RoutingTable,
         in_use: PoolMask,
         operators: &Operators,
-        facts: &Facts,
-    ) -> Result<Routes, RouteError> {
+        facts: &PlatformNames,
+    ) -> Result<RoutingTable, RoutingError> {
         let pools = Pools::new(&with_parts(operators, facts)?, facts, &before.pools, in_use)?;
         let parts = Parts::new(operators, facts, &pools);
         let routes = &operators.routes;
@@ -104,24 +104,24 @@
         let tables = tables(routes, &claims, &classes, &plans)?;
         let choices = choices(routes, &pools.by_name())?;
         let names = routes.iter().map(|route| route.name.value.as_str().into()).collect();
-        Ok(Routes { pools, parts, classes, plans, tables, choices, names })
+        Ok(RoutingTable { pools, parts, classes, plans, tables, choices, names })
     }
 
     /// The pools that a host is in. For each change of the membership, not for each request: it goes through all
     /// pools.
-    pub fn pools_of(&self, host: &HostFacts) -> PoolMask {
+    pub fn pools_of(&self, host: &HostAttributes) -> PoolMask {
         self.pools.of(host)
     }
 
     /// The parts of these pools that are in sites of a set: a bit for each site, by its place in the files, and bit 63
     /// for hosts that are in none. [`PoolMask::ALL`] or none: the parts of all hosts. Parts are pools like others.
-    pub fn within(&self, pools: PoolMask, sites: u64) -> PoolMask {
+    pub fn pools_in_sites(&self, pools: PoolMask, sites: u64) -> PoolMask {
         self.parts.within(pools, sites)
     }
 
     /// The pools of this version that a host is in, and no longer in `after`, by the bits of this version. Pools are
     /// told by their names.
-    pub fn left_by(&self, after: &Routes, host: &HostFacts) -> PoolMask {
+    pub fn pools_left_by(&self, after: &RoutingTable, host: &HostAttributes) -> PoolMask {
         self.pools.left_by(&after.pools, host)
     }
 
@@ -131,17 +131,17 @@
     }
 
     /// What the first route says that holds for a request, given the positions of its class and its plan among the
-    /// [`Facts`]; the default where none holds. One search by halves in one table.
+    /// [`PlatformNames`]; the default where none holds. One search by halves in one table.
     #[inline]
-    pub fn choose(&self, class: usize, plan: usize, customer: u64) -> Choice {
+    pub fn lookup(&self, class: usize, plan: usize, customer: u64) -> Destination {
         self.choose_and(class, plan, customer, || ())
     }
 
     /// Chooses; `compared` is called at each comparison of the search.
     #[inline]
-    fn choose_and(&self, class: usize, plan: usize, customer: u64, compared: impl FnMut()) -> Choice {
+    fn choose_and(&self, class: usize, plan: usize, customer: u64, compared: impl FnMut()) -> Destination {
         let Some((class, plan)) = self.classes.of(class).zip(self.plans.of(plan)) else {
-            return Choice::default();
+            return Destination::default();
         };
         let winner = self.tables.winner(class * self.plans.count + plan, customer, compared);
         // `NO_ROUTE` lies beyond the most routes there can be.
@@ -149,7 +149,7 @@
     }
 
     /// The name of a route of this version; empty for an id that only another version has.
-    pub fn name(&self, route: RouteId) -> &str {
+    pub fn route_name(&self, route: RouteId) -> &str {
         self.names.get(route.index()).map_or("", |name| name)
     }
 
@@ -164,31 +164,31 @@
     }
 
     /// For each route of this version the one in `after` that has its name.
-    pub fn successors(&self, after: &Routes) -> Vec<Option<RouteId>> {
+    pub fn successors(&self, after: &RoutingTable) -> Vec<Option<RouteId>> {
         let ids = (0..=u16::MAX).map(RouteId);
         let now: BTreeMap<&str, RouteId> = after.names.iter().map(|name| &**name).zip(ids).collect();
         self.names.iter().map(|name| now.get(&**name).copied()).collect()
     }
 
     /// Ranges in the tables.
-    pub fn ranges(&self) -> usize {
+    pub fn range_count(&self) -> usize {
         self.tables.ranges()
     }
 
     /// Bytes that a look-up may read: the tables and what the routes choose, without the names.
-    pub fn bytes(&self) -> usize {
+    pub fn lookup_bytes(&self) -> usize {
         self.tables.bytes() + self.classes.bytes() + self.plans.bytes() + size_of_val(&*self.choices)
     }
 }
 
 /// Whether there are few enough, each with a name of its own.
-fn check(routes: &[Route]) -> Result<(), RouteError> {
-    if let Some(route) = routes.get(MOST_ROUTES) {
-        return Err(Problem::TooManyRoutes(route.name.value.clone()).at(&route.name.origin));
+fn check(routes: &[Route]) -> Result<(), RoutingError> {
+    if let Some(route) = routes.get(MAX_ROUTES) {
+        return Err(RoutingErrorKind::TooManyRoutes(route.name.value.clone()).at(&route.name.origin));
     }
     let mut names = BTreeSet::new();
     match routes.iter().find(|route| !names.insert(&route.name.value)) {
-        Some(route) => Err(Problem::SecondRoute(route.name.value.clone()).at(&route.name.origin)),
+        Some(route) => Err(RoutingErrorKind::DuplicateRoute(route.name.value.clone()).at(&route.name.origin)),
         None => Ok(()),
     }
 }
@@ -199,11 +199,11 @@
     plans: Option<Vec<usize>>,
 }
 
-fn claims(routes: &[Route], facts: &Facts) -> Result<Vec<Claim>, RouteError> {
+fn claims(routes: &[Route], facts: &PlatformNames) -> Result<Vec<Claim>, RoutingError> {
     let (classes, plans) = (Names::new(facts.classes), Names::new(facts.plans));
     let claim = |route: &Route| {
-        let classes = route.classes.as_ref().map(|names| classes.find(names, Problem::UnknownClass));
-        let plans = route.plans.as_ref().map(|names| plans.find(names, Problem::UnknownPlan));
+        let classes = route.classes.as_ref().map(|names| classes.find(names, RoutingErrorKind::UnknownClass));
+        let plans = route.plans.as_ref().map(|names| plans.find(names, RoutingErrorKind::UnknownPlan));
         Ok(Claim { classes: classes.transpose()?, plans: plans.transpose()? })
     };
     routes.iter().map(claim).collect()
@@ -223,7 +223,7 @@
     claims: &[Claim],
     classes: &Groups,
     plans: &Groups,
-) -> Result<Tables, RouteError> {
+) -> Result<Tables, RoutingError> {
     let count = classes.count * plans.count;
     let mut held: Vec<Vec<u16>> = vec![Vec::new(); count];
     let mut ranges = count;
@@ -232,8 +232,8 @@
             (classes.named(claim.classes.as_deref()), plans.named(claim.plans.as_deref()));
         let tables = of_classes.len() * of_plans.len();
         ranges = ranges.saturating_add(tables.saturating_mul(customers(route).count()));
-        if ranges > MOST_RANGES {
-            return Err(Problem::TooManyRanges(route.name.value.clone()).at(&route.name.origin));
+        if ranges > MAX_RANGES {
+            return Err(RoutingErrorKind::TooManyRanges(route.name.value.clone()).at(&route.name.origin));
         }
         for class in of_classes {
             for plan in &of_plans {
@@ -261,17 +261,17 @@
 }
 
 /// What each route chooses.
-fn choices(routes: &[Route], pools: &BTreeMap<&str, PoolMask>) -> Result<Box<[Choice]>, RouteError> {
+fn choices(routes: &[Route], pools: &BTreeMap<&str, PoolMask>) -> Result<Box<[Destination]>, RoutingError> {
     let find = |pool: &config_language::model::At<String>| {
         let mask = pools.get(pool.value.as_str()).copied();
-        mask.ok_or_else(|| Problem::UnknownPool(pool.value.clone()).at(&pool.origin))
+        mask.ok_or_else(|| RoutingErrorKind::UnknownPool(pool.value.clone()).at(&pool.origin))
     };
     let choose = |(route, number): (&Route, u16)| {
-        Ok(Choice {
+        Ok(Destination {
             route: Some(RouteId(number)),
             pool: find(&route.pool)?,
             fallback: route.fallback.as_ref().map_or(Ok(PoolMask::NONE), find)?,
-            most_out: route.most_out.as_ref().map(|most| most.value),
+            max_in_flight: route.most_out.as_ref().map(|most| most.value),
         })
     };
     routes.iter().zip(0..).map(choose).collect()
@@ -287,8 +287,8 @@
         At { value, origin: Origin::default() }
     }
 
-    /// Routes for every other ten customers.
-    fn every_other(count: u64) -> Routes {
+    /// RoutingTable for every other ten customers.
+    fn every_other(count: u64) -> RoutingTable {
         let pool = Pool { name: at("a".into()), zones: None, machines: None, cells: None, ids: None };
         let route = |number: u64| Route {
             name: at(number.to_string()),
@@ -302,8 +302,8 @@
         let routes = (0..count).map(route).collect();
         let operators = Operators { pools: vec![pool], routes, ..Operators::default() };
         let names = ["class".to_owned(), "plan".to_owned()];
-        let facts = Facts { classes: &names[..1], plans: &names[1..], ..Facts::default() };
-        Routes::compile(&operators, &facts).unwrap()
+        let facts = PlatformNames { classes: &names[..1], plans: &names[1..], ..PlatformNames::default() };
+        RoutingTable::compile(&operators, &facts).unwrap()
     }
 
     #[test]
@@ -317,7 +317,7 @@
                 let choice = routes.choose_and(0, 0, customer, || compared += 1);
                 let (route, within) = (customer / 20, customer % 20 < 10);
                 let expected = (route < count && within).then(|| route.to_string());
-                assert_eq!(choice.route.map(|id| routes.name(id).to_owned()), expected);
+                assert_eq!(choice.route.map(|id| routes.route_name(id).to_owned()), expected);
                 assert!((1..=halvings + 1).contains(&compared), "{compared} with {count} routes");
             }
         }
--- a/crates/routing/src/sites.rs
+++ b/crates/routing/src/sites.rs
@@ -6,7 +6,7 @@
 use config_language::model::{At, Operators, Pool};
 
 use crate::pools::Pools;
-use crate::{Facts, PoolMask, Problem, RouteError, MOST_POOLS};
+use crate::{PlatformNames, PoolMask, RoutingError, RoutingErrorKind, MAX_POOLS};
 
 /// Parts a pool's name from a site's. No file can have it in a name.
 const AT: char = '\u{1f}';
@@ -20,7 +20,7 @@
 }
 
 /// Zones of each site, and last those that are in none.
-fn zones(operators: &Operators, facts: &Facts) -> Vec<(Option<String>, Vec<String>)> {
+fn zones(operators: &Operators, facts: &PlatformNames) -> Vec<(Option<String>, Vec<String>)> {
     let sites = operators.sites.iter().map(|site| (Some(site.name.value.clone()), site.zones.value.clone()));
     let mut all: Vec<_> = sites.collect();
     let is_taken = |zone: &&String| all.iter().any(|(_, zones)| zones.contains(zone));
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// More than a mask has bits.
-pub(crate) fn with_parts(operators: &Operators, facts: &Facts) -> Result<Vec<Pool>, RouteError> {
+pub(crate) fn with_parts(operators: &Operators, facts: &PlatformNames) -> Result<Vec<Pool>, RoutingError> {
     let mut pools = operators.pools.clone();
     let Some(first) = operators.sites.first() else { return Ok(pools) };
     for (site, zones) in zones(operators, facts) {
@@ -53,8 +53,10 @@
         }
     }
     let (own, sites, makes) = (operators.pools.len(), operators.sites.len(), pools.len());
-    if own <= MOST_POOLS && makes > MOST_POOLS {
-        return Err(Problem::TooManyParts { pools: own, sites, makes }.at(&first.name.origin));
+    if own <= MAX_POOLS && makes > MAX_POOLS {
+        return Err(
+            RoutingErrorKind::TooManySitePools { pools: own, sites, total: makes }.at(&first.name.origin)
+        );
     }
     Ok(pools)
 }
@@ -64,7 +66,7 @@
 pub(crate) struct Parts(Vec<(PoolMask, Vec<(usize, PoolMask)>)>);
 
 impl Parts {
-    pub fn new(operators: &Operators, facts: &Facts, pools: &Pools) -> Parts {
+    pub fn new(operators: &Operators, facts: &PlatformNames, pools: &Pools) -> Parts {
         if operators.sites.is_empty() {
             return Parts::default();
         }
--- a/crates/routing/src/tables.rs
+++ b/crates/routing/src/tables.rs
@@ -6,7 +6,7 @@
 /// The most ranges of customers that the routes may lay into the tables. A range counts once for each table that
 /// its route is in, and a table counts one. So the tables of one version take at most 40 MiB, and compiling them
 /// about a second at most, whatever the files say.
-pub const MOST_RANGES: usize = 1 << 21;
+pub const MAX_RANGES: usize = 1 << 21;
 
 /// In place of a route where none holds.
 pub(crate) const NO_ROUTE: u16 = u16::MAX;
--- a/crates/routing/tests/routes/brute.rs
+++ b/crates/routing/tests/routes/brute.rs
@@ -78,11 +78,11 @@
         for (class, class_name) in platform.classes.iter().enumerate() {
             for (plan, plan_name) in platform.plans.iter().enumerate() {
                 for &customer in &asked {
-                    let choice = compiled.choose(class, plan, customer);
+                    let choice = compiled.lookup(class, plan, customer);
                     let first = operators.routes.iter().find(|r| holds(r, class_name, plan_name, customer));
-                    let name = choice.route.map(|route| compiled.name(route));
+                    let name = choice.route.map(|route| compiled.route_name(route));
                     prop_assert_eq!(name, first.map(|route| route.name.value.as_str()));
-                    let pools: Vec<&str> = compiled.pool_names(choice.pools()).collect();
+                    let pools: Vec<&str> = compiled.pool_names(choice.named_pools()).collect();
                     prop_assert_eq!(pools.first().copied(), first.map(|route| route.pool.value.as_str()));
                 }
             }
--- a/crates/routing/tests/routes/common.rs
+++ b/crates/routing/tests/routes/common.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 
 use config_language::model::{At, Operators, Origin, Pool, QuotaPolicy, Route};
-use routing::{Facts, Routes};
+use routing::{PlatformNames, RoutingTable};
 
 /// A value that stands in some line.
 pub fn at<T>(line: u32, value: T) -> At<T> {
@@ -32,12 +32,17 @@
         }
     }
 
-    pub fn facts(&self) -> Facts<'_> {
-        Facts { classes: &self.classes, plans: &self.plans, zones: &self.zones, machines: &self.machines }
+    pub fn facts(&self) -> PlatformNames<'_> {
+        PlatformNames {
+            classes: &self.classes,
+            plans: &self.plans,
+            zones: &self.zones,
+            machine_types: &self.machines,
+        }
     }
 
-    pub fn compile(&self, operators: &Operators) -> Routes {
-        Routes::compile(operators, &self.facts()).unwrap()
+    pub fn compile(&self, operators: &Operators) -> RoutingTable {
+        RoutingTable::compile(operators, &self.facts()).unwrap()
     }
 }
 
--- a/crates/routing/tests/routes/errors.rs
+++ b/crates/routing/tests/routes/errors.rs
@@ -1,7 +1,7 @@
 //! What is not put in force.
 
 use config_language::model::{Operators, Pool, Route};
-use routing::{Problem, Routes, MOST_RANGES, MOST_ROUTES};
+use routing::{RoutingErrorKind, RoutingTable, MAX_RANGES, MAX_ROUTES};
 
 use super::common::*;
 
@@ -11,7 +11,7 @@
 }
 
 fn error(operators: &Operators) -> String {
-    Routes::compile(operators, &Platform::new().facts()).unwrap_err().to_string()
+    RoutingTable::compile(operators, &Platform::new().facts()).unwrap_err().to_string()
 }
 
 #[test]
@@ -41,33 +41,34 @@
 #[test]
 fn routes_are_counted() {
     let all = |count: usize| (0..count).map(|n| route(&format!("r{n}"), "a")).collect::<Vec<_>>();
-    let most = Platform::new().compile(&operators(vec![pool("a")], all(MOST_ROUTES)));
-    assert_eq!((most.len(), most.ranges()), (65_535, 1));
+    let most = Platform::new().compile(&operators(vec![pool("a")], all(MAX_ROUTES)));
+    assert_eq!((most.len(), most.range_count()), (65_535, 1));
     let beyond = "park.fb:3:3: route `r65535` is one too many: at most 65535 routes";
-    assert_eq!(refused(all(MOST_ROUTES + 1)), beyond);
+    assert_eq!(refused(all(MAX_ROUTES + 1)), beyond);
 }
 
 #[test]
 fn the_last_route_there_can_be_is_not_taken_for_none() {
     let mut routes: Vec<Route> =
-        (1..MOST_ROUTES).map(|n| customers(&format!("r{n}"), "a", &[0..=0])).collect();
+        (1..MAX_ROUTES).map(|n| customers(&format!("r{n}"), "a", &[0..=0])).collect();
     routes.push(customers("last", "a", &[7..=7]));
     let routes = Platform::new().compile(&operators(vec![pool("a")], routes));
-    assert_eq!(routes.choose(0, 0, 7).route.map(|route| routes.name(route)), Some("last"));
-    assert_eq!(routes.choose(0, 0, 8).route, None);
+    assert_eq!(routes.lookup(0, 0, 7).route.map(|route| routes.route_name(route)), Some("last"));
+    assert_eq!(routes.lookup(0, 0, 8).route, None);
 }
 
 #[test]
 fn tables_have_a_bound() {
     // One table, which counts itself, ranges that fall together, and one that has no customer and so counts for
     // nothing.
-    let mut ranges = vec![5..=6; MOST_RANGES - 1];
+    let mut ranges = vec![5..=6; MAX_RANGES - 1];
     #[allow(clippy::reversed_empty_ranges, reason = "what a file may say")]
     ranges.push(9..=2);
     let fits = customers("fits", "a", &ranges);
     let routes = Platform::new().compile(&operators(vec![pool("a")], vec![fits.clone()]));
-    assert_eq!(routes.ranges(), 3);
+    assert_eq!(routes.range_count(), 3);
     let more = customers("more", "a", &[7..=8]);
-    let error = Routes::compile(&operators(vec![pool("a")], vec![fits, more]), &Platform::new().facts());
-    assert_eq!(error.unwrap_err().problem, Problem::TooManyRanges("more".into()));
+    let error =
+        RoutingTable::compile(&operators(vec![pool("a")], vec![fits, more]), &Platform::new().facts());
+    assert_eq!(error.unwrap_err().kind, RoutingErrorKind::TooManyRanges("more".into()));
 }
--- a/crates/routing/tests/routes/order.rs
+++ b/crates/routing/tests/routes/order.rs
@@ -1,26 +1,29 @@
 //! Which route is chosen.
 
 use config_language::model::Route;
-use routing::{Choice, PoolMask, Routes};
+use routing::{Destination, PoolMask, RoutingTable};
 
 use super::common::*;
 
 /// The name of the route that a request gets, if any.
-fn chosen(routes: &Routes, class: usize, plan: usize, customer: u64) -> Option<&str> {
-    routes.choose(class, plan, customer).route.map(|route| routes.name(route))
+fn chosen(routes: &RoutingTable, class: usize, plan: usize, customer: u64) -> Option<&str> {
+    routes.lookup(class, plan, customer).route.map(|route| routes.route_name(route))
 }
 
 #[test]
 fn without_routes_any_host_will_do() {
     let platform = Platform::new();
     let none = platform.compile(&operators(vec![zone("a", "east")], vec![]));
-    for routes in [&none, &Routes::default()] {
+    for routes in [&none, &RoutingTable::default()] {
         assert!(routes.is_empty());
-        let choice = routes.choose(0, 0, 5);
-        assert_eq!(choice, Choice::default());
-        assert_eq!((choice.pool, choice.fallback, choice.most_out), (PoolMask::ALL, PoolMask::NONE, None));
-        assert!(choice.pool.takes(PoolMask::NONE), "a host that is in no pool takes part");
-        assert!(choice.pools().is_empty());
+        let choice = routes.lookup(0, 0, 5);
+        assert_eq!(choice, Destination::default());
+        assert_eq!(
+            (choice.pool, choice.fallback, choice.max_in_flight),
+            (PoolMask::ALL, PoolMask::NONE, None)
+        );
+        assert!(choice.pool.accepts(PoolMask::NONE), "a host that is in no pool takes part");
+        assert!(choice.named_pools().is_empty());
     }
 }
 
@@ -31,7 +34,7 @@
     let wide_first = platform.compile(&operators(vec![pool("a")], vec![wide.clone(), narrow.clone()]));
     let narrow_first = platform.compile(&operators(vec![pool("a")], vec![narrow, wide]));
     assert_eq!(chosen(&wide_first, 0, 0, 15), Some("wide"));
-    assert_eq!(wide_first.ranges(), 2, "what can never win leaves nothing in the tables");
+    assert_eq!(wide_first.range_count(), 2, "what can never win leaves nothing in the tables");
     let around = [9, 10, 20, 21, 100, 101].map(|customer| chosen(&narrow_first, 0, 0, customer));
     let [wide, narrow] = [Some("wide"), Some("narrow")];
     assert_eq!(around, [wide, narrow, narrow, wide, wide, None]);
@@ -57,7 +60,7 @@
     let platform = Platform::new();
     let routes = platform.compile(&operators(vec![pool("a")], vec![customers("all", "a", &[0..=u64::MAX])]));
     assert_eq!([0, 7, u64::MAX].map(|customer| chosen(&routes, 1, 1, customer)), [Some("all"); 3]);
-    assert_eq!(routes.ranges(), 1);
+    assert_eq!(routes.range_count(), 1);
 }
 
 #[test]
@@ -99,11 +102,11 @@
     let platform = Platform::new();
     let both = Route { fallback: Some(at(1, "b".into())), most_out: Some(at(1, 0)), ..route("both", "a") };
     let routes = platform.compile(&operators(vec![pool("a"), pool("b")], vec![both]));
-    let choice = routes.choose(0, 0, 0);
+    let choice = routes.lookup(0, 0, 0);
     assert_eq!(routes.pool_names(choice.pool).collect::<Vec<_>>(), ["a"]);
     assert_eq!(routes.pool_names(choice.fallback).collect::<Vec<_>>(), ["b"]);
-    assert_eq!(routes.pool_names(choice.pools()).collect::<Vec<_>>(), ["a", "b"]);
-    assert_eq!(choice.most_out, Some(0));
+    assert_eq!(routes.pool_names(choice.named_pools()).collect::<Vec<_>>(), ["a", "b"]);
+    assert_eq!(choice.max_in_flight, Some(0));
 }
 
 #[test]
@@ -112,13 +115,13 @@
     let shared: Vec<Route> =
         (0..100).map(|n| customers(&format!("r{n}"), "a", &[10 * n..=10 * n + 5])).collect();
     let one = platform.compile(&operators(vec![pool("a")], shared.clone()));
-    assert_eq!(one.ranges(), 200);
+    assert_eq!(one.range_count(), 200);
     // Now orders are told apart from the rest, and premium from standard: four tables.
     let mut apart = shared;
     apart[50].classes = Some(at(1, names(&["order"])));
     apart[51].plans = Some(at(1, names(&["premium", "premium"])));
     let four = platform.compile(&operators(vec![pool("a")], apart));
-    assert!((4 * 196..=4 * 200).contains(&four.ranges()), "{}", four.ranges());
+    assert!((4 * 196..=4 * 200).contains(&four.range_count()), "{}", four.range_count());
 }
 
 #[test]
@@ -127,7 +130,7 @@
     let twice = Route { classes: Some(at(1, names(&["read", "order", "read"]))), ..route("twice", "a") };
     let routes = platform.compile(&operators(vec![pool("a")], vec![twice]));
     assert_eq!([0, 1, 2].map(|class| chosen(&routes, class, 0, 1)), [Some("twice"), Some("twice"), None]);
-    assert_eq!(routes.ranges(), 2, "reads and orders share a table");
+    assert_eq!(routes.range_count(), 2, "reads and orders share a table");
 }
 
 #[test]
@@ -139,7 +142,7 @@
     assert_eq!(chosen(&routes, 0, 0, 99_993), Some("r9999"));
     assert_eq!(chosen(&routes, 0, 0, 99_996), None);
     let tables = 10 * (2 * 10_000 + 1);
-    let choices = 10_000 * size_of::<Choice>();
+    let choices = 10_000 * size_of::<Destination>();
     let groups = 4 * (3 + 2 + 1);
-    assert!(routes.bytes() <= tables + choices + groups, "{}", routes.bytes());
+    assert!(routes.lookup_bytes() <= tables + choices + groups, "{}", routes.lookup_bytes());
 }
--- a/crates/routing/tests/routes/quota.rs
+++ b/crates/routing/tests/routes/quota.rs
@@ -3,28 +3,28 @@
 use config_language::model::{Operators, QuotaPolicy};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use routing::{tighten, InForce, Problem, Quota, RouteError, Source};
+use routing::{effective_quotas, EffectiveQuota, GrantedQuota, LimitSource, RoutingError, RoutingErrorKind};
 
 use super::common::*;
 
-const PLATFORM: [Quota<'static>; 2] = [
-    Quota { plan: "standard", rate: 4.0, burst: 20.0, open: 2 },
-    Quota { plan: "premium", rate: 0.0, burst: 0.0, open: 0 },
+const PLATFORM: [GrantedQuota<'static>; 2] = [
+    GrantedQuota { plan: "standard", rate: 4.0, burst: 20.0, max_concurrent: 2 },
+    GrantedQuota { plan: "premium", rate: 0.0, burst: 0.0, max_concurrent: 0 },
 ];
 
-fn tightened(policies: Vec<QuotaPolicy>) -> Result<Vec<InForce>, RouteError> {
-    tighten(&Operators { policies, ..Operators::default() }, &PLATFORM)
+fn tightened(policies: Vec<QuotaPolicy>) -> Result<Vec<EffectiveQuota>, RoutingError> {
+    effective_quotas(&Operators { policies, ..Operators::default() }, &PLATFORM)
 }
 
-fn figures(line: &InForce) -> (f64, f64, u32) {
-    (line.rate.value, line.burst.value, line.open.value)
+fn figures(line: &EffectiveQuota) -> (f64, f64, u32) {
+    (line.rate.value, line.burst.value, line.max_concurrent.value)
 }
 
 #[test]
 fn without_policies_the_platforms_figures_stand() {
     let in_force = tightened(vec![]).unwrap();
     assert_eq!(in_force.iter().map(figures).collect::<Vec<_>>(), [(4.0, 20.0, 2), (0.0, 0.0, 0)]);
-    assert!(in_force.iter().all(|line| line.rate.source == Source::Platform));
+    assert!(in_force.iter().all(|line| line.rate.source == LimitSource::Platform));
 }
 
 #[test]
@@ -38,10 +38,13 @@
     let in_force = tightened(vec![slow]).unwrap();
     let standard = &in_force[0];
     assert_eq!(figures(standard), (3.0, 20.0, 2));
-    let source = Source::Policy { name: "slow".into(), origin: at(21, ()).origin };
+    let source = LimitSource::Policy { name: "slow".into(), origin: at(21, ()).origin };
     assert_eq!(standard.rate.source, source);
     // Above the platform's, and the same as the platform's.
-    assert_eq!((&standard.burst.source, &standard.open.source), (&Source::Platform, &Source::Platform));
+    assert_eq!(
+        (&standard.burst.source, &standard.max_concurrent.source),
+        (&LimitSource::Platform, &LimitSource::Platform)
+    );
 }
 
 #[test]
@@ -65,12 +68,12 @@
 
 #[test]
 fn a_zero_is_no_way_around_the_platform() {
-    let problem = |policy: QuotaPolicy| tightened(vec![policy]).unwrap_err().problem;
+    let problem = |policy: QuotaPolicy| tightened(vec![policy]).unwrap_err().kind;
     for rate in [0.0, -0.0, -1.0, f64::NAN, f64::INFINITY] {
         let figure = QuotaPolicy { rate: Some(at(1, rate)), ..policy("p", "standard") };
-        assert_eq!(problem(figure), Problem::NotAQuota { policy: "p".into(), figure: "rate" });
+        assert_eq!(problem(figure), RoutingErrorKind::InvalidLimit { policy: "p".into(), limit: "rate" });
         let figure = QuotaPolicy { burst: Some(at(1, rate)), ..policy("p", "standard") };
-        assert_eq!(problem(figure), Problem::NotAQuota { policy: "p".into(), figure: "burst" });
+        assert_eq!(problem(figure), RoutingErrorKind::InvalidLimit { policy: "p".into(), limit: "burst" });
     }
     let open = QuotaPolicy { open: Some(at(31, 0)), ..policy("p", "premium") };
     let message = "park.fb:31:3: quota policy `p`: open has to be above zero and finite";
@@ -81,10 +84,10 @@
 fn half_a_quota_is_refused_where_the_platform_has_no_other_half() {
     // A rate with an empty store would turn all away; a store without a rate would count for nothing.
     let rate = QuotaPolicy { rate: Some(at(1, 3.0)), ..policy("p", "premium") };
-    let problem = |policy: QuotaPolicy| tightened(vec![policy]).unwrap_err().problem;
-    assert_eq!(problem(rate), Problem::RateWithoutBurst("premium".into()));
+    let problem = |policy: QuotaPolicy| tightened(vec![policy]).unwrap_err().kind;
+    assert_eq!(problem(rate), RoutingErrorKind::RateWithoutBurst("premium".into()));
     let burst = QuotaPolicy { burst: Some(at(1, 3.0)), ..policy("p", "premium") };
-    assert_eq!(problem(burst), Problem::BurstWithoutRate("premium".into()));
+    assert_eq!(problem(burst), RoutingErrorKind::BurstWithoutRate("premium".into()));
 }
 
 #[test]
@@ -121,12 +124,12 @@
         quota in (prop_oneof![Just(0.0), 0.1_f64..50.0], prop_oneof![Just(0.0), 0.1_f64..50.0], 0_u32..5),
         policies in prop::collection::vec(a_policy(), 0..4),
     ) {
-        let platform = Quota { plan: "plan", rate: quota.0, burst: quota.1, open: quota.2 };
+        let platform = GrantedQuota { plan: "plan", rate: quota.0, burst: quota.1, max_concurrent: quota.2 };
         let operators = Operators { policies, ..Operators::default() };
-        if let Ok(in_force) = tighten(&operators, &[platform]) {
+        if let Ok(in_force) = effective_quotas(&operators, &[platform]) {
             let (rate, burst, open) = figures(&in_force[0]);
             prop_assert!(allowed(rate) <= allowed(platform.rate));
-            prop_assert!(allowed(open.into()) <= allowed(platform.open.into()));
+            prop_assert!(allowed(open.into()) <= allowed(platform.max_concurrent.into()));
             // With a rate the store's figure counts, and zero is no more than zero.
             prop_assert!(platform.rate == 0.0 || burst <= platform.burst);
             for given in operators.policies.iter().filter_map(|policy| policy.rate.as_ref()) {
