--- a/crates/api-gateway/src/config/mod.rs
+++ b/crates/api-gateway/src/config/mod.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context as _, Result};
 use clap::Subcommand;
 use config_language::Diagnostic;
-use gateway::Site;
+use gateway::PlatformSettings;
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// The document cannot be used.
-pub fn site(settings: Option<&Path>) -> Result<Option<Site>> {
+pub fn site(settings: Option<&Path>) -> Result<Option<PlatformSettings>> {
     settings.map(|path| Ok(crate::source::document(path)?.site)).transpose()
 }
 
--- a/crates/api-gateway/src/main.rs
+++ b/crates/api-gateway/src/main.rs
@@ -13,7 +13,7 @@
 use anyhow::{Context as _, Result};
 use clap::Parser;
 use command::{Command, CommandLine, Files, LogFormat, Serve};
-use gateway::{Config, Signal, Site, MIN_SOCKETS};
+use gateway::{Config, PlatformSettings, Signal, MIN_SOCKETS};
 use quota::bound::{max_overshoot, Failure, Quota};
 use source::Source;
 use std::ffi::OsString;
@@ -111,8 +111,8 @@
     for key in &config.unknown {
         println!("  skips `{key}`, which this version does not know");
     }
-    println!("  classes: {}", config.site.classes.join(", "));
-    println!("  plans: {}", config.site.plans.join(", "));
+    println!("  classes: {}", config.site.class_names.join(", "));
+    println!("  plans: {}", config.site.plan_names.join(", "));
     println!("  knows {} hosts before discovery speaks", config.known.instances.len());
     Ok(())
 }
@@ -131,11 +131,15 @@
 }
 
 /// What a failing counter may cost, stated in advance (see docs/quota-doubt.md).
-fn say_bounds(site: &Site) {
-    for (name, plan) in site.plans.iter().zip(&site.settings.plans).filter(|(_, plan)| plan.rate > 0.0) {
+fn say_bounds(site: &PlatformSettings) {
+    for (name, plan) in site.plan_names.iter().zip(&site.settings.plans).filter(|(_, plan)| plan.rate > 0.0) {
         let spread = site.settings.gateways;
-        let quota =
-            Quota { rate: plan.rate, burst: plan.burst, set_size: spread, max_request_units: site.units_top };
+        let quota = Quota {
+            rate: plan.rate,
+            burst: plan.burst,
+            set_size: spread,
+            max_request_units: site.max_request_units,
+        };
         let lost = Failure::counter_unreachable(LOST_S, &quota);
         let (known, greedy) = (max_overshoot(&quota, &lost, true), max_overshoot(&quota, &lost, false));
         println!(
--- a/crates/api-gateway/src/operators.rs
+++ b/crates/api-gateway/src/operators.rs
@@ -6,15 +6,15 @@
 use config_language::loader::Fs;
 use config_language::model::{Operators, Origin};
 use config_language::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
-use gateway::Site;
+use gateway::PlatformSettings;
 use routing::{tighten, Facts, InForce, Problem, Quota, RouteError, Routes};
 use std::path::Path;
 
 /// What the platform's settings say, as far as checks of the operators' files need it.
-pub fn platform(site: &Site) -> Platform {
-    let plans = site.plans.iter().zip(&site.settings.plans);
+pub fn platform(site: &PlatformSettings) -> Platform {
+    let plans = site.plan_names.iter().zip(&site.settings.plans);
     Platform {
-        classes: site.classes.clone(),
+        classes: site.class_names.clone(),
         worths: site.settings.classes.iter().map(|class| class.priority_weight).collect(),
         plans: plans
             .map(|(name, plan)| PlatformPlan {
@@ -25,24 +25,29 @@
                 worth: plan.weight_factor,
             })
             .collect(),
-        zones: site.zones.clone(),
-        machines: site.kinds.clone(),
+        zones: site.zone_names.clone(),
+        machines: site.machine_types.clone(),
         gateways: site.settings.gateways,
-        units_top: site.units_top,
+        units_top: site.max_request_units,
     }
 }
 
 /// The names that routes and pools speak of.
-pub fn facts(site: &Site) -> Facts<'_> {
-    Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones, machines: &site.kinds }
+pub fn facts(site: &PlatformSettings) -> Facts<'_> {
+    Facts {
+        classes: &site.class_names,
+        plans: &site.plan_names,
+        zones: &site.zone_names,
+        machines: &site.machine_types,
+    }
 }
 
 /// What is in force for each plan, in the platform's order.
 ///
 /// # Errors
 /// As [`tighten`].
-pub fn quotas(operators: &Operators, site: &Site) -> Result<Vec<InForce>, RouteError> {
-    let plans = site.plans.iter().zip(&site.settings.plans);
+pub fn quotas(operators: &Operators, site: &PlatformSettings) -> Result<Vec<InForce>, RouteError> {
+    let plans = site.plan_names.iter().zip(&site.settings.plans);
     let granted: Vec<Quota> = plans
         .map(|(name, plan)| Quota {
             plan: name,
@@ -65,7 +70,7 @@
 ///
 /// # Errors
 /// The first error, and how many more there are. Warnings are none.
-pub fn load(path: &Path, site: Option<&Site>) -> Result<FileSet, Unusable> {
+pub fn load(path: &Path, site: Option<&PlatformSettings>) -> Result<FileSet, Unusable> {
     let Checked { set, diagnostics } = check(path, site);
     set.ok_or_else(|| unusable(path, &diagnostics))
 }
@@ -99,7 +104,7 @@
 }
 
 /// Reads and checks a file and all that it includes, as [`load`], and keeps all that there is to say.
-pub fn check(path: &Path, site: Option<&Site>) -> Checked {
+pub fn check(path: &Path, site: Option<&PlatformSettings>) -> Checked {
     let loaded = config_language::load(path, &Fs, site.map(platform).as_ref());
     let mut diagnostics = loaded.diagnostics;
     let Some((set, site)) = loaded.set.as_ref().zip(site) else {
@@ -118,7 +123,7 @@
 }
 
 /// Why a gateway could not put it in force: bounds of its tables, and quotas that need more than a figure.
-fn refused(operators: &Operators, site: &Site) -> Vec<RouteError> {
+fn refused(operators: &Operators, site: &PlatformSettings) -> Vec<RouteError> {
     let routes = Routes::compile(operators, &facts(site)).err();
     routes.into_iter().chain(quotas(operators, site).err()).collect()
 }
@@ -159,7 +164,7 @@
 
     const EXAMPLE: &[u8] = include_bytes!("../../../deploy/example.json");
 
-    fn site() -> Site {
+    fn site() -> PlatformSettings {
         Config::parse(EXAMPLE).unwrap().site
     }
 
--- a/crates/api-gateway/src/plan/mod.rs
+++ b/crates/api-gateway/src/plan/mod.rs
@@ -8,7 +8,7 @@
 use clap::Subcommand;
 use config_language::model::Operators;
 use config_language::{Diagnostic, Dimension};
-use gateway::Site;
+use gateway::PlatformSettings;
 use site_failover::capacity_check::{
     check_loss, LoadFit, LossOutcome, LossScenario, TierShedding, TrafficMix,
 };
@@ -47,10 +47,10 @@
 ///
 /// # Errors
 /// As [`Plan::compile`].
-pub fn compile(operators: &Operators, site: &Site) -> Result<FailoverPlan, PlanError> {
+pub fn compile(operators: &Operators, site: &PlatformSettings) -> Result<FailoverPlan, PlanError> {
     FailoverPlan::compile(
         operators,
-        &PlatformNames { classes: &site.classes, plans: &site.plans, zones: &site.zones },
+        &PlatformNames { classes: &site.class_names, plans: &site.plan_names, zones: &site.zone_names },
     )
 }
 
--- a/crates/api-gateway/src/plan/show.rs
+++ b/crates/api-gateway/src/plan/show.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context as _, Result};
 use clap::Args;
 use config_language::Dimension;
-use gateway::Site;
+use gateway::PlatformSettings;
 use serde_json::{json, Value};
 use site_failover::capacity_check::{check_losses, LoadFit, LossOutcome, LossScenario, TrafficMix};
 use site_failover::{FailoverPlan, OperatorOverride};
@@ -60,16 +60,17 @@
 }
 
 /// Weights by class and plan; those that are not named have none.
-fn weighed(weights: &str, site: &Site) -> Result<TrafficMix> {
-    let plans = site.plans.len();
-    let mut by_cell = vec![0.0; site.classes.len() * plans];
+fn weighed(weights: &str, site: &PlatformSettings) -> Result<TrafficMix> {
+    let plans = site.plan_names.len();
+    let mut by_cell = vec![0.0; site.class_names.len() * plans];
     for part in weights.split(',') {
         let read = part.split_once('=').and_then(|(cell, weight)| Some((cell.split_once('/')?, weight)));
         let Some(((class, plan), weight)) = read else { bail!("`{part}` is not CLASS/PLAN=WEIGHT") };
         let number = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        let class =
-            number(&site.classes, class).with_context(|| format!("the platform has no class `{class}`"))?;
-        let plan = number(&site.plans, plan).with_context(|| format!("the platform has no plan `{plan}`"))?;
+        let class = number(&site.class_names, class)
+            .with_context(|| format!("the platform has no class `{class}`"))?;
+        let plan =
+            number(&site.plan_names, plan).with_context(|| format!("the platform has no plan `{plan}`"))?;
         let weight: f64 = weight.parse().with_context(|| format!("`{weight}` is no number"))?;
         anyhow::ensure!(weight.is_finite() && weight >= 0.0, "`{weight}` is no weight");
         by_cell[class * plans + plan] = weight;
@@ -78,7 +79,7 @@
     Ok(TrafficMix::from_weights(by_cell))
 }
 
-fn text(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], site: &Site) -> String {
+fn text(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], site: &PlatformSettings) -> String {
     if plan.sites.is_empty() {
         return format!("{}: no site, so nothing is planned for the loss of one\n", path_text(&words.file));
     }
@@ -94,14 +95,14 @@
     )
 }
 
-fn sites(plan: &FailoverPlan, platform: &Site) -> String {
+fn sites(plan: &FailoverPlan, platform: &PlatformSettings) -> String {
     let mut table = Table::new(
         &["site", "zones", "capacity", "load", "headroom", "ramp", "told", "who takes over"],
         &[2, 3, 4, 5],
     );
     for site in &plan.sites {
         let figure = |figure: Option<f64>| figure.map_or_else(|| "?".to_owned(), amount);
-        let zones = site.zones.iter().filter_map(|zone| platform.zones.get(*zone as usize));
+        let zones = site.zones.iter().filter_map(|zone| platform.zone_names.get(*zone as usize));
         table.row(vec![
             site.name.clone(),
             zones.map(|zone| one_line(zone)).collect::<Vec<_>>().join(", "),
@@ -135,7 +136,7 @@
     parts.join(", ")
 }
 
-fn sheds(plan: &FailoverPlan, platform: &Site) -> String {
+fn sheds(plan: &FailoverPlan, platform: &PlatformSettings) -> String {
     if plan.shedding.tiers.is_empty() {
         return "nothing is named: what does not fit is refused by worth alone\n".into();
     }
@@ -153,11 +154,11 @@
 }
 
 /// `CLASS/PLAN`.
-fn cell_name(plan: &FailoverPlan, platform: &Site, cell: usize) -> String {
+fn cell_name(plan: &FailoverPlan, platform: &PlatformSettings, cell: usize) -> String {
     let plans = plan.shedding.plans;
     let name =
         |names: &[String], number: usize| names.get(number).map_or_else(String::new, |name| one_line(name));
-    format!("{}/{}", name(&platform.classes, cell / plans), name(&platform.plans, cell % plans))
+    format!("{}/{}", name(&platform.class_names, cell / plans), name(&platform.plan_names, cell % plans))
 }
 
 fn outcomes(plan: &FailoverPlan, losses: &[LossScenario]) -> String {
@@ -210,11 +211,16 @@
     what
 }
 
-fn document(words: &Words, plan: &FailoverPlan, losses: &[LossScenario], platform: &Site) -> Value {
+fn document(
+    words: &Words,
+    plan: &FailoverPlan,
+    losses: &[LossScenario],
+    platform: &PlatformSettings,
+) -> Value {
     let name = |number: usize| plan.sites[number].name.as_str();
     let site = |site: &site_failover::Site| {
         let zones: Vec<&String> =
-            site.zones.iter().filter_map(|zone| platform.zones.get(*zone as usize)).collect();
+            site.zones.iter().filter_map(|zone| platform.zone_names.get(*zone as usize)).collect();
         let takers = site
             .failover_targets
             .iter()
--- a/crates/api-gateway/src/source.rs
+++ b/crates/api-gateway/src/source.rs
@@ -3,7 +3,7 @@
 use crate::operators;
 use anyhow::{Context as _, Result};
 use config_language::{big_changes, FileSet};
-use gateway::{Config, Site};
+use gateway::{Config, PlatformSettings};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, OnceLock, PoisonError};
 
@@ -16,7 +16,7 @@
     operator: Option<PathBuf>,
     /// The settings in force: those of the first reading. A reload takes no others, so operators' files that speak of
     /// others cannot be used.
-    site: OnceLock<Site>,
+    site: OnceLock<PlatformSettings>,
     /// What the operators' files said when they could be used last.
     last: Mutex<Option<FileSet>>,
 }
@@ -44,7 +44,7 @@
 }
 
 /// Who sent the signal has decided; the log keeps what may have been a slip of units.
-fn speak_of_big_changes(before: &FileSet, after: &FileSet, site: &Site) {
+fn speak_of_big_changes(before: &FileSet, after: &FileSet, site: &PlatformSettings) {
     let changes = big_changes(before, after, Some(&operators::platform(site)));
     for change in changes.iter().take(NAMED) {
         tracing::warn!("{}", change.one_line());
--- a/crates/cluster-emulator/src/plan.rs
+++ b/crates/cluster-emulator/src/plan.rs
@@ -3,7 +3,7 @@
 use anyhow::{bail, ensure, Context, Result};
 use clap::Parser;
 use config_language::{load, loader::Fs, Severity};
-use gateway::{check_operators, Config, Site};
+use gateway::{check_operators, Config, PlatformSettings};
 use policy::api::{Idempotency, Span, Time};
 use site_failover::{FailoverPlan, PlatformNames};
 use site_failover_model::{play, Back, Down, Figures, Loss, Setting};
@@ -55,7 +55,8 @@
     };
     check_operators(&config.site, &set.operators)?;
     let site = &config.site;
-    let facts = PlatformNames { classes: &site.classes, plans: &site.plans, zones: &site.zones };
+    let facts =
+        PlatformNames { classes: &site.class_names, plans: &site.plan_names, zones: &site.zone_names };
     let plan = FailoverPlan::compile(&set.operators, &facts)?;
     ensure!(!plan.sites.is_empty(), "{}: there is no site in it", words.file.display());
     let setting = setting(site, plan.clone()).with_context(|| {
@@ -70,7 +71,7 @@
     Ok(())
 }
 
-fn setting(site: &Site, plan: FailoverPlan) -> Option<Setting> {
+fn setting(site: &PlatformSettings, plan: FailoverPlan) -> Option<Setting> {
     let (classes, plans) = (&site.settings.classes, site.settings.plans.len());
     let cells = classes.len() * plans;
     let once =
--- a/crates/cluster-model/tests/settings.rs
+++ b/crates/cluster-model/tests/settings.rs
@@ -4,12 +4,12 @@
 use cluster_model::scenario::{Effect, Scenario};
 use cluster_model::settings::{building, document, machine_type, settings, Start};
 use cluster_model::{MS, SECOND};
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-fn told(scenario: &Scenario, gateway: u32) -> Site {
-    Site::parse(&settings(scenario, gateway)).expect("the gateway reads what the model writes")
+fn told(scenario: &Scenario, gateway: u32) -> PlatformSettings {
+    PlatformSettings::parse(&settings(scenario, gateway)).expect("the gateway reads what the model writes")
 }
 
 /// A scenario that is as usual nowhere that gateways are told of.
@@ -39,17 +39,23 @@
     assert_eq!(site.settings.max_retry_after, Some(800 * MS));
     assert_eq!((site.settings.has_counter, site.settings.counter_timeout), (true, 60 * MS));
     assert_eq!((site.settings.cold_capacity, site.settings.warm_up), (0.3, 12 * SECOND));
-    assert_eq!((site.conn_idle, site.dial_timeout, site.units_top), (9 * SECOND, 250 * MS, 9.0));
-    assert!(site.settings.may_cancel && !site.settings.must_subscribe && !site.answers_report);
-    assert_eq!((site.zones, site.kinds), (vec![building(0), building(1)], vec![machine_type(&scenario)]));
+    assert_eq!(
+        (site.idle_timeout, site.connect_timeout, site.max_request_units),
+        (9 * SECOND, 250 * MS, 9.0)
+    );
+    assert!(site.settings.may_cancel && !site.settings.must_subscribe && !site.responses_carry_reports);
+    assert_eq!(
+        (site.zone_names, site.machine_types),
+        (vec![building(0), building(1)], vec![machine_type(&scenario)])
+    );
 }
 
 #[test]
 fn a_gateway_reads_classes_and_plans_in_their_order() {
     let scenario = unusual();
     let site = told(&scenario, 0);
-    assert_eq!(site.classes, ["bulk", "unit-order"]);
-    assert_eq!(site.plans, ["gold", "standard"]);
+    assert_eq!(site.class_names, ["bulk", "unit-order"]);
+    assert_eq!(site.plan_names, ["gold", "standard"]);
     for (told, class) in site.settings.classes.iter().zip(&scenario.site.classes) {
         assert_eq!((told.latency_objective, told.deadline), (class.aim, class.deadline));
         assert_eq!((told.priority_weight, told.late_fraction), (class.worth, class.late_worth));
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::host_line::Text;
 use bytes::{Buf, Bytes, BytesMut};
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::{CustomerId, Idempotency, Request, RequestId, Span};
 use resp::Frame;
 
@@ -81,7 +81,7 @@
 }
 
 /// Reads a command's arguments as a call.
-pub fn parse(site: &Site, id: RequestId, frames: &[Frame]) -> Result<(Request, Call), CallError> {
+pub fn parse(site: &PlatformSettings, id: RequestId, frames: &[Frame]) -> Result<(Request, Call), CallError> {
     let text = |frame: &Frame| match frame {
         Frame::Bulk(bytes) => Some(bytes.clone()),
         _ => None,
@@ -116,7 +116,11 @@
 }
 
 /// The list of names and values, each once at the most; also where the digits of `d` stand in it.
-fn values(site: &Site, mut r: Request, list: &[u8]) -> Result<(Request, (usize, usize)), CallError> {
+fn values(
+    site: &PlatformSettings,
+    mut r: Request,
+    list: &[u8],
+) -> Result<(Request, (usize, usize)), CallError> {
     let text = std::str::from_utf8(list).ok().filter(|t| t.len() <= MAX_LIST);
     let text = text.filter(|t| t.bytes().all(|b| b.is_ascii_graphic())).ok_or(CallError::Value("list"))?;
     let mut seen: [Option<(usize, &str)>; NAMES.len()] = Default::default();
@@ -132,8 +136,8 @@
     }
     let [class, plan, d, repeat, units, spread, first] = seen.map(|found| found.map(|(_, value)| value));
     let gateways = site.settings.gateways;
-    r.class = class.and_then(|name| position(&site.classes, name)).ok_or(CallError::Class)?;
-    r.plan = plan.and_then(|name| position(&site.plans, name)).ok_or(CallError::Plan)?;
+    r.class = class.and_then(|name| position(&site.class_names, name)).ok_or(CallError::Class)?;
+    r.plan = plan.and_then(|name| position(&site.plan_names, name)).ok_or(CallError::Plan)?;
     // No client waits longer than its class allows.
     let longest = site.settings.classes[r.class].deadline.div_ceil(MS);
     let wait = d.and_then(whole).filter(|d| (1..=longest).contains(d)).ok_or(CallError::Value("d"))?;
@@ -143,7 +147,8 @@
         Some("1") => true,
         Some(_) => return Err(CallError::Value("r")),
     };
-    r.units = units.and_then(|units| amount(units, site.units_top)).ok_or(CallError::Value("units"))?;
+    r.units =
+        units.and_then(|units| amount(units, site.max_request_units)).ok_or(CallError::Value("units"))?;
     let spread = spread.and_then(whole).filter(|n| (1..=u64::from(gateways)).contains(n));
     r.set_size = spread.ok_or(CallError::Value("spread"))? as u32;
     let first = first.and_then(whole).filter(|n| *n < u64::from(gateways));
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -8,7 +8,7 @@
 use crate::outage::Outage;
 use bytes::{Buf, Bytes, BytesMut};
 use bytes_utils::SegmentedBuf;
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::{RequestId, Span, Time};
 use resp::{Frame, RespError};
 use runtime::{Env, Listener, Stream, Writer};
@@ -60,7 +60,7 @@
 #[derive(Clone)]
 pub(crate) struct Context<E> {
     pub env: E,
-    pub site: Arc<Site>,
+    pub site: Arc<PlatformSettings>,
     pub gateway: UnboundedSender<Input>,
     pub phase: watch::Receiver<Phase>,
     pub ids: Arc<AtomicU64>,
--- a/crates/gateway/src/clients/tests.rs
+++ b/crates/gateway/src/clients/tests.rs
@@ -22,7 +22,7 @@
     let settings = crate::config::sample("safe", 1_000_000_000, 1_000_000_000);
     let (gateway, inbox) = mpsc::unbounded_channel();
     let context = Context {
-        site: Arc::new(Site::parse(&settings).unwrap()),
+        site: Arc::new(PlatformSettings::parse(&settings).unwrap()),
         env,
         gateway,
         phase,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -4,7 +4,7 @@
 use crate::membership::Membership;
 use anyhow::{anyhow, ensure, Context, Result};
 use config_language::model::Operators;
-use platform_settings::{unknown_keys, Site};
+use platform_settings::{unknown_keys, PlatformSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     /// The list of hosts as it was last held.
     pub known: Membership,
     /// The settings.
-    pub site: Site,
+    pub site: PlatformSettings,
     /// What the operators' files say; the document itself names none.
     pub operators: Operators,
     /// Keys that are not known here and are skipped, by their full names.
@@ -78,8 +78,8 @@
         let document: Document =
             serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))
                 .map_err(|error| anyhow!("`{}`: {}", error.path(), error.inner()))?;
-        let site = Site::parse(&document.settings).context("`settings`")?;
-        unknown.extend(site.unknown.iter().map(|key| format!("settings.{key}")));
+        let site = PlatformSettings::parse(&document.settings).context("`settings`")?;
+        unknown.extend(site.unknown_keys.iter().map(|key| format!("settings.{key}")));
         let (limits, counter) = (&document.limits, document.counter);
         ensure!(limits.sockets >= MIN_SOCKETS, "`limits.sockets` is {}, under {MIN_SOCKETS}", limits.sockets);
         let memory_mb = limits.memory_mb;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -19,7 +19,7 @@
 use crate::unanswered::Unanswered;
 use bytes::Bytes;
 use config_language::model::Operators;
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::*;
 use policy::policy::Policy;
 use quota::CounterReport;
@@ -99,7 +99,7 @@
 /// One gateway.
 pub(crate) struct Gateway<E: Env, D> {
     env: E,
-    site: Arc<Site>,
+    site: Arc<PlatformSettings>,
     settings: Settings,
     seed: u64,
     module: D,
@@ -133,7 +133,7 @@
     pub fn new(
         env: E,
         config: &Config,
-        site: Arc<Site>,
+        site: Arc<PlatformSettings>,
         routing: Routing,
         inputs: &UnboundedSender<Input>,
         most_conns: usize,
@@ -143,7 +143,8 @@
         let customer_bytes = config.budget().customers as u64;
         let plans = routing.plans().to_vec();
         let settings = Settings { plans, customer_bytes, ..site.settings.clone() };
-        let counter_log = CounterLog::new(env.now(), quotas(&settings, &site.plans, site.units_top));
+        let counter_log =
+            CounterLog::new(env.now(), quotas(&settings, &site.plan_names, site.max_request_units));
         let mut gateway = Gateway {
             module: D::start(settings.clone(), config.seed),
             hosts: Hosts::new(env.clone(), site.clone(), inputs.clone(), most_conns),
@@ -453,8 +454,8 @@
         let name = |names: &'_ [String], at: usize| names.get(at).cloned().unwrap_or_default();
         tracing::info!(
             request = format_args!("{:016x}", call.call.client_id),
-            class = name(&self.site.classes, call.class),
-            plan = name(&self.site.plans, call.plan),
+            class = name(&self.site.class_names, call.class),
+            plan = name(&self.site.plan_names, call.plan),
             after_ms = now.saturating_sub(call.arrived) / MS,
             reason = cause.words(),
             attempts = losses::line(&call.tried, |host| self.hosts.name(host)),
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -188,7 +188,7 @@
 /// A gateway that knows one host from before, whose module is frail, and its counter.
 struct FrailRoom {
     sim: Sim,
-    site: Arc<Site>,
+    site: Arc<PlatformSettings>,
     gateway: Gateway<SimEnv, Frail>,
     inbox: UnboundedReceiver<Input>,
     /// Calls that have come to the counter. Each gets this number for an answer, 10 ms later.
--- a/crates/gateway/src/hosts.rs
+++ b/crates/gateway/src/hosts.rs
@@ -11,7 +11,7 @@
 use crate::routing::Routing;
 use crate::shortage::Shortage;
 use bytes::Bytes;
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, HostState, Outcome, Span, Time};
 use resp::{Frame, RespError};
 use routing::HostFacts;
@@ -139,7 +139,7 @@
 /// All hosts as discovery names them.
 pub(crate) struct Hosts<E: Env> {
     env: E,
-    site: Arc<Site>,
+    site: Arc<PlatformSettings>,
     gateway: UnboundedSender<Input>,
     /// Connections that may be open at once.
     most: usize,
@@ -156,7 +156,7 @@
 }
 
 impl<E: Env> Hosts<E> {
-    pub fn new(env: E, site: Arc<Site>, gateway: UnboundedSender<Input>, most: usize) -> Self {
+    pub fn new(env: E, site: Arc<PlatformSettings>, gateway: UnboundedSender<Input>, most: usize) -> Self {
         Hosts {
             env,
             keep: Keep::new(longest_idle(&site)),
@@ -208,8 +208,8 @@
             }
             host.entry = HostEntry {
                 id,
-                zone: position(&self.site.zones, &line.zone),
-                machine_type: position(&self.site.kinds, &line.machine_type),
+                zone: position(&self.site.zone_names, &line.zone),
+                machine_type: position(&self.site.machine_types, &line.machine_type),
                 cell: line.cell,
                 state: match line.lifecycle {
                     Lifecycle::InService => HostState::Ready,
@@ -414,7 +414,7 @@
         host.conns += 1;
         let id = self.next_conn;
         self.next_conn += 1;
-        let limits = Limits { dial: self.site.dial_timeout.max(MS), idle: longest_idle(&self.site) };
+        let limits = Limits { dial: self.site.connect_timeout.max(MS), idle: longest_idle(&self.site) };
         let (line, task) = host_line::open(&self.env, id, addr, limits, self.gateway.clone());
         let conn = Conn {
             host_id,
@@ -668,7 +668,7 @@
         Finished { ended, sent: attempt.sent, stood: attempt.stood, until: attempt.order.until, value: None }
     }
 
-    fn served(&mut self, site: &Site, parts: Vec<Frame>) -> bool {
+    fn served(&mut self, site: &PlatformSettings, parts: Vec<Frame>) -> bool {
         let Ok([Frame::Bulk(value), figures, report]) = <[Frame; 3]>::try_from(parts) else { return false };
         (self.ended.outcome, self.value) = (Outcome::Ok, Some(value));
         for part in [figures, report] {
@@ -680,7 +680,7 @@
     }
 
     /// Only the words of the table say what has run; others are noise, and it may have.
-    fn failed(&mut self, site: &Site, text: &[u8]) -> bool {
+    fn failed(&mut self, site: &PlatformSettings, text: &[u8]) -> bool {
         let mut words = text.split(|b| *b == b' ');
         self.ended.outcome = match words.next() {
             Some(b"BUSY") => Outcome::Rejected,
@@ -693,9 +693,9 @@
 
     /// Figures on use and a load report are both names with numbers. What no host can mean is left out: it
     /// would move accounts, and what is believed of the load of all.
-    fn figures(&mut self, site: &Site, text: &[u8]) {
+    fn figures(&mut self, site: &PlatformSettings, text: &[u8]) {
         let Ok(text) = std::str::from_utf8(text) else { return };
-        let most_units = if site.units_top > 0.0 { site.units_top } else { MAX_FIGURE };
+        let most_units = if site.max_request_units > 0.0 { site.max_request_units } else { MAX_FIGURE };
         for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
             let Some(value) = value.parse::<f64>().ok().filter(|v| (0.0..=MAX_FIGURE).contains(v)) else {
                 continue;
@@ -703,7 +703,7 @@
             match name {
                 "used" => self.ended.quota_used = Some(value / 100.0),
                 "cost" if value > 0.0 && value <= most_units => self.ended.actual_units = Some(value),
-                _ if site.answers_report && site.fields.iter().any(|f| f == name) => {
+                _ if site.responses_carry_reports && site.load_report_fields.iter().any(|f| f == name) => {
                     self.ended.report.get_or_insert_default().set(name, value);
                 }
                 _ => {}
@@ -714,8 +714,8 @@
 
 /// Hosts close idle connections at the age in the settings at the latest, and a request written to a closed
 /// one ends as a reset: ours go well before.
-fn longest_idle(site: &Site) -> Span {
-    (site.conn_idle / 2).max(100 * MS)
+fn longest_idle(site: &PlatformSettings) -> Span {
+    (site.idle_timeout / 2).max(100 * MS)
 }
 
 /// A host's number for the module: from its name alone, so nothing need be kept for hosts that are gone, and
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -39,6 +39,6 @@
 pub use config_language::model::Operators;
 pub use crash::CrashPoint;
 pub use membership::{Lifecycle, Member, Membership};
-pub use platform_settings::Site;
+pub use platform_settings::PlatformSettings;
 pub use routing::check_operators;
 pub use serve::{serve, Signal};
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,7 +1,7 @@
 //! The operators' pools, routes and quota policies as they are in force at this gateway.
 
 use config_language::model::Operators;
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::{Plan, Request, Route, RouteLimit};
 use routing::{tighten, Choice, Facts, HostFacts, InForce, PoolMask, Quota, RouteError, Routes};
 use site_failover::{PlanError, SiteSet};
@@ -19,7 +19,7 @@
 
 /// One version of the operators' files after the other, and what requests in hand still hold of earlier ones.
 pub(crate) struct Routing {
-    site: Arc<Site>,
+    site: Arc<PlatformSettings>,
     routes: Routes,
     /// What the platform grants, tightened by the operators.
     plans: Vec<Plan>,
@@ -37,7 +37,7 @@
 
 impl Routing {
     /// The first version.
-    pub fn new(site: Arc<Site>, operators: &Operators) -> Result<Routing, Unusable> {
+    pub fn new(site: Arc<PlatformSettings>, operators: &Operators) -> Result<Routing, Unusable> {
         let plans = site.settings.plans.clone();
         let sites = site_failover::FailoverPlan::default();
         let routes = Routes::default();
@@ -51,11 +51,18 @@
     /// Puts another version in force as a whole, or leaves all as it was.
     pub fn turn(&mut self, operators: &Operators) -> Result<(), Unusable> {
         let site = &self.site;
-        let facts =
-            Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones, machines: &site.kinds };
+        let facts = Facts {
+            classes: &site.class_names,
+            plans: &site.plan_names,
+            zones: &site.zone_names,
+            machines: &site.machine_types,
+        };
         let plans = plans(site, operators)?;
-        let facts_of_sites =
-            site_failover::PlatformNames { classes: &site.classes, plans: &site.plans, zones: &site.zones };
+        let facts_of_sites = site_failover::PlatformNames {
+            classes: &site.class_names,
+            plans: &site.plan_names,
+            zones: &site.zone_names,
+        };
         let sites = site_failover::FailoverPlan::compile(operators, &facts_of_sites)?;
         let routes = Routes::compile_after(&self.routes, self.in_use(), operators, &facts)?;
         self.number(&routes);
@@ -164,15 +171,15 @@
 ///
 /// # Errors
 /// The first error, with file, line, column and reason.
-pub fn check_operators(site: &Site, operators: &Operators) -> anyhow::Result<()> {
+pub fn check_operators(site: &PlatformSettings, operators: &Operators) -> anyhow::Result<()> {
     Ok(Routing::new(Arc::new(site.clone()), operators).map(drop)?)
 }
 
 /// What the platform grants, tightened.
-fn plans(site: &Site, operators: &Operators) -> Result<Vec<Plan>, RouteError> {
+fn plans(site: &PlatformSettings, operators: &Operators) -> Result<Vec<Plan>, RouteError> {
     let granted = &site.settings.plans;
     let mut quotas = Vec::with_capacity(granted.len());
-    for (name, plan) in site.plans.iter().zip(granted) {
+    for (name, plan) in site.plan_names.iter().zip(granted) {
         quotas.push(Quota { plan: name, rate: plan.rate, burst: plan.burst, open: plan.max_concurrent });
     }
     let in_force = tighten(operators, &quotas)?;
@@ -199,7 +206,8 @@
     }
 
     fn routing(text: &str) -> Routing {
-        let site = Site::parse(&crate::config::sample("safe", 1_000_000_000, 1_000_000_000)).unwrap();
+        let site =
+            PlatformSettings::parse(&crate::config::sample("safe", 1_000_000_000, 1_000_000_000)).unwrap();
         Routing::new(Arc::new(site), &operators(text)).unwrap()
     }
 
--- /dev/null
+++ b/crates/platform-settings/src/keys.rs
@@ -0,0 +1,75 @@
+//! All keys that the platform's wire page names, by object: those that are read here and those that are not.
+
+/// Keys of the document itself.
+pub(crate) const DOCUMENT: &[&str] = &[
+    "allowed",
+    "balancers",
+    "clients",
+    "discovery",
+    "domain",
+    "family",
+    "feedback",
+    "goal",
+    "localities",
+    "machine-types",
+    "me",
+    "prices",
+    "rules",
+    "services",
+    "tariffs",
+    "tick",
+    "tier",
+    "tiers",
+    "weights",
+    "zone",
+];
+/// Keys of `allowed`: what the platform allows a gateway to do.
+pub(crate) const ALLOWED: &[&str] = &[
+    "cancel",
+    "conn-idle",
+    "cpu-us-per-request",
+    "cpu-us-per-s",
+    "dial-timeout",
+    "max-attempts",
+    "max-open",
+    "max-retry-after",
+    "max-streams",
+    "may-duplicate",
+    "peer-messages",
+    "probes",
+    "retry-after",
+];
+/// Keys of `domain`: quotas and the shared counter.
+pub(crate) const DOMAIN: &[&str] =
+    &["count-fee", "counter-timeout", "metering", "peer-intake", "post-paid", "shared-counter", "units-top"];
+/// Keys of `rules`: the rules that a gateway is held to.
+pub(crate) const RULES: &[&str] =
+    &["answer-slack", "cold", "cold-share", "drain-grace", "fall", "fall-multiple", "must-ask-in"];
+/// Keys of `feedback`: the load reports of hosts.
+pub(crate) const FEEDBACK: &[&str] = &["fields", "how"];
+/// Keys of an entry of `services`, a class of requests.
+pub(crate) const SERVICE: &[&str] = &[
+    "aim",
+    "aim-stretch",
+    "dedup-scope",
+    "hard-limit",
+    "key-ttl",
+    "late-worth",
+    "name",
+    "semantics",
+    "stream",
+    "worth",
+];
+/// Keys of an entry of `tariffs`, a customer's plan.
+pub(crate) const TARIFF: &[&str] = &[
+    "burst",
+    "cap-slack",
+    "ceiling-rate",
+    "concurrency",
+    "extra-worth",
+    "name",
+    "never-over-depth",
+    "overrun-cost",
+    "refill",
+    "worth-factor",
+];
--- a/crates/platform-settings/src/reader.rs
+++ b/crates/platform-settings/src/reader.rs
@@ -1,15 +1,17 @@
-//! A JSON object that is read key by key: what is missing, misspelt or of another kind is an error that names
-//! the key in full.
+//! Reads one JSON object key by key. What is missing, misspelt or of another type is an error that names the key in full.
 
 use crate::SettingsError;
 use policy::api::Span;
 use serde_json::{Map, Value};
-use std::fmt::Display;
 
-/// Spans that are not zero are at least this long: less means that another unit was meant.
-pub(crate) const LEAST_SPAN: Span = 1_000_000;
-/// Names that differ by no more letters than this are taken for one misspelt.
-const MISSPELT: usize = 2;
+/// Shortest span that is not zero, in nanoseconds: a shorter one means that another unit was meant.
+const MIN_SPAN: Span = 1_000_000;
+/// Spans at or above this do not fit into 64 bits, in nanoseconds.
+const SPAN_LIMIT: f64 = 1.8e19;
+/// Keys that differ by at most this many letters are taken for one of them misspelt.
+const MAX_TYPOS: usize = 2;
+/// Longest text that an error message shows, in characters.
+const MAX_SHOWN: usize = 40;
 
 pub(crate) type Result<T> = std::result::Result<T, SettingsError>;
 
@@ -17,41 +19,40 @@
 pub(crate) struct Reader<'a> {
     object: &'a Map<String, Value>,
     path: String,
-    known: &'static [&'static str],
+    accepted: &'static [&'static str],
 }
 
 impl<'a> Reader<'a> {
-    /// Reads an object at a path (empty for the document itself) whose keys are known. A key that is not is
-    /// refused where it looks like a known one that is missing; others are added to `unknown`: the platform
-    /// may come to say more than is read here.
+    /// Opens the object at a path (empty for the document itself). A key that is not known is rejected if it looks like
+    /// a known one that is missing, and else added to `unknown_keys`: the platform may come to send more than is read.
     pub fn new(
         value: &'a Value,
         path: impl Into<String>,
-        known: &'static [&'static str],
-        unknown: &mut Vec<String>,
+        accepted: &'static [&'static str],
+        unknown_keys: &mut Vec<String>,
     ) -> Result<Reader<'a>> {
         let path = path.into();
-        let Some(object) = value.as_object() else {
-            let what = if path.is_empty() { "the settings are".to_owned() } else { format!("`{path}` is") };
-            return Err(SettingsError(format!("{what} {}, not an object", shown(value))));
-        };
-        let reader = Reader { object, path, known };
-        for key in object.keys().filter(|key| !known.contains(&key.as_str())) {
-            if let Some(meant) = reader.misspelt(key) {
-                return Err(reader.wrong(key, format_args!("is unknown: is `{meant}` meant?")));
+        let Some(object) = value.as_object() else { return Err(not_an_object(path, value)) };
+        let reader = Reader { object, path, accepted };
+        for key in object.keys().filter(|key| !accepted.contains(&key.as_str())) {
+            if let Some(suggestion) = reader.similar_missing_key(key) {
+                return Err(SettingsError::Unknown { key: reader.full_name(key), suggestion });
             }
-            unknown.push(reader.full(key));
+            unknown_keys.push(reader.full_name(key));
         }
         Ok(reader)
     }
 
-    fn misspelt(&self, key: &str) -> Option<&'static str> {
-        let missing = self.known.iter().filter(|known| !self.object.contains_key(**known));
-        let near = missing.map(|known| (strsim::osa_distance(key, known), *known));
-        near.filter(|(far, known)| *far <= MISSPELT.min(known.len() / 2)).min().map(|(_, known)| known)
+    /// The known key that a key is probably meant to be, if that one is missing.
+    fn similar_missing_key(&self, key: &str) -> Option<&'static str> {
+        let missing = self.accepted.iter().filter(|accepted| !self.object.contains_key(**accepted));
+        let by_distance = missing.map(|accepted| (strsim::osa_distance(key, accepted), *accepted));
+        let similar =
+            by_distance.filter(|(distance, accepted)| *distance <= MAX_TYPOS.min(accepted.len() / 2));
+        similar.min().map(|(_, accepted)| accepted)
     }
 
-    fn full(&self, key: &str) -> String {
+    fn full_name(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
         } else {
@@ -59,121 +60,141 @@
         }
     }
 
-    /// An error that names a key.
-    pub fn wrong(&self, key: &str, reason: impl Display) -> SettingsError {
-        SettingsError(format!("`{}` {reason}", self.full(key)))
+    /// The error of a key whose value no gateway can serve by.
+    pub fn invalid(&self, key: &str, reason: impl Into<String>) -> SettingsError {
+        SettingsError::Invalid { key: self.full_name(key), reason: reason.into() }
     }
 
-    /// A value that has to be there.
-    pub fn value(&self, key: &str) -> Result<&'a Value> {
-        debug_assert!(self.known.contains(&key), "`{key}` is read but not known");
-        self.given(key).ok_or_else(|| self.wrong(key, "is missing"))
+    /// Returns the value of a required key.
+    pub fn required(&self, key: &str) -> Result<&'a Value> {
+        debug_assert!(self.accepted.contains(&key), "`{key}` is read but not accepted");
+        self.optional(key).ok_or_else(|| SettingsError::Missing { key: self.full_name(key) })
     }
 
-    fn given(&self, key: &str) -> Option<&'a Value> {
+    fn optional(&self, key: &str) -> Option<&'a Value> {
         self.object.get(key).filter(|value| !value.is_null())
     }
 
-    fn read<T>(&self, key: &str, kind: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
-        let value = self.value(key)?;
-        read(value).ok_or_else(|| self.wrong(key, format_args!("is {}, not {kind}", shown(value))))
+    fn read<T>(&self, key: &str, expected: &'static str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T> {
+        let value = self.required(key)?;
+        read(value).ok_or_else(|| wrong_type(self.full_name(key), value, expected))
     }
 
-    /// A number from 0 up.
+    /// Returns a number that is not negative.
     pub fn number(&self, key: &str) -> Result<f64> {
-        let number = |value: &Value| value.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
+        let number = |value: &Value| value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
         self.read(key, "a number from 0 up", number)
     }
 
-    /// A number from 0 up, or 0 where the key is absent.
+    /// Returns a number that is not negative, or 0 if the key is absent.
     pub fn number_or_zero(&self, key: &str) -> Result<f64> {
-        self.given(key).map_or(Ok(0.0), |_| self.number(key))
+        self.optional(key).map_or(Ok(0.0), |_| self.number(key))
     }
 
-    /// A share: a number from 0 to 1.
-    pub fn share(&self, key: &str) -> Result<f64> {
-        let share = |value: &Value| value.as_f64().filter(|n| (0.0..=1.0).contains(n));
-        self.read(key, "a share from 0 to 1", share)
+    /// Returns a number from 0 to 1.
+    pub fn fraction(&self, key: &str) -> Result<f64> {
+        let fraction = |value: &Value| value.as_f64().filter(|number| (0.0..=1.0).contains(number));
+        self.read(key, "a share from 0 to 1", fraction)
     }
 
-    /// A whole number.
+    /// Returns a number without a fractional part.
     pub fn count(&self, key: &str) -> Result<u32> {
-        let whole = |value: &Value| value.as_f64().filter(|n| n.fract() == 0.0 && *n >= 0.0);
-        let count = |value: &Value| whole(value).filter(|n| *n <= f64::from(u32::MAX)).map(|n| n as u32);
+        let integer = |value: &Value| value.as_f64().filter(|number| number.fract() == 0.0 && *number >= 0.0);
+        let count = |value: &Value| {
+            let number = integer(value).filter(|number| *number <= f64::from(u32::MAX))?;
+            Some(number as u32)
+        };
         self.read(key, "a whole number", count)
     }
 
-    /// A span of whole nanoseconds; zero, or one that a figure in other units would not reach.
+    /// Returns a span, in nanoseconds: zero, or one that a figure in another unit would not reach.
     pub fn span(&self, key: &str) -> Result<Span> {
-        let whole = |value: &Value| value.as_f64().filter(|n| n.fract() == 0.0 && (0.0..1.8e19).contains(n));
-        let span = self.read(key, "whole nanoseconds", whole)? as Span;
-        if span > 0 && span < LEAST_SPAN {
-            let reason = format!("is {span}: times are nanoseconds, and none is under {LEAST_SPAN}");
-            return Err(self.wrong(key, reason));
+        let nanoseconds = |value: &Value| {
+            value.as_f64().filter(|number| number.fract() == 0.0 && (0.0..SPAN_LIMIT).contains(number))
+        };
+        let span = self.read(key, "whole nanoseconds", nanoseconds)? as Span;
+        if span > 0 && span < MIN_SPAN {
+            let reason = format!("is {span}: times are nanoseconds, and none is under {MIN_SPAN}");
+            return Err(self.invalid(key, reason));
         }
         Ok(span)
     }
 
-    /// A span above zero.
-    pub fn some_span(&self, key: &str) -> Result<Span> {
+    /// Returns a span above zero, in nanoseconds.
+    pub fn positive_span(&self, key: &str) -> Result<Span> {
         match self.span(key)? {
-            0 => Err(self.wrong(key, "is 0, which leaves no time at all")),
+            0 => Err(self.invalid(key, "is 0, which leaves no time at all")),
             span => Ok(span),
         }
     }
 
-    /// True or false.
-    pub fn bool(&self, key: &str) -> Result<bool> {
+    /// Returns true or false.
+    pub fn boolean(&self, key: &str) -> Result<bool> {
         self.read(key, "true or false", Value::as_bool)
     }
 
-    /// A text.
+    /// Returns a text of any length.
     pub fn text(&self, key: &str) -> Result<&'a str> {
         self.read(key, "a text", Value::as_str)
     }
 
-    /// One of several words, as its place among them.
-    pub fn word(&self, key: &str, words: &[&str]) -> Result<usize> {
+    /// Returns the index of a text among the allowed ones.
+    pub fn one_of(&self, key: &str, allowed: &[&str]) -> Result<usize> {
         let text = self.text(key)?;
-        let reason = || format!("is `{text}`, which is none of `{}`", words.join("`, `"));
-        words.iter().position(|word| *word == text).ok_or_else(|| self.wrong(key, reason()))
+        let index = allowed.iter().position(|candidate| *candidate == text);
+        index.ok_or_else(|| {
+            self.invalid(key, format!("is `{text}`, which is none of `{}`", allowed.join("`, `")))
+        })
     }
 
-    /// A list, each entry with its path; empty where the key is absent.
+    /// Returns the entries of a list with their paths; none if the key is absent.
     pub fn list(&self, key: &str) -> Result<Vec<(String, &'a Value)>> {
-        if self.given(key).is_none() {
+        if self.optional(key).is_none() {
             return Ok(Vec::new());
         }
         let list = self.read(key, "a list", Value::as_array)?;
-        Ok(list.iter().enumerate().map(|(i, value)| (format!("{}[{i}]", self.full(key)), value)).collect())
+        let path = |index: usize| format!("{}[{index}]", self.full_name(key));
+        Ok(list.iter().enumerate().map(|(index, value)| (path(index), value)).collect())
     }
 
-    /// A list of texts.
+    /// Returns the entries of a list of texts.
     pub fn texts(&self, key: &str) -> Result<Vec<String>> {
-        let text = |(path, value): (String, &Value)| {
-            let wrong = || SettingsError(format!("`{path}` is {}, not a text", shown(value)));
-            value.as_str().map(str::to_owned).ok_or_else(wrong)
+        let text = |(path, value): (String, &Value)| match value.as_str() {
+            Some(text) => Ok(text.to_owned()),
+            None => Err(wrong_type(path, value, "a text")),
         };
         self.list(key)?.into_iter().map(text).collect()
     }
 
-    /// An object inside this one, which has to be there.
-    pub fn part(
+    /// Opens a required object within this one.
+    pub fn object(
         &self,
         key: &str,
-        known: &'static [&'static str],
-        unknown: &mut Vec<String>,
+        accepted: &'static [&'static str],
+        unknown_keys: &mut Vec<String>,
     ) -> Result<Reader<'a>> {
-        Reader::new(self.value(key)?, self.full(key), known, unknown)
+        Reader::new(self.required(key)?, self.full_name(key), accepted, unknown_keys)
+    }
+}
+
+fn not_an_object(path: String, value: &Value) -> SettingsError {
+    if path.is_empty() {
+        SettingsError::NotAnObject { found: shown(value) }
+    } else {
+        wrong_type(path, value, "an object")
     }
 }
 
-/// A value as a message shows it: short, whatever it is.
+fn wrong_type(key: String, value: &Value, expected: &'static str) -> SettingsError {
+    SettingsError::WrongType { key, found: shown(value), expected }
+}
+
+/// A value as an error message shows it, shortened.
 fn shown(value: &Value) -> String {
     match value {
         Value::Object(_) => "an object".into(),
         Value::Array(_) => "a list".into(),
-        Value::String(text) if text.chars().count() > 40 => "a long text".into(),
+        Value::String(text) if text.chars().count() > MAX_SHOWN => "a long text".into(),
         other => other.to_string(),
     }
 }
--- a/crates/platform-settings/tests/broken.rs
+++ b/crates/platform-settings/tests/invalid_settings.rs
@@ -1,6 +1,6 @@
-//! Settings that cannot be used: each is refused with one message that names the key.
+//! Settings that cannot be used: each is rejected with one message that names the key.
 
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -25,20 +25,20 @@
     settings
 }
 
-fn refusal(settings: &Value) -> String {
-    match Site::parse(settings) {
+fn rejection(settings: &Value) -> String {
+    match PlatformSettings::parse(settings) {
         Ok(_) => panic!("taken: {settings}"),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn the_example_is_taken_without_a_remark() {
-    assert_eq!(Site::parse(&example()).unwrap().unknown, Vec::<String>::new());
+fn the_example_is_accepted_without_unknown_keys() {
+    assert_eq!(PlatformSettings::parse(&example()).unwrap().unknown_keys, Vec::<String>::new());
 }
 
 #[test]
-fn what_is_missing_is_named() {
+fn a_missing_key_is_named() {
     for (pointer, named) in [
         ("/allowed", "`allowed`"),
         ("/domain", "`domain`"),
@@ -82,9 +82,9 @@
         ("/tariffs/1/never-over-depth", "`tariffs[1].never-over-depth`"),
         ("/tariffs/1/cap-slack", "`tariffs[1].cap-slack`"),
     ] {
-        assert_eq!(refusal(&with(pointer, None)), format!("{named} is missing"), "{pointer}");
+        assert_eq!(rejection(&with(pointer, None)), format!("{named} is missing"), "{pointer}");
         assert_eq!(
-            refusal(&with(pointer, Some(Value::Null))),
+            rejection(&with(pointer, Some(Value::Null))),
             format!("{named} is missing"),
             "null {pointer}"
         );
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_says_the_wrong_thing_is_named_with_the_reason() {
+fn a_wrong_value_is_named_with_the_reason() {
     let keyed = json!({"name": "hold", "semantics": "keyed", "dedup-scope": "house", "key-ttl": 5_000_000_000u64,
         "aim": 500_000_000, "hard-limit": 900_000_000, "worth": 1.0, "late-worth": 0.0, "stream": false});
     let without_ttl = {
@@ -192,12 +192,12 @@
         ("/tariffs/0/concurrency", json!(2.5), "`tariffs[0].concurrency` is 2.5, not a whole number"),
         ("/feedback/fields", json!([1]), "`feedback.fields[0]` is 1, not a text"),
     ] {
-        assert_eq!(refusal(&with(pointer, Some(value.clone()))), message, "{pointer} = {value}");
+        assert_eq!(rejection(&with(pointer, Some(value.clone()))), message, "{pointer} = {value}");
     }
 }
 
 #[test]
-fn a_misspelt_key_is_refused_and_a_new_one_is_told() {
+fn a_misspelt_key_is_rejected_and_an_unknown_one_listed() {
     for (pointer, misspelt, message) in [
         ("/balancers", "balancer", "`balancer` is unknown: is `balancers` meant?"),
         (
@@ -211,19 +211,19 @@
         let mut settings = with(pointer, None);
         let parent = pointer.rsplit_once('/').unwrap().0;
         settings.pointer_mut(parent).unwrap()[misspelt] = json!(1);
-        assert_eq!(refusal(&settings), message);
+        assert_eq!(rejection(&settings), message);
     }
     let mut newer = example();
     newer["observability"] = json!({"traces": true});
     newer["tariffs"][1]["colour"] = json!("green");
-    assert_eq!(Site::parse(&newer).unwrap().unknown, ["observability", "tariffs[1].colour"]);
+    assert_eq!(PlatformSettings::parse(&newer).unwrap().unknown_keys, ["observability", "tariffs[1].colour"]);
 }
 
 #[test]
-fn without_a_counter_nothing_is_asked_of_its_time() {
+fn without_a_counter_its_timeout_is_not_required() {
     let mut settings = with("/domain/shared-counter", Some(json!(false)));
     settings["domain"].as_object_mut().unwrap().remove("counter-timeout");
-    assert_eq!(Site::parse(&settings).unwrap().settings.counter_timeout, 0);
+    assert_eq!(PlatformSettings::parse(&settings).unwrap().settings.counter_timeout, 0);
 }
 
 /// Any value, some levels deep.
@@ -267,7 +267,7 @@
         let mut all = Vec::new();
         places(&example(), "", &mut all);
         let settings = with(&all[place.index(all.len())], Some(value));
-        if let Err(error) = Site::parse(&settings) {
+        if let Err(error) = PlatformSettings::parse(&settings) {
             let message = error.to_string();
             prop_assert!(message.starts_with('`') && message.len() < 300, "{}", message);
             prop_assert!(!message.contains('\n'), "{}", message);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Translation between the simulator's wire and the module's interface. Nothing is decided here.
 
-use platform_settings::{SettingsError, Site};
+use platform_settings::{PlatformSettings, SettingsError};
 use policy::api::*;
 use policy::policy::Policy;
 use std::collections::BTreeMap;
@@ -142,9 +142,10 @@
             match code {
                 11 => {
                     let json = serde_json::from_slice(record.tail(14, tail, 1)?);
-                    let site = Site::parse(&json.map_err(|e| SettingsError(e.to_string()))?)?;
+                    let site =
+                        PlatformSettings::parse(&json.map_err(|e| SettingsError::NotJson(e.to_string()))?)?;
                     let policy = Policy::new(site.settings, record.u64(6)?);
-                    self.instances.insert(number, Instance { policy, fields: site.fields });
+                    self.instances.insert(number, Instance { policy, fields: site.load_report_fields });
                     continue;
                 }
                 7 => {
