--- a/crates/api-gateway/tests/quota.rs
+++ b/crates/api-gateway/tests/quota.rs
@@ -7,7 +7,7 @@
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
 use quota::bound::{max_overshoot, Failure, Quota};
-use runtime::Real;
+use runtime::SystemEnv;
 use serde_json::Value;
 use sockets::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +39,7 @@
 }
 
 /// A counter with a listener for each gateway, on a thread of its own.
-fn counter() -> (Runtime, CounterStandIn<Real>) {
+fn counter() -> (Runtime, CounterStandIn<SystemEnv>) {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
     let guard = runtime.enter();
     let config = CounterConfig {
@@ -49,7 +49,7 @@
         recorder: Recorder::default(),
         lag: 0,
     };
-    let counter = CounterStandIn::start(Real::start(), config).unwrap();
+    let counter = CounterStandIn::start(SystemEnv::start(), config).unwrap();
     counter.open();
     drop(guard);
     (runtime, counter)
--- a/crates/cluster-emulator/src/real.rs
+++ b/crates/cluster-emulator/src/real.rs
@@ -21,7 +21,7 @@
 use cluster_model::MS;
 use fake_services::Recorder;
 use logs::Watched;
-use runtime::{Env, Real, Span, Time};
+use runtime::{Env, Span, SystemEnv, Time};
 use rustix::process::{kill_process, Pid, Signal as UnixSignal};
 use serde_json::Value;
 use std::collections::btree_map::{BTreeMap, Entry};
@@ -75,7 +75,7 @@
 
 /// A stage of processes and sockets.
 pub struct RealStage {
-    env: Real,
+    env: SystemEnv,
     program: PathBuf,
     special: Option<Special>,
     operators: Option<PathBuf>,
@@ -128,7 +128,7 @@
             std::fs::create_dir_all(folder)?;
         }
         let descriptors = launch::most_descriptors();
-        let env = Real::start();
+        let env = SystemEnv::start();
         let wired = env.now();
         let wires = options.links.then(|| Wires::new(site, seed, descriptors / LINKS_SHARE)).transpose()?;
         if let (Some(wires), Some(trace)) = (&wires, options.replay) {
@@ -165,7 +165,7 @@
     }
 
     /// The world of the stand-ins.
-    pub fn env(&self) -> Real {
+    pub fn env(&self) -> SystemEnv {
         self.env
     }
 
@@ -258,9 +258,9 @@
 }
 
 impl Stage for RealStage {
-    type Env = Real;
+    type Env = SystemEnv;
 
-    fn process(&self, _post: Post, _name: &str) -> Real {
+    fn process(&self, _post: Post, _name: &str) -> SystemEnv {
         self.env
     }
 
@@ -285,7 +285,7 @@
         scenario: &Scenario,
         seed: u64,
         recorder: &Recorder,
-    ) -> io::Result<CounterOf<Real>> {
+    ) -> io::Result<CounterOf<SystemEnv>> {
         let Some(launcher) = self.launcher.as_ref().filter(|_| self.wires.is_some()) else {
             return counter_tasks(self, scenario, seed, recorder);
         };
--- a/crates/cluster-emulator/src/real/counter.rs
+++ b/crates/cluster-emulator/src/real/counter.rs
@@ -13,7 +13,7 @@
 use cluster_model::MS;
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
-use runtime::{Env, Real, Span, Time};
+use runtime::{Env, Span, SystemEnv, Time};
 use rustix::process::{kill_process, Pid, Signal};
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
@@ -74,7 +74,7 @@
         launcher: &Path,
         scenario: &Scenario,
         (seed, addrs): (u64, Vec<SocketAddr>),
-        (env, recorder): (Real, Recorder),
+        (env, recorder): (SystemEnv, Recorder),
     ) -> io::Result<CounterProcess> {
         let (now, monotonic) = read_together(&env);
         let config = json!({
@@ -242,7 +242,7 @@
 }
 
 /// What two clocks show at one moment.
-fn read_together(env: &Real) -> (Time, u64) {
+fn read_together(env: &SystemEnv) -> (Time, u64) {
     let mut read = (env.now(), monotonic());
     for _ in 0..READINGS {
         let before = monotonic();
@@ -272,7 +272,7 @@
     let scenario = file::parse(&name, text("scenario")?).map_err(io::Error::other)?;
     let listen = config["listen"].as_array().ok_or_else(wrong)?.iter();
     let listen = listen.map(|on| on.as_str().and_then(|on| on.parse().ok()).ok_or_else(wrong));
-    let env = Real::showing(number("now")? + (monotonic() - number("monotonic")?));
+    let env = SystemEnv::with_clock_at(number("now")? + (monotonic() - number("monotonic")?));
     let recorder = Recorder::default();
     let config = CounterConfig {
         spec: scenario.site.counter.clone(),
@@ -305,7 +305,7 @@
 /// Does what one line says; false: there is no more.
 async fn obey(
     orders: &mut Lines<BufReader<pipe::Receiver>>,
-    counter: &CounterStandIn<Real>,
+    counter: &CounterStandIn<SystemEnv>,
     scenario: &Scenario,
 ) -> io::Result<bool> {
     let Some(line) = orders.next_line().await? else { return Ok(false) };
--- a/crates/fake-services/tests/agent.rs
+++ b/crates/fake-services/tests/agent.rs
@@ -11,7 +11,7 @@
 use fake_services::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fake_services::Recorder;
 use memory::Memory;
-use runtime::{Env, Real, Span, Time};
+use runtime::{Env, Span, SystemEnv, Time};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -43,8 +43,8 @@
 }
 
 /// On loopback, where the agent hears of changes at once.
-fn site() -> Site<Real> {
-    site_in(Real::start(), (0, 0))
+fn site() -> Site<SystemEnv> {
+    site_in(SystemEnv::start(), (0, 0))
 }
 
 /// Two gateways and two hosts; the agent of the second gateway.
@@ -94,7 +94,7 @@
 struct Http(TcpStream);
 
 impl Http {
-    async fn connect(agent: &AgentStandIn<Real>) -> Http {
+    async fn connect(agent: &AgentStandIn<SystemEnv>) -> Http {
         Http(TcpStream::connect(agent.addr()).await.expect("it listens"))
     }
 
--- a/crates/fake-services/tests/client/main.rs
+++ b/crates/fake-services/tests/client/main.rs
@@ -12,7 +12,7 @@
 use fake_services::Recorder;
 use gateway::{Act, Command, Gateway};
 use memory::Memory;
-use runtime::{Env, Real, Time};
+use runtime::{Env, SystemEnv, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
@@ -515,7 +515,7 @@
 }
 
 /// On sockets, where a machine that is busy may lag: tries that come before the gateway answers come again.
-fn config_for_sockets(gateway: &Gateway<Real>) -> ClientConfig {
+fn config_for_sockets(gateway: &Gateway<SystemEnv>) -> ClientConfig {
     let mut config = ClientConfig { length: 200 * MS, most_connections: 1, ..config(&[gateway]) };
     config.traffic = Traffic { rate: 200.0, retries: 4, backoff: 100 * MS, ..config.traffic };
     config
@@ -523,7 +523,7 @@
 
 #[tokio::test]
 async fn sockets_serve_and_carry_a_crossing_request_again() {
-    let env = Real::start();
+    let env = SystemEnv::start();
     let gateway = Gateway::ready(&env, |call| match call.place {
         0 | 1 => Act::Answer(call.served()),
         _ => Act::End(0, String::new()),
@@ -535,7 +535,7 @@
 
 #[tokio::test]
 async fn a_socket_that_is_reset_is_broken() {
-    let env = Real::start();
+    let env = SystemEnv::start();
     let gateway = Gateway::ready(&env, |_| Act::Reset);
     let mut config = config_for_sockets(&gateway);
     config.site.classes.iter_mut().for_each(|class| class.effect = Effect::Unsafe);
@@ -544,7 +544,7 @@
 
 #[tokio::test]
 async fn a_socket_that_is_refused_reaches_nothing() {
-    let env = Real::start();
+    let env = SystemEnv::start();
     let gateway = Gateway::serving(&env);
     let mut config = config_for_sockets(&gateway);
     config.traffic.retries = 0;
--- a/crates/fake-services/tests/client/memory.rs
+++ b/crates/fake-services/tests/client/memory.rs
@@ -1,6 +1,6 @@
 //! Connections within the process, on a clock that stands still while anything moves.
 
-use runtime::{Env, Listener, Reader, Real, RealTask, Span, Stream, Time, Writer};
+use runtime::{Env, Listener, Reader, Span, Stream, SystemEnv, SystemTask, Time, Writer};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io;
@@ -21,22 +21,22 @@
 /// A world of connections within the process. Its clock is the runtime's, which tests pause.
 #[derive(Clone)]
 pub struct Memory {
-    clock: Real,
+    clock: SystemEnv,
     ports: Arc<Mutex<Ports>>,
 }
 
 impl Memory {
     /// Where nobody listens yet.
     pub fn new() -> Memory {
-        Memory { clock: Real::start(), ports: Arc::default() }
+        Memory { clock: SystemEnv::start(), ports: Arc::default() }
     }
 }
 
 impl Env for Memory {
     type Stream = MemoryStream;
     type Listener = MemoryListener;
-    type Sleep = <Real as Env>::Sleep;
-    type Task = RealTask;
+    type Sleep = <SystemEnv as Env>::Sleep;
+    type Task = SystemTask;
 
     fn now(&self) -> Time {
         self.clock.now()
@@ -50,7 +50,7 @@
         self.clock.sleep(span)
     }
 
-    fn spawn<F: Future<Output = ()> + Send + 'static>(&self, task: F) -> RealTask {
+    fn spawn<F: Future<Output = ()> + Send + 'static>(&self, task: F) -> SystemTask {
         self.clock.spawn(task)
     }
 
@@ -182,7 +182,7 @@
 }
 
 impl Writer for MemoryWriter {
-    fn is_quiet(&self) -> bool {
+    fn has_no_unread_input(&self) -> bool {
         unimplemented!("neither clients nor scripted gateways ask")
     }
 
--- a/crates/fake-services/tests/counter.rs
+++ b/crates/fake-services/tests/counter.rs
@@ -5,7 +5,7 @@
 use cluster_model::SECOND;
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
-use runtime::Real;
+use runtime::SystemEnv;
 use std::io;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -14,7 +14,7 @@
 const LONG: u64 = 600 * SECOND;
 
 struct Site {
-    counter: CounterStandIn<Real>,
+    counter: CounterStandIn<SystemEnv>,
     recorder: Recorder,
 }
 
@@ -28,7 +28,7 @@
         recorder: recorder.clone(),
         lag: 0,
     };
-    let counter = CounterStandIn::start(Real::start(), config).expect("it listens");
+    let counter = CounterStandIn::start(SystemEnv::start(), config).expect("it listens");
     counter.open();
     Site { counter, recorder }
 }
@@ -174,7 +174,7 @@
         recorder: recorder.clone(),
         lag: 0,
     };
-    let counter = CounterStandIn::start(Real::start(), config).expect("it listens");
+    let counter = CounterStandIn::start(SystemEnv::start(), config).expect("it listens");
     let mut stream = TcpStream::connect(counter.addrs()[0]).await.expect("it listens");
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "1", "4000"]).await, "-BUSY\r\n");
     assert_eq!(ask(&mut stream, &["PING"]).await, "+PONG\r\n");
--- a/crates/fake-services/tests/host.rs
+++ b/crates/fake-services/tests/host.rs
@@ -8,7 +8,7 @@
 use fake_services::host::{HostConfig, HostStandIn, Settled};
 use fake_services::Recorder;
 use resp::{decode, fill, Frame, RespError};
-use runtime::{Env, Real, Time};
+use runtime::{Env, SystemEnv, Time};
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -17,8 +17,8 @@
 
 /// A host with two gateways, and all that it has written down.
 struct Rig {
-    host: HostStandIn<Real>,
-    env: Real,
+    host: HostStandIn<SystemEnv>,
+    env: SystemEnv,
     draws: Draws,
     recorder: Recorder,
     seen: Vec<Seen>,
@@ -68,7 +68,7 @@
     }
 
     fn start(config: HostConfig) -> Rig {
-        let env = Real::start();
+        let env = SystemEnv::start();
         let (draws, recorder) = (config.draws.clone(), config.recorder.clone());
         let host = HostStandIn::start(env, config).unwrap();
         Rig { host, env, draws, recorder, seen: Vec::new() }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -463,7 +463,7 @@
             let closing = self.intake != Intake::Commands || now >= Phase::Closing;
             // What lies with the system is a request that has come, as long as any are taken.
             let taking = self.intake == Intake::Commands && now < Phase::Refusing;
-            if closing && if taking { idle && writer.is_quiet() } else { answered } {
+            if closing && if taking { idle && writer.has_no_unread_input() } else { answered } {
                 return Ok(End::Answered);
             }
             let used = match (answered, self.called) {
@@ -477,7 +477,7 @@
             }
             let is_full = || self.context.crowd.full.load(Ordering::Relaxed);
             let was_full = || self.context.crowd.full.swap(false, Ordering::Relaxed);
-            if used == Use::Idle && is_full() && writer.is_quiet() && was_full() {
+            if used == Use::Idle && is_full() && writer.has_no_unread_input() && was_full() {
                 return Ok(End::MadeRoom);
             }
             let (reading, owed) = (self.intake != Intake::Ended, self.owed);
@@ -502,14 +502,14 @@
                     // Nothing has come at all: an error would pass for the answer to a command that crosses it,
                     // while a plain end makes the client send that one again.
                     match self.input.is_empty() && self.slots.is_empty() {
-                        true if writer.is_quiet() => return Ok(End::MadeRoom),
+                        true if writer.has_no_unread_input() => return Ok(End::MadeRoom),
                         // It has just come, and is read next.
                         true => self.owed = None,
                         false => self.refuse_protocol("command not whole in time"),
                     }
                 }
                 () = leave.as_mut() => {
-                    if used != Use::Busy && writer.is_quiet() {
+                    if used != Use::Busy && writer.has_no_unread_input() {
                         return Ok(End::MadeRoom);
                     }
                     self.context.crowd.stays.notify_one();
--- a/crates/gateway/src/clients/tests.rs
+++ b/crates/gateway/src/clients/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use cluster_model::SECOND;
-use runtime::{Real, Writer};
+use runtime::{SystemEnv, Writer};
 use simulated_runtime::{Place, Sim, SimConfig, SimEnv};
 use std::pin::Pin;
 use std::sync::Mutex;
@@ -10,8 +10,8 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-fn context(room: usize, phase: watch::Receiver<Phase>) -> (Context<Real>, UnboundedReceiver<Input>) {
-    context_in(Real::start(), room, phase)
+fn context(room: usize, phase: watch::Receiver<Phase>) -> (Context<SystemEnv>, UnboundedReceiver<Input>) {
+    context_in(SystemEnv::start(), room, phase)
 }
 
 fn context_in<E: Env>(
@@ -52,7 +52,7 @@
 }
 
 /// Accepts connections with this room for their commands.
-fn accepting(context: Context<Real>) -> SocketAddr {
+fn accepting(context: Context<SystemEnv>) -> SocketAddr {
     let listener = listen(&context.env, "127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(accept(listener, Limits { connections: 16, callers: 16 }, context));
@@ -521,7 +521,7 @@
 }
 
 impl Writer for Half {
-    fn is_quiet(&self) -> bool {
+    fn has_no_unread_input(&self) -> bool {
         !self.0.lock().unwrap().is_unseen
     }
     fn reset(self) {}
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use cluster_model::scenario::NetworkSpec;
-use runtime::{Listener, Real};
+use runtime::{Listener, SystemEnv};
 use simulated_runtime::{Place, ProcessId, Sim, SimConfig, SimEnv, SimStream};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -12,14 +12,14 @@
 const NAME: CounterKey = CounterKey(10);
 
 /// A counter whose service is the listener, given up by the test alone or after a `patience`.
-async fn counter(patience: Span) -> (Counter<Real>, TcpListener, UnboundedReceiver<Input>) {
+async fn counter(patience: Span) -> (Counter<SystemEnv>, TcpListener, UnboundedReceiver<Input>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (tell, inbox) = mpsc::unbounded_channel();
     let address = Some(listener.local_addr().unwrap());
-    (Counter::new(Real::start(), address, tell, patience), listener, inbox)
+    (Counter::new(SystemEnv::start(), address, tell, patience), listener, inbox)
 }
 
-async fn call(counter: &mut Counter<Real>) -> CallId {
+async fn call(counter: &mut Counter<SystemEnv>) -> CallId {
     counter.call(NAME, -2.5, 4 * SECOND).unwrap().0
 }
 
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -3,7 +3,7 @@
 use cluster_model::scenario::NetworkSpec;
 use config_language::{load, loader::Memory};
 use resp::Frame;
-use runtime::{Listener, Real};
+use runtime::{Listener, SystemEnv};
 use serde_json::json;
 use simulated_runtime::{Place, Sim, SimConfig, SimEnv};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -46,8 +46,8 @@
     let (inputs, inbox) = mpsc::unbounded_channel();
     let (news, binding) = mpsc::unbounded_channel();
     let (phase, _) = watch::channel(Phase::Starting);
-    let gateway: Gateway<Real, Told> =
-        Gateway::new(Real::start(), &config, site.clone(), routing, &inputs, 16, phase);
+    let gateway: Gateway<SystemEnv, Told> =
+        Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
     assert_eq!(told.recv().await, Some("hosts"), "the list known before the start");
     // Far more than a batch lies there before the news does.
     let (answers, _answered) = mpsc::unbounded_channel();
@@ -131,8 +131,8 @@
         let routing = Routing::new(site.clone(), &config.operators).unwrap();
         let (inputs, _inbox) = mpsc::unbounded_channel();
         let (phase, _) = watch::channel(Phase::Starting);
-        let mut gateway: Gateway<Real, SendsWhenTimed> =
-            Gateway::new(Real::start(), &config, site.clone(), routing, &inputs, 16, phase);
+        let mut gateway: Gateway<SystemEnv, SendsWhenTimed> =
+            Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
         NOTED.take();
         let (answers, answered) = mpsc::unbounded_channel();
         let (request, call) = call::parse(&site, id, &words).unwrap();
--- a/crates/gateway/src/host_line.rs
+++ b/crates/gateway/src/host_line.rs
@@ -103,7 +103,7 @@
     pub fn write(&mut self, mut text: Text) -> Result<(), Unusable> {
         // While the rest of the last request still waits, its task has the writer.
         let mut writer = self.writer.take().or_else(|| self.shared.take()).ok_or(Unusable::Full)?;
-        if self.rests.is_closed() || !writer.is_quiet() {
+        if self.rests.is_closed() || !writer.has_no_unread_input() {
             return Err(Unusable::Dead);
         }
         self.shared.sent.store(false, Ordering::Relaxed);
--- a/crates/gateway/src/host_line/tests.rs
+++ b/crates/gateway/src/host_line/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
-use runtime::Real;
+use runtime::SystemEnv;
 use std::io::Write;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
 /// A connection that may take so long to do nothing, and its host's side.
-async fn pair_within(idle: Span) -> (Line<Real>, TcpStream, UnboundedReceiver<Input>) {
+async fn pair_within(idle: Span) -> (Line<SystemEnv>, TcpStream, UnboundedReceiver<Input>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (gateway, mut events) = mpsc::unbounded_channel();
     let limits = Limits { dial: 20_000 * MS, idle };
-    let (line, _) = open(&Real::start(), 7, listener.local_addr().unwrap(), limits, gateway);
+    let (line, _) = open(&SystemEnv::start(), 7, listener.local_addr().unwrap(), limits, gateway);
     let host = listener.accept().await.unwrap().0;
     assert!(matches!(events.recv().await, Some(Input::Host(HostEvent::Up(7)))));
     (line, host, events)
 }
 
-async fn pair() -> (Line<Real>, TcpStream, UnboundedReceiver<Input>) {
+async fn pair() -> (Line<SystemEnv>, TcpStream, UnboundedReceiver<Input>) {
     pair_within(20_000 * MS).await
 }
 
@@ -30,7 +30,7 @@
     host.write_all(b"*3\r\n$5\r\nstale\r\n$-1\r\n$-1\r\n").await.unwrap();
     line.writer = line.shared.take();
     // Whether the task has been told of it, or only the system knows.
-    while line.writer.as_ref().is_some_and(Writer::is_quiet) && !line.rests.is_closed() {
+    while line.writer.as_ref().is_some_and(Writer::has_no_unread_input) && !line.rests.is_closed() {
         tokio::task::yield_now().await;
     }
     assert_eq!(line.write(text(0)), Err(Unusable::Dead));
@@ -111,7 +111,7 @@
                 let speak = async {
                     early.await;
                     say();
-                    while line.writer.as_ref().is_some_and(Writer::is_quiet) {}
+                    while line.writer.as_ref().is_some_and(Writer::has_no_unread_input) {}
                     assert!(!line.rests.is_closed(), "it has not closed yet");
                 };
                 tokio::join!(biased; speak, async { nothing_runs() });
--- a/crates/gateway/src/hosts/tests.rs
+++ b/crates/gateway/src/hosts/tests.rs
@@ -2,14 +2,14 @@
 use crate::call;
 use crate::config::{sample, Config};
 use policy::api::RequestId;
-use runtime::Real;
+use runtime::SystemEnv;
 use serde_json::json;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 
 /// One host in service, and what its connections tell.
-async fn one_host() -> (Hosts<Real>, Config, TcpListener, UnboundedReceiver<Input>) {
+async fn one_host() -> (Hosts<SystemEnv>, Config, TcpListener, UnboundedReceiver<Input>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let host = json!({"instanceId": "s-0", "hostPort": listener.local_addr().unwrap().to_string(), "zone": "a",
         "machineType": "m", "cell": 1, "lifecycle": "in_service", "weight": 1.0, "startedAtMs": 0});
@@ -23,7 +23,7 @@
     let site = Arc::new(config.site.clone());
     let routing = Routing::new(site.clone(), &config.operators).unwrap();
     let (gateway, events) = mpsc::unbounded_channel();
-    let mut hosts = Hosts::new(Real::start(), site, gateway, 16);
+    let mut hosts = Hosts::new(SystemEnv::start(), site, gateway, 16);
     hosts.update(&config.known, HostListKind::Full, &routing);
     (hosts, config, listener, events)
 }
--- a/crates/gateway/src/serve/tests.rs
+++ b/crates/gateway/src/serve/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use policy::api::{Action, Event, Settings, Time};
-use runtime::Real;
+use runtime::SystemEnv;
 use serde_json::json;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -89,7 +89,12 @@
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let config = Config { listen: free, ..config };
 
-    tokio::spawn(serve_with::<Real, Panics, _>(Real::start(), config, || anyhow::bail!("none"), signals));
+    tokio::spawn(serve_with::<SystemEnv, Panics, _>(
+        SystemEnv::start(),
+        config,
+        || anyhow::bail!("none"),
+        signals,
+    ));
     let (mut first, mut bad) = loop {
         tokio::task::yield_now().await;
         if let Ok(stream) = TcpStream::connect(free).await {
@@ -118,7 +123,12 @@
     let (tell, signals) = mpsc::unbounded_channel();
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let first = Config { listen: free, ..config(address) };
-    tokio::spawn(serve_with::<Real, Settled, _>(Real::start(), first, move || Ok(config(address)), signals));
+    tokio::spawn(serve_with::<SystemEnv, Settled, _>(
+        SystemEnv::start(),
+        first,
+        move || Ok(config(address)),
+        signals,
+    ));
     let mut client = loop {
         tokio::task::yield_now().await;
         if let Ok(stream) = TcpStream::connect(free).await {
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -15,7 +15,7 @@
 use cluster_model::settings::{building, document, machine_type, Start};
 use fake_services::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fake_services::Recorder;
-use runtime::Real;
+use runtime::SystemEnv;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use std::fs;
@@ -151,7 +151,7 @@
     counter: Arc<Counter>,
     counter_at: SocketAddr,
     registry: SharedRegistry,
-    agent: AgentStandIn<Real>,
+    agent: AgentStandIn<SystemEnv>,
 }
 
 impl Site {
@@ -181,13 +181,13 @@
         let registry = Registry::new(&scenario.site.discovery, spec.seed, 1, members);
         let registry = SharedRegistry::new(registry, Recorder::default());
         let config = AgentConfig { registry: registry.clone(), gateway: 0, listen: loopback(0) };
-        let agent = AgentStandIn::start(Real::start(), config).context("cannot put up discovery")?;
+        let agent = AgentStandIn::start(SystemEnv::start(), config).context("cannot put up discovery")?;
         Ok(Site { scenario, hosts, work, counter, counter_at, registry, agent })
     }
 
     /// The configuration of the gateway.
     fn document(&self, listen: SocketAddr, seed: u64) -> serde_json::Value {
-        let now = runtime::Env::now(&Real::start());
+        let now = runtime::Env::now(&SystemEnv::start());
         let known = self
             .registry
             .list(now, 0)
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,12 +1,25 @@
-//! The seam between the network side and the world it runs in: a clock, timers, tasks and streams.
+//! Clock, timers, tasks and streams as traits, and the operating system's behind them.
 //!
-//! All code that talks to peers is generic over [`Env`], so the same code serves on sockets ([`Real`]) and on
-//! a simulated network in virtual time. Dispatch is static: the real path pays nothing for it. There is no
-//! other source of time, and no source of chance: seeds come with the configuration.
+//! All code that talks to peers is generic over [`Env`], so that the same code serves on sockets ([`SystemEnv`]) and on a
+//! simulated network in virtual time. Dispatch is static and costs nothing on sockets. The environment is the only source
+//! of time; random seeds come with the configuration.
+//!
+//! ```
+//! use runtime::{Elapsed, Env, SystemEnv};
+//!
+//! # tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime").block_on(async {
+//! let env = SystemEnv::start();
+//! let started = env.now();
+//! assert_eq!(env.timeout(1_000_000, std::future::pending::<()>()).await, Err(Elapsed));
+//! assert!(env.now() >= started + 1_000_000);
+//! # });
+//! ```
+//!
+//! This file holds the traits, `system` their implementation on tokio's sockets and timers.
 
-mod real;
+mod system;
 
-pub use real::{Real, RealListener, RealReader, RealTask, RealWriter};
+pub use system::{SystemEnv, SystemListener, SystemReader, SystemTask, SystemWriter};
 
 use std::future::{poll_fn, Future};
 use std::io;
@@ -15,12 +28,12 @@
 use std::task::Poll;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A moment in nanoseconds of Unix time, on a clock that never goes back.
+/// A point in time: nanoseconds of Unix time, on a clock that never goes back.
 pub type Time = u64;
-/// A span of time in nanoseconds.
+/// A duration, in nanoseconds.
 pub type Span = u64;
 
-/// The time given for something is over.
+/// The error of a future that did not complete within its timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
@@ -38,38 +51,38 @@
     }
 }
 
-/// The world that a process runs in.
+/// The environment that a process runs in.
 pub trait Env: Clone + Send + Sync + 'static {
     /// A connection.
     type Stream: Stream;
-    /// Where connections come in.
+    /// A listening socket.
     type Listener: Listener<Stream = Self::Stream>;
     /// A timer.
     type Sleep: Sleep;
-    /// A running task.
+    /// A handle to a spawned task.
     type Task: Task;
 
-    /// Now.
+    /// Returns the current time.
     fn now(&self) -> Time;
 
-    /// A timer that falls due at `at`, at once if that has passed.
+    /// Returns a timer that expires at `at`, or at once if that has passed.
     fn sleep_until(&self, at: Time) -> Self::Sleep;
 
-    /// Starts a task. It runs on when the handle is dropped.
+    /// Spawns a task, which continues when the handle is dropped.
     fn spawn<F: Future<Output = ()> + Send + 'static>(&self, task: F) -> Self::Task;
 
-    /// Opens a connection. It has no time-out of its own.
+    /// Opens a connection, without a timeout of its own.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 
-    /// Listens on this address only; port 0 takes a free one.
+    /// Listens on this address only; port 0 selects a free port.
     fn listen(&self, on: SocketAddr, backlog: u32) -> io::Result<Self::Listener>;
 
-    /// A timer that falls due in `span`.
+    /// Returns a timer that expires after `span`.
     fn sleep(&self, span: Span) -> Self::Sleep {
         self.sleep_until(self.now().saturating_add(span))
     }
 
-    /// What the future gives, if it does within `span`.
+    /// Awaits a future for at most `span`.
     fn timeout<F: Future + Send>(
         &self,
         span: Span,
@@ -78,7 +91,7 @@
         within(self.sleep(span), future)
     }
 
-    /// What the future gives, if it does before `at`.
+    /// Awaits a future until `at` at the latest.
     fn timeout_at<F: Future + Send>(
         &self,
         at: Time,
@@ -97,17 +110,17 @@
     .await
 }
 
-/// A timer.
+/// A timer: a future that completes when it expires.
 pub trait Sleep: Future<Output = ()> + Send {
-    /// When it falls due.
+    /// Returns when the timer expires.
     fn deadline(&self) -> Time;
-    /// Lets it fall due at another moment.
+    /// Changes when the timer expires.
     fn reset(self: Pin<&mut Self>, at: Time);
 }
 
-/// A running task.
+/// A handle to a spawned task.
 pub trait Task: Send + Sync + 'static {
-    /// Ends it at its next rest: what it holds is dropped, its connections close.
+    /// Cancels the task at its next await point: its state is dropped and its connections close.
     fn abort(&self);
 }
 
@@ -115,18 +128,18 @@
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static {
     /// The receiving half.
     type Reader: Reader;
-    /// The sending half; dropped, it ends the sending.
+    /// The sending half; dropping it ends the sending direction.
     type Writer: Writer;
 
-    /// Takes the halves apart.
+    /// Splits the connection into its halves.
     fn into_split(self) -> (Self::Reader, Self::Writer);
-    /// Who is at the other end.
+    /// Returns the address of the peer.
     fn peer_addr(&self) -> io::Result<SocketAddr>;
 }
 
 /// The receiving half of a connection.
 pub trait Reader: AsyncRead + Unpin + Send + 'static {
-    /// When the first byte of what was read last was sent, where the world knows: only a simulated one does.
+    /// Returns when the first byte of the latest read was sent, if known: only a simulated network knows it.
     fn sent_at(&self) -> Option<Time> {
         None
     }
@@ -134,20 +147,20 @@
 
 /// The sending half of a connection.
 pub trait Writer: AsyncWrite + Unpin + Send + 'static {
-    /// Whether neither bytes nor an end of the connection lie here unread. Asks the system itself, which may
-    /// know of more than the runtime has been told.
-    fn is_quiet(&self) -> bool;
+    /// Returns whether neither bytes nor the end of the connection wait to be read. Asks the operating system, which may
+    /// know of input that the runtime has not been notified of.
+    fn has_no_unread_input(&self) -> bool;
 
-    /// Breaks the connection at once: the peer sees a reset, and what is on its way may be lost.
+    /// Resets the connection at once; data in flight may be lost.
     fn reset(self);
 }
 
-/// Where connections come in.
+/// A listening socket, which accepts connections.
 pub trait Listener: Send + 'static {
     /// A connection.
     type Stream: Stream;
-    /// The next connection, and who opened it.
+    /// Waits for the next connection and returns it with the address of its peer.
     fn accept(&mut self) -> impl Future<Output = io::Result<(Self::Stream, SocketAddr)>> + Send;
-    /// Where it listens.
+    /// Returns the address that the socket listens on.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
--- a/crates/runtime/src/real.rs
+++ b/crates/runtime/src/system.rs
@@ -1,4 +1,4 @@
-//! The machine's own clock and sockets, on the runtime that runs the caller.
+//! The operating system's clock and sockets, on the tokio runtime that runs the caller.
 
 use crate::{Env, Listener, Reader, Sleep, Span, Stream, Task, Time, Writer};
 use socket2::SockRef;
@@ -13,27 +13,27 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::Instant;
 
-/// Bytes that the system takes of what is sent to a peer that does not read; on its own it takes megabytes.
+/// Size of the send buffer, in bytes: for a peer that does not read, the system would buffer megabytes otherwise.
 const SEND_BUFFER: u32 = 128 * 1024;
 
-/// The real world. Its clock reads as Unix time, so that moments told by others compare with it, and is
-/// carried on from the start by the monotonic one.
+/// The operating system's environment. Its clock starts at Unix time, so that times of other machines compare with it,
+/// and advances with the monotonic clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Real {
+pub struct SystemEnv {
     base: Time,
     started: Instant,
 }
 
-impl Real {
-    /// Takes the time, once.
-    pub fn start() -> Real {
+impl SystemEnv {
+    /// Creates an environment whose clock starts at the current Unix time.
+    pub fn start() -> SystemEnv {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Real::showing(unix.as_nanos() as Time)
+        SystemEnv::with_clock_at(unix.as_nanos() as Time)
     }
 
-    /// One whose clock shows this now, and goes on from there.
-    pub fn showing(now: Time) -> Real {
-        Real { base: now, started: Instant::now() }
+    /// Creates an environment whose clock starts at this time.
+    pub fn with_clock_at(now: Time) -> SystemEnv {
+        SystemEnv { base: now, started: Instant::now() }
     }
 
     fn instant(&self, time: Time) -> Instant {
@@ -45,22 +45,22 @@
     }
 }
 
-impl Env for Real {
+impl Env for SystemEnv {
     type Stream = TcpStream;
-    type Listener = RealListener;
-    type Sleep = RealSleep;
-    type Task = RealTask;
+    type Listener = SystemListener;
+    type Sleep = SystemSleep;
+    type Task = SystemTask;
 
     fn now(&self) -> Time {
         self.base + self.started.elapsed().as_nanos() as Time
     }
 
-    fn sleep_until(&self, at: Time) -> RealSleep {
-        RealSleep { env: *self, sleep: tokio::time::sleep_until(self.instant(at)) }
+    fn sleep_until(&self, at: Time) -> SystemSleep {
+        SystemSleep { env: *self, sleep: tokio::time::sleep_until(self.instant(at)) }
     }
 
-    fn spawn<F: Future<Output = ()> + Send + 'static>(&self, task: F) -> RealTask {
-        RealTask(tokio::spawn(task).abort_handle())
+    fn spawn<F: Future<Output = ()> + Send + 'static>(&self, task: F) -> SystemTask {
+        SystemTask(tokio::spawn(task).abort_handle())
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<TcpStream> {
@@ -69,38 +69,38 @@
         Ok(stream)
     }
 
-    fn listen(&self, on: SocketAddr, backlog: u32) -> io::Result<RealListener> {
+    fn listen(&self, on: SocketAddr, backlog: u32) -> io::Result<SystemListener> {
         let socket = if on.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         // Connections have it from their listener.
         socket.set_send_buffer_size(SEND_BUFFER)?;
         socket.bind(on)?;
-        Ok(RealListener(socket.listen(backlog)?))
+        Ok(SystemListener(socket.listen(backlog)?))
     }
 
-    fn sleep(&self, span: Span) -> RealSleep {
+    fn sleep(&self, span: Span) -> SystemSleep {
         let far = Duration::from_nanos(span);
-        RealSleep { env: *self, sleep: tokio::time::sleep_until(Instant::now() + far) }
+        SystemSleep { env: *self, sleep: tokio::time::sleep_until(Instant::now() + far) }
     }
 }
 
 pin_project_lite::pin_project! {
-    /// A timer of the runtime.
-    pub struct RealSleep {
-        env: Real,
+    /// A timer of the tokio runtime.
+    pub struct SystemSleep {
+        env: SystemEnv,
         #[pin]
         sleep: tokio::time::Sleep,
     }
 }
 
-impl Future for RealSleep {
+impl Future for SystemSleep {
     type Output = ();
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         self.project().sleep.poll(cx)
     }
 }
 
-impl Sleep for RealSleep {
+impl Sleep for SystemSleep {
     fn deadline(&self) -> Time {
         self.env.time(self.sleep.deadline())
     }
@@ -110,21 +110,21 @@
     }
 }
 
-/// A task of the runtime.
+/// A handle to a task of the tokio runtime.
 #[derive(Debug)]
-pub struct RealTask(tokio::task::AbortHandle);
+pub struct SystemTask(tokio::task::AbortHandle);
 
-impl Task for RealTask {
+impl Task for SystemTask {
     fn abort(&self) {
         self.0.abort();
     }
 }
 
-/// A listening socket.
+/// A listening TCP socket.
 #[derive(Debug)]
-pub struct RealListener(TcpListener);
+pub struct SystemListener(TcpListener);
 
-impl Listener for RealListener {
+impl Listener for SystemListener {
     type Stream = TcpStream;
     async fn accept(&mut self) -> io::Result<(TcpStream, SocketAddr)> {
         let (stream, from) = self.0.accept().await?;
@@ -138,9 +138,9 @@
 }
 
 impl Stream for TcpStream {
-    type Reader = RealReader;
-    type Writer = RealWriter;
-    fn into_split(self) -> (RealReader, RealWriter) {
+    type Reader = SystemReader;
+    type Writer = SystemWriter;
+    fn into_split(self) -> (SystemReader, SystemWriter) {
         TcpStream::into_split(self)
     }
     fn peer_addr(&self) -> io::Result<SocketAddr> {
@@ -148,15 +148,15 @@
     }
 }
 
-/// The receiving half of a socket.
-pub type RealReader = OwnedReadHalf;
-/// The sending half of a socket.
-pub type RealWriter = OwnedWriteHalf;
+/// The receiving half of a TCP socket.
+pub type SystemReader = OwnedReadHalf;
+/// The sending half of a TCP socket.
+pub type SystemWriter = OwnedWriteHalf;
 
 impl Reader for OwnedReadHalf {}
 
 impl Writer for OwnedWriteHalf {
-    fn is_quiet(&self) -> bool {
+    fn has_no_unread_input(&self) -> bool {
         let found = SockRef::from(self.as_ref()).peek(&mut [MaybeUninit::uninit()]);
         found.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
--- a/crates/simulated-runtime/src/net/stream.rs
+++ b/crates/simulated-runtime/src/net/stream.rs
@@ -154,8 +154,8 @@
 }
 
 impl Writer for SimWriter {
-    fn is_quiet(&self) -> bool {
-        self.shared.room(|room| room.is_quiet(self.id))
+    fn has_no_unread_input(&self) -> bool {
+        self.shared.room(|room| room.has_no_unread_input(self.id))
     }
 
     /// What is on its way arrives before the reset.
--- a/crates/simulated-runtime/src/net/wire.rs
+++ b/crates/simulated-runtime/src/net/wire.rs
@@ -222,7 +222,7 @@
     }
 
     /// Whether there is nothing to read, not even an end.
-    pub(crate) fn is_quiet(&self, id: EndId) -> bool {
+    pub(crate) fn has_no_unread_input(&self, id: EndId) -> bool {
         let end = self.conns.get(id.conn).map(|conn| conn.end(id.side));
         end.is_some_and(|end| {
             end.phase == Phase::Open && end.unread.len == 0 && !end.ended && end.failure.is_none()
--- a/crates/simulated-runtime/tests/room/network.rs
+++ b/crates/simulated-runtime/tests/room/network.rs
@@ -201,11 +201,11 @@
         room.ask(|env, stream| async move {
             let (mut reader, writer) = stream.into_split();
             for _ in 0..3 {
-                notes.add(&env, writer.is_quiet());
+                notes.add(&env, writer.has_no_unread_input());
                 env.sleep(9 * MS).await;
-                notes.add(&env, writer.is_quiet());
+                notes.add(&env, writer.has_no_unread_input());
                 env.sleep(3 * MS).await;
-                notes.add(&env, writer.is_quiet());
+                notes.add(&env, writer.has_no_unread_input());
                 let _ = reader.read(&mut [0; 10]).await;
             }
         });
