--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,5 +1,26 @@
-//! Decision modules on the simulator's wire.
+//! Decision modules on the wire of the platform's simulator.
+//!
+//! The simulator sends frames, each a batch of events at one time; an [`Adapter`] hosts one decision module for each
+//! instance, reports the events to them, and returns their actions as the reply frame. Nothing is decided here.
+//!
+//! ```
+//! use simulator_adapter::Adapter;
+//!
+//! // Time, length of the frame, and number of event records.
+//! let frame = [0, 0, 0, 0, 0, 0, 0, 0, 16, 0, 0, 0, 0, 0, 0, 0];
+//! let reply = Adapter::default().answer(&frame).expect("a valid frame");
+//! assert_eq!(reply, [0, 0, 0, 0, 8, 0, 0, 0], "no actions, eight bytes");
+//! ```
+//!
+//! `codes` names the records, `record` reads the fields of one, `events` translates events, `reply` actions, and `adapter`
+//! goes through a frame.
 
-mod wire;
+mod adapter;
+mod codes;
+mod error;
+mod events;
+mod record;
+mod reply;
 
-pub use wire::{Adapter, WireError};
+pub use adapter::{Adapter, HEADER_BYTES};
+pub use error::WireError;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,10 +1,16 @@
-//! Hosts decision modules on the simulator's wire: standard input to standard output.
-use simulator_adapter::{Adapter, WireError};
+//! Hosts decision modules on the simulator's wire: frames on standard input, replies on standard output.
+
+use simulator_adapter::{Adapter, WireError, HEADER_BYTES};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
+/// Size of the buffer before standard input, in bytes.
+const INPUT_BUFFER: usize = 1 << 20;
+/// Position of the frame's length in its header, in bytes.
+const LENGTH: usize = 8;
+
 fn serve() -> Result<(), WireError> {
-    let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
+    let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
     let mut adapter = Adapter::default();
     while let Some(frame) = read_frame(&mut input)? {
@@ -14,22 +20,24 @@
     Ok(())
 }
 
+/// Reads one frame; `None` at the end of the input.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, WireError> {
     let mut frame = Vec::new();
-    input.by_ref().take(16).read_to_end(&mut frame)?;
+    input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut frame)?;
     if frame.is_empty() {
         return Ok(None);
     }
-    if frame.len() < 16 {
-        return Err(WireError::Truncated { what: "batch header", at: frame.len() });
+    if frame.len() < HEADER_BYTES {
+        return Err(WireError::Truncated { part: "batch header", at: frame.len() });
     }
-    let size = u32::from_le_bytes([frame[8], frame[9], frame[10], frame[11]]) as usize;
-    if size < 16 {
-        return Err(WireError::Invalid { what: "frame length", at: 8, value: size as u64 });
+    let length = [frame[LENGTH], frame[LENGTH + 1], frame[LENGTH + 2], frame[LENGTH + 3]];
+    let size = u32::from_le_bytes(length) as usize;
+    if size < HEADER_BYTES {
+        return Err(WireError::Invalid { field: "frame length", at: LENGTH, value: size as u64 });
     }
-    input.take(size as u64 - 16).read_to_end(&mut frame)?;
+    input.take((size - HEADER_BYTES) as u64).read_to_end(&mut frame)?;
     if frame.len() < size {
-        return Err(WireError::Truncated { what: "batch", at: frame.len() });
+        return Err(WireError::Truncated { part: "batch", at: frame.len() });
     }
     Ok(Some(frame))
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,7 +1,8 @@
 //! The adapter: frames in and out, and plain messages on malformed input.
+
 use simulator_adapter::Adapter;
 
-fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
+fn frame_of(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let size = 16 + 56 * records.len() + tail.len();
     let mut frame = 5_000_000_000u64.to_le_bytes().to_vec();
     frame.extend((size as u32).to_le_bytes());
@@ -22,22 +23,22 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
-    let reply = Adapter::default().answer(&batch(&[], &[])).unwrap();
+fn a_frame_without_events_gets_an_empty_reply() {
+    let reply = Adapter::default().answer(&frame_of(&[], &[])).unwrap();
     assert_eq!(reply, [0, 0, 0, 0, 8, 0, 0, 0]);
 }
 
 #[test]
-fn malformed_input_gets_a_plain_message() {
+fn malformed_frames_are_errors_that_name_the_byte() {
     let say = |frame: &[u8]| Adapter::default().answer(frame).unwrap_err().to_string();
-    assert!(say(&batch(&[], &[])[..12]).contains("cut short"));
-    assert!(say(&batch(&[vec![99, 0]], &[])).contains("event code at byte 16 cannot be 99"));
-    assert!(say(&batch(&[vec![12, 0, 3]], &[])).contains("has not been started"));
-    assert!(say(&batch(&[attach(9)], b"{}")).contains("tail is cut short"));
+    assert!(say(&frame_of(&[], &[])[..12]).contains("cut short"));
+    assert!(say(&frame_of(&[vec![99, 0]], &[])).contains("event code at byte 16 cannot be 99"));
+    assert!(say(&frame_of(&[vec![12, 0, 3]], &[])).contains("has not been started"));
+    assert!(say(&frame_of(&[attach(9)], b"{}")).contains("tail is cut short"));
     for (text, wanted) in
         [("{", "settings: "), ("{}", "`allowed` is missing"), ("3", "the settings are 3, not an object")]
     {
-        let message = say(&batch(&[attach(text.len())], text.as_bytes()));
+        let message = say(&frame_of(&[attach(text.len())], text.as_bytes()));
         assert!(message.contains(wanted), "{message}");
     }
 }
@@ -49,5 +50,5 @@
     settings["new"] = serde_json::json!([1]);
     settings["services"][0]["something-else"] = serde_json::json!({});
     let text = settings.to_string();
-    assert!(Adapter::default().answer(&batch(&[attach(text.len())], text.as_bytes())).is_ok());
+    assert!(Adapter::default().answer(&frame_of(&[attach(text.len())], text.as_bytes())).is_ok());
 }
