--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/client/call.rs
@@ -1,6 +1,6 @@
 //! A client's call: read from its command, written on to a host with a `d` of our own.
 
-use crate::host_line::Text;
+use crate::upstream::connection::Text;
 use bytes::{Buf, Bytes, BytesMut};
 use platform_settings::PlatformSettings;
 use policy::api::{CustomerId, Idempotency, Request, RequestId, Span};
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -1,11 +1,11 @@
 //! Clients: the listener and their connections. Commands are read as they come, answers leave in the order
 //! of the commands. What becomes of a call is the gateway's business.
 
-use crate::budget::Budget;
-use crate::call;
-use crate::crash::{self, CrashPoint};
+use crate::client::call;
+use crate::config::memory_budget::Budget;
+use crate::crash_points::{self, CrashPoint};
 use crate::messages::{Answer, Incoming, Input, Phase, ReplyTo};
-use crate::outage::Outage;
+use crate::telemetry::outage_log::Outage;
 use bytes::{Buf, Bytes, BytesMut};
 use bytes_utils::SegmentedBuf;
 use platform_settings::PlatformSettings;
@@ -204,7 +204,7 @@
         let Some(accepted) = next_connection(&mut listener, &context.phase).await else { return };
         match accepted {
             Ok((stream, _)) => {
-                crash::here(CrashPoint::Accepted);
+                crash_points::here(CrashPoint::Accepted);
                 outage.back(env.now());
                 let seat = Arc::new(Seat::new(env.now()));
                 seats.push(seat.clone());
@@ -527,9 +527,9 @@
     /// Writes what can be written without a wait; whether answers have left whole. What waits goes on being written in
     /// turn with all else, within its time.
     async fn write_now<W: AsyncWrite + Unpin + Send>(&mut self, writer: &mut W) -> io::Result<bool> {
-        if crash::is_due(CrashPoint::InAnswer) {
+        if crash_points::is_due(CrashPoint::InAnswer) {
             writer.write_all(&self.output.chunk()[..1]).await?;
-            crash::die();
+            crash_points::die();
         }
         let before = self.output.remaining();
         while self.output.has_remaining() {
@@ -790,4 +790,5 @@
 }
 
 #[cfg(test)]
+#[path = "tests.rs"]
 mod tests;
--- /dev/null
+++ b/crates/gateway/src/client/mod.rs
@@ -0,0 +1,4 @@
+//! Clients.
+
+pub(crate) mod call;
+pub(crate) mod connection;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,7 +1,9 @@
 //! What this gateway is told at its start.
 
-use crate::budget::Budget;
-use crate::membership::Membership;
+pub(crate) mod memory_budget;
+
+use crate::config::memory_budget::Budget;
+use crate::discovery::endpoint_list::Membership;
 use anyhow::{anyhow, ensure, Context, Result};
 use config_language::model::Operators;
 use platform_settings::{unknown_keys, PlatformSettings};
--- a/crates/gateway/src/counter_log.rs
+++ b/crates/gateway/src/counter/log.rs
@@ -1,7 +1,7 @@
 //! What the log says of the shared counter: a line for each change that lasts, how much rests on this gateway's
 //! word meanwhile, and how far quotas may be overrun by then. Never a line for a request.
 
-use crate::lasting::Lasting;
+use crate::telemetry::debounced_state::Lasting;
 use policy::api::Settings;
 use quota::bound::{max_overshoot, Failure, Quota};
 use quota::{CounterReport, CounterState, LocalGrants};
@@ -216,7 +216,7 @@
 
     #[test]
     fn the_operators_page_shows_these_lines() {
-        let page = include_str!("../../../docs/counter-failures.md");
+        let page = include_str!("../../../../docs/counter-failures.md");
         let plan = |name: &str, rate, burst| {
             (name.into(), Quota { rate, burst, set_size: 3, max_request_units: 6.0 })
         };
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -1,9 +1,11 @@
 //! The counter service: calls written one behind another on a few connections, answered in their order.
 //! A call that was given up still has its answer coming, which is taken off the line and dropped.
 
-use crate::crash::{self, CrashPoint};
+pub(crate) mod log;
+
+use crate::crash_points::{self, CrashPoint};
 use crate::messages::{CallId, Counted, CounterEvent, Input};
-use crate::outage::Outage;
+use crate::telemetry::outage_log::Outage;
 use bytes::{Buf, Bytes, BytesMut};
 use policy::api::{CounterKey, Outcome, Span, Time};
 use resp::{Frame, RespError};
@@ -297,7 +299,7 @@
         }
         let all = self.output.len();
         let wrote = self.env.timeout(self.silence, writer.write_all_buf(&mut self.output)).await;
-        crash::here(CrashPoint::CallWritten);
+        crash_points::here(CrashPoint::CallWritten);
         let written = all - self.output.remaining();
         for (end, call) in batch {
             if end <= written {
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,12 +1,13 @@
 //! The list of hosts: one watch on the discovery agent, resumed where it broke off.
 
 mod documents;
+pub(crate) mod endpoint_list;
 mod versions;
 
-use crate::crash::{self, CrashPoint};
-use crate::membership::Membership;
+use crate::crash_points::{self, CrashPoint};
+use crate::discovery::endpoint_list::Membership;
 use crate::messages::News;
-use crate::outage::Outage;
+use crate::telemetry::outage_log::Outage;
 use anyhow::{bail, Context, Result};
 use bytes::{Bytes, BytesMut};
 use documents::{Documents, Part};
@@ -166,7 +167,7 @@
 
     fn tell(&mut self, text: &[u8]) -> Result<u64> {
         let mut list: Membership = serde_json::from_slice(text).map_err(ListError::from)?;
-        crash::here(CrashPoint::ListRead);
+        crash_points::here(CrashPoint::ListRead);
         let is_empty = |list: &Membership| list.reset && list.instances.is_empty();
         if !is_empty(&list) {
             self.versions.sort_out(&mut list);
--- a/crates/gateway/src/discovery/versions.rs
+++ b/crates/gateway/src/discovery/versions.rs
@@ -1,7 +1,7 @@
 //! Which of what a list says is outdated. Changes may come out of order, and a whole list may be older than what
 //! is known; nobody would say again that a host drains.
 
-use crate::membership::{Lifecycle, Member, Membership};
+use crate::discovery::endpoint_list::{Lifecycle, Member, Membership};
 use std::collections::{BTreeMap, HashSet};
 
 /// Hosts that have left are remembered up to this many: those that left at the latest versions.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,22 +1,22 @@
 //! The gateway: owns the decision module, tells it what happens and carries out what it asks for. Each
 //! request is kept here until its one final answer has left and its attempts have ended.
 
-use crate::call::Call;
+use crate::client::call::Call;
 use crate::config::Config;
+use crate::counter::log::{quotas, CounterLog, Line};
 use crate::counter::Counter;
-use crate::counter_log::{quotas, CounterLog, Line};
-use crate::crash::{self, CrashPoint};
-use crate::hosts::{Finished, Hosts, Order};
-use crate::lag::{Lag, Said};
-use crate::losses::{self, Cause, Losses, Tried};
-use crate::membership::Membership;
+use crate::crash_points::{self, CrashPoint};
+use crate::discovery::endpoint_list::Membership;
+use crate::lifecycle::reload::Reload;
 use crate::messages::{Answer, AttemptKey, CallId, Counted, Incoming, Input, News, Phase, ReplyTo};
-use crate::outage::Outage;
-use crate::reload::Reload;
-use crate::routing::{Routing, Unusable};
-use crate::sites::Watch;
+use crate::request_routing::{Routing, Unusable};
+use crate::site_control::Watch;
+use crate::telemetry::event_loop_delay::{Lag, Said};
+use crate::telemetry::failure_stats::{self, Cause, Losses, Tried};
+use crate::telemetry::in_flight::Unanswered;
+use crate::telemetry::outage_log::Outage;
 use crate::timers::Timers;
-use crate::unanswered::Unanswered;
+use crate::upstream::{Finished, Hosts, Order};
 use bytes::Bytes;
 use config_language::model::Operators;
 use platform_settings::PlatformSettings;
@@ -243,7 +243,7 @@
             Input::Host(event) => self.hosts.on_event(event),
             Input::Counter(event) => {
                 if let Some(counted) = self.counter.on_event(event) {
-                    crash::here(CrashPoint::Counted);
+                    crash_points::here(CrashPoint::Counted);
                     self.timers.cancel(counted.until, Timer::Call(counted.call));
                     self.on_counted(counted);
                 }
@@ -331,7 +331,7 @@
     fn on_reload(&mut self, reload: Reload) {
         let Reload { counter, operators, done } = reload;
         let outcome = self.on_operators(operators);
-        crash::here(CrashPoint::ReloadHalf);
+        crash_points::here(CrashPoint::ReloadHalf);
         if outcome.is_ok() {
             self.counter.move_to(counter);
         }
@@ -458,7 +458,7 @@
             plan = name(&self.site.plan_names, call.plan),
             after_ms = now.saturating_sub(call.arrived) / MS,
             reason = cause.words(),
-            attempts = losses::line(&call.tried, |host| self.hosts.name(host)),
+            attempts = failure_stats::line(&call.tried, |host| self.hosts.name(host)),
             left_out,
             "lost"
         );
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::call;
+use crate::client::call;
 use cluster_model::scenario::NetworkSpec;
 use config_language::{load, loader::Memory};
 use resp::Frame;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,37 +8,25 @@
 //! a whole site is lost in `sites`. What passes between them is in `messages`, and none of
 //! them knows another.
 
-mod budget;
-mod call;
-mod clients;
+mod client;
 mod config;
 mod counter;
-mod counter_log;
-mod crash;
+mod crash_points;
 mod discovery;
 mod gateway;
-mod host_line;
-mod hosts;
-mod keep;
-mod lag;
-mod lasting;
-mod losses;
-mod membership;
+mod lifecycle;
 mod messages;
-mod outage;
-mod reload;
-mod routing;
-mod serve;
-mod shortage;
-mod sites;
+mod request_routing;
+mod site_control;
+mod telemetry;
 mod timers;
-mod unanswered;
+mod upstream;
 
-pub use budget::Budget;
+pub use config::memory_budget::Budget;
 pub use config::{Config, MIN_SOCKETS};
 pub use config_language::model::Operators;
-pub use crash::CrashPoint;
-pub use membership::{Lifecycle, Member, Membership};
+pub use crash_points::CrashPoint;
+pub use discovery::endpoint_list::{Lifecycle, Member, Membership};
+pub use lifecycle::{serve, Signal};
 pub use platform_settings::PlatformSettings;
-pub use routing::check_operators;
-pub use serve::{serve, Signal};
+pub use request_routing::check_operators;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,15 +1,17 @@
 //! A gateway from its start to its stop.
 
-use crate::clients::{self, Context, Limits, Room};
+pub(crate) mod reload;
+
+use crate::client::connection::{self, Context, Limits, Room};
 use crate::config::Config;
 use crate::counter::MAX_LINKS;
-use crate::crash::{self, CrashPoint};
+use crate::crash_points::{self, CrashPoint};
 use crate::discovery;
 use crate::gateway::{Decisions, Gateway};
+use crate::lifecycle::reload::{left_for_a_start, Reload};
 use crate::messages::{News, Phase};
-use crate::reload::{left_for_a_start, Reload};
-use crate::routing::Routing;
-use crate::unanswered::Unanswered;
+use crate::request_routing::Routing;
+use crate::telemetry::in_flight::Unanswered;
 use anyhow::{Context as _, Result};
 use policy::policy::Policy;
 use runtime::{Env, Listener, Span};
@@ -21,7 +23,7 @@
 use tokio::sync::{oneshot, watch};
 
 const MS: Span = 1_000_000;
-/// Descriptors for the listener, discovery, the runtime, standard streams, [`clients::MAX_LINGERERS`] and what is just
+/// Descriptors for the listener, discovery, the runtime, standard streams, [`connection::MAX_LINGERERS`] and what is just
 /// closing.
 const SPARE_SOCKETS: usize = 24;
 /// New connections go on coming for up to 0.4 s after SIGTERM.
@@ -67,7 +69,7 @@
 {
     let site = Arc::new(config.site.clone());
     let routing = Routing::new(site.clone(), &config.operators).context("cannot use the operators' files")?;
-    let listener = clients::listen(&env, config.listen);
+    let listener = connection::listen(&env, config.listen);
     let listener = listener.with_context(|| format!("cannot listen on {}", config.listen))?;
     let address = listener.local_addr()?;
     let (inputs, inbox) = mpsc::unbounded_channel();
@@ -89,11 +91,11 @@
         gateway: inputs.clone(),
         phase: phases,
         ids: Arc::default(),
-        crowd: clients::Crowd::default(),
+        crowd: connection::Crowd::default(),
         room: Room::within(&config.budget()),
     };
     let limits = Limits { connections: sockets - for_hosts, callers: config.sockets / 4 };
-    env.spawn(clients::accept(listener, limits, context));
+    env.spawn(connection::accept(listener, limits, context));
     tracing::info!("{} listens on {address}", config.name);
 
     let reloads = Reloads { again, started: config.document, agent, gateway: tell };
@@ -134,7 +136,7 @@
     /// Puts another configuration in force as a whole; with an error, nothing of it.
     async fn reload(&self) -> Result<()> {
         let config = (self.again)()?;
-        crash::here(CrashPoint::ReloadRead);
+        crash_points::here(CrashPoint::ReloadRead);
         let (done, outcome) = oneshot::channel();
         let (counter, operators) = (config.counter, config.operators);
         let _ = self.gateway.send(News::Reload(Box::new(Reload { counter, operators, done })));
@@ -152,7 +154,7 @@
 async fn stop<E: Env>(env: E, phase: watch::Sender<Phase>, unanswered: Unanswered) {
     phase.send_replace(Phase::Stopping);
     env.sleep(STILL_ACCEPTING).await;
-    crash::here(CrashPoint::Stopping);
+    crash_points::here(CrashPoint::Stopping);
     phase.send_replace(Phase::Closing);
     let mut over = pin!(async {
         // No request is unanswered, then no connection is left.
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/lifecycle/reload/mod.rs
@@ -1,6 +1,6 @@
 //! What of a configuration that was read again a gateway takes without a start, and what it does not.
 
-use crate::routing::Unusable;
+use crate::request_routing::Unusable;
 use config_language::model::Operators;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/crates/gateway/src/reload/tests.rs
+++ b/crates/gateway/src/lifecycle/reload/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 fn example() -> Value {
-    serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap()
+    serde_json::from_str(include_str!("../../../../../deploy/example.json")).unwrap()
 }
 
 /// What is said of the example with these values in place of its own.
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,9 +1,9 @@
 //! What passes between the parts of the network side. Each part knows this and nothing of the others: clients,
 //! hosts, the counter and discovery tell the gateway what happened, and it alone knows them all.
 
-use crate::call::Call;
-use crate::membership::Membership;
-use crate::reload::Reload;
+use crate::client::call::Call;
+use crate::discovery::endpoint_list::Membership;
+use crate::lifecycle::reload::Reload;
 use bytes::Bytes;
 use policy::api::{CounterKey, HostId, Outcome, Request, RequestId, Span, Time};
 use resp::{Frame, RespError};
--- /dev/null
+++ b/crates/gateway/src/telemetry/mod.rs
@@ -0,0 +1,7 @@
+//! What the gateway measures and logs of itself.
+
+pub(crate) mod debounced_state;
+pub(crate) mod event_loop_delay;
+pub(crate) mod failure_stats;
+pub(crate) mod in_flight;
+pub(crate) mod outage_log;
--- a/crates/gateway/src/host_line.rs
+++ b/crates/gateway/src/upstream/connection/mod.rs
@@ -1,7 +1,7 @@
 //! One connection to a host. The gateway writes a request itself, since on an idle connection all of it goes at once;
 //! a task reads what comes, and writes the rest where it does not.
 
-use crate::crash::{self, CrashPoint};
+use crate::crash_points::{self, CrashPoint};
 use crate::messages::{ConnId, HostEvent, Input};
 use bytes::{Buf, Bytes, BytesMut};
 use resp::{Frame, RespError};
@@ -113,7 +113,7 @@
             Ok(()) if text.has_remaining() && text.remaining() == length => Err(Unusable::Full),
             Ok(()) if text.has_remaining() => self.rests.send((writer, text)).map_err(|_| Unusable::Dead),
             Ok(()) => {
-                crash::here(CrashPoint::AttemptWritten);
+                crash_points::here(CrashPoint::AttemptWritten);
                 self.shared.sent.store(true, Ordering::Relaxed);
                 self.writer = Some(writer);
                 Ok(())
@@ -183,7 +183,7 @@
                     filled?;
                     self.expects_answer()?;
                     let frame = self.answer(&mut reader, &mut buf).await?;
-                    crash::here(CrashPoint::AnswerRead);
+                    crash_points::here(CrashPoint::AnswerRead);
                     let clean = buf.is_empty();
                     self.shared.asked.store(false, Ordering::Relaxed);
                     idle_since = self.env.now();
@@ -202,7 +202,7 @@
                         }
                         wrote = writer.write_all_buf(&mut text) => wrote?,
                     }
-                    crash::here(CrashPoint::AttemptWritten);
+                    crash_points::here(CrashPoint::AttemptWritten);
                     self.shared.sent.store(true, Ordering::Relaxed);
                     self.shared.put(writer);
                 }
--- a/crates/gateway/src/hosts.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,15 +1,19 @@
 //! Hosts: their connections and the attempts on them. One request at a time on a connection, since one
 //! behind a slow one would wait for it and giving one up means closing.
 
-use crate::call::Call;
-use crate::host_line::{self, Limits, Line, Unusable};
-use crate::keep::{Keep, Trust};
-use crate::losses::AT_ONCE;
-use crate::membership::{Lifecycle, Membership};
+pub(crate) mod connection;
+mod connection_pressure;
+mod idle_reuse;
+
+use crate::client::call::Call;
+use crate::discovery::endpoint_list::{Lifecycle, Membership};
 use crate::messages::{Answer, AttemptKey, ConnId, HostEvent, Input};
-use crate::outage::Outage;
-use crate::routing::Routing;
-use crate::shortage::Shortage;
+use crate::request_routing::Routing;
+use crate::telemetry::failure_stats::AT_ONCE;
+use crate::telemetry::outage_log::Outage;
+use crate::upstream::connection::{Limits, Line, Unusable};
+use crate::upstream::connection_pressure::Shortage;
+use crate::upstream::idle_reuse::{Keep, Trust};
 use bytes::Bytes;
 use platform_settings::PlatformSettings;
 use policy::api::{AttemptEnded, HostEntry, HostId, HostListKind, HostState, Outcome, Span, Time};
@@ -415,7 +419,7 @@
         let id = self.next_conn;
         self.next_conn += 1;
         let limits = Limits { dial: self.site.connect_timeout.max(MS), idle: longest_idle(&self.site) };
-        let (line, task) = host_line::open(&self.env, id, addr, limits, self.gateway.clone());
+        let (line, task) = connection::open(&self.env, id, addr, limits, self.gateway.clone());
         let conn = Conn {
             host_id,
             era: host.era,
--- a/crates/gateway/src/hosts/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::call;
+use crate::client::call;
 use crate::config::{sample, Config};
 use policy::api::RequestId;
 use runtime::SystemEnv;
