--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -120,12 +120,12 @@
         ["CALL.GET", "0000000000000001", "0000000000000007", "c=read,t=team,d=900,units=1,spread=1,first=0"];
     let words: Vec<Frame> =
         words.iter().map(|word| Frame::Bulk(Bytes::from_static(word.as_bytes()))).collect();
-    let unsent = "Moot, closed: true";
+    let unsent = "NotSent, closed: true";
     // Attempts before the client goes; `None`: it goes before the request is taken up.
     let cases: [(Option<u32>, &[&str]); 3] = [
         (None, &[]),
         (Some(0), &["request", "left", unsent]),
-        (Some(1), &["request", "Moot, closed: false", "left", unsent]),
+        (Some(1), &["request", "NotSent, closed: false", "left", unsent]),
     ];
     for (attempts, expected) in cases {
         let routing = Routing::new(site.clone(), &config.operators).unwrap();
