--- a/crates/cluster-emulator/tests/quota/totals.rs
+++ b/crates/cluster-emulator/tests/quota/totals.rs
@@ -10,7 +10,7 @@
 use cluster_model::SECOND;
 use gateway::{serve, Config};
 use policy::api::{CounterKey, CustomerId};
-use policy::names::{leased, told_late, EPOCH};
+use policy::counter_keys::{leased, reconciled, EPOCH};
 use quota::bound::{beyond, Failure, Quota};
 use resp::{decode, fill, put_bulk, put_header, Frame};
 use runtime::{Env, Stream, Time};
@@ -52,7 +52,7 @@
         let mut units = 0.0;
         // Names of the epoch before are still there for some seconds.
         for at in [now, now - EPOCH] {
-            for name in [leased(id, at), told_late(id, at)] {
+            for name in [leased(id, at), reconciled(id, at)] {
                 writer.write_all(&ask(name)).await?;
                 let answer = loop {
                     match decode(&mut input)? {
--- a/crates/gateway/tests/room/counter.rs
+++ b/crates/gateway/tests/room/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{name, post, tariff, Manner, Plan, Room};
 use cluster_model::{MS, SECOND};
-use policy::names::EPOCH;
+use policy::counter_keys::EPOCH;
 use serde_json::json;
 
 /// A call takes over 60 bytes: a network of 32 holds it in the middle of its writing, as no socket does.
--- a/crates/gateway/tests/room/units.rs
+++ b/crates/gateway/tests/room/units.rs
@@ -6,7 +6,7 @@
 };
 use cluster_model::{MS, SECOND};
 use gateway::Signal;
-use policy::names::EPOCH;
+use policy::counter_keys::EPOCH;
 use runtime::Span;
 use serde_json::json;
 use simulated_runtime::{Cut, What};
--- /dev/null
+++ b/crates/policy/src/concurrency/baseline_latency/tests.rs
@@ -0,0 +1,12 @@
+use super::*;
+
+#[test]
+fn the_baseline_falls_quickly_and_rises_slowly() {
+    let mut baseline = BaselineLatency::default();
+    let mut after =
+        |latency: f64, responses: usize| (0..responses).map(|_| baseline.update(latency)).last().unwrap();
+    assert_eq!(after(0.3, 19), 0.3);
+    assert!(after(0.1, 60) < 0.12);
+    let risen = after(1.0, 100);
+    assert!((0.15..0.25).contains(&risen), "a burst of ten seconds does not move the baseline: {risen}");
+}
--- /dev/null
+++ b/crates/policy/src/concurrency/state.rs
@@ -0,0 +1,132 @@
+//! The concurrency slots of a gateway and of its classes, and the requests that wait for one.
+
+use super::class_slots::{ClassSlots, ControlInput};
+use super::slot_budget::SlotBudget;
+use crate::api::{Class, RequestId, Route, Settings};
+
+/// Fraction of the slots that belongs to the class of the lowest priority, so that it never starves.
+const LOWEST_CLASS_FRACTION: f64 = 0.15;
+
+/// A request whose next attempt found no host.
+struct UnplacedRequest {
+    class: usize,
+    route: Route,
+    id: RequestId,
+}
+
+/// Slots, reservations and queues of a gateway.
+pub(crate) struct ConcurrencyState {
+    /// Indexes of the classes, the one with the highest priority weight first.
+    pub classes_by_priority: Vec<usize>,
+    /// Classes, by index.
+    pub classes: Vec<ClassSlots>,
+    /// This gateway's share of all slots.
+    pub budget: SlotBudget,
+    /// Requests that were attempted before and have no host for another attempt.
+    unplaced: Vec<UnplacedRequest>,
+    /// A timer is set to retry requests without a host.
+    pub is_retry_scheduled: bool,
+}
+
+impl ConcurrencyState {
+    /// Returns the state of a gateway that knows no hosts.
+    pub fn new(settings: &Settings) -> ConcurrencyState {
+        let weight = |class: &usize| settings.classes[*class].priority_weight;
+        let mut classes_by_priority: Vec<usize> = (0..settings.classes.len()).collect();
+        classes_by_priority.sort_by(|a, b| weight(b).total_cmp(&weight(a)));
+        ConcurrencyState {
+            classes_by_priority,
+            classes: settings.classes.iter().map(|_| ClassSlots::default()).collect(),
+            budget: SlotBudget::new(settings.gateways),
+            unplaced: Vec::new(),
+            is_retry_scheduled: false,
+        }
+    }
+
+    /// Returns whether a class is the one with the highest priority weight.
+    pub fn is_top_class(&self, class: usize) -> bool {
+        self.classes_by_priority.first() == Some(&class)
+    }
+
+    /// Returns the number of slots in use.
+    pub fn in_use(&self) -> f64 {
+        self.classes.iter().map(|class| class.in_use).sum::<usize>() as f64
+    }
+
+    /// Returns the number of requests that wait for a slot or for a host.
+    pub fn waiting(&self) -> f64 {
+        self.classes.iter().map(ClassSlots::waiting).sum::<f64>()
+    }
+
+    /// Returns the number of requests that wait in classes of higher priority and in this one.
+    pub fn waiting_up_to(&self, class: usize) -> f64 {
+        let higher = self.classes_by_priority.iter().take_while(|other| **other != class);
+        higher.chain([&class]).map(|class| self.classes[*class].waiting()).sum::<f64>()
+    }
+
+    /// Returns whether a request is queued.
+    pub fn has_queued(&self) -> bool {
+        self.classes.iter().any(|class| !class.queue.is_empty())
+    }
+
+    /// Returns whether a request is queued whose route has a free slot.
+    pub fn has_ready(&self, has_free_slot: impl Fn(&Route) -> bool) -> bool {
+        self.classes.iter().any(|class| class.queue.any_ready(&has_free_slot))
+    }
+
+    /// Returns the class that gets the next free slot: one below its reservation, then the lowest class below
+    /// its fraction, then any, each by priority.
+    pub fn next_class(&self, has_free_slot: impl Fn(&Route) -> bool) -> Option<usize> {
+        let is_ready = |class: usize| self.classes[class].queue.any_ready(&has_free_slot);
+        let is_below = |class: usize, slots: f64| (self.classes[class].in_use as f64) < slots;
+        let (lowest, reserving) = self.classes_by_priority.split_last()?;
+        let below_reservation = reserving
+            .iter()
+            .find(|class| is_below(**class, self.classes[**class].reservation) && is_ready(**class));
+        if let Some(class) = below_reservation {
+            return Some(*class);
+        }
+        if is_below(*lowest, self.budget.slots() * LOWEST_CLASS_FRACTION) && is_ready(*lowest) {
+            return Some(*lowest);
+        }
+        self.classes_by_priority.iter().copied().find(|class| is_ready(*class))
+    }
+
+    /// Moves the reservation of each class but the lowest, at the end of a control period.
+    pub fn move_reservations(&mut self, classes: &[Class], uptime: f64) {
+        let slots = self.budget.slots();
+        let mut available = slots * (1.0 - LOWEST_CLASS_FRACTION);
+        let Some((_, reserving)) = self.classes_by_priority.split_last() else { return };
+        for &class in reserving {
+            let latency_objective = classes[class].latency_objective;
+            let input = ControlInput { latency_objective, uptime, slots, available };
+            available -= self.classes[class].move_reservation(&input);
+        }
+    }
+
+    /// Sets a request aside until hosts change, without holding up others of its route.
+    pub fn set_aside(&mut self, class: usize, route: Route, id: RequestId) {
+        self.unplaced.push(UnplacedRequest { class, route, id });
+    }
+
+    /// Returns the number of requests that are set aside.
+    #[cfg(test)]
+    pub fn unplaced(&self) -> usize {
+        self.unplaced.len()
+    }
+
+    /// Returns whether requests wait for a host.
+    pub fn is_blocked(&self) -> bool {
+        !self.unplaced.is_empty() || self.classes.iter().any(|class| class.queue.is_blocked())
+    }
+
+    /// Considers all requests that found no host again.
+    pub fn unblock(&mut self) {
+        for UnplacedRequest { class, route, id } in std::mem::take(&mut self.unplaced).into_iter().rev() {
+            self.classes[class].queue.push_front(route, id);
+        }
+        for class in &mut self.classes {
+            class.queue.unblock();
+        }
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -21,31 +21,20 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Forward { host: HostId(1), .. })));
 //! ```
 
-mod account;
+mod admission;
 pub mod api;
 mod attempts;
-mod chance;
-mod class;
-mod counting;
-mod customer;
-mod customers;
-mod debts;
-mod due;
-mod fleet;
-mod fuzzy;
-mod host;
-mod hosts;
-pub mod names;
-mod pace;
-mod pending;
+mod balancing;
+mod concurrency;
 pub mod policy;
-mod pools;
-mod quotas;
-mod room;
+mod quota;
+mod rng;
 mod slab;
-mod slots;
-mod strain;
 #[cfg(test)]
 mod tests;
+mod time;
+mod timers;
 
-pub use customers::customers_within;
+pub use concurrency::fuzzy::controller_output;
+pub use quota::counter_keys;
+pub use quota::customers::customers_within;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,253 +1,196 @@
-//! All decisions of one gateway. Interface: `api.rs`; slots: `slots.rs`; hosts: `hosts.rs`, `host.rs`;
-//! attempts and answers: `attempts.rs`; quotas: `quotas.rs`, `account.rs`. Nothing is gone through that is
-//! of no concern: what has to happen later falls due.
+//! The decisions of one gateway: events in, actions out.
+//!
+//! This file only dispatches. [`Policy`] holds the state of all modules; each module changes its own part in
+//! methods of [`Policy`] that stand in that module, since most decisions concern several parts.
 
-use crate::api::*;
-use crate::chance::Chance;
-use crate::class::ClassState;
-use crate::customer::Customer;
-use crate::customers::{ByRequest, Customers, House};
-use crate::debts::Debts;
-use crate::due::{Dues, STEP};
-use crate::fleet::Fleet;
-use crate::names::EPOCH;
-use crate::pace::{seconds, Due, Pace};
-use crate::pending::Pending;
-use crate::pools::Pools;
-use crate::quotas::IN_VAIN;
-use crate::slots::PERIOD;
-use quota::{Contact, Set};
+use crate::admission::state::AdmissionState;
+use crate::api::{Action, Event, RequestId, Settings, Time};
+use crate::attempts::class_statistics::ClassStatistics;
+use crate::attempts::request::InFlightRequest;
+use crate::attempts::retry_budget::RetryBudget;
+use crate::balancing::host_set::HostSet;
+use crate::balancing::pools::Pools;
+use crate::concurrency::state::ConcurrencyState;
+use crate::quota::counter_client::CounterClient;
+use crate::quota::counter_keys::EPOCH;
+use crate::quota::customer::GatewayContext;
+use crate::quota::customers::Customers;
+use crate::rng::Rng;
+use crate::timers::{Timer, TimerQueue, CONTROL_PERIOD};
+use ::quota::CounterReport;
 use std::collections::HashMap;
 
-pub use crate::fuzzy::fuzzy;
-
-const VAIN: (f64, f64) = (0.6, 2.4); // usual latencies, at ease and strained: who waits less does in vain
-const RETRY_PART: f64 = 0.15; // further attempts for each request, so that trouble is not multiplied
+/// Requests in flight by identifier. Gateways number requests themselves, so that the hash needs no secret.
+type RequestMap = HashMap<RequestId, InFlightRequest, rustc_hash::FxBuildHasher>;
 
 /// The decisions of one gateway.
 pub struct Policy {
-    pub(crate) s: Settings,
-    pub(crate) rng: Chance,
-    pub(crate) by_worth: Vec<usize>,
-    pub(crate) classes: Vec<ClassState>,
-    pub(crate) fleet: Fleet,
-    pub(crate) pools: Pools,
-    pub(crate) requests: ByRequest<Pending>,
-    pub(crate) customers: Customers,
-    pub(crate) names: HashMap<CounterKey, (CustomerId, usize, u64), rustc_hash::FxBuildHasher>,
-    pub(crate) dues: Dues<Due>,
-    pub(crate) freed: Vec<CustomerId>,
-    pub(crate) parked: Vec<(usize, Route, RequestId)>, // tried before, and without a host for another attempt
-    pub(crate) candidates: Vec<HostId>,
-    pub(crate) changing: Vec<HostId>, // their slots may change at the end of the period
+    pub(crate) settings: Settings,
+    /// Time of the first event; zero before it.
+    pub(crate) started_at: Time,
+    pub(crate) rng: Rng,
+    pub(crate) timers: TimerQueue<Timer>,
+    /// Actions of the present event.
     pub(crate) actions: Vec<Action>,
-    pub(crate) pace: Pace,
-    pub(crate) rations: Vec<f64>, // of each plan: the usual ration of a customer met for the first time
-    pub(crate) contact: Contact,  // what is known of the counter itself
-    pub(crate) debts: Debts,
-    pub(crate) quotas: bool, // there are any that are counted
-    pub(crate) work: u64,    // records looked at, ever
+    /// Records looked at since the start.
+    pub(crate) work: u64,
+    pub(crate) admission: AdmissionState,
+    pub(crate) customers: Customers,
+    pub(crate) counter: CounterClient,
+    pub(crate) concurrency: ConcurrencyState,
+    pub(crate) hosts: HostSet,
+    pub(crate) pools: Pools,
+    pub(crate) requests: RequestMap,
+    /// Statistics of the attempts of each class, by index.
+    pub(crate) class_statistics: Vec<ClassStatistics>,
+    pub(crate) retry_budget: RetryBudget,
 }
 
 impl Policy {
-    /// A gateway that has just started and knows nothing but its settings.
-    pub fn new(s: Settings, seed: u64) -> Self {
-        let mut by_worth: Vec<usize> = (0..s.classes.len()).collect();
-        by_worth.sort_by(|a, b| s.classes[*b].priority_weight.total_cmp(&s.classes[*a].priority_weight));
+    /// Returns the policy of a gateway that has just started and knows only its settings.
+    #[must_use]
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let context = GatewayContext::new(&settings);
         Policy {
-            rng: Chance::seeded(seed),
-            by_worth,
-            classes: s.classes.iter().map(|_| ClassState::default()).collect(),
-            fleet: Fleet::default(),
-            pools: Pools::new(s.gateways),
-            requests: ByRequest::default(),
-            customers: Customers::new(seed, s.customer_bytes as usize, House::of(&s)),
-            names: HashMap::default(),
-            dues: Dues::default(),
-            freed: Vec::new(),
-            parked: Vec::new(),
-            candidates: Vec::new(),
-            changing: Vec::new(),
+            started_at: 0,
+            rng: Rng::seeded(seed),
+            timers: TimerQueue::default(),
             actions: Vec::new(),
-            pace: Pace::new(s.gateways),
-            rations: s.plans.iter().map(|_| 0.7).collect(),
-            contact: Contact::new(s.gateway_index, s.gateways),
-            debts: Debts::default(),
-            quotas: s.has_counter && s.plans.iter().any(|p| p.rate > 0.0 || p.ceiling_rate > 0.0),
             work: 0,
-            s,
+            admission: AdmissionState::new(&settings),
+            customers: Customers::new(seed, settings.customer_bytes as usize, context),
+            counter: CounterClient::new(&settings),
+            concurrency: ConcurrencyState::new(&settings),
+            hosts: HostSet::default(),
+            pools: Pools::new(settings.gateways),
+            requests: HashMap::default(),
+            class_statistics: settings.classes.iter().map(|_| ClassStatistics::default()).collect(),
+            retry_budget: RetryBudget::new(),
+            settings,
         }
     }
 
-    /// Takes in one event and adds what is to be done to `actions`.
+    /// Takes in one event and appends the actions that it leads to.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        if self.pace.met == 0 {
-            self.begin_life(now);
+        if self.started_at == 0 {
+            self.start(now);
         }
+        self.on_event(now, event);
+        self.run_expired_timers(now);
+        self.assign_freed_capacity(now);
+        if let Some(after) = self.timers.arm(now) {
+            self.actions.push(Action::SetTimer { after, token: 0 });
+        }
+        actions.append(&mut self.actions);
+    }
+
+    /// Begins to count time and sets the first timers.
+    fn start(&mut self, now: Time) {
+        self.started_at = now;
+        self.hosts.start(now);
+        self.concurrency.budget.start(now);
+        self.customers.context.start_epoch = now / EPOCH;
+        self.timers.schedule(now + CONTROL_PERIOD, Timer::ControlPeriod);
+        let first_heartbeat = self.counter.health.first_beat(|| self.rng.unit());
+        self.timers.schedule(now + 1 + first_heartbeat, Timer::Heartbeat);
+        if self.settings.must_subscribe {
+            self.timers.schedule(now + 1, Timer::PollHosts);
+        }
+    }
+
+    fn on_event(&mut self, now: Time, event: Event) {
         match event {
-            Event::HostList { kind, entries } => self.on_list(now, kind, entries),
+            Event::HostList { kind, entries } => self.on_host_list(now, kind, entries),
             Event::Request(request) => self.on_request(now, request),
-            Event::ResponseStarted { id, .. } => self.begin(id),
-            Event::AttemptEnded(end) => self.on_ended(now, end),
+            Event::ResponseStarted { id, .. } => self.on_response_started(id),
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, end),
             Event::ClientDisconnected { id } => self.close(id),
-            Event::TimerExpired { .. } => self.dues.woken(now),
-            Event::HealthCheckEnded { host, outcome, report } => self.on_report(now, host, outcome, report),
-            Event::CounterReplied { key: name, outcome, total, elapsed: took } => {
-                self.on_counted(now, name, outcome, total, took)
+            Event::TimerExpired { .. } => self.timers.on_wake_up(now),
+            Event::HealthCheckEnded { host, outcome, report } => {
+                self.on_host_report(now, host, outcome, report);
             }
-            Event::PlansChanged(plans) => {
-                self.customers.house.plans.clone_from(&plans);
-                self.s.plans = plans;
-                let change = |c: &mut Customer| c.change_plan(now, &self.contact, &self.s.plans[c.plan]);
-                self.customers.iter_mut().for_each(change);
+            Event::CounterReplied { key, outcome, total, elapsed } => {
+                self.on_counter_reply(now, key, outcome, total, elapsed);
             }
-            Event::AdmissionFractionsChanged(keep) => self.pace.keep = keep,
+            Event::PlansChanged(plans) => self.on_plans_changed(now, plans),
+            Event::AdmissionFractionsChanged(fractions) => self.admission.fractions = fractions,
             Event::PeerMessage { .. } => {}
         }
+    }
+
+    fn run_expired_timers(&mut self, now: Time) {
         loop {
-            let due = self.dues.take(now);
-            if due.is_empty() {
-                break;
+            let expired = self.timers.pop_expired(now);
+            if expired.is_empty() {
+                return;
             }
-            due.into_iter().for_each(|due| self.fall_due(now, due));
-        }
-        loop {
-            std::mem::take(&mut self.freed).into_iter().for_each(|customer| self.settle(now, customer));
-            self.dispatch(now);
-            if self.freed.is_empty() {
-                break;
+            for timer in expired {
+                self.on_timer(now, timer);
             }
         }
-        if let Some(after) = self.dues.arm(now) {
-            self.actions.push(Action::SetTimer { after, token: 0 });
-        }
-        actions.append(&mut self.actions);
     }
 
-    fn begin_life(&mut self, now: Time) {
-        let pace = &mut self.pace;
-        (pace.met, pace.warmed, pace.saved_at) = (now, now, now);
-        self.customers.house.epoch = now / EPOCH;
-        self.dues.put(now + PERIOD, Due::Control);
-        self.dues.put(now + 1 + self.contact.first_beat(|| self.rng.unit()), Due::Beat);
-        if self.s.must_subscribe {
-            self.dues.put(now + 1, Due::Subscribe);
+    fn on_timer(&mut self, now: Time, timer: Timer) {
+        self.work += 1;
+        match timer {
+            Timer::ControlPeriod => self.on_control_period(now),
+            Timer::PollHosts => self.poll_hosts(now),
+            Timer::UnitsWait(id) => self.check_waiting_request(now, id),
+            Timer::QueueTimeout(id) => self.on_queue_timeout(now, id),
+            Timer::RetryDispatch => self.on_retry_dispatch(),
+            Timer::AttemptOverdue(id, attempt) => self.on_attempt_overdue(now, id, attempt),
+            Timer::HostWarmUp(host) => self.on_host_warm_up(now, host),
+            Timer::HostRemoval(host) => self.on_host_removal(now, host),
+            Timer::CustomerExpiry => self.review_customers(now),
+            Timer::Heartbeat => self.send_heartbeat(now),
+            Timer::Reconciliation => self.reconcile(now),
         }
     }
 
-    fn fall_due(&mut self, now: Time, due: Due) {
-        self.work += 1;
-        match due {
-            Due::Control => {
-                self.count_warm(now);
-                (self.pace.answers, self.pace.warm) = (0.7 * self.pace.answers, 0.7 * self.pace.warm);
-                self.settle_rooms(now);
-                self.control(now);
-                self.dues.put(now + PERIOD, Due::Control);
-            }
-            Due::Subscribe => self.subscribe(now),
-            Due::Units(id) => self.settle_one(now, id),
-            Due::Late(id) => self.late(now, id),
-            Due::Dispatch => {
-                self.pace.retrying = false;
-                self.unblock();
+    /// Admits waiting requests of customers with closed ones, and forwards queued requests to free slots,
+    /// until neither frees any more.
+    fn assign_freed_capacity(&mut self, now: Time) {
+        loop {
+            self.check_customers(now);
+            self.dispatch(now);
+            if self.admission.customers_to_check.is_empty() {
+                return;
             }
-            Due::Watch(id, attempt) => self.watch(now, id, attempt),
-            Due::Warm(host) => self.warm(now, host),
-            Due::Forget(host) => self.forget_host(now, host),
-            Due::Age => self.age(now),
-            Due::Beat => self.beat(now),
-            Due::Tell => self.tell_counter(now),
         }
     }
 
-    fn subscribe(&mut self, now: Time) {
-        if now >= self.pace.ask_at {
-            self.ask_for_list(now + self.s.must_poll_within / 2);
-            self.actions.push(Action::SubscribeToHosts);
+    /// Returns the state of the shared counter as seen from this gateway, and the units that were granted
+    /// without it.
+    #[must_use]
+    pub fn counter_report(&self, now: Time) -> CounterReport {
+        if self.counter.is_used {
+            self.counter.health.report(now)
+        } else {
+            CounterReport::default()
         }
     }
 
-    /// The list of hosts is to be asked for then.
-    pub(crate) fn ask_for_list(&mut self, at: Time) {
-        self.pace.ask_at = at;
-        if self.s.must_subscribe {
-            self.dues.put(at.max(1), Due::Subscribe);
-        }
+    /// Starts the count of units that were granted without the counter anew.
+    pub fn forget_lent(&mut self) {
+        self.counter.health.forget_lent();
     }
 
-    fn age(&mut self, now: Time) {
-        let (looked, next) = self.customers.age(now);
-        self.work += looked;
-        self.pace.aging = next.is_some();
-        if let Some(at) = next {
-            self.dues.put(at.max(now + STEP), Due::Age);
-        }
+    /// Returns the number of records held: requests, customers, hosts and calls in flight.
+    #[must_use]
+    pub fn size(&self) -> usize {
+        self.requests.len() + self.customers.len() + self.hosts.len() + self.counter.pending_calls.len()
     }
 
-    fn on_request(&mut self, now: Time, request: Request) {
-        let Request {
-            id,
-            class,
-            plan,
-            customer,
-            remaining: patience,
-            units,
-            set_size: spread,
-            first_gateway: first,
-            route,
-            arrived_at: arrived,
-            ..
-        } = request;
-        let (Some(c), Some(_)) = (self.s.classes.get(class), self.s.plans.get(plan)) else {
-            return self.actions.push(Action::Reject {
-                id,
-                retry_after: None,
-                reason: RejectReason::UnknownClassOrPlan,
-            });
-        };
-        let units = if units.is_finite() { units.max(0.0) } else { 1.0 };
-        // Its time runs from when it came, however late this module hears of it.
-        let arrived = if arrived == 0 { now } else { arrived.min(now) };
-        let deadline = arrived.saturating_add(patience);
-        let (aim, aim_at) = (c.latency_objective, arrived.saturating_add(c.latency_objective).min(deadline));
-        let held = Pending { class, route, customer, units, arrived, aim_at, deadline, ..Pending::default() };
-        self.requests.insert(id, held);
-        self.pace.retries = (self.pace.retries + RETRY_PART).min(10.0);
-        // No time for an answer, nor for a later look at it; or no host for it.
-        let vain = [VAIN.0, VAIN.1][usize::from(self.pace.strain.is_strained(self.pace.part))];
-        let vain = (vain * self.classes[class].latency).min(0.5 * seconds(0, aim));
-        let is_short = aim_at <= now + 2 * STEP || seconds(now, aim_at) < vain;
-        let is_closed = self.pools.lets_nothing_out(&route, !self.fleet.is_empty());
-        let keep = self.pace.keep.get(class * self.s.plans.len() + plan).copied().unwrap_or(1.0);
-        let is_shed = keep < 1.0 && self.rng.unit() >= keep;
-        let against = [
-            (is_short, RejectReason::DeadlineTooShort),
-            (is_closed, RejectReason::NoHost),
-            (is_shed, RejectReason::LoadShed),
-        ];
-        if let Some((_, why)) = against.into_iter().find(|(is_so, _)| *is_so) {
-            return self.give_up(id, why);
-        }
-        let set = Set { first, spread, me: self.s.gateway_index, gateways: self.s.gateways };
-        let met = |house: &House| Customer::met(now, house, plan, set, || units * self.rng.unit());
-        let met = self.customers.meet(now, customer, met);
-        // More customers at once than there is room for.
-        let (Some(met), Some(r)) = (met, self.requests.get_mut(&id)) else {
-            return self.give_up(id, RejectReason::TooManyCustomers);
-        };
-        (met.in_hand, r.met) = (met.in_hand + 1, true);
-        let usual = 1.0 / self.rations[plan].max(0.05);
-        met.stores.iter_mut().for_each(|a| a.ask(now, units, usual, self.pace.met));
-        met.waiting.push_back(id);
-        let is_behind = met.waiting.len() > IN_VAIN;
-        self.settle(now, customer);
-        if is_behind {
-            // It is tried all the same: it may be worth more than those before it, or smaller.
-            self.settle_one(now, id);
-        }
-        if !self.pace.aging {
-            self.age(now);
-        }
+    /// Returns the memory that the known customers take, in bytes, by the stated cost of each form.
+    #[must_use]
+    pub fn customer_bytes(&self) -> usize {
+        self.customers.bytes()
+    }
+
+    /// Returns the number of records looked at since the start: the cost of events in units that are the same
+    /// on each machine.
+    #[must_use]
+    pub fn work(&self) -> u64 {
+        self.work
     }
 }
--- /dev/null
+++ b/crates/policy/src/quota/customer.rs
@@ -0,0 +1,220 @@
+//! A customer: its accounts and its open requests, and the compact form that is kept of an idle one.
+
+use super::account::Account;
+use crate::api::{Plan, RequestId, Settings, Time};
+use ::quota::{Contact, Rest, Set, Terms};
+use smallvec::SmallVec;
+use std::collections::VecDeque;
+
+/// What is the same for all customers of a gateway.
+pub(crate) struct GatewayContext {
+    pub plans: Vec<Plan>,
+    pub gateway_index: u32,
+    pub gateways: u32,
+    pub has_counter: bool,
+    /// Epoch in which the gateway started.
+    pub start_epoch: u64,
+}
+
+impl GatewayContext {
+    /// Returns the context by the settings; the epoch of the start is not known yet.
+    pub fn new(settings: &Settings) -> GatewayContext {
+        GatewayContext {
+            plans: settings.plans.clone(),
+            gateway_index: settings.gateway_index,
+            gateways: settings.gateways,
+            has_counter: settings.has_counter,
+            start_epoch: 0,
+        }
+    }
+}
+
+/// A customer in its full form.
+#[derive(Default)]
+pub(crate) struct Customer {
+    /// Index of its plan.
+    pub plan: usize,
+    /// An account for each limit of its plan: the quota first, then the ceiling.
+    pub accounts: SmallVec<[Account; 1]>,
+    /// Requests that wait for units.
+    pub waiting: VecDeque<RequestId>,
+    /// Requests that were admitted and are open.
+    pub open: u32,
+    /// Requests that are not closed, or have attempts in flight.
+    pub in_flight: u32,
+    /// The customer is queued for reconciliation with the counter.
+    pub is_reconciliation_pending: bool,
+    set: Set,
+    has_no_counter: bool,
+    /// Epoch in which the gateway started.
+    start_epoch: u64,
+}
+
+/// The compact form of an idle customer.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CompactCustomer {
+    plan: u16,
+    first_gateway: u16,
+    set_size: u16,
+    /// The state of its quota; `None` if its plan has no limit.
+    account: Option<Rest>,
+}
+
+impl CompactCustomer {
+    /// Returns whether the customer's number on the counter holds units of this gateway in an epoch.
+    pub fn has_added(&self, epoch: u64) -> bool {
+        self.account.is_some_and(|account| account.has_added(epoch))
+    }
+}
+
+/// A limit of a plan.
+#[derive(Clone, Copy)]
+struct Limit {
+    rate: f64,
+    burst: f64,
+    is_ceiling: bool,
+}
+
+/// Returns the limits that a plan has.
+fn limits(plan: &Plan) -> impl Iterator<Item = Limit> {
+    let quota = Limit { rate: plan.rate, burst: plan.burst, is_ceiling: false };
+    let ceiling = Limit { rate: plan.ceiling_rate, burst: plan.ceiling_burst, is_ceiling: true };
+    [quota, ceiling].into_iter().filter(|limit| limit.rate > 0.0)
+}
+
+impl Customer {
+    /// Returns a customer that makes its first request now. `initial_demand` is drawn for each account from 0
+    /// to the units of that request, so that not all gateways begin alike.
+    pub fn new(
+        now: Time,
+        context: &GatewayContext,
+        plan: usize,
+        set: Set,
+        mut initial_demand: impl FnMut() -> f64,
+    ) -> Customer {
+        let mut customer = Customer {
+            plan,
+            set,
+            has_no_counter: !context.has_counter,
+            start_epoch: context.start_epoch,
+            ..Customer::default()
+        };
+        customer.accounts = customer.new_accounts(now, &context.plans[plan], &mut initial_demand);
+        customer
+    }
+
+    /// Returns the full form of a compact customer. If its plan has other limits by now, it is as a new one.
+    pub fn expand(now: Time, context: &GatewayContext, compact: CompactCustomer) -> Customer {
+        let set = Set {
+            first: compact.first_gateway.into(),
+            spread: compact.set_size.into(),
+            me: context.gateway_index,
+            gateways: context.gateways,
+        };
+        let mut customer = Customer::new(now, context, compact.plan.into(), set, || 0.0);
+        if let ([account], Some(state)) = (&mut customer.accounts[..], compact.account) {
+            account.expand(&state);
+        }
+        customer
+    }
+
+    /// Returns the compact form, if the customer is idle and has no state that the compact form cannot hold.
+    pub fn compact(&self) -> Option<CompactCustomer> {
+        let account = match &self.accounts[..] {
+            [] => None,
+            [account] => Some(account.compact()?),
+            _ => return None,
+        };
+        let plan = u16::try_from(self.plan).ok()?;
+        let first_gateway = u16::try_from(self.set.first).ok()?;
+        let set_size = u16::try_from(self.set.spread).ok()?;
+        if self.is_busy() {
+            return None;
+        }
+        Some(CompactCustomer { plan, first_gateway, set_size, account })
+    }
+
+    /// Returns whether a ceiling has yet to refill: a customer that is removed would get these units twice.
+    pub fn has_ceiling_to_refill(&self, now: Time) -> bool {
+        self.accounts.iter().any(|account| account.is_strict() && !account.store.has_filled(now))
+    }
+
+    /// Returns whether the customer has requests or calls in flight, or is queued for reconciliation.
+    pub fn is_busy(&self) -> bool {
+        let is_calling = self.accounts.iter().any(Account::is_calling);
+        self.in_flight > 0
+            || self.open > 0
+            || self.is_reconciliation_pending
+            || is_calling
+            || !self.waiting.is_empty()
+    }
+
+    /// Starts calls that check after a reset of the counter what it has lost. Yields the index of the account
+    /// and the amount of each call.
+    pub fn start_rechecks(&mut self, epoch: u64) -> impl Iterator<Item = (usize, f64)> + '_ {
+        let accounts = self.accounts.iter_mut().enumerate();
+        accounts.filter_map(move |(index, account)| Some((index, account.start_recheck(epoch)?)))
+    }
+
+    fn new_accounts(
+        &self,
+        now: Time,
+        plan: &Plan,
+        initial_demand: &mut impl FnMut() -> f64,
+    ) -> SmallVec<[Account; 1]> {
+        let may_be_windowed = plan.ceiling_rate <= 0.0;
+        let new_account = |limit: Limit| {
+            let terms = Terms {
+                rate: limit.rate,
+                burst: limit.burst,
+                strict: limit.is_ceiling,
+                alone: self.has_no_counter,
+                set: self.set,
+            };
+            let mut account = Account::new(now, terms, self.start_epoch, may_be_windowed);
+            let demand = initial_demand();
+            if account.is_windowed {
+                account.windowed_limiter().begin(demand);
+            }
+            account
+        };
+        limits(plan).map(new_account).collect()
+    }
+
+    /// Changes the limits of the customer's plan. Available units stay; a limit that the plan did not have
+    /// begins with a full token bucket.
+    pub fn change_plan(&mut self, now: Time, contact: &Contact, plan: &Plan) {
+        if limits(plan).count() != self.accounts.len() {
+            self.accounts = self.new_accounts(now, plan, &mut || 0.0);
+        }
+        for (account, limit) in self.accounts.iter_mut().zip(limits(plan)) {
+            account.set_limit(now, contact, limit.rate, limit.burst);
+        }
+    }
+}
+
+impl Account {
+    /// Returns the compact form, if no call is in doubt or in flight and nothing has to be reconciled.
+    fn compact(&self) -> Option<Rest> {
+        let state = Rest::of(&self.store, &self.adder, self.windowed_limiter_if_any())?;
+        if self.late.is_some() {
+            return None;
+        }
+        Some(state)
+    }
+
+    /// Continues a compact account in this new one. If one of them is under windowed admission and the other
+    /// is not, this one stays new.
+    fn expand(&mut self, state: &Rest) {
+        if state.is_rationed() != self.is_windowed {
+            return;
+        }
+        let new_store = std::mem::take(&mut self.store);
+        let new_adder = std::mem::take(&mut self.adder);
+        let new_limiter = self.take_windowed_limiter();
+        let (store, adder, limiter) = state.wake(new_store, new_adder, new_limiter);
+        self.store = store;
+        self.adder = adder;
+        self.set_windowed_limiter(limiter);
+    }
+}
--- a/crates/policy/src/tests/world.rs
+++ b/crates/policy/src/tests/world.rs
@@ -3,10 +3,10 @@
 //! is.
 
 use crate::api::*;
-use crate::due::STEP;
-use crate::names::ALL;
-use crate::pending::{Pending, Stage};
+use crate::attempts::request::{InFlightRequest, RequestState};
 use crate::policy::Policy;
+use crate::quota::counter_keys::CounterNumber;
+use crate::timers::TIMER_STEP;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -389,7 +389,10 @@
                 assert!(self.given.settings.has_counter && amount.is_finite() && amount.abs() < 1e9);
                 // A pulse goes on while the answer to the one before is late: what it tells is read, not
                 // added up.
-                let is_pulse = self.policy.names.get(&name).is_some_and(|(customer, ..)| *customer == ALL);
+                let is_pulse = matches!(
+                    self.policy.counter.pending_calls.get(&name),
+                    Some(CounterNumber::Heartbeat { .. })
+                );
                 let is_first = self.calls.iter().all(|call| call.name != name);
                 assert!(
                     is_pulse || is_first || self.has_other_plans,
@@ -457,8 +460,9 @@
                 self.give_back(*id);
             }
         }
-        let is_in =
-            |(_, r): &(&RequestId, &Pending)| r.inside && !matches!(r.stage, Stage::Units | Stage::Closed);
+        let is_in = |(_, r): &(&RequestId, &InFlightRequest)| {
+            r.holds_units && !matches!(r.state, RequestState::AwaitingUnits | RequestState::Closed)
+        };
         let inside: Vec<RequestId> = self.policy.requests.iter().filter(is_in).map(|(id, _)| *id).collect();
         for id in inside {
             let Some(r) = self.held.get_mut(&id).filter(|r| !r.is_over() && r.drawn.is_none()) else {
@@ -566,40 +570,42 @@
         let p = &self.policy;
         let known: BTreeSet<RequestId> = p.requests.keys().copied().collect();
         assert!(known.iter().eq(self.held.keys()), "requests in hand: {known:?}");
-        for (class, k) in p.classes.iter().enumerate() {
+        for (class, k) in p.concurrency.classes.iter().enumerate() {
             let of_class = || p.requests.values().filter(|r| r.class == class);
-            let slots = of_class().flat_map(|r| &r.attempts).filter(|a| a.slot.is_some()).count();
-            let queued = of_class().filter(|r| r.stage == Stage::Queued).count();
+            let slots = of_class().flat_map(|r| &r.attempts).filter(|a| a.occupied_pools.is_some()).count();
+            let queued = of_class().filter(|r| r.is_queued()).count();
             assert_eq!(
-                (k.out, k.held),
+                (k.in_use, k.waiting()),
                 (slots, queued as f64),
                 "slots in use, and requests that wait for one"
             );
         }
         for (id, entry) in &self.hosts {
             let out = self.held.values().flat_map(Held::out).filter(|a| a.host == *id).count();
-            let host = p.fleet.get(*id);
-            assert_eq!(host.map_or(0, |host| host.out) as usize, out, "attempts out at a host");
+            let host = p.hosts.get(*id);
+            assert_eq!(host.map_or(0, |host| host.in_flight) as usize, out, "attempts out at a host");
             assert!(host.is_some() || entry.state != HostState::Ready);
         }
         for id in 0..4 {
             let customer = CustomerId(id);
-            let of = |is: fn(Stage) -> bool| {
-                let ids =
-                    p.requests.iter().filter(move |(_, r)| r.met && r.customer == customer && is(r.stage));
+            let of = |is: fn(RequestState) -> bool| {
+                let ids = p
+                    .requests
+                    .iter()
+                    .filter(move |(_, r)| r.is_counted_by_customer && r.customer == customer && is(r.state));
                 ids.map(|(id, _)| *id).collect::<BTreeSet<RequestId>>()
             };
             let Some(c) = p.customers.get(customer) else {
                 assert!(of(|_| true).is_empty(), "whoever has something in hand is known");
                 continue;
             };
-            let open = of(|stage| !matches!(stage, Stage::Units | Stage::Closed)).len();
-            assert_eq!((c.in_hand as usize, c.open as usize), (of(|_| true).len(), open));
+            let open = of(|state| !matches!(state, RequestState::AwaitingUnits | RequestState::Closed)).len();
+            assert_eq!((c.in_flight as usize, c.open as usize), (of(|_| true).len(), open));
             let waiting: BTreeSet<RequestId> = c.waiting.iter().copied().collect();
             assert_eq!(waiting.len(), c.waiting.len(), "each waits once");
-            assert_eq!(waiting, of(|stage| stage == Stage::Units), "who waits for units");
+            assert_eq!(waiting, of(|state| state == RequestState::AwaitingUnits), "who waits for units");
         }
-        assert!(p.names.len() <= self.calls.len());
+        assert!(p.counter.pending_calls.len() <= self.calls.len());
         assert!(!self.timers.is_empty(), "it is woken again");
     }
 
@@ -637,7 +643,7 @@
                 self.answer_call(at, Outcome::Timeout, 0.0);
             }
         }
-        let is_late = |r: &Held| !r.is_over() && r.deadline.max(self.resumed + STEP) + LATE < now;
+        let is_late = |r: &Held| !r.is_over() && r.deadline.max(self.resumed + TIMER_STEP) + LATE < now;
         let late = self.held.iter().find(|(_, r)| is_late(r));
         assert!(late.is_none(), "{:?} has no final answer in its time", late.map(|(id, _)| id));
     }
@@ -896,13 +902,13 @@
         }
         let ready = self.hosts.values().filter(|entry| entry.state == HostState::Ready).count();
         let p = &self.policy;
-        assert_eq!((p.requests.len(), p.names.len(), p.parked.len()), (0, 0, 0));
-        assert_eq!((p.customers.len(), p.fleet.len()), (0, ready), "customers and hosts are forgotten");
-        assert_eq!(p.out(), 0.0);
+        assert_eq!((p.requests.len(), p.counter.pending_calls.len(), p.concurrency.unplaced()), (0, 0, 0));
+        assert_eq!((p.customers.len(), p.hosts.len()), (0, ready), "customers and hosts are forgotten");
+        assert_eq!(p.concurrency.in_use(), 0.0);
         let is_there =
             |pools| self.hosts.values().any(|e| e.state == HostState::Ready && e.pools & pools != 0);
         for route in ROUTES.iter().filter(|route| route.pools == 0 || is_there(route.pools)) {
-            assert!(p.pools.has_room(route), "{route:?} has room again");
+            assert!(p.pools.has_free_slot(route), "{route:?} has room again");
         }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub mod world;
 
 use policy::api::*;
-use policy::names;
+use policy::counter_keys;
 use policy::policy::Policy;
 use std::collections::BTreeMap;
 
@@ -84,7 +84,8 @@
     /// Answers calls to the pulses, to which the other gateways add as well.
     fn beat(&mut self, actions: &mut Vec<Action>) {
         let groups = self.gateways.div_ceil(PULSE.0);
-        let names: Vec<CounterKey> = (0..groups).map(|group| names::pulse(group, self.now)).collect();
+        let names: Vec<CounterKey> =
+            (0..groups).map(|group| counter_keys::heartbeat(group, self.now)).collect();
         let group = |name: CounterKey| names.iter().position(|pulse| *pulse == name);
         let beats: Vec<(CounterKey, f64)> =
             calls(actions).into_iter().filter(|(name, _)| group(*name).is_some()).collect();
--- a/crates/policy/tests/common/site.rs
+++ b/crates/policy/tests/common/site.rs
@@ -3,7 +3,7 @@
 use super::counter::{Counter, Trouble};
 use super::{class, entry, Dice, MS};
 use policy::api::*;
-use policy::names;
+use policy::counter_keys;
 use policy::policy::Policy;
 use std::collections::BTreeMap;
 
@@ -393,12 +393,13 @@
         let of = |name, epoch| {
             let added = self.counter.added.get(&name).copied().unwrap_or(0.0);
             let forgotten = self.counter.forgotten.get(&name).into_iter().flatten();
-            let forgotten = forgotten.filter(|(at, _)| at / names::EPOCH == epoch).map(|(_, units)| units);
+            let forgotten =
+                forgotten.filter(|(at, _)| at / counter_keys::EPOCH == epoch).map(|(_, units)| units);
             whole(added - forgotten.sum::<f64>())
         };
-        let epochs = self.plot.start / names::EPOCH..=self.now / names::EPOCH;
-        let both = |at: Time| [names::leased(id, at), names::told_late(id, at)];
-        epochs.flat_map(|n| both(n * names::EPOCH).map(|name| of(name, n))).sum()
+        let epochs = self.plot.start / counter_keys::EPOCH..=self.now / counter_keys::EPOCH;
+        let both = |at: Time| [counter_keys::leased(id, at), counter_keys::reconciled(id, at)];
+        epochs.flat_map(|n| both(n * counter_keys::EPOCH).map(|name| of(name, n))).sum()
     }
 }
 
--- a/crates/policy/tests/doubt.rs
+++ b/crates/policy/tests/doubt.rs
@@ -5,7 +5,7 @@
 use common::site::{Customer, Habit, Kill, Plot, Site, START};
 use common::*;
 use policy::api::*;
-use policy::names;
+use policy::counter_keys;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -213,7 +213,7 @@
     /// Whether an epoch turns from then on within so long.
     fn turns(&self, from: Span, within: Span) -> bool {
         let at = START + self.phase + from;
-        at / names::EPOCH != (at + within) / names::EPOCH
+        at / counter_keys::EPOCH != (at + within) / counter_keys::EPOCH
     }
 
     /// What all failures together may cost a customer: what each may, and what is out with no failure at all.
@@ -227,7 +227,8 @@
         let calm = beyond(&quota(c), &none, false);
         let each: f64 = self.blows.iter().map(|blow| blow.stated(c, self.gateways)).sum();
         let moves = !matches!(c.habit, Habit::Even(_)) && !is_within(c);
-        let epochs = (START + self.phase + self.length()) / names::EPOCH - START / names::EPOCH + 1;
+        let epochs =
+            (START + self.phase + self.length()) / counter_keys::EPOCH - START / counter_keys::EPOCH + 1;
         let anew = epochs as f64 + self.count(Kind::Fresh) as f64;
         let unseen = if moves { anew * (c.spread - 1) as f64 * c.burst } else { 0.0 };
         let over = (c.habit.times() - 1.0).max(0.0) * c.rate;
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -4,7 +4,7 @@
 use common::site::{Customer, Habit, Plot, Site, START};
 use common::*;
 use policy::api::*;
-use policy::names;
+use policy::counter_keys;
 use quota::{Ration, Set};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -202,7 +202,7 @@
         for (name, amount) in calls(&actions) {
             // In a window, which has a number of its own, all are asked for as much as was said.
             let window = windows.window(g.now);
-            assert_eq!(name, names::asked(CustomerId(0), window));
+            assert_eq!(name, counter_keys::demand(CustomerId(0), window));
             let lasted = (g.now - windows.begun(window)) as f64 / windows.span() as f64;
             let asked = use_of_rate * 20.0 * lasted;
             actions.extend(g.counted(name, Outcome::Ok, asked + amount));
@@ -453,7 +453,8 @@
 /// asked for some, and whole units under the late name after the first call that told went like this.
 fn told_after_the_dark(first: (bool, bool)) -> (f64, f64) {
     let (mut g, mut book) = (Harness::new(Settings { gateways: 1, ..settings() }, 60), Book::default());
-    let [late, leased] = [names::told_late, names::leased].map(|name| name(CustomerId(7), g.now));
+    let [late, leased] =
+        [counter_keys::reconciled, counter_keys::leased].map(|name| name(CustomerId(7), g.now));
     let (mut lent, mut how) = (0.0, first);
     for id in 1..80 {
         let dark = id < 20;
@@ -491,7 +492,7 @@
 #[test]
 fn who_gives_units_back_before_it_tells_still_tells_what_it_lends_later() {
     let mut g = Harness::new(Settings { gateways: 1, ..settings() }, 60);
-    let late = names::told_late(CustomerId(7), g.now);
+    let late = counter_keys::reconciled(CustomerId(7), g.now);
     let mut told = Vec::new();
     for id in 1..40 {
         let mut actions = g.request(id, 1, 7, 1.0);
@@ -672,18 +673,25 @@
 fn no_two_numbers_of_the_counter_share_a_name() {
     let mut all = BTreeSet::new();
     for epoch in 0..40 {
-        let at = START + epoch * names::EPOCH;
+        let at = START + epoch * counter_keys::EPOCH;
         for customer in (0..200).chain((1 << 33) - 200..1 << 33).map(CustomerId) {
-            assert!(all.insert(names::leased(customer, at)), "{customer:?}, leased in epoch {epoch}");
-            assert!(all.insert(names::told_late(customer, at)), "{customer:?}, told late in epoch {epoch}");
+            assert!(all.insert(counter_keys::leased(customer, at)), "{customer:?}, leased in epoch {epoch}");
+            assert!(
+                all.insert(counter_keys::reconciled(customer, at)),
+                "{customer:?}, told late in epoch {epoch}"
+            );
         }
     }
     for beats in 0..80 {
         for group in 0..50 {
             let at = START + beats * quota::PULSE_EPOCH;
-            assert!(all.insert(names::pulse(group, at)), "pulse of group {group}, epoch {beats}");
+            assert!(all.insert(counter_keys::heartbeat(group, at)), "pulse of group {group}, epoch {beats}");
         }
     }
-    let (first, late) = (START, START + names::EPOCH - 1);
-    assert_eq!(names::leased(CustomerId(1), first), names::leased(CustomerId(1), late), "one name an epoch");
+    let (first, late) = (START, START + counter_keys::EPOCH - 1);
+    assert_eq!(
+        counter_keys::leased(CustomerId(1), first),
+        counter_keys::leased(CustomerId(1), late),
+        "one name an epoch"
+    );
 }
--- a/crates/policy/tests/slots.rs
+++ b/crates/policy/tests/slots.rs
@@ -3,7 +3,7 @@
 use common::load::Load;
 use common::*;
 use policy::api::*;
-use policy::policy::fuzzy;
+use policy::controller_output;
 
 /// Table 1 of the paper, rows E and columns dE, with terms as the paper names them.
 const TABLE: [[&str; 5]; 5] = [
@@ -31,7 +31,7 @@
     for (i, row) in TABLE.iter().enumerate() {
         for (j, term) in row.iter().enumerate() {
             let wanted = terms.iter().find(|t| t.0 == *term).map(|t| t.1);
-            let got = fuzzy(corners[i], corners[j]);
+            let got = controller_output(corners[i], corners[j]);
             assert!((got - wanted.expect("a term")).abs() < 1e-9, "E {i} dE {j}: {got}, table says {term}");
         }
     }
@@ -39,9 +39,9 @@
 
 #[test]
 fn errors_beyond_the_clamp_count_as_the_clamp() {
-    assert_eq!(fuzzy(50.0, 50.0), fuzzy(1.0, 1.0));
-    assert_eq!(fuzzy(f64::NAN, 0.0), fuzzy(0.0, 0.0));
-    assert!(fuzzy(0.2, 0.0) > 0.0 && fuzzy(0.2, 0.0) < fuzzy(0.4, 0.0));
+    assert_eq!(controller_output(50.0, 50.0), controller_output(1.0, 1.0));
+    assert_eq!(controller_output(f64::NAN, 0.0), controller_output(0.0, 0.0));
+    assert!(controller_output(0.2, 0.0) > 0.0 && controller_output(0.2, 0.0) < controller_output(0.4, 0.0));
 }
 
 #[test]
