--- a/crates/api-gateway/src/plan/mod.rs
+++ b/crates/api-gateway/src/plan/mod.rs
@@ -9,8 +9,10 @@
 use config_language::model::Operators;
 use config_language::{Diagnostic, Dimension};
 use gateway::Site;
-use site_failover::fit::{outcome, Fit, Loss, Mix, Outcome, Refusal};
-use site_failover::{Facts, Plan, PlanError, SiteSet, Told};
+use site_failover::capacity_check::{
+    check_loss, LoadFit, LossOutcome, LossScenario, TierShedding, TrafficMix,
+};
+use site_failover::{FailoverPlan, OperatorOverride, PlanError, PlatformNames, SiteSet};
 use std::ffi::OsString;
 use std::process::ExitCode;
 
@@ -45,13 +47,16 @@
 ///
 /// # Errors
 /// As [`Plan::compile`].
-pub fn compile(operators: &Operators, site: &Site) -> Result<Plan, PlanError> {
-    Plan::compile(operators, &Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones })
+pub fn compile(operators: &Operators, site: &Site) -> Result<FailoverPlan, PlanError> {
+    FailoverPlan::compile(
+        operators,
+        &PlatformNames { classes: &site.classes, plans: &site.plans, zones: &site.zones },
+    )
 }
 
 /// Warnings of a plan that does not carry the loss of some one site, and of figures that it lacks. A plan that says
 /// no figures is none that could be reckoned with.
-pub fn warnings(said: &Operators, plan: &Plan) -> Vec<Diagnostic> {
+pub fn warnings(said: &Operators, plan: &FailoverPlan) -> Vec<Diagnostic> {
     let place = |number: usize| operators::place(&said.sites[number].name.origin);
     if !plan.sites.iter().any(|site| site.capacity.is_some() || site.load.is_some()) {
         return Vec::new();
@@ -61,10 +66,10 @@
         let reason = format!("whether a loss is carried is not known: site \"{name}\" lacks `{key}`");
         return vec![Diagnostic::warning("loss-unknown", &place(number), reason)];
     }
-    let (told, mix) = (told_lost(plan), Mix::even(&plan.ladder));
-    let open = (0..plan.sites.len()).filter(|site| !told.has(*site));
-    let warnings = open.filter_map(|number| match outcome(plan, told.with(number), &mix) {
-        Outcome::Known(fit) if !fit.is_carried() => {
+    let (told, mix) = (told_lost(plan), TrafficMix::even(&plan.shedding));
+    let open = (0..plan.sites.len()).filter(|site| !told.contains(*site));
+    let warnings = open.filter_map(|number| match check_loss(plan, told.with(number), &mix) {
+        LossOutcome::Computed(fit) if !fit.is_carried() => {
             let reason = format!(
                 "the loss of site \"{}\" is not carried: {}",
                 plan.sites[number].name,
@@ -81,7 +86,7 @@
 const REFUSALS: &str = "with as many requests of each class and plan; `api-gateway plan show` tells more";
 
 /// The first site that lacks a figure, and which.
-fn lacking(plan: &Plan) -> Option<(usize, &'static str)> {
+fn lacking(plan: &FailoverPlan) -> Option<(usize, &'static str)> {
     plan.sites.iter().enumerate().find_map(|(number, site)| match (site.capacity, site.load) {
         (None, _) => Some((number, "capacity")),
         (_, None) => Some((number, "load")),
@@ -90,35 +95,39 @@
 }
 
 /// The sites that are told lost.
-fn told_lost(plan: &Plan) -> SiteSet {
-    let told = plan.sites.iter().enumerate().filter(|(_, site)| site.told == Some(Told::Lost));
+fn told_lost(plan: &FailoverPlan) -> SiteSet {
+    let told = plan
+        .sites
+        .iter()
+        .enumerate()
+        .filter(|(_, site)| site.operator_override == Some(OperatorOverride::Lost));
     told.fold(SiteSet::NONE, |set, (number, _)| set.with(number))
 }
 
 /// What is refused, and how much of it.
-fn in_a_line(plan: &Plan, fit: &Fit) -> String {
-    let narrowest = &fit.left[fit.narrowest];
+fn in_a_line(plan: &FailoverPlan, fit: &LoadFit) -> String {
+    let narrowest = &fit.remaining_sites[fit.bottleneck];
     format!(
         "{} of {} ({}) are refused ({}): site \"{}\" is asked for {} and has room for {}",
-        amount(fit.refused),
-        requests(fit.asked),
-        percent(fit.share_refused()),
+        amount(fit.shed),
+        requests(fit.demand),
+        percent(fit.shed_fraction()),
         refusals(plan, fit).join(", "),
         plan.sites[narrowest.site].name,
-        amount(narrowest.own + narrowest.taken),
-        amount(narrowest.room)
+        amount(narrowest.own_load + narrowest.taken_over_load),
+        amount(narrowest.usable_capacity)
     )
 }
 
 /// "shed `reads` 400 of 500", "beyond the sheds 100".
-fn refusals(plan: &Plan, fit: &Fit) -> Vec<String> {
-    let rung = |rung: &Refusal| {
-        let name = &plan.ladder.rungs[rung.rung].name;
-        format!("shed `{name}` {} of {}", amount(rung.refused), amount(rung.asked))
+fn refusals(plan: &FailoverPlan, fit: &LoadFit) -> Vec<String> {
+    let rung = |rung: &TierShedding| {
+        let name = &plan.shedding.tiers[rung.tier].name;
+        format!("shed `{name}` {} of {}", amount(rung.shed), amount(rung.demand))
     };
-    let mut parts: Vec<String> = fit.rungs.iter().map(rung).collect();
-    if fit.beyond > 0.0 {
-        parts.push(format!("beyond the sheds {}", amount(fit.beyond)));
+    let mut parts: Vec<String> = fit.shed_by_tier.iter().map(rung).collect();
+    if fit.shed_beyond_tiers > 0.0 {
+        parts.push(format!("beyond the sheds {}", amount(fit.shed_beyond_tiers)));
     }
     parts
 }
@@ -147,7 +156,7 @@
 }
 
 /// The names of the sites that are lost.
-fn names(plan: &Plan, loss: &Loss) -> Vec<String> {
-    let lost = plan.sites.iter().enumerate().filter(|(number, _)| loss.lost.has(*number));
+fn names(plan: &FailoverPlan, loss: &LossScenario) -> Vec<String> {
+    let lost = plan.sites.iter().enumerate().filter(|(number, _)| loss.lost.contains(*number));
     lost.map(|(_, site)| site.name.clone()).collect()
 }
--- a/crates/policy/src/admission/arrival.rs
+++ b/crates/policy/src/admission/arrival.rs
@@ -6,7 +6,7 @@
 use crate::quota::customer::{Customer, GatewayContext};
 use crate::time::{as_seconds, seconds_between};
 use crate::timers::TIMER_STEP;
-use ::quota::Set;
+use ::quota::GatewaySet;
 
 /// Usual latencies that a request has to have left on arrival.
 const MIN_LATENCIES: f64 = 0.6;
@@ -108,10 +108,10 @@
     /// Adds a request to those of its customer that wait for units, and returns their number; `None` if there
     /// is no memory for the customer.
     fn add_to_customer(&mut self, now: Time, request: &Request) -> Option<usize> {
-        let set = Set {
-            first: request.first_gateway,
-            spread: request.set_size,
-            me: self.settings.gateway_index,
+        let set = GatewaySet {
+            first_gateway: request.first_gateway,
+            set_size: request.set_size,
+            gateway_index: self.settings.gateway_index,
             gateways: self.settings.gateways,
         };
         let rng = &mut self.rng;
--- a/crates/policy/src/admission/leased_units.rs
+++ b/crates/policy/src/admission/leased_units.rs
@@ -5,7 +5,7 @@
 use crate::policy::Policy;
 use crate::quota::counter_keys::{CounterNumber, EPOCH};
 use crate::quota::customer::Customer;
-use ::quota::Contact;
+use ::quota::CounterHealth;
 use smallvec::SmallVec;
 
 /// Seconds of recent demand that a lease covers.
@@ -35,9 +35,9 @@
 
 impl UnitsRequest<'_> {
     /// Refills the token buckets. Without the counter they grant units locally.
-    fn refill(&mut self, health: &Contact) {
+    fn refill(&mut self, health: &CounterHealth) {
         for account in &mut self.customer.accounts {
-            if self.is_counter_down && !account.is_blind() {
+            if self.is_counter_down && !account.is_granting_locally() {
                 account.grant_locally(self.now, health);
             }
             account.refill(self.now, health);
@@ -46,12 +46,12 @@
 
     /// Checks whether the counter replies again, for accounts that grant units locally. Nothing waits for the
     /// reply.
-    fn probe_counter(&mut self, health: &Contact) {
-        if self.is_counter_down || health.is_paced(self.now) {
+    fn probe_counter(&mut self, health: &CounterHealth) {
+        if self.is_counter_down || health.must_defer_calls(self.now) {
             return;
         }
         for (index, account) in self.customer.accounts.iter_mut().enumerate() {
-            if account.is_blind() && !account.is_calling() && self.now >= account.next_call_at {
+            if account.is_granting_locally() && account.may_call(self.now) {
                 let amount = account.start_lease(health, self.epoch, 0.0, LEASE_HORIZON);
                 self.calls.push(LeaseCall { account: index, amount });
             }
@@ -59,7 +59,7 @@
     }
 
     /// Takes the units from all accounts, if all have them.
-    fn take(&mut self, health: &mut Contact) -> bool {
+    fn take(&mut self, health: &mut CounterHealth) -> bool {
         let accounts = &mut self.customer.accounts;
         let has_units = accounts.iter().all(|account| account.can_spend(self.units, self.reserved_fraction));
         if has_units {
@@ -71,17 +71,18 @@
     }
 
     /// Leases units for the accounts that are short of them. Returns whether the request should wait.
-    fn lease_missing(&mut self, health: &Contact) -> bool {
+    fn lease_missing(&mut self, health: &CounterHealth) -> bool {
         let (now, units, reserved) = (self.now, self.units, self.reserved_fraction);
         let accounts = &mut self.customer.accounts;
-        if accounts.iter().any(|account| account.is_blind() && !account.can_spend(units, reserved)) {
+        if accounts.iter().any(|account| account.is_granting_locally() && !account.can_spend(units, reserved))
+        {
             return false;
         }
         for (index, account) in accounts.iter_mut().enumerate() {
-            if account.is_blind() || account.store.ready() >= units || account.is_calling() {
+            if account.is_granting_locally() || account.spendable() >= units || account.is_calling() {
                 continue;
             }
-            if self.is_counter_down || now < account.next_call_at || !account.can_lease(units, reserved) {
+            if self.is_counter_down || !account.may_call(now) || !account.can_lease(units, reserved) {
                 return false;
             }
             let amount = account.start_lease(health, self.epoch, units, LEASE_HORIZON);
@@ -123,11 +124,12 @@
             UnitsCheck::Unavailable
         };
         let UnitsRequest { customer, calls, .. } = units_request;
-        if check == UnitsCheck::Taken && customer.accounts.iter().any(|account| account.is_blind()) {
+        if check == UnitsCheck::Taken && customer.accounts.iter().any(|account| account.is_granting_locally())
+        {
             self.counter.reconciliation.push(now, &mut self.timers, customer_id, customer);
         }
         if let Some(call) = calls.first() {
-            self.counter.health.leased(now, &customer.accounts[call.account].store.terms().set);
+            self.counter.health.record_lease(now, customer.accounts[call.account].gateway_set());
         }
         for LeaseCall { account, amount } in calls {
             self.call_counter(now, CounterNumber::Leased { customer: customer_id, account, epoch }, amount);
--- a/crates/policy/src/admission/windowed.rs
+++ b/crates/policy/src/admission/windowed.rs
@@ -8,8 +8,8 @@
 use crate::policy::Policy;
 use crate::quota::counter_keys::CounterNumber;
 
-/// Factor on the probability of a call while the customer's total is fresh.
-const CALL_FACTOR_IF_FRESH: f64 = 0.2;
+/// Factor on the probability of a call while a recent total is known.
+const CALL_FACTOR_AFTER_TOTAL: f64 = 0.2;
 
 impl Policy {
     /// Decides on a request by the demand of its customer. `has_waited`: the request waits no longer for a
@@ -27,8 +27,8 @@
         let is_top_class = self.concurrency.is_top_class(request.class);
         let account = &mut customer.accounts[0];
         let is_calling = account.is_calling();
-        let call_probability = if account.windowed_limiter().is_fresh(now) {
-            CALL_FACTOR_IF_FRESH * self.counter.call_probability
+        let call_probability = if account.windowed_limiter().has_recent_total(now) {
+            CALL_FACTOR_AFTER_TOTAL * self.counter.call_probability
         } else {
             self.counter.call_probability
         };
@@ -45,8 +45,8 @@
         self.admission.record_windowed_demand(units, is_top_class);
         let top_class_fraction = self.admission.top_class_fraction();
         let limiter = account.windowed_limiter();
-        let admitted_fraction = limiter.odds(now, is_top_class, top_class_fraction);
-        if limiter.grant(units, admitted_fraction) {
+        let admitted_fraction = limiter.admission_probability(now, is_top_class, top_class_fraction);
+        if limiter.admit(units, admitted_fraction) {
             UnitsCheck::Taken
         } else {
             UnitsCheck::Unavailable
--- a/crates/policy/src/attempts/class_statistics.rs
+++ b/crates/policy/src/attempts/class_statistics.rs
@@ -5,7 +5,7 @@
 use crate::concurrency::baseline_latency::BaselineLatency;
 use crate::concurrency::unloaded_latency::UnloadedLatency;
 use crate::time::as_seconds;
-use hedging::{Silence, Times};
+use hedging::{LatencyDistribution, LossRate};
 use libm::pow;
 
 /// Ratio of the mean to the geometric mean of exponentially distributed times, e^γ with Euler's constant γ.
@@ -14,17 +14,17 @@
 const LATENCY_STEP: f64 = 0.05;
 /// Weight of one more attempt in the fraction of failures.
 const FAILURE_STEP: f64 = 0.05;
-/// Shortest latency that is told from zero, in seconds.
+/// Shortest latency that is distinguished from zero, in seconds.
 const MIN_LATENCY: f64 = 1e-6;
 
 /// Fraction of attempts without a response that is assumed for a new class.
-const PRIOR_SILENCE: f64 = 0.005;
+const PRIOR_LOSS: f64 = 0.005;
 /// Attempts of a class that this assumption weighs.
 const PRIOR_ATTEMPTS_OF_CLASS: f64 = 50.0;
 /// Attempts at a host that the fraction of the class weighs.
 const PRIOR_ATTEMPTS_OF_HOST: f64 = 60.0;
 /// Fraction of overdue attempts without a response that is assumed for a new class.
-const PRIOR_OVERDUE_SILENCE: f64 = 0.0;
+const PRIOR_OVERDUE_LOSS: f64 = 0.0;
 /// Overdue attempts that this assumption weighs.
 const PRIOR_OVERDUE_ATTEMPTS: f64 = 6.0;
 
@@ -36,11 +36,11 @@
     baseline: BaselineLatency,
     unloaded: UnloadedLatency,
     /// Distribution of response times, in seconds at a host of usual speed.
-    pub response_times: Times,
+    pub response_times: LatencyDistribution,
     /// Fraction of attempts without a response.
-    silence: Silence,
+    loss_rate: LossRate,
     /// The same of overdue attempts.
-    overdue_silence: Silence,
+    overdue_loss_rate: LossRate,
     /// Fraction of recent attempts that failed.
     pub failure_fraction: f64,
 }
@@ -50,7 +50,7 @@
     /// Latency as a multiple of the usual one, at least 1.
     pub latency_ratio: f64,
     /// Probability that no response comes.
-    pub silence: f64,
+    pub loss_probability: f64,
 }
 
 /// The latency of a response against those of its class.
@@ -66,11 +66,13 @@
 impl ClassStatistics {
     /// Returns what is expected of an attempt at a host.
     pub fn expectation(&self, host: Option<&Host>) -> Expectation {
-        let usual_silence = self.silence.share(PRIOR_SILENCE, PRIOR_ATTEMPTS_OF_CLASS);
-        let Some(host) = host else { return Expectation { latency_ratio: 1.0, silence: usual_silence } };
+        let usual_loss = self.loss_rate.estimate(PRIOR_LOSS, PRIOR_ATTEMPTS_OF_CLASS);
+        let Some(host) = host else {
+            return Expectation { latency_ratio: 1.0, loss_probability: usual_loss };
+        };
         Expectation {
             latency_ratio: (1.0 + host.excess_latency).max(1.0),
-            silence: host.silence.share(usual_silence, PRIOR_ATTEMPTS_OF_HOST),
+            loss_probability: host.loss_rate.estimate(usual_loss, PRIOR_ATTEMPTS_OF_HOST),
         }
     }
 
@@ -82,7 +84,7 @@
     /// Takes in the end of an attempt: what it shows about responses that never come.
     pub fn record_end(&mut self, host: &mut Host, end: &AttemptEnded, is_overdue: bool) {
         let seconds = as_seconds(end.elapsed) / (1.0 + host.excess_latency).max(1.0);
-        let silence = match end.outcome {
+        let loss = match end.outcome {
             Outcome::Ok => 0.0,
             Outcome::Timeout => 1.0,
             // A connection that breaks after a long silence counts as silent; a response that was corrupt or
@@ -90,20 +92,20 @@
             Outcome::ConnectionReset => f64::from(u8::from(is_overdue)),
             // An attempt that was cancelled after another's response counts as others like it turned out.
             Outcome::Cancelled if is_overdue => {
-                self.overdue_silence.share(PRIOR_OVERDUE_SILENCE, PRIOR_OVERDUE_ATTEMPTS)
+                self.overdue_loss_rate.estimate(PRIOR_OVERDUE_LOSS, PRIOR_OVERDUE_ATTEMPTS)
             }
             _ => return,
         };
         match end.outcome {
-            Outcome::Ok => self.response_times.answered(seconds),
-            Outcome::Cancelled => self.response_times.given_up(seconds, silence),
+            Outcome::Ok => self.response_times.record_response(seconds),
+            Outcome::Cancelled => self.response_times.record_abandoned(seconds, loss),
             _ => {}
         }
         if is_overdue && end.outcome != Outcome::Cancelled {
-            self.overdue_silence.over(silence);
+            self.overdue_loss_rate.record(loss);
         }
-        self.silence.over(silence);
-        host.silence.over(silence);
+        self.loss_rate.record(loss);
+        host.loss_rate.record(loss);
     }
 
     /// Takes in the latency of a response, and returns it against those of the class. `utilisation` is the
--- a/crates/policy/src/attempts/completion.rs
+++ b/crates/policy/src/attempts/completion.rs
@@ -84,7 +84,7 @@
         let unspent = request.units - units;
         let Some(customer) = self.customers.get_mut(request.customer) else { return };
         if let Some(account) = customer.accounts.first_mut() {
-            account.give_back(if account.is_strict() { 0.0 } else { unspent });
+            account.give_back(if account.is_ceiling() { 0.0 } else { unspent });
         }
     }
 
--- a/crates/policy/src/attempts/forwarding.rs
+++ b/crates/policy/src/attempts/forwarding.rs
@@ -68,7 +68,7 @@
         let seconds = if may_run_beside {
             let left = request.time_left(sent_at, expectation.latency_ratio, class.late_fraction);
             let price = self.attempt_price();
-            usual.min(statistics.response_times.patience(left, expectation.silence, price))
+            usual.min(statistics.response_times.hedge_delay(left, expectation.loss_probability, price))
         } else {
             usual
         };
--- a/crates/policy/src/attempts/request.rs
+++ b/crates/policy/src/attempts/request.rs
@@ -4,7 +4,7 @@
 use crate::balancing::host_set::Location;
 use crate::time::{MILLISECOND, NANOS_PER_SECOND};
 use crate::timers::TIMER_STEP;
-use hedging::Left;
+use hedging::RemainingTime;
 use smallvec::SmallVec;
 
 /// Time that the last bytes of a repeated request have to reach its host, at the least.
@@ -143,9 +143,13 @@
     /// Returns the time that a response has left, in seconds at a host of usual speed, for an attempt at a
     /// host that takes `latency_ratio` times as long. `late_fraction`: what a response after the objective
     /// earns.
-    pub fn time_left(&self, now: Time, latency_ratio: f64, late_fraction: f64) -> Left {
+    pub fn time_left(&self, now: Time, latency_ratio: f64, late_fraction: f64) -> RemainingTime {
         let until = |at: Time| (at as f64 - now as f64) / NANOS_PER_SECOND / latency_ratio;
-        Left { aim: until(self.objective_at), deadline: until(self.deadline), late_worth: late_fraction }
+        RemainingTime {
+            until_objective: until(self.objective_at),
+            until_deadline: until(self.deadline),
+            late_fraction,
+        }
     }
 
     /// Returns the first attempt that may have been executed, or is in flight.
--- a/crates/policy/src/balancing/host.rs
+++ b/crates/policy/src/balancing/host.rs
@@ -4,7 +4,7 @@
 use crate::api::{HostEntry, HostId, HostState, Settings, Time};
 use crate::concurrency::host_limit::ConcurrencyLimit;
 use crate::time::{seconds_between, NANOS_PER_SECOND};
-use hedging::Silence;
+use hedging::LossRate;
 use libm::exp;
 
 /// Seconds over which a host's failures and successes fade.
@@ -78,7 +78,7 @@
     /// When the tokens were last refilled or the host was last listed.
     pub refilled_at: Time,
     /// The fraction of attempts to which the host never responds.
-    pub silence: Silence,
+    pub loss_rate: LossRate,
     /// Scores for each class, and last for the host as a whole.
     failure_scores: Vec<FailureScore>,
 }
--- a/crates/policy/src/balancing/host_set.rs
+++ b/crates/policy/src/balancing/host_set.rs
@@ -200,8 +200,8 @@
 
     fn rebuild_subset(&mut self, gateway_index: usize, gateways: usize) {
         let ids: Vec<u64> = self.ready.iter().map(|id| id.0).collect();
-        self.subset_count = ::subset::circles(ids.len(), gateways) as f64;
-        let subset = ::subset::circle(&ids, gateway_index, gateways);
+        self.subset_count = ::subset::subset_count(ids.len(), gateways) as f64;
+        let subset = ::subset::subset_of_gateway(&ids, gateway_index, gateways);
         self.subset = subset.into_iter().map(|index| self.ready[index]).collect();
         let part_outside = 1.0 / self.subset_count();
         for host in self.by_id.values_mut() {
--- a/crates/policy/src/concurrency/running_mean.rs
+++ b/crates/policy/src/concurrency/running_mean.rs
@@ -1,4 +1,4 @@
-//! A running mean with its variance, by which differences are told from chance.
+//! A running mean with its variance, which shows whether a difference is due to chance.
 
 /// Values from which on a mean counts as significant.
 pub(super) const SIGNIFICANT_COUNT: f64 = 12.0;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -91,7 +91,7 @@
         self.concurrency.budget.start(now);
         self.customers.context.start_epoch = now / EPOCH;
         self.timers.schedule(now + CONTROL_PERIOD, Timer::ControlPeriod);
-        let first_heartbeat = self.counter.health.first_beat(|| self.rng.unit());
+        let first_heartbeat = self.counter.health.first_heartbeat_delay(|| self.rng.unit());
         self.timers.schedule(now + 1 + first_heartbeat, Timer::Heartbeat);
         if self.settings.must_subscribe {
             self.timers.schedule(now + 1, Timer::PollHosts);
@@ -171,8 +171,8 @@
     }
 
     /// Starts the count of units that were granted without the counter anew.
-    pub fn forget_lent(&mut self) {
-        self.counter.health.forget_lent();
+    pub fn clear_local_grants(&mut self) {
+        self.counter.health.clear_local_grants();
     }
 
     /// Returns the number of records held: requests, customers, hosts and calls in flight.
--- a/crates/policy/src/quota/counter_client.rs
+++ b/crates/policy/src/quota/counter_client.rs
@@ -3,7 +3,7 @@
 use super::counter_keys::CounterNumber;
 use super::reconciliation::ReconciliationQueue;
 use crate::api::{CounterKey, Outcome, Settings, Span, Time};
-use ::quota::Contact;
+use ::quota::CounterHealth;
 use std::collections::HashMap;
 
 /// Bounds of the probability that a request under windowed admission calls the counter.
@@ -23,10 +23,10 @@
 /// The counter service as seen from this gateway.
 pub(crate) struct CounterClient {
     /// Whether the counter is reachable, and which gateways reach it.
-    pub health: Contact,
+    pub health: CounterHealth,
     /// The numbers of calls in flight.
     pub pending_calls: HashMap<CounterKey, CounterNumber, rustc_hash::FxBuildHasher>,
-    /// Units that the counter has yet to be told.
+    /// Units that have yet to be added to the counter.
     pub reconciliation: ReconciliationQueue,
     /// Probability that a request under windowed admission calls the counter.
     pub call_probability: f64,
@@ -42,7 +42,7 @@
     pub fn new(settings: &Settings) -> CounterClient {
         let has_limits = settings.plans.iter().any(|plan| plan.rate > 0.0 || plan.ceiling_rate > 0.0);
         CounterClient {
-            health: Contact::new(settings.gateway_index, settings.gateways),
+            health: CounterHealth::new(settings.gateway_index, settings.gateways),
             pending_calls: HashMap::default(),
             reconciliation: ReconciliationQueue::default(),
             call_probability: INITIAL_CALL_PROBABILITY,
@@ -54,7 +54,7 @@
 
     /// Returns whether there is no counter, or several calls in a row failed and the next one is not due.
     pub fn is_down(&self, now: Time) -> bool {
-        !self.exists || self.health.is_down(now)
+        !self.exists || self.health.is_backing_off(now)
     }
 
     /// Takes in the end of a call. The probability of calls follows the capacity that the counter shows.
@@ -70,9 +70,9 @@
         let probability = self.call_probability * factor;
         self.call_probability = probability.clamp(MIN_CALL_PROBABILITY, MAX_CALL_PROBABILITY);
         if is_success {
-            self.health.answered(now);
+            self.health.record_answer(now);
         } else {
-            self.health.unanswered(now);
+            self.health.record_failure(now);
         }
     }
 }
--- a/crates/policy/src/quota/counter_keys.rs
+++ b/crates/policy/src/quota/counter_keys.rs
@@ -73,14 +73,15 @@
     CounterNumber::Reconciled { customer, epoch: at / EPOCH }.key()
 }
 
-/// Returns the key of the demand in a window of a customer under windowed admission, see [`::quota::Ration`].
+/// Returns the key of the demand in a window of a customer under windowed admission, see
+/// [`::quota::WindowedLimiter`].
 #[must_use]
 pub fn demand(customer: CustomerId, window: u64) -> CounterKey {
     CounterNumber::Demand { customer, window }.key()
 }
 
-/// Returns the key of the heartbeats of a group of gateways, see [`::quota::Hearing`].
+/// Returns the key of the heartbeats of a group of gateways, see [`::quota::FailureDetector`].
 #[must_use]
 pub fn heartbeat(group: u32, at: Time) -> CounterKey {
-    CounterNumber::Heartbeat { group, epoch: at / ::quota::PULSE_EPOCH }.key()
+    CounterNumber::Heartbeat { group, epoch: at / ::quota::HEARTBEAT_EPOCH }.key()
 }
--- a/crates/policy/src/quota/counter_replies.rs
+++ b/crates/policy/src/quota/counter_replies.rs
@@ -3,6 +3,7 @@
 use super::counter_keys::{CounterNumber, EPOCH};
 use crate::api::{Action, CounterKey, CustomerId, Outcome, Span, Time};
 use crate::policy::Policy;
+use ::quota::CounterEpoch;
 
 /// Weight of one more customer in the typical fraction of the demand that a quota covers.
 const TYPICAL_FRACTION_STEP: f64 = 0.05;
@@ -21,7 +22,7 @@
     pub(crate) fn call_counter(&mut self, now: Time, number: CounterNumber, amount: f64) {
         let key = number.key();
         self.counter.pending_calls.insert(key, number);
-        self.counter.health.called(now);
+        self.counter.health.record_call(now);
         self.actions.push(Action::AddToCounter { key, amount, time_to_live: number.time_to_live() });
     }
 
@@ -52,7 +53,7 @@
     }
 
     fn on_heartbeats(&mut self, now: Time, group: u32, epoch: u64, reply: &Reply) {
-        if reply.is_success && self.counter.health.heard(now, group, epoch, reply.total) {
+        if reply.is_success && self.counter.health.record_heartbeats(now, group, epoch, reply.total) {
             self.start_recheck(now);
         }
     }
@@ -71,14 +72,14 @@
         if let Some(account) = customer.accounts.get_mut(index) {
             let health = &self.counter.health;
             if reply.is_success {
-                let epoch = (epoch, epoch * EPOCH);
+                let epoch = CounterEpoch { number: epoch, start: epoch * EPOCH };
                 shows_reset = account.record_leased_total(now, health, epoch, reply.total);
             } else {
                 account.on_call_failed(now, health, reply.outcome == Outcome::Timeout);
             }
             self.counter.reconciliation.push(now, &mut self.timers, customer_id, customer);
         }
-        if shows_reset && self.counter.health.has_begun_anew(now) {
+        if shows_reset && self.counter.health.record_reset(now) {
             self.start_recheck(now);
         }
         self.check_waiting(now, customer_id);
@@ -88,11 +89,11 @@
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         customer.is_reconciliation_pending = false;
         if let Some(account) = customer.accounts.first_mut() {
-            if let Some(reconciliation) = account.reconciliation() {
+            if let Some(reconciliation) = account.pending_reconciliation() {
                 if reply.is_success {
-                    reconciliation.answered(now, &self.counter.health, epoch, reply.total);
+                    reconciliation.complete_call(now, &self.counter.health, epoch, reply.total);
                 } else {
-                    reconciliation.unanswered(reply.outcome == Outcome::Timeout);
+                    reconciliation.fail_call(reply.outcome == Outcome::Timeout);
                 }
             }
             self.counter.reconciliation.push(now, &mut self.timers, customer_id, customer);
@@ -105,7 +106,7 @@
         let plan = customer.plan;
         if let Some(account) = customer.accounts.first_mut() {
             if reply.is_success {
-                let is_first_total = account.windowed_limiter().times(now).is_none();
+                let is_first_total = account.windowed_limiter().demand_ratio(now).is_none();
                 let covered = account.record_window_total(now, window, reply.total);
                 if is_first_total {
                     let typical = &mut self.admission.typical_fractions[plan];
--- a/crates/policy/src/quota/counter_upkeep.rs
+++ b/crates/policy/src/quota/counter_upkeep.rs
@@ -6,7 +6,7 @@
 use crate::api::{CustomerId, Time};
 use crate::policy::Policy;
 use crate::timers::{Timer, TIMER_STEP};
-use ::quota::Pulse;
+use ::quota::HeartbeatCall;
 
 /// Slots that one step of the check after a reset looks at.
 const MAX_RECHECKED: usize = 64;
@@ -22,10 +22,10 @@
         if self.counter.is_down(now) {
             return self.timers.schedule(now + TIMER_STEP, Timer::Heartbeat);
         }
-        for Pulse { group, epoch, amount } in self.counter.health.beat(now) {
+        for HeartbeatCall { group, epoch, amount } in self.counter.health.heartbeat_calls(now) {
             self.call_counter(now, CounterNumber::Heartbeat { group, epoch }, amount);
         }
-        self.timers.schedule(now + self.counter.health.beat_span(), Timer::Heartbeat);
+        self.timers.schedule(now + self.counter.health.heartbeat_interval(), Timer::Heartbeat);
     }
 
     /// Adds units to the counter that were granted locally, and continues the check after a reset: some
@@ -33,7 +33,7 @@
     pub(crate) fn reconcile(&mut self, now: Time) {
         self.counter.reconciliation.on_timer();
         if !self.counter.is_down(now) {
-            for _ in 0..self.counter.health.spare_calls(now).clamp(1, MAX_CALLS) {
+            for _ in 0..self.counter.health.background_calls(now).clamp(1, MAX_CALLS) {
                 let Some(customer) = self.counter.reconciliation.pop() else { break };
                 if !self.reconcile_customer(now, customer) {
                     break;
@@ -49,9 +49,9 @@
         let epoch = now / EPOCH;
         let Some(customer) = self.customers.get_mut(customer_id) else { return false };
         let account = customer.accounts.first_mut().filter(|account| account.needs_reconciliation());
-        match account.and_then(Account::reconciliation) {
+        match account.and_then(Account::pending_reconciliation) {
             Some(reconciliation) => {
-                let amount = reconciliation.call(&self.counter.health, epoch);
+                let amount = reconciliation.start_call(&self.counter.health, epoch);
                 self.call_counter(now, CounterNumber::Reconciled { customer: customer_id, epoch }, amount);
             }
             // The units were given back meanwhile. The customer is queued again once there are others.
@@ -64,7 +64,7 @@
     fn continue_recheck(&mut self, now: Time) {
         let epoch = now / EPOCH;
         let mut next = self.counter.reconciliation.next_recheck();
-        let mut calls_left = self.counter.health.spare_calls(now).min(MAX_CALLS);
+        let mut calls_left = self.counter.health.background_calls(now).min(MAX_CALLS);
         let mut checked = 0;
         while let Some(slot) = next {
             if calls_left == 0 || checked == MAX_RECHECKED {
--- a/crates/policy/src/quota/customer.rs
+++ b/crates/policy/src/quota/customer.rs
@@ -2,7 +2,7 @@
 
 use super::account::Account;
 use crate::api::{Plan, RequestId, Settings, Time};
-use ::quota::{Contact, Rest, Set, Terms};
+use ::quota::{BucketConfig, CompactState, CounterHealth, GatewaySet};
 use smallvec::SmallVec;
 use std::collections::VecDeque;
 
@@ -44,7 +44,7 @@
     pub in_flight: u32,
     /// The customer is queued for reconciliation with the counter.
     pub is_reconciliation_pending: bool,
-    set: Set,
+    set: GatewaySet,
     has_no_counter: bool,
     /// Epoch in which the gateway started.
     start_epoch: u64,
@@ -57,13 +57,13 @@
     first_gateway: u16,
     set_size: u16,
     /// The state of its quota; `None` if its plan has no limit.
-    account: Option<Rest>,
+    account: Option<CompactState>,
 }
 
 impl CompactCustomer {
     /// Returns whether the customer's number on the counter holds units of this gateway in an epoch.
     pub fn has_added(&self, epoch: u64) -> bool {
-        self.account.is_some_and(|account| account.has_added(epoch))
+        self.account.is_some_and(|account| account.has_added_in(epoch))
     }
 }
 
@@ -89,7 +89,7 @@
         now: Time,
         context: &GatewayContext,
         plan: usize,
-        set: Set,
+        set: GatewaySet,
         mut initial_demand: impl FnMut() -> f64,
     ) -> Customer {
         let mut customer = Customer {
@@ -105,10 +105,10 @@
 
     /// Returns the full form of a compact customer. If its plan has other limits by now, it is as a new one.
     pub fn expand(now: Time, context: &GatewayContext, compact: CompactCustomer) -> Customer {
-        let set = Set {
-            first: compact.first_gateway.into(),
-            spread: compact.set_size.into(),
-            me: context.gateway_index,
+        let set = GatewaySet {
+            first_gateway: compact.first_gateway.into(),
+            set_size: compact.set_size.into(),
+            gateway_index: context.gateway_index,
             gateways: context.gateways,
         };
         let mut customer = Customer::new(now, context, compact.plan.into(), set, || 0.0);
@@ -126,8 +126,8 @@
             _ => return None,
         };
         let plan = u16::try_from(self.plan).ok()?;
-        let first_gateway = u16::try_from(self.set.first).ok()?;
-        let set_size = u16::try_from(self.set.spread).ok()?;
+        let first_gateway = u16::try_from(self.set.first_gateway).ok()?;
+        let set_size = u16::try_from(self.set.set_size).ok()?;
         if self.is_busy() {
             return None;
         }
@@ -136,7 +136,7 @@
 
     /// Returns whether a ceiling has yet to refill: a customer that is removed would get these units twice.
     pub fn has_ceiling_to_refill(&self, now: Time) -> bool {
-        self.accounts.iter().any(|account| account.is_strict() && !account.store.has_filled(now))
+        self.accounts.iter().any(|account| account.is_ceiling() && !account.is_full_by(now))
     }
 
     /// Returns whether the customer has requests or calls in flight, or is queued for reconciliation.
@@ -164,17 +164,17 @@
     ) -> SmallVec<[Account; 1]> {
         let may_be_windowed = plan.ceiling_rate <= 0.0;
         let new_account = |limit: Limit| {
-            let terms = Terms {
+            let config = BucketConfig {
                 rate: limit.rate,
                 burst: limit.burst,
-                strict: limit.is_ceiling,
-                alone: self.has_no_counter,
-                set: self.set,
+                is_ceiling: limit.is_ceiling,
+                has_no_counter: self.has_no_counter,
+                gateway_set: self.set,
             };
-            let mut account = Account::new(now, terms, self.start_epoch, may_be_windowed);
+            let mut account = Account::new(now, config, self.start_epoch, may_be_windowed);
             let demand = initial_demand();
             if account.is_windowed {
-                account.windowed_limiter().begin(demand);
+                account.windowed_limiter().set_initial_credit(demand);
             }
             account
         };
@@ -183,38 +183,12 @@
 
     /// Changes the limits of the customer's plan. Available units stay; a limit that the plan did not have
     /// begins with a full token bucket.
-    pub fn change_plan(&mut self, now: Time, contact: &Contact, plan: &Plan) {
+    pub fn change_plan(&mut self, now: Time, health: &CounterHealth, plan: &Plan) {
         if limits(plan).count() != self.accounts.len() {
             self.accounts = self.new_accounts(now, plan, &mut || 0.0);
         }
         for (account, limit) in self.accounts.iter_mut().zip(limits(plan)) {
-            account.set_limit(now, contact, limit.rate, limit.burst);
+            account.set_limit(now, health, limit.rate, limit.burst);
         }
     }
 }
-
-impl Account {
-    /// Returns the compact form, if no call is in doubt or in flight and nothing has to be reconciled.
-    fn compact(&self) -> Option<Rest> {
-        let state = Rest::of(&self.store, &self.adder, self.windowed_limiter_if_any())?;
-        if self.late.is_some() {
-            return None;
-        }
-        Some(state)
-    }
-
-    /// Continues a compact account in this new one. If one of them is under windowed admission and the other
-    /// is not, this one stays new.
-    fn expand(&mut self, state: &Rest) {
-        if state.is_rationed() != self.is_windowed {
-            return;
-        }
-        let new_store = std::mem::take(&mut self.store);
-        let new_adder = std::mem::take(&mut self.adder);
-        let new_limiter = self.take_windowed_limiter();
-        let (store, adder, limiter) = state.wake(new_store, new_adder, new_limiter);
-        self.store = store;
-        self.adder = adder;
-        self.set_windowed_limiter(limiter);
-    }
-}
--- a/crates/policy/src/quota/customers/tests.rs
+++ b/crates/policy/src/quota/customers/tests.rs
@@ -2,7 +2,7 @@
 use super::review::MAX_REVIEWED;
 use super::*;
 use crate::api::Plan;
-use ::quota::Set;
+use ::quota::GatewaySet;
 
 const SECOND: Time = 1_000_000_000;
 
@@ -21,7 +21,7 @@
 }
 
 fn new(now: Time, context: &GatewayContext) -> Customer {
-    let set = Set { first: 0, spread: 1, me: 0, gateways: 1 };
+    let set = GatewaySet { first_gateway: 0, set_size: 1, gateway_index: 0, gateways: 1 };
     Customer::new(now, context, 0, set, || 0.0)
 }
 
@@ -98,14 +98,14 @@
 #[test]
 fn a_customer_that_returns_finds_its_quota_unchanged() {
     let mut customers = customers(bytes_for_full(10));
-    let mut contact = ::quota::Contact::new(0, 1);
+    let mut health = ::quota::CounterHealth::new(0, 1);
     let mut use_up = |customers: &mut Customers, id: u64, units: f64| {
         let customer =
             customers.get_or_insert(SECOND, CustomerId(id), |context| new(SECOND, context)).unwrap();
         let account = &mut customer.accounts[0];
-        account.grant_locally(SECOND, &contact);
-        account.spend(units, &mut contact);
-        account.store.ready()
+        account.grant_locally(SECOND, &health);
+        account.spend(units, &mut health);
+        account.spendable()
     };
     // Without a counter a gateway grants all units locally.
     assert_eq!([0, 1, 2].map(|id| use_up(&mut customers, id, 15.0)), [5.0; 3]);
--- a/crates/policy/src/quota/reconciliation.rs
+++ b/crates/policy/src/quota/reconciliation.rs
@@ -16,7 +16,7 @@
 }
 
 impl ReconciliationQueue {
-    /// Queues a customer if the counter has yet to be told units, unless it is queued already.
+    /// Queues a customer if units have yet to be added to the counter, unless it is queued already.
     pub fn push(
         &mut self,
         now: Time,
--- a/crates/site-failover/src/said.rs
+++ b/crates/site-failover/src/said.rs
@@ -4,35 +4,35 @@
 
 use policy::api::Time;
 
-use crate::course::State;
-use crate::plan::Told;
+use crate::course::SiteHealth;
+use crate::plan::OperatorOverride;
 
 /// How a site is, with the figures that it is judged by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SiteState {
+pub struct SiteStatus {
     /// Its name.
     pub name: String,
     /// What it is held for.
-    pub state: State,
+    pub health: SiteHealth,
     /// What operators say of it by hand.
-    pub told: Option<Told>,
+    pub operator_override: Option<OperatorOverride>,
     /// The share of its load that it may have, 0 to 1.
-    pub share: f64,
+    pub traffic_fraction: f64,
     /// Since when it is so.
     pub since: Time,
     /// Hosts that discovery has in service.
-    pub hosts: usize,
+    pub ready_hosts: usize,
     /// Its hosts' part of all, 0 to 1, as of when it was last whole.
-    pub part: f64,
+    pub capacity_fraction: f64,
     /// Attempts a second, over the last minutes.
-    pub rate: f64,
+    pub attempts_per_second: f64,
     /// Share of its attempts that failed over the last seconds.
-    pub failing: f64,
+    pub failure_fraction: f64,
     /// Failures since its last answer, and the hosts that they were at.
     pub failures: (u32, usize),
 }
 
-impl fmt::Display for SiteState {
+impl fmt::Display for SiteStatus {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (failures, at) = self.failures;
         write!(
@@ -40,16 +40,16 @@
             "site {} is {}, share {:.2}, hosts in service {}, part {:.2}, attempts {:.1}/s, failing {:.2}, \
              failures since an answer {failures} at {at} hosts",
             self.name,
-            self.state.name(),
-            self.share,
-            self.hosts,
-            self.part,
-            self.rate,
-            self.failing,
+            self.health.name(),
+            self.traffic_fraction,
+            self.ready_hosts,
+            self.capacity_fraction,
+            self.attempts_per_second,
+            self.failure_fraction,
         )?;
-        match self.told {
-            Some(Told::Lost) => write!(f, ", told lost by hand"),
-            Some(Told::Whole) => write!(f, ", told whole by hand"),
+        match self.operator_override {
+            Some(OperatorOverride::Lost) => write!(f, ", told lost by hand"),
+            Some(OperatorOverride::Healthy) => write!(f, ", told whole by hand"),
             None => Ok(()),
         }
     }
@@ -57,85 +57,85 @@
 
 /// Why a site is held for something else now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cause {
+pub enum TransitionCause {
     /// Attempts fail, with what speaks for *gone*, how much is enough, and how likely a failure is anyway.
     Failures {
         /// What speaks for it.
-        sum: f64,
+        evidence: f64,
         /// How much is enough.
-        enough: f64,
+        threshold: f64,
         /// Share of attempts that fail anyway.
-        anyway: f64,
+        baseline: f64,
     },
     /// Attempts fail, and no other site answers either.
-    NoWitness,
+    NoReference,
     /// Discovery has none of its hosts in service, and none answers.
-    Emptied,
+    NoHostsListed,
     /// Discovery has none of its hosts in service, and they answer.
-    EmptiedButAnswers,
+    UnlistedButAnswering,
     /// Attempts are answered.
-    Answers,
+    Answering,
     /// Answers take so many times longer than is usual.
-    Times(f64),
+    SlowResponses(f64),
     /// Its ramp moved, or ended.
-    Ramp,
+    RecoveryProgress,
     /// What it answers as it returns is worse than elsewhere.
-    RampFailed,
+    RecoveryFailed,
     /// Operators say so.
-    Told,
+    SetByOperators,
 }
 
-impl fmt::Display for Cause {
+impl fmt::Display for TransitionCause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Cause::Failures { sum, enough, anyway } => {
-                write!(f, "failures weigh {sum:.1} of {enough:.1}, {anyway:.2} fail anyway")
+            TransitionCause::Failures { evidence, threshold, baseline } => {
+                write!(f, "failures weigh {evidence:.1} of {threshold:.1}, {baseline:.2} fail anyway")
             }
-            Cause::NoWitness => write!(f, "failures, and no other site answers"),
-            Cause::Emptied => write!(f, "discovery has none of its hosts in service"),
-            Cause::EmptiedButAnswers => {
+            TransitionCause::NoReference => write!(f, "failures, and no other site answers"),
+            TransitionCause::NoHostsListed => write!(f, "discovery has none of its hosts in service"),
+            TransitionCause::UnlistedButAnswering => {
                 write!(f, "discovery has none of its hosts in service, yet they answer")
             }
-            Cause::Answers => write!(f, "it answers"),
-            Cause::Times(times) => write!(f, "answers take {times:.1} times the usual"),
-            Cause::Ramp => write!(f, "its return goes on"),
-            Cause::RampFailed => write!(f, "its return went worse than elsewhere"),
-            Cause::Told => write!(f, "told by hand"),
+            TransitionCause::Answering => write!(f, "it answers"),
+            TransitionCause::SlowResponses(times) => write!(f, "answers take {times:.1} times the usual"),
+            TransitionCause::RecoveryProgress => write!(f, "its return goes on"),
+            TransitionCause::RecoveryFailed => write!(f, "its return went worse than elsewhere"),
+            TransitionCause::SetByOperators => write!(f, "told by hand"),
         }
     }
 }
 
 /// One line for the log: a change, with the figures it was decided on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Transition {
     /// Of a site.
     Site {
         /// What it was held for before.
-        was: State,
+        previous: SiteHealth,
         /// How it is now.
-        now: SiteState,
+        current: SiteStatus,
         /// Why.
-        cause: Cause,
+        cause: TransitionCause,
     },
     /// Of what is refused.
-    Ladder {
+    Shedding {
         /// Rungs shed down to their floors, and the part of the next that is.
         level: f64,
         /// The rung that was entered or left; nothing if nothing is refused any more.
-        rung: Option<String>,
+        tier: Option<String>,
     },
 }
 
-impl fmt::Display for Said {
+impl fmt::Display for Transition {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Said::Site { was, now, cause } => {
-                write!(f, "{now}, was {}: {cause}", was.name())
+            Transition::Site { previous, current, cause } => {
+                write!(f, "{current}, was {}: {cause}", previous.name())
             }
-            Said::Ladder { level, rung: Some(rung) } => {
-                write!(f, "refused first: {rung}, level {level:.2}")
+            Transition::Shedding { level, tier: Some(tier) } => {
+                write!(f, "refused first: {tier}, level {level:.2}")
             }
-            Said::Ladder { rung: None, .. } => write!(f, "refused first: nothing any more"),
+            Transition::Shedding { tier: None, .. } => write!(f, "refused first: nothing any more"),
         }
     }
 }
