--- a/crates/policy/src/admission/waiting.rs
+++ b/crates/policy/src/admission/waiting.rs
@@ -97,7 +97,7 @@
             self.take_leased_units(now, customer_id, id)
         };
         if check == UnitsCheck::Wait && !has_waited {
-            return self.keep_waiting(now, customer_id, id, wait_until, is_at_limit);
+            return self.extend_wait(now, customer_id, id, wait_until, is_at_limit);
         }
         if check == UnitsCheck::Taken || is_beyond_quota_admitted {
             self.admit(now, customer_id, id, check);
@@ -129,7 +129,7 @@
 
     /// Lets a request wait on, and sets a timer. A reply of the counter and the end of another request are
     /// events by themselves; a token bucket that fills is not, and is checked each step.
-    fn keep_waiting(
+    fn extend_wait(
         &mut self,
         now: Time,
         customer_id: CustomerId,
--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -1,6 +1,7 @@
 //! Actions that the decision module asks a gateway to carry out.
 
-use super::{CounterKey, HostId, RequestId, Span, Time};
+use super::ids::{CounterKey, HostId, RequestId};
+use super::time::{Span, Time};
 
 /// Why a request gets a final answer without a successful response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -1,6 +1,10 @@
 //! Events that a gateway reports to the decision module.
 
-use super::{CounterKey, HostEntry, HostId, HostListKind, Plan, Request, RequestId, Span};
+use super::host::{HostEntry, HostListKind};
+use super::ids::{CounterKey, HostId, RequestId};
+use super::request::Request;
+use super::settings::Plan;
+use super::time::Span;
 
 /// How an attempt, a health check or a call to the counter ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/api/host.rs
+++ b/crates/policy/src/api/host.rs
@@ -1,6 +1,7 @@
 //! Entries of the endpoint list.
 
-use super::{HostId, Time};
+use super::ids::HostId;
+use super::time::Time;
 
 /// State of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -10,6 +10,7 @@
 mod ids;
 mod request;
 mod settings;
+mod time;
 
 pub use action::{Action, RejectReason};
 pub use event::{AttemptEnded, Event, LoadReport, Outcome};
@@ -17,8 +18,4 @@
 pub use ids::{CounterKey, CustomerId, HostId, RequestId};
 pub use request::{Request, Route, RouteLimit};
 pub use settings::{Class, DedupScope, Idempotency, Plan, Settings};
-
-/// A point in time on the gateway's monotonic clock, in nanoseconds.
-pub type Time = u64;
-/// A duration, in nanoseconds.
-pub type Span = u64;
+pub use time::{Span, Time};
--- a/crates/policy/src/api/request.rs
+++ b/crates/policy/src/api/request.rs
@@ -1,6 +1,7 @@
 //! Requests of clients, and where they may be forwarded to.
 
-use super::{CustomerId, RequestId, Span, Time};
+use super::ids::{CustomerId, RequestId};
+use super::time::{Span, Time};
 
 /// The hosts that a request may be forwarded to. The default allows all hosts without a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a gateway: request classes, customers' plans, and what the platform allows.
 
-use super::Span;
+use super::time::Span;
 
 /// Whether a request of a class may be executed again once an attempt may have reached a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/policy/src/concurrency/dispatch.rs
+++ b/crates/policy/src/concurrency/dispatch.rs
@@ -1,6 +1,6 @@
 //! The queue for concurrency slots, and the assignment of free slots to queued requests.
 
-use super::slot_budget::MIN_WHOLE_SLOTS;
+use super::slot_budget::BURST_SLOTS;
 use crate::api::{RejectReason, RequestId, Route, Span, Time};
 use crate::attempts::request::RequestState;
 use crate::policy::Policy;
@@ -123,7 +123,7 @@
     /// Schedules another dispatch where time alone may help: hosts that warm up get more attempts, and a
     /// small share of the slots is saved up.
     fn schedule_dispatch(&mut self, now: Time) {
-        let saves_slots = self.concurrency.budget.slots() < MIN_WHOLE_SLOTS && self.concurrency.has_queued();
+        let saves_slots = self.concurrency.budget.slots() < BURST_SLOTS && self.concurrency.has_queued();
         let is_needed = self.concurrency.is_blocked() || saves_slots;
         if is_needed && !self.concurrency.is_retry_scheduled {
             self.concurrency.is_retry_scheduled = true;
--- a/crates/policy/src/concurrency/slot_budget.rs
+++ b/crates/policy/src/concurrency/slot_budget.rs
@@ -5,7 +5,7 @@
 use crate::time::seconds_between;
 
 /// Slots below which unused slot time is saved up, to be spent on this many slots for a while.
-pub(super) const MIN_WHOLE_SLOTS: f64 = 2.0;
+pub(super) const BURST_SLOTS: f64 = 2.0;
 /// Seconds for which unused slots are saved up.
 const MAX_SAVING: f64 = 2.0;
 /// Slot time that is saved at the start, in seconds.
@@ -82,10 +82,10 @@
         self.saved_at = now;
         let saved = self.saved_slot_seconds + (slots - in_use) * elapsed;
         self.saved_slot_seconds = saved.clamp(-1.0, MAX_SAVING * slots);
-        if slots >= MIN_WHOLE_SLOTS {
+        if slots >= BURST_SLOTS {
             slots.floor()
         } else if self.saved_slot_seconds > 0.0 {
-            MIN_WHOLE_SLOTS
+            BURST_SLOTS
         } else {
             0.0
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,21 @@
-//! Decisions of an API gateway that holds customers to shared quotas before a common back end.
+//! The decisions of an API gateway in front of a common back end, with customers' quotas that hold over all
+//! gateways.
 //!
-//! A gateway owns one [`policy::Policy`], tells it what happens as [`api::Event`]s and carries out the
-//! [`api::Action`]s it gets back. The library does no I/O, reads no clock and has no global state.
+//! # Contract
+//!
+//! A gateway owns one [`policy::Policy`], reports what happens as [`api::Event`]s with the current time, and
+//! carries out the returned [`api::Action`]s in order. This module alone decides which host gets an attempt,
+//! whether a request is retried or hedged, and whether it is rejected. It does no I/O, reads no clock and has
+//! no global state. Its random numbers come from the given seed: the same events give the same actions.
+//!
+//! - Each request gets one final answer while its client is connected: a response, [`api::Action::Reject`] or
+//!   [`api::Action::Fail`].
+//! - A request that may have been executed is forwarded again only where that is idempotent.
+//! - A host that the endpoint list does not name as ready gets no new attempt.
+//! - No event looks at all customers, requests or hosts, except changes of plans and of the endpoint list.
+//!   The settings bound the memory that customers take.
+//!
+//! # Example
 //!
 //! ```
 //! use policy::api::*;
@@ -20,6 +34,39 @@
 //! policy.handle(1_000_000, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Forward { host: HostId(1), .. })));
 //! ```
+//!
+//! # The way of a request
+//!
+//! 1. `policy.rs`: [`policy::Policy::handle`] dispatches the event [`api::Event::Request`].
+//! 2. `admission/arrival.rs` registers the request. It is rejected at once if it has too little time left, no
+//!    host can take it, or its load is shed.
+//! 3. `admission/waiting.rs` decides on its units: `admission/leased_units.rs` takes them from the accounts
+//!    of its customer (`quota/account.rs`), or `admission/windowed.rs` admits a fraction of the requests. If
+//!    units are short, a call leases more from the counter (`quota/counter_replies.rs`), and the request
+//!    waits.
+//! 4. `concurrency/dispatch.rs` queues the admitted request, and assigns a free slot to it by the reservation
+//!    and priority of its class (`concurrency/state.rs`).
+//! 5. `balancing/selection.rs` chooses the host, and `attempts/forwarding.rs` forwards the request to it.
+//! 6. `attempts/completion.rs` takes in the end of the attempt; `balancing/outliers.rs`,
+//!    `concurrency/host_limit.rs` and `attempts/class_statistics.rs` learn from it.
+//! 7. The request is closed after a response. Otherwise, or if the attempt is overdue, `attempts/retries.rs`
+//!    decides on another attempt, which continues at step 4; without one the request is given up.
+//!
+//! With each event, expired timers (`timers.rs`) run after the event itself, and freed slots and units are
+//! assigned at the end.
+//!
+//! # State
+//!
+//! Each part of the state belongs to one module, which changes it in methods of [`policy::Policy`]:
+//!
+//! | module | state |
+//! |---|---|
+//! | `admission` | fractions to admit, customers with requests to consider again |
+//! | `quota` | customers and their accounts, the counter's health, its calls, pending reconciliations |
+//! | `concurrency` | slots of the gateway, reservations and queues of the classes |
+//! | `balancing` | hosts with their limits, failures and slow start; slots of pools and routes |
+//! | `attempts` | requests in flight, statistics of the classes, retry budget |
+//! | `timers`, `rng` | pending timers, random numbers |
 
 mod admission;
 pub mod api;
--- a/crates/policy/src/quota/customers/mod.rs
+++ b/crates/policy/src/quota/customers/mod.rs
@@ -1,22 +1,21 @@
 //! All customers that this gateway knows, within a bound on memory.
 //!
-//! Customers are found by identifier, kept in a compact form ([`CompactCustomer`]) while they are idle and
-//! memory is short, and removed when they have made no request for long ([`review`]). A customer with
-//! requests or calls in flight, with units to reconcile, or with a ceiling that has yet to refill, is neither
-//! compacted nor removed.
+//! Customers are found by identifier, kept in a compact form ([`super::customer::CompactCustomer`]) while
+//! they are idle and memory is short, and removed when they have made no request for long ([`review`]). A
+//! customer with requests or calls in flight, with units to reconcile, or with a ceiling that has yet to
+//! refill, is neither compacted nor removed.
 
 mod record;
 mod review;
 #[cfg(test)]
 mod tests;
 
-use super::customer::{CompactCustomer, Customer, GatewayContext};
+use super::customer::{Customer, GatewayContext};
 use crate::api::{CustomerId, Time};
 use crate::slab::{Slab, SlotQueue};
 use foldhash::fast::FixedState;
 use hashbrown::HashTable;
-use record::{CustomerForm, CustomerRecord, ReviewQueue, Tick, COMPACT_BYTES, FULL_BYTES};
-use review::max_compact_bytes;
+use record::{max_compact_bytes, CustomerForm, CustomerRecord, ReviewQueue, Tick, COMPACT_BYTES, FULL_BYTES};
 use std::hash::BuildHasher;
 
 /// Parts of the index: each grows on its own, so that no growth takes long.
--- a/crates/policy/src/quota/customers/record.rs
+++ b/crates/policy/src/quota/customers/record.rs
@@ -20,6 +20,16 @@
 /// Memory that a customer takes in its full form beyond that of the compact form, in bytes.
 pub(crate) const FULL_BYTES: usize = size_of::<Customer>() + FULL_OVERHEAD_BYTES;
 
+/// Parts of the memory that compact forms may take while full ones are needed.
+const COMPACT_PARTS: usize = 5;
+/// Parts that the memory is divided into.
+const MEMORY_PARTS: usize = 6;
+
+/// Returns the part of the memory that compact forms may take while full ones are needed, in bytes.
+pub(super) fn max_compact_bytes(max_bytes: usize) -> usize {
+    max_bytes / MEMORY_PARTS * COMPACT_PARTS
+}
+
 /// The form in which a customer is kept.
 pub(super) enum CustomerForm {
     /// The slot is free.
@@ -73,7 +83,7 @@
 }
 
 impl ReviewQueue {
-    /// Number of queues.
+    /// The number of review queues.
     pub const COUNT: usize = 4;
     /// The queues in the order in which customers are reviewed to free memory.
     pub const ORDER: [ReviewQueue; ReviewQueue::COUNT] = [
--- a/crates/policy/src/quota/customers/review.rs
+++ b/crates/policy/src/quota/customers/review.rs
@@ -5,24 +5,17 @@
 //! ones are removed; of those with several, full ones that have made no request since the last review become
 //! compact, and compact ones are removed.
 
-use super::record::{CustomerForm, CustomerRecord, ReviewQueue, Tick, COMPACT_BYTES, CUSTOMER_RETENTION};
+use super::record::{
+    max_compact_bytes, CustomerForm, CustomerRecord, ReviewQueue, Tick, COMPACT_BYTES, CUSTOMER_RETENTION,
+};
 use super::Customers;
 use crate::api::Time;
+use crate::quota::customer::CompactCustomer;
 
 /// Customers that one review removes at the most.
 pub(super) const MAX_REVIEWED: u64 = 128;
 /// Customers that are reviewed for each queue to free memory for one.
 const MAX_REVIEWED_FOR_MEMORY: usize = 16;
-/// Parts of the memory that compact forms may take while full ones are needed.
-const COMPACT_PARTS: usize = 5;
-/// Parts that the memory is divided into.
-const MEMORY_PARTS: usize = 6;
-
-/// Returns the part of the memory that compact forms may take while full ones are needed, in bytes.
-pub(super) fn max_compact_bytes(max_bytes: usize) -> usize {
-    max_bytes / MEMORY_PARTS * COMPACT_PARTS
-}
-
 /// Why a customer is reviewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReviewReason {
@@ -35,7 +28,7 @@
 /// What becomes of a customer.
 enum Verdict {
     Keep,
-    Compact(super::CompactCustomer),
+    Compact(CompactCustomer),
     Remove,
 }
 
--- a/crates/policy/src/tests/mod.rs
+++ b/crates/policy/src/tests/mod.rs
@@ -1,12 +1,15 @@
-//! The five rules, and what the module keeps, under random legal events in any order, with a fixed seed.
+//! The module's rules and its state under random legal events in any order, with a fixed seed.
+
+mod steps;
 mod world;
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cell::Cell;
-use world::{given, step, World};
+use steps::{deployment, step};
+use world::World;
 
-/// `PROPTEST_CASES` asks for more cases than these, where it is run by hand.
+/// Cases of a run; `PROPTEST_CASES` can ask for more.
 const CASES: u32 = 2_000;
 
 #[test]
@@ -15,22 +18,22 @@
     let config = Config { cases: config.cases.max(CASES), ..config };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let input = (given(), any::<u64>(), prop::collection::vec(step(), 1..150));
-    let (sends, further) = (Cell::new(0), Cell::new(0));
-    let run = |(given, seed, steps)| {
-        let mut world = World::new(given, seed);
+    let input = (deployment(), any::<u64>(), prop::collection::vec(step(), 1..150));
+    let (attempts, retries) = (Cell::new(0), Cell::new(0));
+    let run = |(deployment, seed, steps)| {
+        let mut world = World::new(deployment, seed);
         for step in steps {
             world.step(step);
         }
-        world.rest();
-        sends.set(sends.get() + world.sends);
-        further.set(further.get() + world.further);
+        world.finish();
+        attempts.set(attempts.get() + world.attempts);
+        retries.set(retries.get() + world.retries);
         Ok(())
     };
     runner.run(&input, run).unwrap();
-    let (sends, further) = (sends.get(), further.get());
+    let (attempts, retries) = (attempts.get(), retries.get());
     assert!(
-        sends > 10_000 && further > 1_000,
-        "the cases come to something: {sends} attempts, {further} further ones"
+        attempts > 10_000 && retries > 1_000,
+        "the cases are not trivial: {attempts} attempts, {retries} retries"
     );
 }
