--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -1,14 +1,14 @@
 //! Clients: the listener and their connections. Commands are read as they come, answers leave in the order
 //! of the commands. What becomes of a call is the gateway's business.
 
-use crate::budget::Budget;
-use crate::call;
-use crate::crash::{self, CrashPoint};
+use crate::client::call;
+use crate::config::memory_budget::Budget;
+use crate::crash_points::{self, CrashPoint};
 use crate::messages::{Answer, Incoming, Input, Phase, ReplyTo};
-use crate::outage::Outage;
+use crate::telemetry::outage_log::Outage;
 use bytes::{Buf, Bytes, BytesMut};
 use bytes_utils::SegmentedBuf;
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::{RequestId, Span, Time};
 use resp::{Frame, RespError};
 use runtime::{Env, Listener, Stream, Writer};
@@ -60,7 +60,7 @@
 #[derive(Clone)]
 pub(crate) struct Context<E> {
     pub env: E,
-    pub site: Arc<Site>,
+    pub site: Arc<PlatformSettings>,
     pub gateway: UnboundedSender<Input>,
     pub phase: watch::Receiver<Phase>,
     pub ids: Arc<AtomicU64>,
@@ -204,7 +204,7 @@
         let Some(accepted) = next_connection(&mut listener, &context.phase).await else { return };
         match accepted {
             Ok((stream, _)) => {
-                crash::here(CrashPoint::Accepted);
+                crash_points::here(CrashPoint::Accepted);
                 outage.back(env.now());
                 let seat = Arc::new(Seat::new(env.now()));
                 seats.push(seat.clone());
@@ -463,7 +463,7 @@
             let closing = self.intake != Intake::Commands || now >= Phase::Closing;
             // What lies with the system is a request that has come, as long as any are taken.
             let taking = self.intake == Intake::Commands && now < Phase::Refusing;
-            if closing && if taking { idle && writer.is_quiet() } else { answered } {
+            if closing && if taking { idle && writer.has_no_unread_input() } else { answered } {
                 return Ok(End::Answered);
             }
             let used = match (answered, self.called) {
@@ -477,7 +477,7 @@
             }
             let is_full = || self.context.crowd.full.load(Ordering::Relaxed);
             let was_full = || self.context.crowd.full.swap(false, Ordering::Relaxed);
-            if used == Use::Idle && is_full() && writer.is_quiet() && was_full() {
+            if used == Use::Idle && is_full() && writer.has_no_unread_input() && was_full() {
                 return Ok(End::MadeRoom);
             }
             let (reading, owed) = (self.intake != Intake::Ended, self.owed);
@@ -502,14 +502,14 @@
                     // Nothing has come at all: an error would pass for the answer to a command that crosses it,
                     // while a plain end makes the client send that one again.
                     match self.input.is_empty() && self.slots.is_empty() {
-                        true if writer.is_quiet() => return Ok(End::MadeRoom),
+                        true if writer.has_no_unread_input() => return Ok(End::MadeRoom),
                         // It has just come, and is read next.
                         true => self.owed = None,
                         false => self.refuse_protocol("command not whole in time"),
                     }
                 }
                 () = leave.as_mut() => {
-                    if used != Use::Busy && writer.is_quiet() {
+                    if used != Use::Busy && writer.has_no_unread_input() {
                         return Ok(End::MadeRoom);
                     }
                     self.context.crowd.stays.notify_one();
@@ -527,9 +527,9 @@
     /// Writes what can be written without a wait; whether answers have left whole. What waits goes on being written in
     /// turn with all else, within its time.
     async fn write_now<W: AsyncWrite + Unpin + Send>(&mut self, writer: &mut W) -> io::Result<bool> {
-        if crash::is_due(CrashPoint::InAnswer) {
+        if crash_points::is_due(CrashPoint::InAnswer) {
             writer.write_all(&self.output.chunk()[..1]).await?;
-            crash::die();
+            crash_points::die();
         }
         let before = self.output.remaining();
         while self.output.has_remaining() {
@@ -790,4 +790,5 @@
 }
 
 #[cfg(test)]
+#[path = "tests.rs"]
 mod tests;
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::call;
+use crate::client::call;
 use cluster_model::scenario::NetworkSpec;
 use config_language::{load, loader::Memory};
 use resp::Frame;
-use runtime::{Listener, Real};
+use runtime::{Listener, SystemEnv};
 use serde_json::json;
 use simulated_runtime::{Place, Sim, SimConfig, SimEnv};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -46,8 +46,8 @@
     let (inputs, inbox) = mpsc::unbounded_channel();
     let (news, binding) = mpsc::unbounded_channel();
     let (phase, _) = watch::channel(Phase::Starting);
-    let gateway: Gateway<Real, Told> =
-        Gateway::new(Real::start(), &config, site.clone(), routing, &inputs, 16, phase);
+    let gateway: Gateway<SystemEnv, Told> =
+        Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
     assert_eq!(told.recv().await, Some("hosts"), "the list known before the start");
     // Far more than a batch lies there before the news does.
     let (answers, _answered) = mpsc::unbounded_channel();
@@ -120,19 +120,19 @@
         ["CALL.GET", "0000000000000001", "0000000000000007", "c=read,t=team,d=900,units=1,spread=1,first=0"];
     let words: Vec<Frame> =
         words.iter().map(|word| Frame::Bulk(Bytes::from_static(word.as_bytes()))).collect();
-    let unsent = "Moot, closed: true";
+    let unsent = "NotSent, closed: true";
     // Attempts before the client goes; `None`: it goes before the request is taken up.
     let cases: [(Option<u32>, &[&str]); 3] = [
         (None, &[]),
         (Some(0), &["request", "left", unsent]),
-        (Some(1), &["request", "Moot, closed: false", "left", unsent]),
+        (Some(1), &["request", "NotSent, closed: false", "left", unsent]),
     ];
     for (attempts, expected) in cases {
         let routing = Routing::new(site.clone(), &config.operators).unwrap();
         let (inputs, _inbox) = mpsc::unbounded_channel();
         let (phase, _) = watch::channel(Phase::Starting);
-        let mut gateway: Gateway<Real, SendsWhenTimed> =
-            Gateway::new(Real::start(), &config, site.clone(), routing, &inputs, 16, phase);
+        let mut gateway: Gateway<SystemEnv, SendsWhenTimed> =
+            Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
         NOTED.take();
         let (answers, answered) = mpsc::unbounded_channel();
         let (request, call) = call::parse(&site, id, &words).unwrap();
@@ -188,7 +188,7 @@
 /// A gateway that knows one host from before, whose module is frail, and its counter.
 struct FrailRoom {
     sim: Sim,
-    site: Arc<Site>,
+    site: Arc<PlatformSettings>,
     gateway: Gateway<SimEnv, Frail>,
     inbox: UnboundedReceiver<Input>,
     /// Calls that have come to the counter. Each gets this number for an answer, 10 ms later.
--- a/crates/quota/src/compact_state.rs
+++ b/crates/quota/src/compact_state.rs
@@ -2,7 +2,7 @@
 //! bytes in place of six hundred. It is nothing but a smaller form: whoever asks again goes on where it was, but that
 //! it is not known any more which gateways it came through.
 
-use crate::idempotent_adder::{CompactAdder, IdempotentAdder};
+use crate::idempotent_add::{CompactAdder, IdempotentAdder};
 use crate::token_bucket::{BucketConfig, CompactBucket, TokenBucket};
 use crate::windowed_limiter::{CompactLimiter, WindowedLimiter};
 
@@ -38,10 +38,10 @@
         ration: Option<&WindowedLimiter>,
     ) -> Option<CompactState> {
         let kind = match ration {
-            Some(ration) => Kind::Rationed(ration.rest()?),
+            Some(ration) => Kind::Rationed(ration.compact()?),
             None => Kind::Leased(store.rest()?),
         };
-        Some(CompactState { adder: adder.rest()?, kind })
+        Some(CompactState { adder: adder.compact()?, kind })
     }
 
     /// Whether it is one of a customer that is rationed.
@@ -58,7 +58,7 @@
     /// one has nothing in its store.
     pub fn restore(&self, fresh: QuotaState) -> QuotaState {
         let config: BucketConfig = *fresh.bucket.config();
-        let adder = fresh.adder.woken(self.adder);
+        let adder = fresh.adder.restored(self.adder);
         match self.kind {
             Kind::Leased(rest) => {
                 QuotaState { bucket: TokenBucket::woken(rest, config), adder, limiter: None }
@@ -66,7 +66,7 @@
             Kind::Rationed(rest) => QuotaState {
                 bucket: fresh.bucket,
                 adder,
-                limiter: fresh.limiter.map(|limiter| limiter.woken(rest)),
+                limiter: fresh.limiter.map(|limiter| limiter.restored(rest)),
             },
         }
     }
