--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -64,7 +64,7 @@
         Policy::counter_report(self, now)
     }
     fn forget_lent(&mut self) {
-        Policy::forget_lent(self);
+        Policy::clear_local_grants(self);
     }
 }
 
