--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -1,512 +1,392 @@
-//! One customer's quota as one gateway can know it: how much of it is left for this gateway's side. The totals of
-//! the counter tell, while they come; in between and without them the store fills by the side's part of the rate.
+//! The token bucket of one customer's quota, as far as one gateway can know it: how much of the quota is available to
+//! this gateway's partition. The totals of the counter show it while they come; between them and without them the
+//! bucket fills with the partition's fraction of the rate.
 //!
-//! Nothing here decides on a request. The decision module asks what is left, how far below nothing it may go,
-//! and says what was leased and spent.
+//! No request is decided here. The decision module asks what is available and spendable, and reports what was leased
+//! and spent.
+
+mod compact;
+mod config;
+mod totals;
 
 use crate::bound::{OVERDRAFT_BURST_FRACTION, PARTITION_RATE_MARGIN, SAVED_BURST_FRACTION};
 use crate::counter_health::CounterHealth;
-use crate::idempotent_add::AddOutcome;
-use crate::idempotent_add::{MarkScheme, MemberCounters};
-use crate::partition_view::{CounterReachability, GatewaySet, PartitionView};
-use crate::time::{seconds_between, Span, Time, MILLISECOND};
+use crate::idempotent_add::MemberCounters;
+use crate::membership::{CounterReachability, FractionPolicy, PartitionView, QuietMembers, ViewUpdate};
+use crate::time::{seconds_between, Span, Time};
 use libm::exp;
 
-/// Seconds that what a customer asks for looks back.
-const ASKED_SPAN: f64 = 8.0;
-/// Who asks for so many times its rate gets no credit.
-const GREEDY: f64 = 1.15;
-/// A customer with whom the counter has been whole for this long is known.
-const KNOWN: Span = 10_000_000_000;
-/// Who was greedy gets no credit for so long after.
-const REFORMS: Span = 60_000_000_000;
-/// Seconds of the rate that others may take beyond their usual use before it counts as taken just now.
-const SUDDEN: f64 = 1.0;
-
-/// Whose store it is, and of what kind.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BucketConfig {
-    /// Units a second.
-    pub rate: f64,
-    /// Units that it holds.
-    pub burst: f64,
-    /// It is a hard ceiling: nothing is lent, and parts are even.
-    pub is_ceiling: bool,
-    /// There is no counter: each gateway holds its even part.
-    pub has_no_counter: bool,
-    /// The gateways that the customer comes through.
-    pub gateway_set: GatewaySet,
-}
-
-/// An epoch of a customer's number on the counter: with each one begins a new number.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CounterEpoch {
-    /// The epoch's number, counted from time zero.
-    pub number: u64,
-    /// The moment at which the epoch began.
-    pub start: Time,
-}
-
-/// The latest total.
+pub(crate) use compact::CompactBucket;
+pub use config::{BucketConfig, CounterEpoch};
+
+/// Time constant of the average of what a customer asks for, in seconds.
+const DEMAND_AVERAGING_S: f64 = 8.0;
+/// A customer that asks for more than this multiple of its rate is over its limit.
+const OVER_LIMIT_RATIO: f64 = 1.15;
+/// A customer gets credit once its credit history is this long, in nanoseconds.
+const MIN_CREDIT_HISTORY: Span = 10_000_000_000;
+/// A customer gets no credit for so long after it was over its limit, in nanoseconds.
+const NO_CREDIT_FOR: Span = 60_000_000_000;
+/// Lowest age of a customer by which its demand is averaged, in seconds.
+const MIN_DEMAND_AGE_S: f64 = 1.0;
+/// Lowest fraction that is divided by.
+const MIN_DIVISOR: f64 = 1e-3;
+/// Units by which a full bucket may fall short through rounding.
+const ROUNDING_UNITS: f64 = 1e-6;
+
+/// The latest total of the customer's number.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct LatestTotal {
     epoch: u64,
-    whole: f64,
-    digits: Option<MemberCounters>,
+    units: f64,
+    member_counters: Option<MemberCounters>,
     at: Time,
 }
 
-/// What there was when the counter fell silent, and when.
+/// The bucket at the beginning of a counter outage.
 #[derive(Clone, Copy, Debug)]
-struct Dark {
-    /// Also what found no room: the next total may tell that others had taken it.
-    filled: f64,
-    part: f64,
-    at: Time,
-    spent: f64,
-    /// It was only just back, so that the store was this gateway's own part before.
-    own: bool,
+struct Outage {
+    /// The level with what did not fit into the bucket: the next total may show that others had taken it.
+    refilled_level: f64,
+    fraction: f64,
+    /// The moment for which `refilled_level` holds.
+    refilled_at: Time,
+    /// Units granted without the counter since.
+    granted_units: f64,
+    /// Whether the counter had only just recovered, so that the level was this gateway's own fraction before.
+    is_own_fraction: bool,
 }
 
-/// A customer's store, in units.
+/// The token bucket of one customer, in units.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBucket {
-    terms: BucketConfig,
-    /// Leased here and not yet spent; below zero: let in before the counter was told.
-    held: f64,
-    /// What this side may still take; below zero: ahead of the refill.
+    config: BucketConfig,
+    /// Units leased here and not spent yet; negative for units admitted before the counter counted them.
+    unspent_lease: f64,
+    /// Units that this partition may still take; negative when ahead of the refill.
     level: f64,
-    at: Time,
-    side: PartitionView,
-    /// The level at the latest total, and what was filled since.
-    base: f64,
-    gained: f64,
-    /// The level as it would be if nobody were apart, at the latest total.
-    whole: f64,
-    whole_at: Time,
-    was_whole: bool,
-    seen: Option<Seen>,
-    /// The counter does not answer.
-    dark: Option<Dark>,
-    /// Others are heard again: what they took apart from us was their own part.
-    rejoined: bool,
-    /// The counter is just back, and others may still lend their parts.
-    is_just_back: bool,
-    /// Units below nothing to which the level went since the counter was whole.
-    deepest: f64,
-    /// Units asked for here, fading.
-    asked: f64,
-    born: Time,
-    greedy: bool,
-    /// Up to when it gets no credit, since it was greedy.
-    wary_until: Time,
-    known: Option<Time>,
-}
-
-/// All that a store at rest has to remember: see [`Store::rest`].
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct CompactBucket {
-    at: Time,
-    /// Milliseconds since it was met, as far as they can be counted.
-    age_ms: u32,
-    held: f32,
-    /// Of the whole quota, also where this side has a part only since there is no counter.
-    level: f32,
-    whole: f32,
-    asked: f32,
-    seen_whole: f32,
-    seen_epoch: u32,
-    digits: MemberCounters,
-    has_digits: bool,
-    is_seen: bool,
-    is_known: bool,
-    greedy: bool,
-    /// Milliseconds for which it gets no credit yet.
-    wary_ms: u16,
+    refilled_at: Time,
+    view: PartitionView,
+    /// The level at the latest total.
+    base_level: f64,
+    /// Units that were refilled since the latest total.
+    refilled_units: f64,
+    /// The level of a complete view, at `complete_level_at`.
+    complete_level: f64,
+    complete_level_at: Time,
+    /// Whether the view was complete since the customer was met.
+    was_complete: bool,
+    latest_total: Option<LatestTotal>,
+    /// `None` while the counter answers.
+    outage: Option<Outage>,
+    /// Whether a partition has healed since the latest total: what the others took meanwhile was their own fraction.
+    has_rejoined: bool,
+    /// Whether the counter has only just recovered, so that other gateways may still grant units locally.
+    is_just_recovered: bool,
+    /// Units below zero to which the level went since the view was complete.
+    max_overdraft: f64,
+    /// Units asked for here, as a decaying sum.
+    requested_units: f64,
+    met_at: Time,
+    is_over_limit: bool,
+    no_credit_until: Time,
+    /// Since when the totals of a complete view have shown what the customer uses.
+    credit_history_since: Option<Time>,
 }
 
 impl TokenBucket {
-    /// A full one, met now.
-    pub fn new(now: Time, terms: BucketConfig) -> TokenBucket {
-        let terms = BucketConfig { gateway_set: terms.gateway_set.normalized(), ..terms };
+    /// Returns the full bucket of a customer that is met now.
+    pub fn new(now: Time, config: BucketConfig) -> TokenBucket {
+        let config = BucketConfig { gateway_set: config.gateway_set.normalized(), ..config };
         TokenBucket {
-            level: terms.burst,
-            at: now,
-            side: PartitionView::new(now, terms.gateway_set, terms.rate),
-            base: terms.burst,
-            whole: terms.burst,
-            whole_at: now,
-            born: now,
-            terms,
+            level: config.burst,
+            refilled_at: now,
+            view: PartitionView::new(now, config.gateway_set, config.rate),
+            base_level: config.burst,
+            complete_level: config.burst,
+            complete_level_at: now,
+            met_at: now,
+            config,
             ..TokenBucket::default()
         }
     }
 
-    /// What there is to remember of one that is in no doubt: not in the dark, and nobody apart. Of
-    /// who came through which gateway nothing is kept, as of a customer that is met anew: in the dark that means a
-    /// smaller part. `None`: there is more to it.
-    pub(crate) fn rest(&self) -> Option<CompactBucket> {
-        let BucketConfig { is_ceiling: strict, has_no_counter: alone, .. } = self.terms;
-        let is_whole = self.side.is_complete() || alone;
-        let is_dark = self.dark.is_some() && !alone;
-        if strict || !is_whole || is_dark || self.is_just_back {
-            return None;
-        }
-        let wary_ms = self.wary_until.saturating_sub(self.at).div_ceil(MILLISECOND);
-        let seen_epoch = u32::try_from(self.seen.map_or(0, |seen| seen.epoch)).ok()?;
-        let digits = self.seen.and_then(|seen| seen.digits);
-        Some(CompactBucket {
-            at: self.at,
-            age_ms: u32::try_from(self.at.saturating_sub(self.born) / MILLISECOND).unwrap_or(u32::MAX),
-            held: self.held as f32,
-            level: (self.level / self.side.burst_fraction().max(1e-3)) as f32,
-            whole: self.whole_now() as f32,
-            asked: self.asked as f32,
-            seen_whole: self.seen.map_or(0.0, |seen| seen.whole) as f32,
-            seen_epoch,
-            digits: digits.unwrap_or_default(),
-            has_digits: digits.is_some(),
-            is_seen: self.seen.is_some(),
-            is_known: self.known.is_some(),
-            greedy: self.greedy,
-            wary_ms: u16::try_from(wary_ms).ok()?,
-        })
-    }
-
-    /// One with these terms, and with what another had to remember when it came to rest. It has yet to fill since
-    /// then, and to find its part.
-    pub(crate) fn woken(rest: CompactBucket, terms: BucketConfig) -> TokenBucket {
-        let CompactBucket { at, seen_epoch, digits, .. } = rest;
-        let born = at.saturating_sub(u64::from(rest.age_ms) * MILLISECOND);
-        let new = TokenBucket::new(at, terms);
-        let (level, whole) = (f64::from(rest.level), f64::from(rest.whole));
-        let digits = rest.has_digits.then_some(digits);
-        let seen = Seen { epoch: seen_epoch.into(), whole: rest.seen_whole.into(), digits, at };
-        TokenBucket {
-            held: rest.held.into(),
-            level: level.min(new.terms.burst),
-            base: level.min(new.terms.burst),
-            whole: whole.min(new.terms.burst),
-            whole_at: at,
-            was_whole: !terms.has_no_counter,
-            seen: rest.is_seen.then_some(seen),
-            asked: rest.asked.into(),
-            greedy: rest.greedy,
-            wary_until: at + u64::from(rest.wary_ms) * MILLISECOND,
-            known: rest.is_known.then_some(born),
-            born,
-            ..new
-        }
-    }
-
-    /// Whose it is.
+    /// Returns the configuration of the bucket.
     pub fn config(&self) -> &BucketConfig {
-        &self.terms
+        &self.config
     }
 
-    /// Units leased here and not yet spent; below zero: let in before the counter was told.
+    /// Returns the units leased here and not spent yet; negative for units admitted before the counter counted them.
     pub fn unspent_lease(&self) -> f64 {
-        self.held
+        self.unspent_lease
     }
 
-    /// Whether the counter does not answer for this customer.
+    /// Returns whether the counter does not answer for this customer.
     pub fn is_counter_unreachable(&self) -> bool {
-        self.dark.is_some()
+        self.outage.is_some()
     }
 
-    /// This side's part of the quota, 0 to 1.
+    /// Returns the fraction of the quota that this partition holds, from 0 to 1.
     pub fn fraction(&self) -> f64 {
-        self.side.fraction()
+        self.view.fraction()
+    }
+
+    /// Returns the moment of the latest total; zero before the first.
+    pub fn last_total_at(&self) -> Time {
+        self.latest_total.map_or(0, |total| total.at)
+    }
+
+    /// Returns the units available to lease or to grant locally, with the overdraft.
+    pub fn available(&self) -> f64 {
+        self.level + self.overdraft_limit()
     }
 
-    /// The quota is another from now on. What is left stays, as far as the store holds it.
-    pub fn set_quota(&mut self, now: Time, contact: &CounterHealth, rate: f64, burst: f64) {
-        self.refill(now, contact);
-        self.whole = self.whole_now();
-        self.whole_at = now;
-        if let Some(dark) = &mut self.dark {
-            dark.filled += self.terms.rate * dark.part * seconds_between(dark.at, now);
-            dark.at = now;
+    /// Returns the units that may be spent now: leased ones, less those by which the bucket is ahead of its refill.
+    pub fn spendable(&self) -> f64 {
+        match self.outage {
+            Some(_) => self.unspent_lease.max(0.0) + self.available(),
+            None => self.unspent_lease + self.available().min(0.0),
         }
-        self.terms = BucketConfig { rate, burst, ..self.terms };
     }
 
-    /// Lets the store fill, and finds the part that it fills with.
-    pub fn refill(&mut self, now: Time, contact: &CounterHealth) {
-        let span = seconds_between(self.at, now);
-        self.at = now;
-        self.asked *= exp(-span / ASKED_SPAN);
-        let gain = self.terms.rate * span * self.side.fraction() * self.ample();
-        self.gained += gain;
-        self.level = (self.level + gain).min(self.room());
-        if self.side.is_complete() && !self.is_counter_unreachable() {
-            self.deepest = 0.0;
+    /// Returns whether the bucket will be full at this moment if no units are taken. An even fraction counts at the
+    /// least, since a customer that is met anew holds no more.
+    pub fn is_full_by(&self, moment: Time) -> bool {
+        let even = 1.0 / f64::from(self.config.gateway_set.set_size);
+        let fraction = self.view.fraction().max(even);
+        let refill = self.config.rate * fraction * seconds_between(self.refilled_at, moment);
+        let full_level = self.config.burst * fraction - self.unspent_lease.max(0.0);
+        self.level + refill >= full_level - ROUNDING_UNITS
+    }
+
+    /// Changes the rate, in units per second, and the burst, in units, from now on. The available units stay, as far as
+    /// the bucket holds them.
+    pub fn set_quota(&mut self, now: Time, health: &CounterHealth, rate: f64, burst: f64) {
+        self.refill(now, health);
+        self.complete_level = self.complete_level_now();
+        self.complete_level_at = now;
+        if let Some(outage) = &mut self.outage {
+            outage.refilled_level += outage.refill_until(now, self.config.rate);
+            outage.refilled_at = now;
         }
-        let light = self.light(now, contact);
-        self.is_just_back = light == CounterReachability::Recovering;
-        let strict = self.terms.is_ceiling;
-        if let Some(before) = self.side.update(now, contact.failure_detector(), light, strict, self.greedy) {
-            self.turn(before);
+        self.config.rate = rate;
+        self.config.burst = burst;
+    }
+
+    /// Refills the bucket up to this moment, and updates the fraction by which it is refilled from then on.
+    pub fn refill(&mut self, now: Time, health: &CounterHealth) {
+        let elapsed_s = seconds_between(self.refilled_at, now);
+        self.refilled_at = now;
+        self.requested_units *= exp(-elapsed_s / DEMAND_AVERAGING_S);
+        let refill = self.config.rate * elapsed_s * self.view.fraction() * self.refill_margin();
+        self.refilled_units += refill;
+        self.level = (self.level + refill).min(self.capacity());
+        if self.view.is_complete() && !self.is_counter_unreachable() {
+            self.max_overdraft = 0.0;
         }
+        self.update_view(now, health);
     }
 
-    fn light(&self, now: Time, contact: &CounterHealth) -> CounterReachability {
-        match self.dark {
-            _ if self.terms.has_no_counter => CounterReachability::NoCounter,
-            Some(_) => CounterReachability::Unreachable,
-            None if contact.is_just_recovered(now) => CounterReachability::Recovering,
-            None => CounterReachability::Reachable,
+    fn update_view(&mut self, now: Time, health: &CounterHealth) {
+        let reachability = self.reachability(now, health);
+        self.is_just_recovered = reachability == CounterReachability::Recovering;
+        let update = ViewUpdate {
+            now,
+            detector: health.failure_detector(),
+            reachability,
+            fraction_policy: self.config.fraction_policy(),
+            quiet_members: if self.is_over_limit { QuietMembers::Partitioned } else { QuietMembers::Alive },
+        };
+        if let Some(previous_fraction) = self.view.update(&update) {
+            self.apply_fraction(previous_fraction);
         }
     }
 
-    /// What is leased here and unspent is still in the customer's store.
-    fn room(&self) -> f64 {
-        let lacking =
-            if self.is_trusted() { SAVED_BURST_FRACTION * (1.0 - self.side.fraction()) } else { 0.0 };
-        self.terms.burst * (self.side.burst_fraction() + lacking) - self.held.max(0.0)
+    fn reachability(&self, now: Time, health: &CounterHealth) -> CounterReachability {
+        if self.config.has_no_counter {
+            CounterReachability::NoCounter
+        } else if self.is_counter_unreachable() {
+            CounterReachability::Unreachable
+        } else if health.is_just_recovered(now) {
+            CounterReachability::Recovering
+        } else {
+            CounterReachability::Reachable
+        }
+    }
+
+    /// Returns the level of the full bucket. Units that are leased and not spent are still the customer's.
+    fn capacity(&self) -> f64 {
+        let saved_fraction =
+            if self.has_credit() { SAVED_BURST_FRACTION * (1.0 - self.view.fraction()) } else { 0.0 };
+        self.config.burst * (self.view.burst_fraction() + saved_fraction) - self.unspent_lease.max(0.0)
     }
 
-    /// This side is smaller or larger from now on: it has its part of what there is.
-    fn turn(&mut self, before: f64) {
-        let part = self.side.fraction();
-        // Filled, and found no room: others may have taken it before.
-        let mut unseen = 0.0;
-        if part < before {
-            unseen = (self.base + self.gained - self.level).max(0.0);
-            self.level *= if self.level > 0.0 { self.side.burst_fraction() / before } else { 1.0 };
-            self.known = self.known.filter(|since| self.at >= since + KNOWN);
+    /// Adapts the level to the view's fraction after the members of the partition have changed.
+    fn apply_fraction(&mut self, previous_fraction: f64) {
+        let fraction = self.view.fraction();
+        let mut overflowed_units = 0.0;
+        if fraction < previous_fraction {
+            // What was refilled and did not fit may have been taken by others before.
+            overflowed_units = (self.base_level + self.refilled_units - self.level).max(0.0);
+            self.shrink(previous_fraction);
+        } else if fraction > previous_fraction {
+            self.grow(previous_fraction);
         }
-        if part > before {
-            // The others' parts are taken to be as full as ours. What they took apart from a known customer
-            // was their own; of others it counts, as far as it shows.
-            self.rejoined = self.is_trusted();
-            let times = if self.greedy { 1.0 } else { part / before.max(1e-3) };
-            let level = (self.level.max(0.0) * times).min(self.room());
-            self.level = match (self.rejoined, self.was_whole) {
-                (true, _) => level,
-                (false, true) => level.min(self.whole_now()),
-                // A gateway that has just started and now hears the others: nobody was apart.
-                (false, false) => self.whole_now(),
-            };
+        self.was_complete |= self.view.is_complete();
+        self.base_level = self.level + overflowed_units;
+        self.refilled_units = 0.0;
+    }
+
+    /// Leaves this partition its fraction of the level.
+    fn shrink(&mut self, previous_fraction: f64) {
+        if self.level > 0.0 {
+            self.level *= self.view.burst_fraction() / previous_fraction;
         }
-        self.was_whole |= self.side.is_complete();
-        self.base = self.level + unseen;
-        self.gained = 0.0;
+        self.credit_history_since =
+            self.credit_history_since.filter(|since| self.refilled_at >= since + MIN_CREDIT_HISTORY);
     }
 
-    /// Whether it will have filled by then, if nothing is taken from it, by an even part at the least: one that is new
-    /// holds no more.
-    pub fn is_full_by(&self, then: Time) -> bool {
-        let BucketConfig { rate, burst, gateway_set: set, .. } = self.terms;
-        let part = self.side.fraction().max(1.0 / f64::from(set.set_size));
-        self.level + rate * part * seconds_between(self.at, then) >= burst * part - self.held.max(0.0) - 1e-6
+    /// Joins this partition's level with that of the members that have come back, which is taken to be as full. What
+    /// they took meanwhile from a customer with credit was their own fraction; that of other customers counts, as far as
+    /// the totals show it.
+    fn grow(&mut self, previous_fraction: f64) {
+        self.has_rejoined = self.has_credit();
+        let growth =
+            if self.is_over_limit { 1.0 } else { self.view.fraction() / previous_fraction.max(MIN_DIVISOR) };
+        let joined_level = (self.level.max(0.0) * growth).min(self.capacity());
+        self.level = if self.has_rejoined {
+            joined_level
+        } else if self.was_complete {
+            joined_level.min(self.complete_level_now())
+        } else {
+            // A gateway that has just started, and now sees the others' heartbeats: there was no partition.
+            self.complete_level_now()
+        };
     }
 
-    fn whole_now(&self) -> f64 {
-        let filled = self.whole + self.terms.rate * seconds_between(self.whole_at, self.at);
-        filled.min(self.terms.burst - self.held.max(0.0))
+    /// Returns the level of a complete view at the latest refill.
+    fn complete_level_now(&self) -> f64 {
+        let elapsed_s = seconds_between(self.complete_level_at, self.refilled_at);
+        let refilled_level = self.complete_level + self.config.rate * elapsed_s;
+        refilled_level.min(self.config.burst - self.unspent_lease.max(0.0))
     }
 
-    /// Known to stay within its quota: it may be lent something while its part falls short of its traffic.
-    fn is_trusted(&self) -> bool {
-        let known = self.known.is_some_and(|since| self.at >= since + KNOWN);
-        known && self.at >= self.wary_until && !self.terms.is_ceiling && !self.terms.has_no_counter
+    /// Returns whether the customer is known to keep within its quota, so that it gets credit while its partition's
+    /// fraction falls short of its traffic.
+    fn has_credit(&self) -> bool {
+        let has_history =
+            self.credit_history_since.is_some_and(|since| self.refilled_at >= since + MIN_CREDIT_HISTORY);
+        let may_have_credit = !self.config.is_ceiling && !self.config.has_no_counter;
+        has_history && self.refilled_at >= self.no_credit_until && may_have_credit
     }
 
-    /// Shares are never in all one to the last digit, and of a customer who keeps to its quota they may be more.
-    fn ample(&self) -> f64 {
-        if self.side.is_complete() || !self.is_trusted() {
+    /// Returns the factor of the refill. The fractions of all partitions never add up to exactly one, and those of a
+    /// customer with credit may add up to more.
+    fn refill_margin(&self) -> f64 {
+        if self.view.is_complete() || !self.has_credit() {
             1.0
         } else {
             1.0 + PARTITION_RATE_MARGIN
         }
     }
 
-    /// Units below nothing to which the level may go.
-    fn line(&self) -> f64 {
-        if self.side.is_complete() || !self.is_trusted() {
+    /// Returns the units below zero to which the level may go.
+    fn overdraft_limit(&self) -> f64 {
+        if self.view.is_complete() || !self.has_credit() {
             0.0
         } else {
-            OVERDRAFT_BURST_FRACTION * self.terms.burst
+            OVERDRAFT_BURST_FRACTION * self.config.burst
         }
     }
 
-    /// The customer asks for these units, whatever becomes of that.
+    /// Records that the customer asks for these units, whether or not they are granted.
     pub fn record_demand(&mut self, units: f64) {
-        self.asked += units;
-        let age = seconds_between(self.born, self.at).max(1.0);
-        let asked = self.asked / (ASKED_SPAN * (1.0 - exp(-age / ASKED_SPAN)));
-        let over = GREEDY * self.terms.rate;
-        // Apart from the others, what they saw last counts no more, and a verdict stays.
-        let all = asked + self.side.usage_by_others();
-        self.greedy = if self.side.is_complete() { all > over } else { self.greedy || asked > over };
-        if self.greedy {
-            self.wary_until = self.at + REFORMS;
+        self.requested_units += units;
+        let age_s = seconds_between(self.met_at, self.refilled_at).max(MIN_DEMAND_AGE_S);
+        let averaging_s = DEMAND_AVERAGING_S * (1.0 - exp(-age_s / DEMAND_AVERAGING_S));
+        let own_demand = self.requested_units / averaging_s;
+        let limit = OVER_LIMIT_RATIO * self.config.rate;
+        self.is_over_limit = if self.view.is_complete() {
+            own_demand + self.view.usage_by_others() > limit
+        } else {
+            // What was observed of the others counts no more in a partition, and a verdict stays.
+            self.is_over_limit || own_demand > limit
+        };
+        if self.is_over_limit {
+            self.no_credit_until = self.refilled_at + NO_CREDIT_FOR;
         }
     }
 
-    /// Units left to lease or to lend, with what may be lent ahead.
-    pub fn available(&self) -> f64 {
-        self.level + self.line()
-    }
-
-    /// Units that may be spent now: leased ones, less those the store has yet to fill.
-    pub fn spendable(&self) -> f64 {
-        match self.dark {
-            Some(_) => self.held.max(0.0) + self.available(),
-            None => self.held + self.available().min(0.0),
+    /// Spends units. Returns those that the counter has yet to count, as they were granted during an outage.
+    pub fn spend(&mut self, units: f64, health: &mut CounterHealth) -> f64 {
+        let granted_units = self.take_units(units);
+        if self.is_counter_unreachable() || !self.view.is_complete() {
+            let previous_overdraft = self.max_overdraft;
+            self.max_overdraft = previous_overdraft.max(-self.level);
+            health.record_local_grant(units, previous_overdraft, self.max_overdraft);
         }
+        granted_units
     }
 
-    /// Units are spent. Gives those that the counter has to be told of: what was lent in the dark.
-    pub fn spend(&mut self, units: f64, contact: &mut CounterHealth) -> f64 {
-        let mut lent = 0.0;
-        match &mut self.dark {
-            None => self.held -= units,
-            Some(dark) => {
-                let leased = self.held.clamp(0.0, units);
-                lent = units - leased;
-                self.held -= leased;
-                self.level -= lent;
-                dark.spent += lent;
-            }
-        }
-        if self.is_counter_unreachable() || !self.side.is_complete() {
-            let before = self.deepest;
-            self.deepest = before.max(-self.level);
-            contact.record_local_grant(units, before, self.deepest);
-        }
-        lent
+    /// Takes units out of the lease, and during an outage the rest out of the level. Returns that rest.
+    fn take_units(&mut self, units: f64) -> f64 {
+        let Some(outage) = &mut self.outage else {
+            self.unspent_lease -= units;
+            return 0.0;
+        };
+        let leased_units = self.unspent_lease.clamp(0.0, units);
+        let granted_units = units - leased_units;
+        self.unspent_lease -= leased_units;
+        self.level -= granted_units;
+        outage.granted_units += granted_units;
+        granted_units
     }
 
-    /// Units were not spent after all, or more of them were (below zero). Gives those of which the counter need
-    /// not be told any more.
+    /// Refunds units that were not spent after all; a negative number takes more. Returns the units that the counter
+    /// need no longer count.
     pub fn refund(&mut self, units: f64) -> f64 {
-        let Some(dark) = &mut self.dark else {
-            self.held += units;
+        let Some(outage) = &mut self.outage else {
+            self.unspent_lease += units;
             return 0.0;
         };
         self.level += units;
-        dark.spent -= units;
+        outage.granted_units -= units;
         units
     }
 
-    /// The counter is away.
-    pub fn set_counter_unreachable(&mut self, now: Time, contact: &CounterHealth) {
-        self.refill(now, contact);
-        if self.dark.is_none() {
-            let own = self.is_just_back;
-            let filled = if own { self.level } else { self.base + self.gained };
-            self.dark = Some(Dark { filled, part: self.side.fraction(), at: now, spent: 0.0, own });
-            self.refill(now, contact);
+    /// Begins an outage, unless there is one already: units are granted locally until the next total.
+    pub fn set_counter_unreachable(&mut self, now: Time, health: &CounterHealth) {
+        self.refill(now, health);
+        if self.is_counter_unreachable() {
+            return;
         }
+        let is_own_fraction = self.is_just_recovered;
+        let refilled_level = if is_own_fraction { self.level } else { self.base_level + self.refilled_units };
+        let fraction = self.view.fraction();
+        self.outage =
+            Some(Outage { refilled_level, fraction, refilled_at: now, granted_units: 0.0, is_own_fraction });
+        self.refill(now, health);
     }
 
-    /// The counter answers a rationed customer.
+    /// Ends an outage without a total, since the counter answers a customer that is admitted by windows.
     pub fn set_counter_reachable(&mut self) {
-        self.dark = None;
-    }
-
-    /// When the latest total came.
-    pub fn last_total_at(&self) -> Time {
-        self.seen.map_or(0, |seen| seen.at)
-    }
-
-    /// Takes in a total of this epoch, which began then, and what it tells; `marks` are those of the number.
-    pub fn record_total(
-        &mut self,
-        now: Time,
-        contact: &CounterHealth,
-        epoch: CounterEpoch,
-        told: &AddOutcome,
-        marks: Option<MarkScheme>,
-    ) {
-        self.refill(now, contact);
-        self.held += told.confirmed_units;
-        let before = self.seen.filter(|seen| {
-            seen.epoch == epoch.number && told.forgotten_units == 0.0 && seen.whole <= told.total_units
-        });
-        let forgotten = self.seen.filter(|_| told.forgotten_units > 0.0).map_or(0.0, |seen| {
-            // What others took between the latest total and the beginning of this counter no total shows.
-            self.side.usage_by_others() * seconds_between(seen.at, contact.last_reset_at().unwrap_or(now))
-        });
-        let growth = told.total_units - before.map_or(0.0, |seen| seen.whole) + forgotten;
-        let others = (growth - told.confirmed_units).max(0.0);
-        let since_epoch = self.terms.burst + self.terms.rate * seconds_between(epoch.start, now);
-        let whole = self.seen.map_or(since_epoch, |_| self.whole_now()) - growth;
-        self.whole = whole.clamp(-self.terms.rate, self.terms.burst);
-        self.whole_at = now;
-        let left = self.after(now, told.confirmed_units, others, growth, since_epoch);
-        // What was sent beyond the quota took nothing from the store: no debt beyond a second's refill.
-        let least = -self.terms.rate - told.confirmed_units - self.line();
-        self.level = left.max(least).min(self.room());
-        self.base = self.level;
-        self.gained = 0.0;
-        self.rejoined = false;
-        let then = self.seen.and_then(|seen| seen.digits);
-        let moved =
-            marks.zip(then).zip(told.member_counters).map(|((marks, before), after)| (marks, before, after));
-        self.side.record_usage(now, contact.failure_detector(), told.confirmed_units, others, moved);
-        self.seen = Some(Seen {
-            epoch: epoch.number,
-            whole: told.total_units,
-            digits: told.member_counters,
-            at: now,
-        });
-        self.known = self.known.or(Some(now).filter(|_| self.side.is_complete()));
-    }
-
-    /// What a total leaves to this side.
-    fn after(&mut self, now: Time, landed: f64, others: f64, growth: f64, since_epoch: f64) -> f64 {
-        let left = match (self.dark.take(), self.seen) {
-            (Some(dark), seen) => {
-                let filled = dark.filled + self.terms.rate * dark.part * seconds_between(dark.at, now);
-                // Met in the dark: the number holds what was leased since the epoch began.
-                let filled = seen.map_or(filled.max(since_epoch), |_| filled);
-                let left = self.after_dark(dark, filled - if dark.own { landed } else { growth });
-                if !self.is_just_back {
-                    self.side.assume_complete(dark.part);
-                }
-                left
-            }
-            (None, Some(seen)) => self.after_quiet(seconds_between(seen.at, now), landed, others),
-            // Met for the first time: likewise.
-            (None, None) if self.terms.is_ceiling => {
-                (since_epoch - self.terms.burst) * self.side.fraction() - growth
-            }
-            (None, None) => (since_epoch - growth) * self.side.burst_fraction(),
-        };
-        // Whoever may still lend has its own part; what was leased since is gone all the same.
-        if self.is_just_back {
-            left.min(self.whole)
-        } else {
-            left
-        }
+        self.outage = None;
     }
+}
 
-    /// What is left so many seconds after the latest total. What others took beyond their usual use is set
-    /// against a store that has filled since, and not against what overflowed: a customer's spell that began at
-    /// another gateway goes on here.
-    fn after_quiet(&self, span: f64, landed: f64, others: f64) -> f64 {
-        let usual = self.side.usage_by_others() * span + SUDDEN * self.terms.rate;
-        let sudden = if self.rejoined { 0.0 } else { (others - usual).max(0.0) };
-        let taken = landed + if self.rejoined || self.is_just_back { 0.0 } else { others };
-        let filled = self.base + self.gained - taken + sudden;
-        let left = filled.min(self.terms.burst * self.side.fraction()) - sudden;
-        // What overflowed others may have taken before: of a ceiling it is not there for what is leased here now.
-        if self.terms.is_ceiling {
-            left.min(self.level - landed)
+impl BucketConfig {
+    fn fraction_policy(&self) -> FractionPolicy {
+        if self.is_ceiling {
+            FractionPolicy::Even
         } else {
-            left
+            FractionPolicy::Learned
         }
     }
+}
 
-    /// The counter answers again, and leaves so much by its total. Nobody knows what the others lent:
-    /// not more is left than was then, and than our own part has left; of a known customer the others' parts
-    /// are taken to have as much.
-    fn after_dark(&self, dark: Dark, left: f64) -> f64 {
-        let own = self.level.max(0.0);
-        let whole = if self.is_trusted() { own * dark.part / self.side.fraction().max(1e-3) } else { own };
-        (left - dark.spent).min(whole)
+impl Outage {
+    /// Returns the units refilled up to this moment at this rate, in units per second.
+    fn refill_until(&self, now: Time, rate: f64) -> f64 {
+        rate * self.fraction * seconds_between(self.refilled_at, now)
     }
 }
