--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,11 +1,77 @@
-//! Quotas under doubt: what a gateway can know of the shared counter while that fails, and how far a quota may
-//! be overrun meanwhile. No I/O and no clock; the decision module asks.
-//!
-//! The counter does one thing: it adds to a named number and gives the total. Everything here rests on that.
-//! [`MarkScheme`] lets a total tell which gateways have added to it, so that a call without an answer is settled by
-//! proof; [`FailureDetector`] keeps who has been heard through the counter, so that a split is noticed; `TrafficFractions`
-//! remembers whose part of a customer's traffic came through whom, for the time in which nobody can ask; and
-//! [`bound`] states in advance what that may cost.
+//! Distributed rate limiting while the shared counter fails: what one gateway can know of a customer's quota, and a bound
+//! on the overshoot.
+//!
+//! # Purpose
+//!
+//! A customer's quota (a rate and a burst, in units) holds over all gateways together. They share it through a counter
+//! service that does one thing: it adds an amount to a named number and returns the total. A gateway *leases* units ahead
+//! of the requests that spend them by adding them to the customer's number. This crate keeps the quota in force while
+//! calls to the counter get no answer, while a partition separates some gateways from others, and after a reset in which
+//! the counter has lost its numbers.
+//!
+//! # Contract
+//!
+//! - No I/O, no clock and no randomness: the caller makes the calls, and passes the time and random numbers.
+//! - An add without an answer is settled by proof, and never counted twice.
+//! - Without the counter a gateway grants units locally from its fraction of the quota. The counter learns of them once
+//!   it answers again.
+//! - The overshoot of all gateways together keeps within [`bound::max_overshoot`], which is stated in advance.
+//! - The state of one customer is small, and smaller still in its [`CompactState`].
+//!
+//! # Example
+//!
+//! ```
+//! use quota::{BucketConfig, CounterEpoch, CounterHealth, GatewaySet, IdempotentAdder, TokenBucket};
+//!
+//! const SECOND: u64 = 1_000_000_000;
+//! let gateway_set = GatewaySet { first_gateway: 0, set_size: 1, gateway_index: 0, gateways: 1 };
+//! let config = BucketConfig { rate: 10.0, burst: 20.0, gateway_set, ..BucketConfig::default() };
+//! let epoch = CounterEpoch { number: 0, start: 0 };
+//! let mut health = CounterHealth::new(0, 1);
+//! let mut bucket = TokenBucket::new(0, config);
+//! let mut adder = IdempotentAdder::new(0, 1, 620.0, epoch.number);
+//!
+//! // Lease five units: the caller adds the amount to the customer's number, and the counter returns the total.
+//! let amount = adder.start_call(epoch.number, 5.0, false);
+//! let total = 0.0 + amount;
+//! health.record_answer(SECOND);
+//! let outcome = adder.complete_call(epoch.number, total, false);
+//! bucket.record_total(SECOND, &health, epoch, &outcome, adder.mark_scheme());
+//! assert_eq!(bucket.spendable(), 5.0);
+//! bucket.spend(3.0, &mut health);
+//!
+//! // The counter becomes unreachable: the gateway grants units locally, and the counter has yet to count them.
+//! bucket.set_counter_unreachable(2 * SECOND, &health);
+//! let to_reconcile = bucket.spend(4.0, &mut health);
+//! assert_eq!(to_reconcile, 2.0);
+//! ```
+//!
+//! # The way of a lease
+//!
+//! 1. The caller refills the customer's [`TokenBucket`] (`token_bucket.rs`), which finds by [`CounterHealth`]
+//!    (`counter_health.rs`) whether the counter can be asked, and by heartbeats (`membership/failure_detector.rs`) which
+//!    gateways of the customer's set share it (`membership/partition_view.rs`).
+//! 2. If too few units are spendable, the caller starts a call with the [`IdempotentAdder`]
+//!    (`idempotent_add/adder.rs`), whose amount carries a contribution mark (`idempotent_add/contribution_marks.rs`).
+//! 3. The answer is a total: the adder finds what was confirmed and whether the counter was reset, and the bucket what is
+//!    left for this gateway (`token_bucket/totals.rs`). The marks show through which gateways the customer comes
+//!    (`membership/traffic_fractions.rs`).
+//! 4. The request spends units of the lease.
+//!
+//! A customer whose burst is too small for leases is admitted by windows instead (`windowed_limiter.rs`). A customer that
+//! comes seldom is kept in its compact state (`compact_state.rs`).
+//!
+//! # The way of a counter outage
+//!
+//! 1. Calls get no answer: an add may be in doubt (`idempotent_add/adder.rs`). After three failures in a row
+//!    [`CounterHealth`] takes the counter to be unreachable, and retries it with a backoff.
+//! 2. The bucket keeps this gateway's learned fraction of the quota, and grants units locally. [`CounterReport`]
+//!    (`counter_health/report.rs`) shows operators how many.
+//! 3. The counter answers again: calls keep to a budget (`counter_health/call_budget.rs`), the first total settles the
+//!    doubt, and [`Reconciliation`] (`reconciliation.rs`) adds the units that were granted locally.
+//! 4. A reset shows in the total of a customer or of the heartbeats. The units that it forgot are reconciled likewise.
+//!
+//! `bound.rs` states what all of this may cost.
 
 pub mod bound;
 mod compact_state;
