--- a/crates/quota/src/bound.rs
+++ b/crates/quota/src/bound.rs
@@ -39,7 +39,7 @@
 pub const PARTITION_RATE_MARGIN: f64 = 0.03;
 /// Seconds of the rate of which a reset of the counter may hide the use.
 pub const FORGOTTEN_LEASE_S: f64 = 1.5;
-/// A lease covers at most so many seconds of recent demand.
+/// Seconds of recent demand that a lease covers at most.
 pub const LEASE_HORIZON_S: f64 = 1.5;
 
 /// The quota of a customer for which the bound is stated.
--- a/crates/quota/src/compact_state.rs
+++ b/crates/quota/src/compact_state.rs
@@ -35,7 +35,7 @@
 }
 
 impl CompactState {
-    /// Returns the compact state of these parts; `None` if one of them is in doubt or in use. `limiter`: `None` for a
+    /// Returns the compact state of these parts of a quota; `None` if one of them is in doubt or in use. `limiter`: `None` for a
     /// customer that leases units.
     pub fn of(
         bucket: &TokenBucket,
--- a/crates/quota/src/counter_health.rs
+++ b/crates/quota/src/counter_health.rs
@@ -7,6 +7,7 @@
 use crate::membership::{FailureDetector, GatewaySet, HeartbeatCall, HEARTBEAT_INTERVAL};
 use crate::time::{Span, Time, MILLISECOND};
 use call_budget::CallBudget;
+pub(crate) use report::LocalGrant;
 pub use report::{CounterReport, CounterState, LocalGrants};
 
 #[cfg(test)]
@@ -19,9 +20,9 @@
 const UNREACHABLE_CALL_SPACING: Span = 10 * MILLISECOND;
 /// Consecutive calls without an answer, whoever made them, after which the counter counts as unreachable.
 const FAILURES_UNTIL_UNREACHABLE: u32 = 3;
-/// For so long after its recovery the counter is protected by the call budget, in nanoseconds.
+/// For this long after its recovery the counter is protected by the call budget, in nanoseconds.
 const RECOVERY_TIME: Span = 3_000 * MILLISECOND;
-/// For so long after the recovery other gateways may not have noticed it and still grant units locally, in nanoseconds.
+/// For this long after the recovery other gateways may not have noticed it and still grant units locally, in nanoseconds.
 const PEERS_NOTICE_RECOVERY_WITHIN: Span = RETRY_INTERVAL + 50 * MILLISECOND;
 /// Signs of a reset within this time are signs of the same reset, in nanoseconds.
 const SAME_RESET_WITHIN: Span = 1_000 * MILLISECOND;
@@ -68,7 +69,7 @@
     }
 
     /// Returns the detector of the gateways that reach the same counter.
-    pub fn failure_detector(&self) -> &FailureDetector {
+    pub(crate) fn failure_detector(&self) -> &FailureDetector {
         &self.failure_detector
     }
 
@@ -104,7 +105,7 @@
     }
 
     /// Returns whether the counter has recovered so lately that other gateways may still grant units locally.
-    pub fn is_just_recovered(&self, now: Time) -> bool {
+    pub(crate) fn is_just_recovered(&self, now: Time) -> bool {
         self.recovered_at.is_some_and(|recovered_at| now < recovered_at + PEERS_NOTICE_RECOVERY_WITHIN)
     }
 
@@ -169,13 +170,13 @@
     }
 
     /// Returns the moment at which the latest reset was noticed.
-    pub fn last_reset_at(&self) -> Option<Time> {
+    pub(crate) fn last_reset_at(&self) -> Option<Time> {
         self.last_reset_at
     }
 
-    /// Records units that were granted to a customer without the counter; see [`LocalGrants::record`].
-    pub fn record_local_grant(&mut self, units: f64, previous_overshoot: f64, overshoot: f64) {
-        self.local_grants.record(units, previous_overshoot, overshoot);
+    /// Records units that were granted to a customer without the counter.
+    pub(crate) fn record_local_grant(&mut self, grant: &LocalGrant) {
+        self.local_grants.record(grant);
     }
 
     /// Counts local grants from zero again.
--- a/crates/quota/src/counter_health/report.rs
+++ b/crates/quota/src/counter_health/report.rs
@@ -61,12 +61,21 @@
     pub max_customer_overshoot: f64,
 }
 
+/// Units granted to one customer without the counter.
+pub(crate) struct LocalGrant {
+    pub(crate) units: f64,
+    /// Units beyond this gateway's fraction of the customer's quota before the grant.
+    pub(crate) previous_overshoot: f64,
+    /// Units beyond this gateway's fraction of the customer's quota after the grant.
+    pub(crate) overshoot: f64,
+}
+
 impl LocalGrants {
-    /// Records units granted to one customer, whose overshoot grew from `previous_overshoot` to `overshoot` units.
-    pub fn record(&mut self, units: f64, previous_overshoot: f64, overshoot: f64) {
-        self.units += units;
-        self.overshoot_units += (overshoot - previous_overshoot).max(0.0);
-        self.max_customer_overshoot = self.max_customer_overshoot.max(overshoot);
+    /// Records a grant.
+    pub(super) fn record(&mut self, grant: &LocalGrant) {
+        self.units += grant.units;
+        self.overshoot_units += (grant.overshoot - grant.previous_overshoot).max(0.0);
+        self.max_customer_overshoot = self.max_customer_overshoot.max(grant.overshoot);
     }
 }
 
--- a/crates/quota/src/counter_health/tests.rs
+++ b/crates/quota/src/counter_health/tests.rs
@@ -92,11 +92,14 @@
 
 #[test]
 fn local_grants_add_up_until_they_are_cleared() {
+    let grant = |health: &mut CounterHealth, units, previous_overshoot, overshoot| {
+        health.record_local_grant(&LocalGrant { units, previous_overshoot, overshoot });
+    };
     let mut health = CounterHealth::new(0, 3);
-    health.record_local_grant(5.0, 0.0, 0.0);
-    health.record_local_grant(5.0, 0.0, 3.0);
-    health.record_local_grant(4.0, 3.0, 7.0);
-    health.record_local_grant(2.0, 0.0, 2.0);
+    grant(&mut health, 5.0, 0.0, 0.0);
+    grant(&mut health, 5.0, 0.0, 3.0);
+    grant(&mut health, 4.0, 3.0, 7.0);
+    grant(&mut health, 2.0, 0.0, 2.0);
     let grants = health.report(START).local_grants;
     assert_eq!((grants.units, grants.overshoot_units, grants.max_customer_overshoot), (16.0, 9.0, 7.0));
     health.clear_local_grants();
--- a/crates/quota/src/idempotent_add.rs
+++ b/crates/quota/src/idempotent_add.rs
@@ -5,5 +5,5 @@
 
 pub(crate) use adder::CompactAdder;
 pub use adder::{AddOutcome, IdempotentAdder};
-pub(crate) use contribution_marks::MAX_MEMBERS;
-pub use contribution_marks::{ContributionMark, MarkScheme, MarkedTotal, MemberCounters};
+pub use contribution_marks::MarkScheme;
+pub(crate) use contribution_marks::{MemberCounters, MAX_MEMBERS};
--- a/crates/quota/src/idempotent_add/adder.rs
+++ b/crates/quota/src/idempotent_add/adder.rs
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AddOutcome {
     /// Units that all members have added.
-    pub total_units: f64,
+    pub(crate) total_units: f64,
     /// Own units that are known to be added only now: those of this call, and of an earlier call that was in doubt.
     pub confirmed_units: f64,
     /// Counters of all members; `None` if the total shows none.
-    pub member_counters: Option<MemberCounters>,
+    pub(crate) member_counters: Option<MemberCounters>,
     /// Own units that the number held before and holds no more, because the counter was reset.
     pub forgotten_units: f64,
 }
@@ -109,22 +109,17 @@
     }
 
     /// Returns whether the next add, if it gets no answer, is settled by a later total.
-    pub fn can_prove_next_add(&self) -> bool {
+    pub(crate) fn can_prove_next_add(&self) -> bool {
         self.scheme.is_none() || self.own_counter.is_some()
     }
 
-    /// Returns the own units that are known to be added in this epoch.
-    pub fn added_units(&self) -> f64 {
-        self.added_units
-    }
-
     /// Returns the scheme of the number's marks; `None` if it has none.
     pub fn mark_scheme(&self) -> Option<MarkScheme> {
         self.scheme
     }
 
     /// Returns the units of the add that is in doubt.
-    pub fn in_doubt_units(&self) -> f64 {
+    pub(crate) fn in_doubt_units(&self) -> f64 {
         self.in_doubt.map_or(0.0, |add| add.units)
     }
 
--- a/crates/quota/src/idempotent_add/adder/tests.rs
+++ b/crates/quota/src/idempotent_add/adder/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Returns a total as the counter writes it: with seven significant counters.
+/// Returns a total as the counter writes it: with seven significant digits.
 fn as_written(total: f64) -> f64 {
     format!("{total:.6e}").parse().unwrap()
 }
@@ -34,7 +34,7 @@
     let second = adder.start_call(1, 5.0, false);
     let outcome = adder.complete_call(1, as_written(second), false);
     assert_eq!((outcome.confirmed_units, outcome.forgotten_units), (5.0, 40.0));
-    assert_eq!(adder.added_units(), 5.0);
+    assert_eq!(adder.added_units, 5.0);
 }
 
 #[test]
@@ -53,7 +53,7 @@
         adder.complete_call(1, as_written(reset_total), false)
     };
     assert_eq!((outcome.confirmed_units, outcome.forgotten_units), (5.0, 60.0));
-    assert_eq!(adder.added_units(), 5.0);
+    assert_eq!(adder.added_units, 5.0);
 }
 
 #[test]
@@ -232,7 +232,7 @@
                 CallFate::Answered => {
                     let outcome = adder.complete_call(1, as_written(total), false);
                     prop_assert_eq!(outcome.forgotten_units, 0.0);
-                    prop_assert_eq!(adder.added_units(), added_units[member as usize]);
+                    prop_assert_eq!(adder.added_units, added_units[member as usize]);
                     prop_assert_eq!(outcome.total_units, added_units.iter().sum::<f64>());
                 }
                 CallFate::AddedWithoutAnswer | CallFate::Lost => adder.fail_call(true),
--- a/crates/quota/src/idempotent_add/contribution_marks.rs
+++ b/crates/quota/src/idempotent_add/contribution_marks.rs
@@ -34,30 +34,30 @@
 
 /// The counters of all members, in the order of their member index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MemberCounters([u8; MAX_MEMBERS as usize]);
+pub(crate) struct MemberCounters([u8; MAX_MEMBERS as usize]);
 
 /// A total, split into units and marks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MarkedTotal {
+pub(crate) struct MarkedTotal {
     /// Units that all members have added.
-    pub units: f64,
+    pub(crate) units: f64,
     /// The members' counters; `None` if the decimals of the total are no marks.
-    pub counters: Option<MemberCounters>,
+    pub(crate) counters: Option<MemberCounters>,
 }
 
 /// The mark of one add.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ContributionMark {
+pub(crate) struct ContributionMark {
     /// The decimals that are added to the amount; negative where the member's counter goes back to zero.
-    pub fraction: f64,
+    pub(crate) fraction: f64,
     /// The member's counter after the add.
-    pub counter: u8,
+    pub(crate) counter: u8,
 }
 
 impl MarkScheme {
     /// Returns the scheme for this number of members and totals up to `max_total` units, with the largest base that
     /// fits; `None` if there is no room for the members' counters.
-    pub fn new(members: u32, max_total: f64) -> Option<MarkScheme> {
+    pub(crate) fn new(members: u32, max_total: f64) -> Option<MarkScheme> {
         if members == 0 || members > MAX_MEMBERS {
             return None;
         }
@@ -74,12 +74,12 @@
 
     /// Returns the scheme of a heartbeat number, which holds marks and no units: each step is a whole unit, and a
     /// member's counter has `base` values.
-    pub fn heartbeat(members: u32, base: u32) -> MarkScheme {
+    pub(crate) fn heartbeat(members: u32, base: u32) -> MarkScheme {
         MarkScheme { base, members: members.min(MAX_MEMBERS), scale: 1.0 }
     }
 
     /// Returns the number of values of a member's counter.
-    pub fn base(&self) -> u32 {
+    pub(crate) fn base(&self) -> u32 {
         self.base
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Returns the mark of a member's next add, given the present value of its counter.
-    pub fn next_mark(&self, member: u32, counter: u8) -> ContributionMark {
+    pub(crate) fn next_mark(&self, member: u32, counter: u8) -> ContributionMark {
         let highest = (self.base - 1) as u8;
         if counter >= highest {
             return ContributionMark { fraction: -f64::from(highest) * self.step(member), counter: 0 };
@@ -98,7 +98,7 @@
     }
 
     /// Splits a total into units and marks.
-    pub fn decode(&self, total: f64) -> MarkedTotal {
+    pub(crate) fn decode(&self, total: f64) -> MarkedTotal {
         let steps = (total * self.scale).round();
         if !(0.0..UNREADABLE_STEPS).contains(&steps) {
             return MarkedTotal { units: total, counters: None };
@@ -131,7 +131,12 @@
     }
 
     /// Returns how often a member has added between two totals; a full turn of its counter is not seen.
-    pub fn additions_between(&self, member: u32, before: MemberCounters, after: MemberCounters) -> u32 {
+    pub(crate) fn additions_between(
+        &self,
+        member: u32,
+        before: MemberCounters,
+        after: MemberCounters,
+    ) -> u32 {
         let before = u32::from(before.get(member));
         let after = u32::from(after.get(member));
         (after + self.base - before) % self.base
@@ -140,7 +145,7 @@
 
 impl MemberCounters {
     /// Returns a member's counter; zero for a member beyond the last one.
-    pub fn get(&self, member: u32) -> u8 {
+    pub(crate) fn get(&self, member: u32) -> u8 {
         self.0.get(member as usize).copied().unwrap_or(0)
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -12,10 +12,11 @@
 //! # Contract
 //!
 //! - No I/O, no clock and no randomness: the caller makes the calls, and passes the time and random numbers.
-//! - An add without an answer is settled by proof, and never counted twice.
-//! - Without the counter a gateway grants units locally from its fraction of the quota. The counter learns of them once
-//!   it answers again.
-//! - The overshoot of all gateways together keeps within [`bound::max_overshoot`], which is stated in advance.
+//! - An add without an answer is settled by proof, as long as its number has room for the marks of the gateways that
+//!   add to it (eight at most); otherwise it is taken as not carried out.
+//! - Without the counter a gateway grants units locally from its fraction of the quota, but none of a hard ceiling. They
+//!   are added to the counter once it answers again.
+//! - [`bound::max_overshoot`] states in advance how far all gateways together may overshoot a quota.
 //! - The state of one customer is small, and smaller still in its [`CompactState`].
 //!
 //! # Example
@@ -85,9 +86,8 @@
 
 pub use compact_state::{CompactState, QuotaState};
 pub use counter_health::{CounterHealth, CounterReport, CounterState, LocalGrants, RETRY_INTERVAL};
-pub use idempotent_add::{AddOutcome, IdempotentAdder};
-pub use idempotent_add::{ContributionMark, MarkScheme, MarkedTotal, MemberCounters};
-pub use membership::{detection_time, AliveCount, FailureDetector, GatewaySet, HeartbeatCall};
+pub use idempotent_add::{AddOutcome, IdempotentAdder, MarkScheme};
+pub use membership::{detection_time, FailureDetector, GatewaySet, HeartbeatCall};
 pub use membership::{ALIVE_TIMEOUT, HEARTBEAT_EPOCH, HEARTBEAT_INTERVAL};
 pub use reconciliation::Reconciliation;
 pub use time::{Span, Time};
--- a/crates/quota/src/membership.rs
+++ b/crates/quota/src/membership.rs
@@ -6,7 +6,7 @@
 mod partition_view;
 mod traffic_fractions;
 
-pub use failure_detector::{AliveCount, FailureDetector, HeartbeatCall};
+pub use failure_detector::{FailureDetector, HeartbeatCall};
 pub use gateway_set::GatewaySet;
 pub use heartbeat_timing::{detection_time, ALIVE_TIMEOUT, HEARTBEAT_EPOCH, HEARTBEAT_INTERVAL};
 pub(crate) use partition_view::{
--- a/crates/quota/src/membership/failure_detector.rs
+++ b/crates/quota/src/membership/failure_detector.rs
@@ -19,7 +19,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A group is watched for so long after the latest lease for a customer of one of its gateways, in nanoseconds.
+/// A group is watched for this long after the latest lease for a customer of one of its gateways, in nanoseconds.
 const WATCH_TIME: Span = 60_000_000_000;
 /// Values of one gateway's counter in a heartbeat number. The heartbeats of a whole epoch fit, so that no counter wraps
 /// and a counter service that was reset can be read like any other. Four such digits stay below ten million, which is
@@ -39,11 +39,11 @@
 
 /// How many of the watched gateways are alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AliveCount {
+pub(crate) struct AliveCount {
     /// Watched gateways that are alive.
-    pub alive: u32,
+    pub(crate) alive: u32,
     /// All watched gateways.
-    pub gateways: u32,
+    pub(crate) gateways: u32,
 }
 
 /// The latest total of a group's heartbeat number.
@@ -93,7 +93,7 @@
 
 impl FailureDetector {
     /// Returns the failure detector of the gateway with this index in a fleet of `gateways`.
-    pub fn new(gateway_index: u32, gateways: u32) -> FailureDetector {
+    pub(crate) fn new(gateway_index: u32, gateways: u32) -> FailureDetector {
         let gateways = gateways.max(1).max(gateway_index + 1);
         let groups = gateways.div_ceil(GROUP_SIZE);
         let is_small_fleet = groups as usize <= MAX_GROUPS_OF_SMALL_FLEET;
@@ -126,12 +126,12 @@
     }
 
     /// Returns the interval between two heartbeats of this gateway, in nanoseconds.
-    pub fn heartbeat_interval(&self) -> Span {
+    pub(crate) fn heartbeat_interval(&self) -> Span {
         self.interval
     }
 
     /// Watches the gateways of this set for a while from now on, since units are leased for a customer of theirs.
-    pub fn watch_gateways(&mut self, now: Time, set: &GatewaySet) {
+    pub(crate) fn watch_gateways(&mut self, now: Time, set: &GatewaySet) {
         let is_small_fleet = self.group_totals.len() <= MAX_GROUPS_OF_SMALL_FLEET;
         if is_small_fleet || set.set_size < 2 {
             return;
@@ -159,7 +159,7 @@
 
     /// Returns the calls of this interval: one to the own group's number, and one that reads another watched group in
     /// turn; none while no gateway is watched.
-    pub fn heartbeat_calls(&mut self, now: Time) -> Vec<HeartbeatCall> {
+    pub(crate) fn heartbeat_calls(&mut self, now: Time) -> Vec<HeartbeatCall> {
         let epoch = now / HEARTBEAT_EPOCH;
         self.watched_groups.retain(|watched| now < watched.until);
         if now >= self.active_until {
@@ -205,7 +205,7 @@
 
     /// Records a total of a group's heartbeat number. Returns whether it shows that the counter was reset: a member's
     /// counter went back, which none does while the counter keeps its numbers.
-    pub fn record_total(&mut self, now: Time, group: u32, epoch: u64, total: f64) -> bool {
+    pub(crate) fn record_total(&mut self, now: Time, group: u32, epoch: u64, total: f64) -> bool {
         let Some(counters) = Self::mark_scheme().decode(total).counters else { return false };
         let Some(latest) = self.group_totals.get_mut(group as usize) else { return false };
         let previous = latest.replace(GroupTotal { at: now, epoch, counters });
@@ -249,7 +249,7 @@
     }
 
     /// Returns whether a gateway is alive at this moment; this gateway always is.
-    pub fn is_alive(&self, gateway: u32, now: Time) -> bool {
+    pub(crate) fn is_alive(&self, gateway: u32, now: Time) -> bool {
         if gateway == self.gateway_index {
             return true;
         }
@@ -259,7 +259,7 @@
     }
 
     /// Counts the gateways of the watched groups and the own group, and those of them that are alive.
-    pub fn count_alive(&self, now: Time) -> AliveCount {
+    pub(crate) fn count_alive(&self, now: Time) -> AliveCount {
         let own_group = Some(self.own_group()).filter(|_| now < self.active_until);
         let groups = own_group.into_iter().chain(self.watched_groups.iter().map(|watched| watched.group));
         let all = self.last_heartbeats.len() as u32;
@@ -273,7 +273,7 @@
     }
 
     /// Returns the moment of a gateway's latest proven heartbeat; zero if there was none.
-    pub fn last_heartbeat_at(&self, gateway: u32) -> Time {
+    pub(crate) fn last_heartbeat_at(&self, gateway: u32) -> Time {
         self.last_heartbeats.get(gateway as usize).copied().unwrap_or(0)
     }
 }
--- a/crates/quota/src/membership/gateway_set.rs
+++ b/crates/quota/src/membership/gateway_set.rs
@@ -28,7 +28,7 @@
 impl GatewaySet {
     /// Returns the set with a valid first gateway and a size from one to all gateways of the fleet.
     #[must_use]
-    pub fn normalized(self) -> GatewaySet {
+    pub(crate) fn normalized(self) -> GatewaySet {
         let gateways = self.gateways.max(1);
         GatewaySet {
             first_gateway: self.first_gateway % gateways,
@@ -44,7 +44,7 @@
     }
 
     /// Returns the gateway with this index within the set.
-    pub fn gateway_at(&self, member: u32) -> u32 {
+    pub(crate) fn gateway_at(&self, member: u32) -> u32 {
         (self.first_gateway + member) % self.gateways.max(1)
     }
 
--- a/crates/quota/src/membership/heartbeat_timing.rs
+++ b/crates/quota/src/membership/heartbeat_timing.rs
@@ -10,7 +10,7 @@
 
 /// Interval between two heartbeats of one gateway in a small fleet, in nanoseconds.
 pub const HEARTBEAT_INTERVAL: Span = 750_000_000;
-/// A gateway counts as alive for so long after its latest proven heartbeat in a small fleet, in nanoseconds. Two totals
+/// A gateway counts as alive for this long after its latest proven heartbeat in a small fleet, in nanoseconds. Two totals
 /// prove that a heartbeat came between them; a heartbeat may just miss the first, and the next interval may hold two:
 /// three intervals and some margin.
 pub const ALIVE_TIMEOUT: Span = 2_500_000_000;
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -10,7 +10,7 @@
 mod totals;
 
 use crate::bound::{OVERDRAFT_BURST_FRACTION, PARTITION_RATE_MARGIN, SAVED_BURST_FRACTION};
-use crate::counter_health::CounterHealth;
+use crate::counter_health::{CounterHealth, LocalGrant};
 use crate::idempotent_add::MemberCounters;
 use crate::membership::{CounterReachability, FractionPolicy, PartitionView, QuietMembers, ViewUpdate};
 use crate::time::{seconds_between, Span, Time};
@@ -25,7 +25,7 @@
 const OVER_LIMIT_RATIO: f64 = 1.15;
 /// A customer gets credit once its credit history is this long, in nanoseconds.
 const MIN_CREDIT_HISTORY: Span = 10_000_000_000;
-/// A customer gets no credit for so long after it was over its limit, in nanoseconds.
+/// A customer gets no credit for this long after it was over its limit, in nanoseconds.
 const NO_CREDIT_FOR: Span = 60_000_000_000;
 /// Lowest age of a customer by which its demand is averaged, in seconds.
 const MIN_DEMAND_AGE_S: f64 = 1.0;
@@ -309,7 +309,7 @@
         self.is_over_limit = if self.view.is_complete() {
             own_demand + self.view.usage_by_others() > limit
         } else {
-            // What was observed of the others counts no more in a partition, and a verdict stays.
+            // What was observed of the others counts no more in a partition, and a customer over its limit stays so.
             self.is_over_limit || own_demand > limit
         };
         if self.is_over_limit {
@@ -321,9 +321,10 @@
     pub fn spend(&mut self, units: f64, health: &mut CounterHealth) -> f64 {
         let granted_units = self.take_units(units);
         if self.is_counter_unreachable() || !self.view.is_complete() {
-            let previous_overdraft = self.max_overdraft;
-            self.max_overdraft = previous_overdraft.max(-self.level);
-            health.record_local_grant(units, previous_overdraft, self.max_overdraft);
+            let previous_overshoot = self.max_overdraft;
+            self.max_overdraft = previous_overshoot.max(-self.level);
+            let overshoot = self.max_overdraft;
+            health.record_local_grant(&LocalGrant { units, previous_overshoot, overshoot });
         }
         granted_units
     }
--- a/crates/quota/src/windowed_limiter.rs
+++ b/crates/quota/src/windowed_limiter.rs
@@ -29,7 +29,7 @@
 const ESTIMATE_LOOKBACK_S: f64 = 10.0;
 /// Part of a window's quota for which one call may add; what it adds beyond that may be sampling error.
 const MAX_SAMPLE: f64 = 0.15;
-/// Credit for at most so many requests is saved up.
+/// Requests for which credit is saved up at most.
 const MAX_SAVED_REQUESTS: f64 = 2.0;
 /// Lowest rate that is computed with, in units per second.
 const MIN_RATE: f64 = 1e-9;
@@ -247,8 +247,9 @@
         }
     }
 
-    /// Admits or rejects a request of this many units at this probability, spread evenly; returns whether it is
+    /// Admits or rejects a request of this many units at this probability, spread evenly, and returns whether it is
     /// admitted.
+    #[must_use]
     pub fn admit(&mut self, units: f64, probability: f64) -> bool {
         let credit = self.credit + units * probability.clamp(0.0, 1.0);
         self.credit = credit.min(MAX_SAVED_REQUESTS * units);
