--- a/crates/api-gateway/src/operators.rs
+++ b/crates/api-gateway/src/operators.rs
@@ -6,15 +6,18 @@
 use config_language::loader::Fs;
 use config_language::model::{Operators, Origin};
 use config_language::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
-use gateway::Site;
-use routing::{tighten, Facts, InForce, Problem, Quota, RouteError, Routes};
+use gateway::PlatformSettings;
+use routing::{
+    effective_quotas, EffectiveQuota, GrantedQuota, PlatformNames, RoutingError, RoutingErrorKind,
+    RoutingTable,
+};
 use std::path::Path;
 
 /// What the platform's settings say, as far as checks of the operators' files need it.
-pub fn platform(site: &Site) -> Platform {
-    let plans = site.plans.iter().zip(&site.settings.plans);
+pub fn platform(site: &PlatformSettings) -> Platform {
+    let plans = site.plan_names.iter().zip(&site.settings.plans);
     Platform {
-        classes: site.classes.clone(),
+        classes: site.class_names.clone(),
         worths: site.settings.classes.iter().map(|class| class.priority_weight).collect(),
         plans: plans
             .map(|(name, plan)| PlatformPlan {
@@ -25,33 +28,38 @@
                 worth: plan.weight_factor,
             })
             .collect(),
-        zones: site.zones.clone(),
-        machines: site.kinds.clone(),
+        zones: site.zone_names.clone(),
+        machines: site.machine_types.clone(),
         gateways: site.settings.gateways,
-        units_top: site.units_top,
+        units_top: site.max_request_units,
     }
 }
 
 /// The names that routes and pools speak of.
-pub fn facts(site: &Site) -> Facts<'_> {
-    Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones, machines: &site.kinds }
+pub fn facts(site: &PlatformSettings) -> PlatformNames<'_> {
+    PlatformNames {
+        classes: &site.class_names,
+        plans: &site.plan_names,
+        zones: &site.zone_names,
+        machine_types: &site.machine_types,
+    }
 }
 
 /// What is in force for each plan, in the platform's order.
 ///
 /// # Errors
-/// As [`tighten`].
-pub fn quotas(operators: &Operators, site: &Site) -> Result<Vec<InForce>, RouteError> {
-    let plans = site.plans.iter().zip(&site.settings.plans);
-    let granted: Vec<Quota> = plans
-        .map(|(name, plan)| Quota {
+/// As [`effective_quotas`].
+pub fn quotas(operators: &Operators, site: &PlatformSettings) -> Result<Vec<EffectiveQuota>, RoutingError> {
+    let plans = site.plan_names.iter().zip(&site.settings.plans);
+    let granted: Vec<GrantedQuota> = plans
+        .map(|(name, plan)| GrantedQuota {
             plan: name,
             rate: plan.rate,
             burst: plan.burst,
-            open: plan.max_concurrent,
+            max_concurrent: plan.max_concurrent,
         })
         .collect();
-    tighten(operators, &granted)
+    effective_quotas(operators, &granted)
 }
 
 /// Why a file set cannot be used: its first error in one line, with file, line, column and reason, and how many
@@ -65,7 +73,7 @@
 ///
 /// # Errors
 /// The first error, and how many more there are. Warnings are none.
-pub fn load(path: &Path, site: Option<&Site>) -> Result<FileSet, Unusable> {
+pub fn load(path: &Path, site: Option<&PlatformSettings>) -> Result<FileSet, Unusable> {
     let Checked { set, diagnostics } = check(path, site);
     set.ok_or_else(|| unusable(path, &diagnostics))
 }
@@ -99,7 +107,7 @@
 }
 
 /// Reads and checks a file and all that it includes, as [`load`], and keeps all that there is to say.
-pub fn check(path: &Path, site: Option<&Site>) -> Checked {
+pub fn check(path: &Path, site: Option<&PlatformSettings>) -> Checked {
     let loaded = config_language::load(path, &Fs, site.map(platform).as_ref());
     let mut diagnostics = loaded.diagnostics;
     let Some((set, site)) = loaded.set.as_ref().zip(site) else {
@@ -110,7 +118,7 @@
     match plan::compile(&set.operators, site) {
         Ok(plan) => diagnostics.extend(plan::warnings(&set.operators, &plan)),
         Err(error) => {
-            diagnostics.push(Diagnostic::error("plan", &place(&error.origin), error.problem.to_string()));
+            diagnostics.push(Diagnostic::error("plan", &place(&error.origin), error.kind.to_string()));
         }
     }
     let is_clean = diagnostics.iter().all(|diagnostic| diagnostic.severity != Severity::Error);
@@ -118,13 +126,13 @@
 }
 
 /// Why a gateway could not put it in force: bounds of its tables, and quotas that need more than a figure.
-fn refused(operators: &Operators, site: &Site) -> Vec<RouteError> {
-    let routes = Routes::compile(operators, &facts(site)).err();
+fn refused(operators: &Operators, site: &PlatformSettings) -> Vec<RoutingError> {
+    let routes = RoutingTable::compile(operators, &facts(site)).err();
     routes.into_iter().chain(quotas(operators, site).err()).collect()
 }
 
-fn diagnostic(error: &RouteError) -> Diagnostic {
-    Diagnostic::error(word(&error.problem), &place(&error.origin), error.problem.to_string())
+fn diagnostic(error: &RoutingError) -> Diagnostic {
+    Diagnostic::error(word(&error.kind), &place(&error.origin), error.kind.to_string())
 }
 
 /// Where a message stands.
@@ -134,21 +142,21 @@
 }
 
 /// The word of the message, for scripts. Most of these problems were found by the checker, under the same word.
-fn word(problem: &Problem) -> &'static str {
+fn word(problem: &RoutingErrorKind) -> &'static str {
     match problem {
-        Problem::UnknownClass(_)
-        | Problem::UnknownPlan(_)
-        | Problem::UnknownZone(_)
-        | Problem::UnknownMachine(_)
-        | Problem::UnknownPool(_) => "unknown",
-        Problem::SecondPool(_) | Problem::SecondRoute(_) => "twice",
-        Problem::NotAQuota { .. } => "bounds",
-        Problem::TooManyPools(_)
-        | Problem::TooManyParts { .. }
-        | Problem::TooManyRoutes(_)
-        | Problem::TooManyRanges(_) => "too-many",
-        Problem::NoPlace(_) => "no-place",
-        Problem::RateWithoutBurst(_) | Problem::BurstWithoutRate(_) => "half-quota",
+        RoutingErrorKind::UnknownClass(_)
+        | RoutingErrorKind::UnknownPlan(_)
+        | RoutingErrorKind::UnknownZone(_)
+        | RoutingErrorKind::UnknownMachineType(_)
+        | RoutingErrorKind::UnknownPool(_) => "unknown",
+        RoutingErrorKind::DuplicatePool(_) | RoutingErrorKind::DuplicateRoute(_) => "twice",
+        RoutingErrorKind::InvalidLimit { .. } => "bounds",
+        RoutingErrorKind::TooManyPools(_)
+        | RoutingErrorKind::TooManySitePools { .. }
+        | RoutingErrorKind::TooManyRoutes(_)
+        | RoutingErrorKind::TooManyRanges(_) => "too-many",
+        RoutingErrorKind::NoFreePoolBit(_) => "no-place",
+        RoutingErrorKind::RateWithoutBurst(_) | RoutingErrorKind::BurstWithoutRate(_) => "half-quota",
     }
 }
 
@@ -159,7 +167,7 @@
 
     const EXAMPLE: &[u8] = include_bytes!("../../../deploy/example.json");
 
-    fn site() -> Site {
+    fn site() -> PlatformSettings {
         Config::parse(EXAMPLE).unwrap().site
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,31 +1,31 @@
 //! The gateway: owns the decision module, tells it what happens and carries out what it asks for. Each
 //! request is kept here until its one final answer has left and its attempts have ended.
 
-use crate::call::Call;
+use crate::client::call::Call;
 use crate::config::Config;
+use crate::counter::log::{quotas, CounterLog, Line};
 use crate::counter::Counter;
-use crate::counter_log::{quotas, CounterLog, Line};
-use crate::crash::{self, CrashPoint};
-use crate::hosts::{Finished, Hosts, Order};
-use crate::lag::{Lag, Said};
-use crate::losses::{self, Cause, Losses, Tried};
-use crate::membership::Membership;
+use crate::crash_points::{self, CrashPoint};
+use crate::discovery::endpoint_list::Membership;
+use crate::lifecycle::reload::Reload;
 use crate::messages::{Answer, AttemptKey, CallId, Counted, Incoming, Input, News, Phase, ReplyTo};
-use crate::outage::Outage;
-use crate::reload::Reload;
-use crate::routing::{Routing, Unusable};
-use crate::sites::Watch;
+use crate::request_routing::{Routing, Unusable};
+use crate::site_control::Watch;
+use crate::telemetry::event_loop_delay::{Lag, Said};
+use crate::telemetry::failure_stats::{self, Cause, Losses, Tried};
+use crate::telemetry::in_flight::Unanswered;
+use crate::telemetry::outage_log::Outage;
 use crate::timers::Timers;
-use crate::unanswered::Unanswered;
+use crate::upstream::{Finished, Hosts, Order};
 use bytes::Bytes;
 use config_language::model::Operators;
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::*;
 use policy::policy::Policy;
 use quota::CounterReport;
 use runtime::{Env, Sleep};
 use rustc_hash::FxHashMap;
-use site_failover::Turn;
+use site_failover::FailoverUpdate;
 use std::collections::{HashSet, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
@@ -99,7 +99,7 @@
 /// One gateway.
 pub(crate) struct Gateway<E: Env, D> {
     env: E,
-    site: Arc<Site>,
+    site: Arc<PlatformSettings>,
     settings: Settings,
     seed: u64,
     module: D,
@@ -133,7 +133,7 @@
     pub fn new(
         env: E,
         config: &Config,
-        site: Arc<Site>,
+        site: Arc<PlatformSettings>,
         routing: Routing,
         inputs: &UnboundedSender<Input>,
         most_conns: usize,
@@ -143,7 +143,8 @@
         let customer_bytes = config.budget().customers as u64;
         let plans = routing.plans().to_vec();
         let settings = Settings { plans, customer_bytes, ..site.settings.clone() };
-        let counter_log = CounterLog::new(env.now(), quotas(&settings, &site.plans, site.units_top));
+        let counter_log =
+            CounterLog::new(env.now(), quotas(&settings, &site.plan_names, site.max_request_units));
         let mut gateway = Gateway {
             module: D::start(settings.clone(), config.seed),
             hosts: Hosts::new(env.clone(), site.clone(), inputs.clone(), most_conns),
@@ -242,7 +243,7 @@
             Input::Host(event) => self.hosts.on_event(event),
             Input::Counter(event) => {
                 if let Some(counted) = self.counter.on_event(event) {
-                    crash::here(CrashPoint::Counted);
+                    crash_points::here(CrashPoint::Counted);
                     self.timers.cancel(counted.until, Timer::Call(counted.call));
                     self.on_counted(counted);
                 }
@@ -330,7 +331,7 @@
     fn on_reload(&mut self, reload: Reload) {
         let Reload { counter, operators, done } = reload;
         let outcome = self.on_operators(operators);
-        crash::here(CrashPoint::ReloadHalf);
+        crash_points::here(CrashPoint::ReloadHalf);
         if outcome.is_ok() {
             self.counter.move_to(counter);
         }
@@ -453,11 +454,11 @@
         let name = |names: &'_ [String], at: usize| names.get(at).cloned().unwrap_or_default();
         tracing::info!(
             request = format_args!("{:016x}", call.call.client_id),
-            class = name(&self.site.classes, call.class),
-            plan = name(&self.site.plans, call.plan),
+            class = name(&self.site.class_names, call.class),
+            plan = name(&self.site.plan_names, call.plan),
             after_ms = now.saturating_sub(call.arrived) / MS,
             reason = cause.words(),
-            attempts = losses::line(&call.tried, |host| self.hosts.name(host)),
+            attempts = failure_stats::line(&call.tried, |host| self.hosts.name(host)),
             left_out,
             "lost"
         );
@@ -489,18 +490,18 @@
 
     /// Carries out what is to be done about sites. What waits for a connection to a host that is withheld now is not
     /// sent any more.
-    fn turn_sites(&mut self, turn: Turn) {
-        turn.said.iter().for_each(|said| tracing::info!("{said}"));
-        if !turn.hosts.is_empty() {
+    fn turn_sites(&mut self, turn: FailoverUpdate) {
+        turn.transitions.iter().for_each(|said| tracing::info!("{said}"));
+        if !turn.changed_hosts.is_empty() {
             let mut entries = self.hosts.entries();
-            entries.retain(|entry| turn.hosts.contains(&entry.id));
+            entries.retain(|entry| turn.changed_hosts.contains(&entry.id));
             self.sites.withhold(&mut entries);
             let withheld = entries.iter().filter(|entry| entry.state == HostState::Draining);
             withheld.for_each(|entry| self.hosts.drop_waiting(entry.id));
             self.people_pools();
             self.tell(Event::HostList { kind: HostListKind::Delta, entries });
         }
-        if let Some(keep) = turn.keep {
+        if let Some(keep) = turn.admission_fractions {
             self.tell(Event::AdmissionFractionsChanged(keep));
         }
         self.report_finished();
