--- a/crates/hedging/src/hedge_delay.rs
+++ b/crates/hedging/src/hedge_delay.rs
@@ -80,7 +80,7 @@
     /// attempt as a fraction of the value of a response within the latency objective.
     ///
     /// Of all delays it is the one with the highest expected value of the responses, less the cost of the further
-    /// attempt times the probability that it is sent. The further attempt is taken to help where the first one was
+    /// attempt times the probability that it is sent. The further attempt is assumed to help where the first one was
     /// lost, and not where the first one is slow: a request that takes one host long takes another one as long.
     #[must_use]
     pub fn hedge_delay(&self, remaining: RemainingTime, loss_rate: f64, attempt_cost: f64) -> f64 {
--- a/crates/hedging/src/latency_distribution.rs
+++ b/crates/hedging/src/latency_distribution.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns [`LatencyDistribution::fraction_above`] for a time in `bucket`, given the number of responses in
-    /// longer buckets. Within a bucket the responses are taken to be spread evenly.
+    /// longer buckets. Within a bucket the responses are assumed to be spread evenly.
     fn fraction_above_in(&self, bucket: usize, seconds: f64, in_longer_buckets: f64) -> f64 {
         let end = BUCKET_ENDS[bucket];
         let start = end / BUCKET_RATIO;
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -10,8 +10,8 @@
 //! - Gateways do not communicate. Each knows its index, the number of gateways and the ids of the hosts in service,
 //!   and all of them compute the same assignment from these.
 //! - Gateways are grouped into **rounds**. The gateways of one round divide all hosts among themselves, each host to
-//!   one of them, in an order that is shuffled anew for each round. So each host is in one subset of each round, and
-//!   the numbers of gateways of any two hosts differ by one at the most: by the last round, which may not be full.
+//!   one of them, in an order that is shuffled differently in each round. So each host is in one subset of each round,
+//!   and the numbers of gateways of any two hosts differ by one at the most: by the last round, which may not be full.
 //! - A host that is added or removed moves the boundaries between neighbours of a round by one host at the most. A
 //!   subset changes by two hosts at the most, one added and one removed, because the shuffled order of the other
 //!   hosts stays.
