--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -5,7 +5,7 @@
 use policy::api::{Plan, Request, Route, RouteLimit};
 use routing::{
     effective_quotas, Destination, EffectiveQuota, GrantedQuota, HostAttributes, PlatformNames, PoolMask,
-    RoutingError, RoutingTable,
+    RequestAttributes, RoutingError, RoutingTable,
 };
 use site_failover::{PlanError, SiteSet};
 use std::collections::BTreeMap;
@@ -121,7 +121,9 @@
 
     /// Says where a request may go that is kept to these sites, and holds the pools for it until [`Routing::let_go`].
     pub fn choose(&mut self, request: &Request, sites: SiteSet) -> Route {
-        let choice = self.routes.lookup(request.class, request.plan, request.customer.0);
+        let attributes =
+            RequestAttributes { class: request.class, plan: request.plan, customer: request.customer.0 };
+        let choice = self.routes.lookup(attributes);
         let route = self.route(&choice);
         let route = if sites == SiteSet::ALL { route } else { self.within(route, sites) };
         self.count(&route, 1);
--- a/crates/routing/examples/lookup_cost.rs
+++ b/crates/routing/examples/lookup_cost.rs
@@ -1,23 +1,28 @@
-//! Time and memory of the tables: `cargo run --release -p routing --example look_up`.
+//! Measures time and memory of the tables: `cargo run --release -p routing --example lookup_cost`.
 
 use std::hint::black_box;
 use std::time::Instant;
 
 use config_language::model::{At, Operators, Origin, Pool, Route};
-use routing::{PlatformNames, RoutingTable};
+use routing::{PlatformNames, RequestAttributes, RoutingTable};
 
 const CUSTOMERS: u64 = 1 << 33;
 const CLASSES: usize = 6;
 const PLANS: usize = 4;
+const POOLS: usize = 8;
+/// Requests of a round. Enough to last milliseconds, so that reading the clock does not show.
+const REQUESTS: usize = 5_000_000;
+/// Rounds of a measurement, of which the best counts.
+const ROUNDS: usize = 5;
 
-/// What routes tell apart besides customers.
+/// Which routes name classes and plans, besides customers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Kind {
-    /// Nothing: one table.
+enum Scopes {
+    /// None: one table.
     Shared,
-    /// Each route is for one class and one plan: 24 tables that share the routes out.
+    /// Each route names one class and one plan: 24 tables, each with a part of the routes.
     Apart,
-    /// The first 24 routes are; all others are for everyone: 24 tables, each with nearly all routes.
+    /// The first 24 routes do, the others apply to all: 24 tables, each with nearly all routes.
     Mixed,
 }
 
@@ -25,16 +30,16 @@
     At { value, origin: Origin::default() }
 }
 
-/// The next of a row of numbers that look like chance (SplitMix64).
-fn next(state: &mut u64) -> u64 {
+/// Returns the next pseudo-random number (SplitMix64).
+fn next_random(state: &mut u64) -> u64 {
     *state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mixed = (*state ^ *state >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ mixed >> 31
 }
 
-/// RoutingTable for ranges of customers that overlap here and there.
-fn operators(count: usize, kind: Kind) -> Operators {
+/// Returns routes for ranges of customers, some of which overlap.
+fn operators(route_count: usize, scopes: Scopes) -> Operators {
     let mut state = 7;
     let pool = |number: usize| Pool {
         name: at(format!("pool-{number}")),
@@ -44,85 +49,95 @@
         ids: None,
     };
     let route = |number: usize| {
-        let first = next(&mut state) % CUSTOMERS;
-        let width = CUSTOMERS / (count as u64 + 1);
-        let names = kind == Kind::Apart || kind == Kind::Mixed && number < CLASSES * PLANS;
-        let named = |kind: &str, position| names.then(|| at(vec![format!("{kind}-{position}")]));
+        let first = next_random(&mut state) % CUSTOMERS;
+        let max_width = CUSTOMERS / (route_count as u64 + 1);
+        let is_scoped = match scopes {
+            Scopes::Shared => false,
+            Scopes::Apart => true,
+            Scopes::Mixed => number < CLASSES * PLANS,
+        };
+        let name = |kind: &str, position| is_scoped.then(|| at(vec![format!("{kind}-{position}")]));
         Route {
             name: at(format!("route-{number}")),
-            classes: named("class", number % CLASSES),
-            plans: named("plan", number / CLASSES % PLANS),
-            customers: Some(at(vec![first..=first + next(&mut state) % width])),
-            pool: at(format!("pool-{}", number % 8)),
+            classes: name("class", number % CLASSES),
+            plans: name("plan", number / CLASSES % PLANS),
+            customers: Some(at(vec![first..=first + next_random(&mut state) % max_width])),
+            pool: at(format!("pool-{}", number % POOLS)),
             fallback: None,
             most_out: None,
         }
     };
     Operators {
-        pools: (0..8).map(pool).collect(),
-        routes: (0..count).map(route).collect(),
+        pools: (0..POOLS).map(pool).collect(),
+        routes: (0..route_count).map(route).collect(),
         ..Operators::default()
     }
 }
 
-/// Nanoseconds that a call takes for each of a row of requests, the best of five rounds.
-fn pace(mut call: impl FnMut(usize, usize, u64)) -> f64 {
-    const REQUESTS: usize = 5_000_000;
+/// Returns the nanoseconds that `call` takes for a request, in the best round.
+fn nanoseconds_per_request(mut call: impl FnMut(RequestAttributes)) -> f64 {
     let mut best = f64::INFINITY;
-    for _ in 0..5 {
+    for _ in 0..ROUNDS {
         let mut state = 1;
-        let begun = Instant::now();
+        let start = Instant::now();
         for _ in 0..REQUESTS {
-            let chance = next(&mut state);
-            call(chance as usize % CLASSES, (chance >> 8) as usize % PLANS, chance % CUSTOMERS);
+            let random = next_random(&mut state);
+            let class = random as usize % CLASSES;
+            let plan = (random >> 8) as usize % PLANS;
+            call(RequestAttributes { class, plan, customer: random % CUSTOMERS });
         }
-        best = best.min(begun.elapsed().as_nanos() as f64 / REQUESTS as f64);
+        best = best.min(start.elapsed().as_nanos() as f64 / REQUESTS as f64);
     }
     best
 }
 
-/// A line of the process's own figures, in KiB.
-fn memory(line: &str) -> Option<u64> {
+/// Returns a value of `/proc/self/status` in KiB.
+fn process_memory(key: &str) -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    status.lines().find_map(|l| l.strip_prefix(line)?.trim_end_matches("kB").trim().parse().ok())
+    status.lines().find_map(|line| line.strip_prefix(key)?.trim_end_matches("kB").trim().parse().ok())
 }
 
-fn report(count: usize, kind: Kind) {
-    let names = |kind: &str, count| (0..count).map(|n| format!("{kind}-{n}")).collect::<Vec<_>>();
-    let (classes, plans) = (names("class", CLASSES), names("plan", PLANS));
-    let facts = PlatformNames { classes: &classes, plans: &plans, ..PlatformNames::default() };
-    let operators = operators(count, kind);
-    let before = memory("VmRSS:").unwrap_or(0);
-    let begun = Instant::now();
-    let routes = RoutingTable::compile(&operators, &facts).expect("the routes are sound");
-    let took = begun.elapsed().as_secs_f64() * 1e3;
-    let most = memory("VmHWM:").unwrap_or(0).saturating_sub(before);
-    let drawing = pace(|class, plan, customer| {
-        black_box((class, plan, customer));
+/// Measures one case and prints a line of the report.
+fn report(route_count: usize, scopes: Scopes) {
+    let numbered = |kind: &str, count| (0..count).map(|n| format!("{kind}-{n}")).collect::<Vec<_>>();
+    let classes = numbered("class", CLASSES);
+    let plans = numbered("plan", PLANS);
+    let names = PlatformNames { classes: &classes, plans: &plans, ..PlatformNames::default() };
+    let operators = operators(route_count, scopes);
+    let memory_before = process_memory("VmRSS:").unwrap_or(0);
+    let start = Instant::now();
+    let table = RoutingTable::compile(&operators, &names).expect("the generated routes are valid");
+    let compile_ms = start.elapsed().as_secs_f64() * 1e3;
+    let added_memory = process_memory("VmHWM:").unwrap_or(0).saturating_sub(memory_before);
+    let without_lookup = nanoseconds_per_request(|request| {
+        black_box(request);
     });
-    let both = pace(|class, plan, customer| {
-        black_box(routes.lookup(black_box(class), black_box(plan), black_box(customer)));
+    let with_lookup = nanoseconds_per_request(|request| {
+        black_box(table.lookup(black_box(request)));
     });
     println!(
-        "{count:6} {kind:6?} {:9} {:9.1} {took:9.1} {most:9} {:7.1}",
-        routes.range_count(),
-        routes.lookup_bytes() as f64 / 1024.0,
-        both - drawing,
+        "{route_count:6} {scopes:6?} {:9} {:9.1} {compile_ms:9.1} {added_memory:9} {:7.1}",
+        table.range_count(),
+        table.lookup_bytes() as f64 / 1024.0,
+        with_lookup - without_lookup,
     );
 }
 
-/// `look_up ROUTES shared|apart|mixed` for one case in a process of its own, as its memory wants; else all of them.
+/// Measures one case, `lookup_cost ROUTES shared|apart|mixed`, so that its memory is that of a process of its own;
+/// without arguments all cases.
 fn main() {
     println!("routes tables    ranges look-up KiB  compile ms  KiB more  ns each");
-    let given: Vec<String> = std::env::args().skip(1).collect();
-    let kinds = [("shared", Kind::Shared), ("apart", Kind::Apart), ("mixed", Kind::Mixed)];
-    for count in [0, 10, 10_000, 50_000].map(|count: usize| count.to_string()) {
-        for (name, kind) in kinds {
-            if given.is_empty() {
-                report(count.parse().expect("a number"), kind);
-            } else if given[1..] == [name] {
-                return report(given[0].parse().expect("a number of routes"), kind);
-            }
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let cases = [("shared", Scopes::Shared), ("apart", Scopes::Apart), ("mixed", Scopes::Mixed)];
+    if let [route_count, scopes] = &arguments[..] {
+        let route_count = route_count.parse().expect("ROUTES is a number");
+        let case = cases.iter().find(|(name, _)| name == scopes);
+        let (_, scopes) = case.expect("the tables are shared, apart or mixed");
+        return report(route_count, *scopes);
+    }
+    for route_count in [0, 10, 10_000, 50_000] {
+        for (_, scopes) in cases {
+            report(route_count, scopes);
         }
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,23 @@
-//! What the operators' files decide: which pools a host is in, which pool a request goes to, and what is left of a
-//! plan's quota. No I/O, no clock, no chance: tables are compiled once when a file set is read, and then only
-//! looked up.
+//! Decides by the operators' files which pools a host is in, which pool a request goes to, and which quota a plan has.
+//!
+//! The operators define pools of hosts, routes that send requests to pools, and quota policies. A gateway compiles
+//! them once when it reads the files, into a [`RoutingTable`] and [`EffectiveQuota`]s, and then only looks values up.
+//! The crate does no I/O, reads no clock and draws no random numbers.
 //!
 //! ```
 //! use config_language::model::{At, Operators, Origin, Pool, Route};
-//! use routing::{PlatformNames, HostAttributes, RoutingTable};
+//! use routing::{HostAttributes, PlatformNames, RequestAttributes, RoutingTable};
 //!
 //! fn at<T>(value: T) -> At<T> {
 //!     At { value, origin: Origin::default() }
 //! }
-//! let (zones, cells, ids, machines) = (Some(at(vec!["east".to_owned()])), None, None, None);
-//! let east = Pool { name: at("east".to_owned()), zones, machines, cells, ids };
+//! let east = Pool {
+//!     name: at("east".to_owned()),
+//!     zones: Some(at(vec!["east".to_owned()])),
+//!     machines: None,
+//!     cells: None,
+//!     ids: None,
+//! };
 //! let orders = Route {
 //!     name: at("orders".to_owned()),
 //!     classes: Some(at(vec!["order".to_owned()])),
@@ -21,65 +28,83 @@
 //!     most_out: Some(at(50)),
 //! };
 //! let operators = Operators { pools: vec![east], routes: vec![orders], ..Operators::default() };
-//! let names = ["order", "read", "standard", "east", "west"].map(str::to_owned);
-//! let facts = PlatformNames { classes: &names[..2], plans: &names[2..3], zones: &names[3..], machine_types: &[] };
-//! let routes = RoutingTable::compile(&operators, &facts).unwrap();
+//! let classes = ["order", "read"].map(str::to_owned);
+//! let plans = ["standard"].map(str::to_owned);
+//! let zones = ["east", "west"].map(str::to_owned);
+//! let names = PlatformNames { classes: &classes, plans: &plans, zones: &zones, machine_types: &[] };
+//! let table = RoutingTable::compile(&operators, &names)?;
 //!
-//! // Once per change of the membership:
-//! let eastern = routes.pools_of(&HostAttributes { id: "s-1", zone: "east", machine_type: "big", cell: 0 });
-//! let western = routes.pools_of(&HostAttributes { id: "s-2", zone: "west", machine_type: "big", cell: 1 });
-//! // Once per request:
-//! let order = routes.lookup(0, 0, 77);
+//! // Once for each change of the endpoint list:
+//! let eastern = table.pools_of(&HostAttributes { id: "s-1", zone: "east", machine_type: "big", cell: 0 });
+//! let western = table.pools_of(&HostAttributes { id: "s-2", zone: "west", machine_type: "big", cell: 1 });
+//! // Once for each request; here class "order" and plan "standard":
+//! let request = RequestAttributes { class: 0, plan: 0, customer: 77 };
+//! let order = table.lookup(request);
 //! assert!(order.pool.accepts(eastern) && !order.pool.accepts(western));
-//! assert_eq!((order.route.map(|r| routes.route_name(r)), order.max_in_flight), (Some("orders"), Some(50)));
-//! // No route names reads, so any host will do.
-//! assert!(routes.lookup(1, 0, 77).pool.accepts(western));
+//! assert_eq!(order.route.map(|route| table.route_name(route)), Some("orders"));
+//! assert_eq!(order.max_in_flight, Some(50));
+//! // No route applies to reads, so they may go to any host.
+//! assert!(table.lookup(RequestAttributes { class: 1, ..request }).pool.accepts(western));
+//! # Ok::<(), routing::RoutingError>(())
 //! ```
 //!
-//! # The first route that holds
+//! # The first route that applies
 //!
-//! RoutingTable are tried in the order in which they stand; the first of which everything holds counts. Which one that is
-//! gets worked out beforehand. Classes that the same routes name form a group, and so do plans; for each pair of
-//! groups there is one table: the customers cut into ranges that do not overlap, and with each the route that wins
-//! there. A look-up reads two positions and searches one table by halves. A table with `n` ranges written in the
-//! files has at most `2 n + 1` of its own, 10 bytes each; see [`MAX_RANGES`] for the bound on all tables together.
+//! The routes are ordered as in the files, and the first one that applies to the class, plan and customer of a request
+//! decides. Which one that is, is computed beforehand. Classes that the same routes name form a group, and so do plans.
+//! For each pair of groups there is one table, which divides the customers into disjoint ranges and has the winning
+//! route for each. A look-up reads the groups of class and plan and does a binary search in one table. A table for `n`
+//! ranges in the files has at most `2 n + 1` ranges of 10 bytes each; [`MAX_RANGES`] bounds all tables together.
 //!
 //! # Reload
 //!
-//! A [`RoutingTable`] never changes. A gateway swaps one for the next ([`RoutingTable::compile_after`]) and a request keeps the
-//! [`Destination`] that it began with, retries and waiting included:
+//! A [`RoutingTable`] never changes. On a reload the gateway replaces it by the next one
+//! ([`RoutingTable::compile_after`]), and a request keeps its [`Destination`], also for retries and while it is queued:
+//!
+//! - A pool keeps its bit from one version to the next by its name, so the mask in a destination stays valid. The
+//!   gateway computes the masks of all hosts again. A host that has left a pool gets no more requests for it from then
+//!   on, not even those that were queued before. [`RoutingTable::pools_left_by`] returns the pools that a host has
+//!   left.
+//! - A removed pool keeps its bit and its hosts as long as a request in flight may need it. The gateway passes these
+//!   pools at each reload, as the union of [`Destination::named_pools`]. No new request goes there.
+//! - A [`RouteId`] is valid within its version. [`RoutingTable::successors`] returns the route with the same name in
+//!   the next version, so that attempts in flight still count towards [`Destination::max_in_flight`].
 //!
-//! - A pool keeps its bit from one version to the next by its name, so the mask in a choice stays true. The hosts of
-//!   all masks are worked out anew; one that has left a pool takes nothing more for it from that moment, not even
-//!   for requests that were there before. [`RoutingTable::pools_left_by`] says which pools a host has left.
-//! - A pool that was removed keeps its bit and its hosts as long as a request needs it: the gateway says at each
-//!   reload which are needed, by or-ing [`Destination::named_pools`] over the requests in hand. No new request is sent there.
-//! - A [`RouteId`] counts within its version. [`RoutingTable::successors`] says which route has the name now, so that
-//!   attempts which are out count on against [Destination::max_in_flight].
+//! # Files
+//!
+//! | file | job |
+//! |---|---|
+//! | `routing_table.rs` | [`RoutingTable`]: compiling a version, and the queries |
+//! | `destination.rs` | [`RequestAttributes`], which a look-up takes, and [`Destination`], which it returns |
+//! | `table_grid.rs` | which table a class and a plan share, and building the tables from the routes |
+//! | `position_groups.rs` | groups of classes and plans that all routes treat alike |
+//! | `range_tables.rs` | tables of disjoint customer ranges, and the binary search |
+//! | `pool_set.rs` | pools with their bits, and which of them a host is in |
+//! | `site_pools.rs` | the part of each pool that is in a site |
+//! | `pool_mask.rs` | [`PoolMask`], a set of pools |
+//! | `quota.rs` | [`effective_quotas`]: quota policies applied to what the platform grants |
+//! | `platform_names.rs` | names of the platform that the files refer to |
+//! | `limits.rs` | bounds on what the files may define |
+//! | `error.rs` | [`RoutingError`] |
 
+mod destination;
 mod error;
-mod groups;
-mod pools;
+mod limits;
+mod platform_names;
+mod pool_mask;
+mod pool_set;
+mod position_groups;
 mod quota;
-mod routes;
-mod sites;
-mod tables;
+mod range_tables;
+mod routing_table;
+mod site_pools;
+mod table_grid;
 
+pub use destination::{Destination, RequestAttributes, RouteId};
 pub use error::{RoutingError, RoutingErrorKind};
-pub use pools::{HostAttributes, PoolMask, MAX_POOLS};
+pub use limits::{MAX_POOLS, MAX_RANGES, MAX_ROUTES};
+pub use platform_names::PlatformNames;
+pub use pool_mask::PoolMask;
+pub use pool_set::HostAttributes;
 pub use quota::{effective_quotas, EffectiveQuota, GrantedQuota, Limit, LimitSource};
-pub use routes::{Destination, RouteId, RoutingTable, MAX_ROUTES};
-pub use tables::MAX_RANGES;
-
-/// Names that the platform's settings give, each list by position as the gateway counts them.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct PlatformNames<'a> {
-    /// Classes of requests.
-    pub classes: &'a [String],
-    /// Plans of customers.
-    pub plans: &'a [String],
-    /// Zones.
-    pub zones: &'a [String],
-    /// Kinds of machine.
-    pub machine_types: &'a [String],
-}
+pub use routing_table::RoutingTable;
--- /dev/null
+++ b/crates/routing/src/limits.rs
@@ -0,0 +1,13 @@
+//! Bounds on what one file set may define, in one place because error messages name them.
+
+/// Maximum number of pools that exist at a time: one for each bit of a [`PoolMask`](crate::PoolMask).
+pub const MAX_POOLS: usize = 64;
+
+/// Maximum number of routes of a file set. One number less than `u16` has, because a table entry of
+/// `u16::MAX` means that no route applies.
+pub const MAX_ROUTES: usize = 65_535;
+
+/// Maximum number of customer ranges that routes may put into the tables. A range counts once for each table that its
+/// route is in, and a table counts as one. With this bound the tables of one version take 40 MiB at the most, and are
+/// compiled in about a second, whatever the files say.
+pub const MAX_RANGES: usize = 1 << 21;
--- a/crates/routing/src/pool_set.rs
+++ b/crates/routing/src/pool_set.rs
@@ -1,176 +1,148 @@
-//! Which pools a host is in.
+//! The pools of one version with their bits, and which of them a host is in.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::ops::{BitOr, BitOrAssign};
 
 use config_language::model::{At, Pool};
 
-use crate::{PlatformNames, RoutingError, RoutingErrorKind};
+use crate::error::{RoutingError, RoutingErrorKind};
+use crate::limits::MAX_POOLS;
+use crate::platform_names::{check_names, PlatformNames};
+use crate::pool_mask::PoolMask;
 
-/// The most pools that may stand at a time: one for each bit of a mask.
-pub const MAX_POOLS: usize = 64;
-
-/// A set of pools, a bit each. Which pool a bit stands for stays the same from one version of the routes to the
-/// next while the pool's name stays, see [`RoutingTable::compile_after`](crate::RoutingTable::compile_after).
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PoolMask(pub u64);
-
-impl PoolMask {
-    /// No pool. A host with this mask is in none; a choice with it as fall-back has none.
-    pub const NONE: PoolMask = PoolMask(0);
-    /// As the pool of a choice: any host will do, those in no pool included. No route makes this mask: what it
-    /// names is one pool, one bit.
-    pub const ALL: PoolMask = PoolMask(u64::MAX);
-
-    /// Whether a request sent to these pools may go to a host that is in those.
-    #[inline]
-    pub fn accepts(self, host: PoolMask) -> bool {
-        self.0 & host.0 != 0 || self == PoolMask::ALL
-    }
-
-    /// Whether it has no pool.
-    pub fn is_empty(self) -> bool {
-        self.0 == 0
-    }
-
-    fn bit(bit: u32) -> PoolMask {
-        PoolMask(1 << bit)
-    }
-}
-
-impl BitOr for PoolMask {
-    type Output = PoolMask;
-    fn bitor(self, other: PoolMask) -> PoolMask {
-        PoolMask(self.0 | other.0)
-    }
-}
-
-impl BitOrAssign for PoolMask {
-    fn bitor_assign(&mut self, other: PoolMask) {
-        self.0 |= other.0;
-    }
-}
-
-/// What discovery tells of a host, as far as pools are chosen by it.
+/// Attributes of a host, as discovery reports them, by which pools select their hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostAttributes<'a> {
-    /// Its id.
+    /// Id of the host. Pools select by its beginning.
     pub id: &'a str,
-    /// The name of its zone.
+    /// Name of the zone.
     pub zone: &'a str,
-    /// Its kind of machine.
+    /// Machine type, `machines` in the operators' language.
     pub machine_type: &'a str,
-    /// Its cell.
+    /// Number of the cell.
     pub cell: u32,
 }
 
-/// A pool and its bit.
+/// A pool with its bit.
 #[derive(Clone, Debug)]
-struct Seat {
+struct PoolEntry {
     bit: u32,
     pool: Pool,
-    /// No longer in the files, but requests that are sent there are still in hand.
-    removed: bool,
+    /// The pool is no longer in the files, but requests in flight still use it.
+    is_removed: bool,
 }
 
-impl Seat {
+impl PoolEntry {
     fn name(&self) -> &str {
         &self.pool.name.value
     }
 
-    fn holds(&self, host: &HostAttributes) -> bool {
-        fn any<T>(wanted: &Option<At<Vec<T>>>, holds: impl Fn(&T) -> bool) -> bool {
-            wanted.as_ref().is_none_or(|list| list.value.iter().any(holds))
+    fn mask(&self) -> PoolMask {
+        PoolMask::single(self.bit)
+    }
+
+    /// Returns whether a host has all attributes that the pool asks for. An attribute that the pool leaves out
+    /// matches each host, a list without entries none.
+    fn contains(&self, host: &HostAttributes) -> bool {
+        fn any<T>(wanted: &Option<At<Vec<T>>>, matches: impl Fn(&T) -> bool) -> bool {
+            wanted.as_ref().is_none_or(|list| list.value.iter().any(matches))
         }
         any(&self.pool.zones, |zone| zone == host.zone)
-            && any(&self.pool.machines, |machine| machine == host.machine_type)
+            && any(&self.pool.machines, |machine_type| machine_type == host.machine_type)
             && any(&self.pool.cells, |cells| cells.contains(&host.cell))
-            && any(&self.pool.ids, |beginning| host.id.starts_with(beginning.as_str()))
+            && any(&self.pool.ids, |prefix| host.id.starts_with(prefix.as_str()))
     }
 }
 
-/// The pools of a version, by their bits.
+/// The pools of one version, in the order of their bits.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pools(Vec<Seat>);
-
-impl Pools {
-    /// Gives each pool a bit: the one its name had before, or else one that is free. A pool that is no longer named
-    /// keeps its bit if that is `in_use`.
-    pub(crate) fn new(
+pub(crate) struct PoolSet(Vec<PoolEntry>);
+
+impl PoolSet {
+    /// Gives each pool a bit: the one that its name has in `previous`, otherwise the lowest one that is free. A pool
+    /// of `previous` that is no longer among `pools` keeps its bit if that is `in_use`.
+    ///
+    /// # Errors
+    /// Too many pools, a name that is unknown or not unique, or no free bit for a new pool.
+    pub(crate) fn assign_bits(
         pools: &[Pool],
-        facts: &PlatformNames,
-        before: &Pools,
+        names: &PlatformNames,
+        previous: &PoolSet,
         in_use: PoolMask,
-    ) -> Result<Pools, RoutingError> {
-        check(pools, facts)?;
-        let named: BTreeSet<&str> = pools.iter().map(|pool| pool.name.value.as_str()).collect();
-        let kept = |seat: &&Seat| !named.contains(seat.name()) && PoolMask::bit(seat.bit).accepts(in_use);
-        let mut seats: Vec<Seat> =
-            before.0.iter().filter(kept).map(|seat| Seat { removed: true, ..seat.clone() }).collect();
-        let old: BTreeMap<&str, u32> = before.0.iter().map(|seat| (seat.name(), seat.bit)).collect();
-        let known = pools.iter().filter_map(|pool| old.get(pool.name.value.as_str()).copied());
-        let mut taken = seats.iter().map(|seat| seat.bit).chain(known).fold(0, |all, bit| all | 1_u64 << bit);
+    ) -> Result<PoolSet, RoutingError> {
+        check_pools(pools, names)?;
+        let previous_masks = previous.masks_by_name();
+        let mut entries = previous.removed_but_in_use(pools, in_use);
+        let kept = entries.iter().map(PoolEntry::mask);
+        let reused = pools.iter().filter_map(|pool| previous_masks.get(pool.name.value.as_str()).copied());
+        let mut taken: PoolMask = kept.chain(reused).collect();
         for pool in pools {
-            let bit = old.get(pool.name.value.as_str()).copied().unwrap_or(taken.trailing_ones());
+            let previous_mask = previous_masks.get(pool.name.value.as_str());
+            let bit = previous_mask.map_or(taken.0.trailing_ones(), |mask| mask.0.trailing_zeros());
             if bit as usize == MAX_POOLS {
-                return Err(RoutingErrorKind::NoFreePoolBit(pool.name.value.clone()).at(&pool.name.origin));
+                let name = pool.name.value.clone();
+                return Err(RoutingErrorKind::NoFreePoolBit(name).at(&pool.name.origin));
             }
-            taken |= 1 << bit;
-            seats.push(Seat { bit, pool: pool.clone(), removed: false });
+            taken |= PoolMask::single(bit);
+            entries.push(PoolEntry { bit, pool: pool.clone(), is_removed: false });
         }
-        seats.sort_unstable_by_key(|seat| seat.bit);
-        Ok(Pools(seats))
+        entries.sort_unstable_by_key(|entry| entry.bit);
+        Ok(PoolSet(entries))
+    }
+
+    /// Returns the entries whose pools are not among `pools` although requests in flight use them.
+    fn removed_but_in_use(&self, pools: &[Pool], in_use: PoolMask) -> Vec<PoolEntry> {
+        let named: BTreeSet<&str> = pools.iter().map(|pool| pool.name.value.as_str()).collect();
+        let is_kept = |entry: &&PoolEntry| !named.contains(entry.name()) && entry.mask().intersects(in_use);
+        let kept = self.0.iter().filter(is_kept);
+        kept.map(|entry| PoolEntry { is_removed: true, ..entry.clone() }).collect()
     }
 
-    /// The pools that a host is in.
-    pub(crate) fn of(&self, host: &HostAttributes) -> PoolMask {
-        let held = self.0.iter().filter(|seat| seat.holds(host));
-        held.fold(PoolMask::NONE, |all, seat| all | PoolMask::bit(seat.bit))
+    /// Returns the mask of each name, removed pools included.
+    fn masks_by_name(&self) -> BTreeMap<&str, PoolMask> {
+        self.0.iter().map(|entry| (entry.name(), entry.mask())).collect()
     }
 
-    /// The pools that a host is in here but not in `after`, by the bits here.
-    pub(crate) fn left_by(&self, after: &Pools, host: &HostAttributes) -> PoolMask {
-        let stays = |name| after.0.iter().any(|seat| seat.name() == name && seat.holds(host));
-        let left = self.0.iter().filter(|seat| seat.holds(host) && !stays(seat.name()));
-        left.fold(PoolMask::NONE, |all, seat| all | PoolMask::bit(seat.bit))
+    /// Returns the pools that a host is in.
+    pub(crate) fn pools_of(&self, host: &HostAttributes) -> PoolMask {
+        self.0.iter().filter(|entry| entry.contains(host)).map(PoolEntry::mask).collect()
     }
 
-    /// The pools that routes may name.
+    /// Returns the pools that a host is in here and no longer in `next`, by the bits here.
+    pub(crate) fn pools_left_by(&self, next: &PoolSet, host: &HostAttributes) -> PoolMask {
+        let stays = |name| next.0.iter().any(|entry| entry.name() == name && entry.contains(host));
+        let left = self.0.iter().filter(|entry| entry.contains(host) && !stays(entry.name()));
+        left.map(PoolEntry::mask).collect()
+    }
+
+    /// Returns the pools that routes may name, so without removed ones.
     pub(crate) fn by_name(&self) -> BTreeMap<&str, PoolMask> {
-        let named = self.0.iter().filter(|seat| !seat.removed);
-        named.map(|seat| (seat.name(), PoolMask::bit(seat.bit))).collect()
+        let present = self.0.iter().filter(|entry| !entry.is_removed);
+        present.map(|entry| (entry.name(), entry.mask())).collect()
     }
 
-    /// The names of the pools in a mask.
+    /// Returns the names of the pools in a mask.
     pub(crate) fn names(&self, mask: PoolMask) -> impl Iterator<Item = &str> {
-        self.0.iter().filter(move |seat| mask.0 >> seat.bit & 1 == 1).map(Seat::name)
+        self.0.iter().filter(move |entry| entry.mask().intersects(mask)).map(PoolEntry::name)
     }
 }
 
-/// Whether there are few enough, each has a name of its own and all that they name is there.
-fn check(pools: &[Pool], facts: &PlatformNames) -> Result<(), RoutingError> {
+/// Checks that there are not too many pools, that their names are unique, and that the platform has all zones and
+/// machine types that they name.
+fn check_pools(pools: &[Pool], names: &PlatformNames) -> Result<(), RoutingError> {
     if let Some(pool) = pools.get(MAX_POOLS) {
         return Err(RoutingErrorKind::TooManyPools(pool.name.value.clone()).at(&pool.name.origin));
     }
-    let mut names = BTreeSet::new();
+    let mut unique = BTreeSet::new();
     for pool in pools {
-        if !names.insert(&pool.name.value) {
+        if !unique.insert(&pool.name.value) {
             return Err(RoutingErrorKind::DuplicatePool(pool.name.value.clone()).at(&pool.name.origin));
         }
-        check_names(&pool.zones, facts.zones, RoutingErrorKind::UnknownZone)?;
-        check_names(&pool.machines, facts.machine_types, RoutingErrorKind::UnknownMachineType)?;
+        if let Some(zones) = &pool.zones {
+            check_names(zones, names.zones, RoutingErrorKind::UnknownZone)?;
+        }
+        if let Some(machine_types) = &pool.machines {
+            check_names(machine_types, names.machine_types, RoutingErrorKind::UnknownMachineType)?;
+        }
     }
     Ok(())
 }
-
-fn check_names(
-    wanted: &Option<At<Vec<String>>>,
-    known: &[String],
-    unknown: impl Fn(String) -> RoutingErrorKind,
-) -> Result<(), RoutingError> {
-    let Some(wanted) = wanted else { return Ok(()) };
-    match wanted.value.iter().find(|name| !known.contains(name)) {
-        Some(name) => Err(unknown(name.clone()).at(&wanted.origin)),
-        None => Ok(()),
-    }
-}
--- a/crates/routing/src/position_groups.rs
+++ b/crates/routing/src/position_groups.rs
@@ -1,85 +1,60 @@
-//! Classes, or plans, that no route tells apart share their tables.
+//! Groups of classes, or of plans, that all routes treat alike and that so can share tables.
 
 use std::collections::BTreeMap;
 
-use config_language::model::At;
-
-use crate::{RoutingError, RoutingErrorKind};
-
-/// Finds names in a list of the platform's. A name that stands there twice means both positions.
-pub(crate) struct Names<'a>(BTreeMap<&'a str, Vec<usize>>);
-
-impl<'a> Names<'a> {
-    pub(crate) fn new(names: &'a [String]) -> Names<'a> {
-        let mut positions: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-        for (position, name) in names.iter().enumerate() {
-            positions.entry(name).or_default().push(position);
-        }
-        Names(positions)
-    }
-
-    /// The positions of the names in a list.
-    pub(crate) fn find(
-        &self,
-        names: &At<Vec<String>>,
-        unknown: impl Fn(String) -> RoutingErrorKind,
-    ) -> Result<Vec<usize>, RoutingError> {
-        let mut positions = Vec::new();
-        for name in &names.value {
-            let found = self.0.get(name.as_str());
-            positions.extend(found.ok_or_else(|| unknown(name.clone()).at(&names.origin))?);
-        }
-        Ok(positions)
-    }
-}
-
-/// Positions that the same routes name are one group. What no route names is a group as well.
+/// Groups of positions in a list: two positions are in one group if the same routes name them. Positions that no
+/// route names are a group as well.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Groups {
+pub(crate) struct PositionGroups {
     /// The group of each position.
-    of: Box<[u32]>,
-    /// How many groups there are.
+    group_of: Box<[u32]>,
+    /// Number of groups.
     pub(crate) count: usize,
 }
 
-impl Groups {
-    /// Groups `positions` many. `named` has an entry for each route: the positions it names, or none if it leaves
-    /// them open.
-    pub(crate) fn new<'a>(positions: usize, named: impl Iterator<Item = Option<&'a [usize]>>) -> Groups {
-        let mut namers: Vec<Vec<usize>> = vec![Vec::new(); positions];
+impl PositionGroups {
+    /// Groups the positions below `position_count`. `named` has an entry for each route: the positions that the route
+    /// names, or none if it applies to all.
+    pub(crate) fn new<'a>(
+        position_count: usize,
+        named: impl Iterator<Item = Option<&'a [usize]>>,
+    ) -> PositionGroups {
+        let mut naming_routes: Vec<Vec<usize>> = vec![Vec::new(); position_count];
         for (route, named) in named.enumerate() {
             for &position in named.unwrap_or_default() {
-                if namers[position].last() != Some(&route) {
-                    namers[position].push(route);
+                // A route may name a position twice.
+                if naming_routes[position].last() != Some(&route) {
+                    naming_routes[position].push(route);
                 }
             }
         }
         let mut groups = BTreeMap::new();
-        let mut group = |namers| {
+        let mut assign_group = |routes| {
             let next = groups.len() as u32;
-            *groups.entry(namers).or_insert(next)
+            *groups.entry(routes).or_insert(next)
         };
-        let of = namers.into_iter().map(&mut group).collect();
-        Groups { of, count: groups.len() }
+        let group_of = naming_routes.into_iter().map(&mut assign_group).collect();
+        PositionGroups { group_of, count: groups.len() }
     }
 
-    /// The group of a position.
+    /// Returns the group of a position, or none beyond the list.
     #[inline]
-    pub(crate) fn of(&self, position: usize) -> Option<usize> {
-        self.of.get(position).map(|group| *group as usize)
+    pub(crate) fn group_of(&self, position: usize) -> Option<usize> {
+        self.group_of.get(position).map(|group| *group as usize)
     }
 
-    /// The groups that a route's positions make up; all where it leaves them open.
-    pub(crate) fn named(&self, positions: Option<&[usize]>) -> Vec<usize> {
+    /// Returns the groups of these positions, ascending and each once; without positions, all groups.
+    pub(crate) fn groups_of(&self, positions: Option<&[usize]>) -> Vec<usize> {
         let Some(positions) = positions else { return (0..self.count).collect() };
-        let mut groups: Vec<usize> = positions.iter().filter_map(|p| self.of(*p)).collect();
+        let mut groups: Vec<usize> =
+            positions.iter().filter_map(|position| self.group_of(*position)).collect();
         groups.sort_unstable();
         groups.dedup();
         groups
     }
 
-    /// Bytes on the heap.
-    pub(crate) fn bytes(&self) -> usize {
-        size_of_val(&*self.of)
+    /// Returns the number of bytes on the heap.
+    pub(crate) fn heap_bytes(&self) -> usize {
+        size_of_val(&*self.group_of)
     }
 }
--- a/crates/routing/src/quota.rs
+++ b/crates/routing/src/quota.rs
@@ -1,130 +1,144 @@
-//! What is in force for each plan: the lower of what the platform grants and what the operators' policies say.
+//! The effective quota of each plan: the lower of what the platform grants and what the operators' policies allow.
 
 use std::collections::BTreeMap;
 
 use config_language::model::{At, Operators, Origin, QuotaPolicy};
 
-use crate::{RoutingError, RoutingErrorKind};
+use crate::error::{RoutingError, RoutingErrorKind};
 
-/// What the platform grants each customer of a plan. A rate of zero: no quota; `open` of zero: no such limit.
+/// The quota that the platform grants each customer of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantedQuota<'a> {
-    /// The plan's name.
+    /// Name of the plan.
     pub plan: &'a str,
-    /// Units a second, from 0 up.
+    /// Units per second, from 0 up; 0 for no quota.
     pub rate: f64,
-    /// Units that the store holds, from 0 up.
+    /// Capacity of the token bucket in units, from 0 up.
     pub burst: f64,
-    /// Attempts out at once.
+    /// Maximum number of concurrent attempts, `open` in the operators' language; 0 for no limit.
     pub max_concurrent: u32,
 }
 
-/// Where a figure comes from.
+/// Where a limit was set.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitSource {
-    /// The platform's settings.
+    /// In the platform's settings.
     Platform,
-    /// A quota policy.
+    /// In a quota policy of the operators.
     Policy {
-        /// Its name.
+        /// Name of the policy.
         name: String,
-        /// The place of the figure.
+        /// Place of the limit in the files.
         origin: Origin,
     },
 }
 
-/// A figure in force, and where it comes from.
+/// An effective limit, and where it was set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit<T> {
-    /// The figure, in the unit and with the zero of [`GrantedQuota`].
+    /// The limit, with the unit and the meaning of 0 as in [`GrantedQuota`].
     pub value: T,
-    /// Where it comes from; the platform where both say the same.
+    /// Where it was set; the platform where both set the same.
     pub source: LimitSource,
 }
 
-/// What is in force for a plan.
+/// The effective quota of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveQuota {
-    /// The plan's name.
+    /// Name of the plan.
     pub plan: String,
-    /// Units a second.
+    /// Units per second.
     pub rate: Limit<f64>,
-    /// Units that the store holds.
+    /// Capacity of the token bucket in units.
     pub burst: Limit<f64>,
-    /// Attempts out at once.
+    /// Maximum number of concurrent attempts.
     pub max_concurrent: Limit<u32>,
 }
 
-/// What is in force for each plan, in the platform's order. A policy tightens and never loosens: of two figures the
-/// lower counts, so one above the platform's has no effect. The same goes for several policies of one plan.
+/// Returns the effective quota of each plan, in the platform's order.
+///
+/// A policy never raises a limit: the lower value is effective, so a policy above the platform's value has no effect.
+/// The same applies to several policies of one plan.
 ///
 /// # Errors
-/// A plan that the platform does not have, a figure that is not above zero (a zero would lift the limit), and half
-/// a quota, a rate or a burst alone, where the platform sets none to go with it.
+/// A plan that the platform does not have, a limit that is not above 0 (0 would remove the limit), and a rate without
+/// a burst, or a burst without a rate, where the platform grants neither.
 pub fn effective_quotas(
     operators: &Operators,
-    platform: &[GrantedQuota],
+    granted: &[GrantedQuota],
 ) -> Result<Vec<EffectiveQuota>, RoutingError> {
     let mut policies: BTreeMap<&str, Vec<&QuotaPolicy>> =
-        platform.iter().map(|quota| (quota.plan, Vec::new())).collect();
+        granted.iter().map(|quota| (quota.plan, Vec::new())).collect();
     for policy in &operators.policies {
-        check(policy)?;
+        check_limits(policy)?;
         let of_plan = policies.get_mut(policy.plan.value.as_str());
         let unknown = || RoutingErrorKind::UnknownPlan(policy.plan.value.clone()).at(&policy.plan.origin);
         of_plan.ok_or_else(unknown)?.push(policy);
     }
-    platform.iter().map(|quota| tightened(quota, &policies[quota.plan])).collect()
+    granted.iter().map(|quota| effective_quota(quota, &policies[quota.plan])).collect()
 }
 
-/// Whether each figure can be a limit at all.
-fn check(policy: &QuotaPolicy) -> Result<(), RoutingError> {
-    let units = |figure: &Option<At<f64>>| {
-        figure.as_ref().filter(|at| !(at.value.is_finite() && at.value > 0.0)).map(|at| at.origin.clone())
+/// Checks that each limit of a policy is a positive, finite number.
+fn check_limits(policy: &QuotaPolicy) -> Result<(), RoutingError> {
+    let is_positive = |limit: &&At<f64>| limit.value.is_finite() && limit.value > 0.0;
+    let invalid_units = |limit: &'_ Option<At<f64>>| {
+        limit.as_ref().filter(|limit| !is_positive(limit)).map(|limit| limit.origin.clone())
     };
-    let open = policy.open.as_ref().filter(|at| at.value == 0).map(|at| at.origin.clone());
-    let wrong = [("rate", units(&policy.rate)), ("burst", units(&policy.burst)), ("open", open)];
-    match wrong.into_iter().find_map(|(figure, origin)| Some((figure, origin?))) {
-        Some((figure, origin)) => {
-            Err(RoutingErrorKind::InvalidLimit { policy: policy.name.value.clone(), limit: figure }
-                .at(&origin))
+    let invalid_rate = invalid_units(&policy.rate);
+    let invalid_burst = invalid_units(&policy.burst);
+    let zero_open = policy.open.as_ref().filter(|limit| limit.value == 0).map(|limit| limit.origin.clone());
+    let invalid = [("rate", invalid_rate), ("burst", invalid_burst), ("open", zero_open)];
+    match invalid.into_iter().find_map(|(limit, origin)| Some((limit, origin?))) {
+        Some((limit, origin)) => {
+            let policy = policy.name.value.clone();
+            Err(RoutingErrorKind::InvalidLimit { policy, limit }.at(&origin))
         }
         None => Ok(()),
     }
 }
 
-fn tightened(quota: &GrantedQuota, policies: &[&QuotaPolicy]) -> Result<EffectiveQuota, RoutingError> {
-    let metered = quota.rate > 0.0;
-    let rate = lowest(quota.rate, metered, policies, |policy| policy.rate.as_ref());
-    // With a rate, a store of zero holds nothing; without one its figure means nothing, unless there is one.
-    let stored = metered || quota.burst > 0.0;
-    let burst = lowest(quota.burst, stored, policies, |policy| policy.burst.as_ref());
-    let open =
-        lowest(quota.max_concurrent, quota.max_concurrent > 0, policies, |policy| policy.open.as_ref());
+/// Returns the effective quota of one plan.
+///
+/// # Errors
+/// A rate without a burst, or a burst without a rate, where the platform grants neither.
+fn effective_quota(
+    granted: &GrantedQuota,
+    policies: &[&QuotaPolicy],
+) -> Result<EffectiveQuota, RoutingError> {
+    let has_rate = granted.rate > 0.0;
+    // With a rate a burst of 0 is a limit: the bucket holds nothing. Without a rate it means that there is no bucket.
+    let has_burst = has_rate || granted.burst > 0.0;
+    let rate = lowest(granted.rate, has_rate, policies, |policy| policy.rate.as_ref());
+    let burst = lowest(granted.burst, has_burst, policies, |policy| policy.burst.as_ref());
+    let has_max_concurrent = granted.max_concurrent > 0;
+    let max_concurrent =
+        lowest(granted.max_concurrent, has_max_concurrent, policies, |policy| policy.open.as_ref());
     match (&rate.source, &burst.source) {
-        (LimitSource::Policy { origin, .. }, LimitSource::Platform) if !stored => {
-            Err(RoutingErrorKind::RateWithoutBurst(quota.plan.into()).at(origin))
+        (LimitSource::Policy { origin, .. }, LimitSource::Platform) if !has_burst => {
+            Err(RoutingErrorKind::RateWithoutBurst(granted.plan.into()).at(origin))
         }
-        (LimitSource::Platform, LimitSource::Policy { origin, .. }) if !metered => {
-            Err(RoutingErrorKind::BurstWithoutRate(quota.plan.into()).at(origin))
+        (LimitSource::Platform, LimitSource::Policy { origin, .. }) if !has_rate => {
+            Err(RoutingErrorKind::BurstWithoutRate(granted.plan.into()).at(origin))
         }
-        _ => Ok(EffectiveQuota { plan: quota.plan.into(), rate, burst, max_concurrent: open }),
+        _ => Ok(EffectiveQuota { plan: granted.plan.into(), rate, burst, max_concurrent }),
     }
 }
 
-/// The lowest of the platform's figure, if that is a limit, and the policies'.
+/// Returns the lowest of the granted value, if `is_limited` says that it is a limit, and the values of the policies.
 fn lowest<T: Copy + PartialOrd>(
-    platform: T,
-    mut limited: bool,
+    granted: T,
+    mut is_limited: bool,
     policies: &[&QuotaPolicy],
-    figure: impl Fn(&QuotaPolicy) -> Option<&At<T>>,
+    limit_of: impl Fn(&QuotaPolicy) -> Option<&At<T>>,
 ) -> Limit<T> {
-    let mut lowest = Limit { value: platform, source: LimitSource::Platform };
+    let mut lowest = Limit { value: granted, source: LimitSource::Platform };
     for policy in policies {
-        let Some(at) = figure(policy) else { continue };
-        if !limited || at.value < lowest.value {
-            let source = LimitSource::Policy { name: policy.name.value.clone(), origin: at.origin.clone() };
-            lowest = Limit { value: at.value, source };
-            limited = true;
+        let Some(limit) = limit_of(policy) else { continue };
+        if !is_limited || limit.value < lowest.value {
+            let name = policy.name.value.clone();
+            let source = LimitSource::Policy { name, origin: limit.origin.clone() };
+            lowest = Limit { value: limit.value, source };
+            is_limited = true;
         }
     }
     lowest
--- a/crates/routing/src/range_tables.rs
+++ b/crates/routing/src/range_tables.rs
@@ -1,146 +1,120 @@
-//! Customers cut into ranges, and the route that wins in each.
+//! Tables of disjoint customer ranges, each range with the route that wins in it.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The most ranges of customers that the routes may lay into the tables. A range counts once for each table that
-/// its route is in, and a table counts one. So the tables of one version take at most 40 MiB, and compiling them
-/// about a second at most, whatever the files say.
-pub const MAX_RANGES: usize = 1 << 21;
+#[cfg(test)]
+mod tests;
 
-/// In place of a route where none holds.
+/// Stands in place of a route where none applies. No route has this number, see
+/// [`MAX_ROUTES`](crate::MAX_ROUTES).
 pub(crate) const NO_ROUTE: u16 = u16::MAX;
 
-/// Customers for whom a route holds.
+/// A range of customers that a route applies to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Span {
+pub(crate) struct CustomerRange {
     /// The first customer.
     pub(crate) first: u64,
     /// The last customer, not below the first.
     pub(crate) last: u64,
-    /// The route.
+    /// Number of the route. Of the routes that apply to a customer the one with the lowest number wins.
     pub(crate) route: u16,
 }
 
-/// All tables, one behind the other.
+/// A range that the sweep has reached. The order is that of routes, so that the lowest number is the winner.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ActiveRange {
+    route: u16,
+    last: u64,
+}
+
+/// Many tables, one after the other in common lists.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Tables {
-    /// Where each table ends in the lists below. It begins where the one before it ends.
-    ends: Vec<u32>,
-    /// The first customer of each range; a table's first range begins at 0.
-    firsts: Vec<u64>,
-    /// The route that wins there.
+pub(crate) struct RangeTables {
+    /// The end of each table in the lists below. It begins where the one before it ends.
+    table_ends: Vec<u32>,
+    /// The first customer of each range. The first range of a table begins at 0.
+    range_starts: Vec<u64>,
+    /// The route that wins in each range, or [`NO_ROUTE`].
     winners: Vec<u16>,
 }
 
-impl Tables {
-    /// Adds a table. Of the routes that hold for a customer the one with the lowest number wins. A sweep from the
-    /// lowest customer to the highest: it stops where a span begins and where one ends that was winning.
-    pub(crate) fn add(&mut self, spans: &mut [Span]) {
-        spans.sort_unstable_by_key(|span| span.first);
-        let begin = self.firsts.len();
-        let mut coming = spans.iter().peekable();
-        let mut running: BinaryHeap<Reverse<(u16, u64)>> = BinaryHeap::new();
-        let mut at = Some(0);
-        while let Some(customer) = at {
-            while let Some(span) = coming.next_if(|span| span.first <= customer) {
-                running.push(Reverse((span.route, span.last)));
+impl RangeTables {
+    /// Makes a table of each list of ranges.
+    pub(crate) fn build<R>(tables: impl Iterator<Item = R>) -> RangeTables
+    where
+        R: IntoIterator<Item = CustomerRange>,
+    {
+        let mut built = RangeTables::default();
+        let mut buffer = Vec::new();
+        for ranges in tables {
+            buffer.clear();
+            buffer.extend(ranges);
+            built.add_table(&mut buffer);
+        }
+        built.table_ends.shrink_to_fit();
+        built.range_starts.shrink_to_fit();
+        built.winners.shrink_to_fit();
+        built
+    }
+
+    /// Adds a table: a sweep from the lowest customer to the highest, which stops where a range begins and where one
+    /// ends that was winning.
+    fn add_table(&mut self, ranges: &mut [CustomerRange]) {
+        ranges.sort_unstable_by_key(|range| range.first);
+        let table_start = self.range_starts.len();
+        let mut upcoming = ranges.iter().peekable();
+        let mut active: BinaryHeap<Reverse<ActiveRange>> = BinaryHeap::new();
+        let mut stop = Some(0);
+        while let Some(customer) = stop {
+            while let Some(range) = upcoming.next_if(|range| range.first <= customer) {
+                active.push(Reverse(ActiveRange { route: range.route, last: range.last }));
             }
-            // Spans that are over but not on top stay until they get there: they cannot win before.
-            while running.peek().is_some_and(|Reverse((_, last))| *last < customer) {
-                running.pop();
+            // Ranges that have ended stay below the top of the heap until they reach it: they cannot win before.
+            while active.peek().is_some_and(|Reverse(range)| range.last < customer) {
+                active.pop();
             }
-            let winner = running.peek().map(|Reverse(winner)| *winner);
-            self.put(begin, customer, winner.map_or(NO_ROUTE, |(route, _)| route));
-            // A span up to the highest number there is ends nowhere.
-            let end = winner.and_then(|(_, last)| last.checked_add(1));
-            at = coming.peek().map(|span| span.first).into_iter().chain(end).min();
+            let winner = active.peek().map(|Reverse(range)| range);
+            self.push_range(table_start, customer, winner.map_or(NO_ROUTE, |range| range.route));
+            // A range up to the highest customer number has no customer behind it.
+            let behind_winner = winner.and_then(|range| range.last.checked_add(1));
+            let next_start = upcoming.peek().map(|range| range.first);
+            stop = next_start.into_iter().chain(behind_winner).min();
         }
-        self.ends.push(self.firsts.len() as u32);
+        self.table_ends.push(self.range_starts.len() as u32);
     }
 
-    /// Adds a range to the table that begins at `begin`, unless the same route goes on winning.
-    fn put(&mut self, begin: usize, first: u64, winner: u16) {
-        if self.winners[begin..].last() != Some(&winner) {
-            self.firsts.push(first);
+    /// Adds a range to the table that begins at `table_start`, unless the range before it has the same winner.
+    fn push_range(&mut self, table_start: usize, first: u64, winner: u16) {
+        if self.winners[table_start..].last() != Some(&winner) {
+            self.range_starts.push(first);
             self.winners.push(winner);
         }
     }
 
-    /// The route that wins for a customer in a table, by halving; `compared` is called at each comparison.
+    /// Returns the route that wins for a customer in a table, or [`NO_ROUTE`]. The search is binary; `on_comparison`
+    /// is called at each comparison.
     #[inline]
-    pub(crate) fn winner(&self, table: usize, customer: u64, mut compared: impl FnMut()) -> u16 {
-        let begin = if table == 0 { 0 } else { self.ends[table - 1] as usize };
-        let firsts = &self.firsts[begin..self.ends[table] as usize];
-        let after = firsts.partition_point(|first| {
-            compared();
+    pub(crate) fn winner(&self, table: usize, customer: u64, mut on_comparison: impl FnMut()) -> u16 {
+        let table_start = if table == 0 { 0 } else { self.table_ends[table - 1] as usize };
+        let range_starts = &self.range_starts[table_start..self.table_ends[table] as usize];
+        let behind = range_starts.partition_point(|first| {
+            on_comparison();
             *first <= customer
         });
         // The first range begins at 0, so at least one begins at or before the customer.
-        self.winners[begin + after - 1]
+        self.winners[table_start + behind - 1]
     }
 
-    /// Ranges in all tables.
-    pub(crate) fn ranges(&self) -> usize {
-        self.firsts.len()
+    /// Returns the number of ranges in all tables.
+    pub(crate) fn range_count(&self) -> usize {
+        self.range_starts.len()
     }
 
-    /// Gives back what the lists have to spare.
-    pub(crate) fn shrink(&mut self) {
-        self.ends.shrink_to_fit();
-        self.firsts.shrink_to_fit();
-        self.winners.shrink_to_fit();
-    }
-
-    /// Bytes on the heap.
-    pub(crate) fn bytes(&self) -> usize {
-        self.ends.capacity() * size_of::<u32>()
-            + self.firsts.capacity() * size_of::<u64>()
+    /// Returns the number of bytes on the heap.
+    pub(crate) fn heap_bytes(&self) -> usize {
+        self.table_ends.capacity() * size_of::<u32>()
+            + self.range_starts.capacity() * size_of::<u64>()
             + self.winners.capacity() * size_of::<u16>()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// The ranges of one table: where each begins and which route wins there.
-    fn table(mut spans: Vec<Span>) -> Vec<(u64, u16)> {
-        let mut tables = Tables::default();
-        tables.add(&mut spans);
-        tables.firsts.into_iter().zip(tables.winners).collect()
-    }
-
-    fn span(route: u16, first: u64, last: u64) -> Span {
-        Span { first, last, route }
-    }
-
-    #[test]
-    fn neighbours_with_one_winner_are_one_range() {
-        let touching = vec![span(1, 10, 19), span(1, 20, 29), span(1, 15, 25), span(2, 0, 40)];
-        assert_eq!(table(touching), [(0, 2), (10, 1), (30, 2), (41, NO_ROUTE)]);
-        assert_eq!(table(vec![]), [(0, NO_ROUTE)]);
-    }
-
-    #[test]
-    fn each_span_adds_two_ranges_at_most() {
-        // Nested like the skins of an onion, the innermost first in order: each one is seen on both sides.
-        let skins: Vec<Span> =
-            (0..500).map(|n| span(n, 1000 - u64::from(n) - 1, 1000 + u64::from(n))).collect();
-        assert_eq!(table(skins.clone()).len(), 2 * 500 + 1);
-        // The other way round the outermost hides the others.
-        let hidden = skins.iter().map(|skin| Span { route: 499 - skin.route, ..*skin }).collect();
-        assert_eq!(table(hidden), [(0, NO_ROUTE), (500, 0), (1500, NO_ROUTE)]);
-    }
-
-    #[test]
-    fn a_table_is_searched_between_its_own_ends() {
-        let mut tables = Tables::default();
-        for route in 0..3 {
-            tables.add(&mut [span(route, 5, u64::MAX)]);
-        }
-        let winners = |customer| [0, 1, 2].map(|table| tables.winner(table, customer, || ()));
-        assert_eq!((winners(0), winners(4)), ([NO_ROUTE; 3], [NO_ROUTE; 3]));
-        assert_eq!((winners(5), winners(u64::MAX)), ([0, 1, 2], [0, 1, 2]));
-    }
-}
--- a/crates/routing/src/site_pools.rs
+++ b/crates/routing/src/site_pools.rs
@@ -1,96 +1,146 @@
-//! The part of each pool that stands in a site, as a pool of its own, so that requests can be kept from a site that is
-//! lost by what says where they go anyway.
+//! The part of each pool that is in a site, as a pool of its own.
+//!
+//! A request is kept from a lost site by narrowing its destination to the parts of its pool in other sites. So the
+//! decision module needs nothing but the mask of the destination.
 
 use std::collections::BTreeMap;
 
-use config_language::model::{At, Operators, Pool};
+use config_language::model::{At, Operators, Origin, Pool};
 
-use crate::pools::Pools;
-use crate::{PlatformNames, PoolMask, RoutingError, RoutingErrorKind, MAX_POOLS};
+use crate::error::{RoutingError, RoutingErrorKind};
+use crate::limits::MAX_POOLS;
+use crate::platform_names::PlatformNames;
+use crate::pool_mask::PoolMask;
+use crate::pool_set::PoolSet;
 
-/// Parts a pool's name from a site's. No file can have it in a name.
-const AT: char = '\u{1f}';
-/// The bit of hosts that are in no site, among the bits of sites.
-const NO_SITE: usize = 63;
+/// Separates the names of pool and site in the name of a part. The operators' language allows it in no name.
+const SEPARATOR: char = '\u{1f}';
+/// Bit of the hosts that are in no site, in a set of sites. All other bits are positions in the files.
+const NO_SITE_BIT: usize = 63;
 
-/// Names the part of a pool, or of all hosts, that is in a site, or in none.
-fn name(pool: Option<&Pool>, site: Option<&str>) -> String {
-    let pool = pool.map_or("", |pool| &pool.name.value);
-    format!("{pool}{AT}{}", site.unwrap_or_default())
+/// A site and its zones; without a site, the zones that are in none.
+struct SiteZones {
+    site: Option<String>,
+    zones: Vec<String>,
 }
 
-/// Zones of each site, and last those that are in none.
-fn zones(operators: &Operators, facts: &PlatformNames) -> Vec<(Option<String>, Vec<String>)> {
-    let sites = operators.sites.iter().map(|site| (Some(site.name.value.clone()), site.zones.value.clone()));
-    let mut all: Vec<_> = sites.collect();
-    let is_taken = |zone: &&String| all.iter().any(|(_, zones)| zones.contains(zone));
-    let left = facts.zones.iter().filter(|zone| !is_taken(zone)).cloned().collect();
-    all.push((None, left));
-    all
+impl SiteZones {
+    /// Returns all sites in the order of the files, and last the zones that are in no site.
+    fn all(operators: &Operators, names: &PlatformNames) -> Vec<SiteZones> {
+        let in_sites = operators
+            .sites
+            .iter()
+            .map(|site| SiteZones { site: Some(site.name.value.clone()), zones: site.zones.value.clone() });
+        let mut all: Vec<SiteZones> = in_sites.collect();
+        let is_in_site = |zone: &&String| all.iter().any(|site| site.zones.contains(zone));
+        let zones = names.zones.iter().filter(|zone| !is_in_site(zone)).cloned().collect();
+        all.push(SiteZones { site: None, zones });
+        all
+    }
+
+    /// Returns the name of the part of a pool that is here; without a pool, of all hosts.
+    fn part_name(&self, pool: Option<&Pool>) -> String {
+        let pool = pool.map_or("", |pool| &pool.name.value);
+        format!("{pool}{SEPARATOR}{}", self.site.as_deref().unwrap_or_default())
+    }
+
+    /// Returns the part of a pool that is here, or none if no zone of the pool is; without a pool, of all hosts.
+    fn part(&self, pool: Option<&Pool>, origin: &Origin) -> Option<Pool> {
+        let wanted = pool.and_then(|pool| pool.zones.as_ref());
+        let is_wanted = |zone: &&String| wanted.is_none_or(|wanted| wanted.value.contains(zone));
+        let zones: Vec<String> = self.zones.iter().filter(is_wanted).cloned().collect();
+        if zones.is_empty() {
+            return None;
+        }
+        Some(Pool {
+            name: At { value: self.part_name(pool), origin: origin.clone() },
+            zones: Some(At { value: zones, origin: origin.clone() }),
+            machines: pool.and_then(|pool| pool.machines.clone()),
+            cells: pool.and_then(|pool| pool.cells.clone()),
+            ids: pool.and_then(|pool| pool.ids.clone()),
+        })
+    }
 }
 
-/// The pools of the operators, and those that their sites make of them. Without sites, nothing is added.
+/// Returns none, which means all hosts, and then each pool of the operators.
+fn all_hosts_and_pools(operators: &Operators) -> impl Iterator<Item = Option<&Pool>> {
+    std::iter::once(None).chain(operators.pools.iter().map(Some))
+}
+
+/// Returns the pools of the operators and, behind them, the part of each in each site. Without sites there are no
+/// parts.
 ///
 /// # Errors
-/// More than a mask has bits.
-pub(crate) fn with_parts(operators: &Operators, facts: &PlatformNames) -> Result<Vec<Pool>, RoutingError> {
+/// More pools and parts than a mask has bits.
+pub(crate) fn with_site_pools(
+    operators: &Operators,
+    names: &PlatformNames,
+) -> Result<Vec<Pool>, RoutingError> {
     let mut pools = operators.pools.clone();
-    let Some(first) = operators.sites.first() else { return Ok(pools) };
-    for (site, zones) in zones(operators, facts) {
-        for pool in std::iter::once(None).chain(operators.pools.iter().map(Some)) {
-            let wanted = pool.and_then(|pool| pool.zones.as_ref());
-            let here = |zone: &&String| wanted.is_none_or(|wanted| wanted.value.contains(zone));
-            let here: Vec<String> = zones.iter().filter(here).cloned().collect();
-            if here.is_empty() {
-                continue;
-            }
-            let at = |value| At { value, origin: first.name.origin.clone() };
-            let name = At { value: name(pool, site.as_deref()), origin: first.name.origin.clone() };
-            let (machines, cells, ids) = pool.map_or((None, None, None), |pool| {
-                (pool.machines.clone(), pool.cells.clone(), pool.ids.clone())
-            });
-            pools.push(Pool { name, zones: Some(at(here)), machines, cells, ids });
-        }
+    let Some(first_site) = operators.sites.first() else { return Ok(pools) };
+    let origin = &first_site.name.origin;
+    for site in SiteZones::all(operators, names) {
+        pools.extend(all_hosts_and_pools(operators).filter_map(|pool| site.part(pool, origin)));
     }
-    let (own, sites, makes) = (operators.pools.len(), operators.sites.len(), pools.len());
-    if own <= MAX_POOLS && makes > MAX_POOLS {
-        return Err(
-            RoutingErrorKind::TooManySitePools { pools: own, sites, total: makes }.at(&first.name.origin)
-        );
+    let (defined, total) = (operators.pools.len(), pools.len());
+    // Too many pools without any part is an error of its own, which names the pool.
+    if defined <= MAX_POOLS && total > MAX_POOLS {
+        let sites = operators.sites.len();
+        return Err(RoutingErrorKind::TooManySitePools { pools: defined, sites, total }.at(origin));
     }
     Ok(pools)
 }
 
-/// Of each pool the parts in sites. Empty without sites.
+/// The part of a pool in one site.
+#[derive(Clone, Debug)]
+struct SitePart {
+    /// Bit of the site in a set of sites.
+    site_bit: usize,
+    mask: PoolMask,
+}
+
+/// A pool and its parts.
+#[derive(Clone, Debug)]
+struct PoolParts {
+    /// The pool, or [`PoolMask::ALL`] for all hosts.
+    pool: PoolMask,
+    parts: Vec<SitePart>,
+}
+
+/// The parts of all pools. Empty without sites.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Parts(Vec<(PoolMask, Vec<(usize, PoolMask)>)>);
+pub(crate) struct SitePools(Vec<PoolParts>);
 
-impl Parts {
-    pub fn new(operators: &Operators, facts: &PlatformNames, pools: &Pools) -> Parts {
+impl SitePools {
+    /// Finds the masks of the parts that [`with_site_pools`] added.
+    pub(crate) fn new(operators: &Operators, names: &PlatformNames, pools: &PoolSet) -> SitePools {
         if operators.sites.is_empty() {
-            return Parts::default();
+            return SitePools::default();
         }
-        let named: BTreeMap<&str, PoolMask> = pools.by_name();
-        let zones = zones(operators, facts);
-        let numbers = |number: usize| if number == operators.sites.len() { NO_SITE } else { number };
-        let parts = |pool: Option<&Pool>| {
-            let sites = zones.iter().enumerate();
-            let part = |(number, (site, _)): (usize, &(Option<String>, _))| {
-                Some((numbers(number), *named.get(name(pool, site.as_deref()).as_str())?))
+        let masks: BTreeMap<&str, PoolMask> = pools.by_name();
+        let sites = SiteZones::all(operators, names);
+        let site_bit = |position| if position == operators.sites.len() { NO_SITE_BIT } else { position };
+        let parts_of = |pool: Option<&Pool>| {
+            let part = |(position, site): (usize, &SiteZones)| {
+                let mask = *masks.get(site.part_name(pool).as_str())?;
+                Some(SitePart { site_bit: site_bit(position), mask })
             };
-            let whole = pool.and_then(|pool| named.get(pool.name.value.as_str()).copied());
-            (whole.unwrap_or(PoolMask::ALL), sites.filter_map(part).collect())
+            let pool_mask = pool.and_then(|pool| masks.get(pool.name.value.as_str()).copied());
+            let parts = sites.iter().enumerate().filter_map(part).collect();
+            PoolParts { pool: pool_mask.unwrap_or(PoolMask::ALL), parts }
         };
-        Parts(std::iter::once(None).chain(operators.pools.iter().map(Some)).map(parts).collect())
+        SitePools(all_hosts_and_pools(operators).map(parts_of).collect())
     }
 
-    /// The parts of these pools that are in sites of a set, a bit each; bit 63: hosts that are in no site.
-    pub fn within(&self, pools: PoolMask, sites: u64) -> PoolMask {
-        let asked = |whole: PoolMask| match (pools, whole) {
-            (PoolMask::ALL | PoolMask::NONE, whole) => whole == PoolMask::ALL,
-            (pools, whole) => whole != PoolMask::ALL && whole.0 & pools.0 != 0,
+    /// Returns the parts of `pools` in a set of sites, see
+    /// [`RoutingTable::pools_in_sites`](crate::RoutingTable::pools_in_sites).
+    pub(crate) fn in_sites(&self, pools: PoolMask, sites: u64) -> PoolMask {
+        let wants_all_hosts = pools == PoolMask::ALL || pools.is_empty();
+        let is_wanted = |parts: &&PoolParts| match parts.pool {
+            PoolMask::ALL => wants_all_hosts,
+            pool => !wants_all_hosts && pool.intersects(pools),
         };
-        let of = self.0.iter().filter(|(whole, _)| asked(*whole)).flat_map(|(_, parts)| parts);
-        of.filter(|(site, _)| sites >> site & 1 == 1).fold(PoolMask::NONE, |all, (_, part)| all | *part)
+        let parts = self.0.iter().filter(is_wanted).flat_map(|pool| &pool.parts);
+        parts.filter(|part| sites >> part.site_bit & 1 == 1).map(|part| part.mask).collect()
     }
 }
--- a/crates/routing/tests/routing/brute_force.rs
+++ b/crates/routing/tests/routing/brute_force.rs
@@ -1,4 +1,4 @@
-//! The tables against going through the routes one by one.
+//! The tables compared with a linear search through the routes.
 
 use std::ops::RangeInclusive;
 
@@ -8,17 +8,17 @@
 
 use super::common::*;
 
-/// Customers close enough together for ranges to meet, and those at the ends of what there is.
+/// Generates customers that are close together, so that ranges touch, and the lowest and highest ones.
 fn customer() -> impl Strategy<Value = u64> {
     let ends = [0, 1, (1 << 33) - 1, 1 << 33, u64::MAX - 1, u64::MAX];
     prop_oneof![4 => 0_u64..40, 1 => prop::sample::select(ends.to_vec())]
 }
 
-/// One in five or so ends before it begins.
+/// Generates ranges, of which about one in ten ends before it begins.
 fn range() -> impl Strategy<Value = RangeInclusive<u64>> {
     (customer(), customer(), 0..5).prop_map(
-        |(a, b, turned)| {
-            if turned == 0 {
+        |(a, b, may_be_reversed)| {
+            if may_be_reversed == 0 {
                 a..=b
             } else {
                 a.min(b)..=a.max(b)
@@ -27,14 +27,14 @@
     )
 }
 
-/// A list that may be left out, empty, or name things twice.
+/// Generates a list that may be missing, be empty, or have duplicates.
 fn some_of<T: Clone + std::fmt::Debug>(
     one: impl Strategy<Value = T>,
 ) -> impl Strategy<Value = Option<At<Vec<T>>>> {
     prop::option::of(prop::collection::vec(one, 0..4).prop_map(|list| at(1, list)))
 }
 
-fn a_route() -> impl Strategy<Value = Route> {
+fn any_route() -> impl Strategy<Value = Route> {
     let classes = some_of(prop::sample::select(Platform::new().classes));
     let plans = some_of(prop::sample::select(Platform::new().plans));
     let pool = prop::sample::select(names(&["a", "b"]));
@@ -46,10 +46,10 @@
     })
 }
 
-/// Whether all that a route says holds.
-fn holds(route: &Route, class: &str, plan: &str, customer: u64) -> bool {
-    fn any<T>(list: &Option<At<Vec<T>>>, holds: impl Fn(&T) -> bool) -> bool {
-        list.as_ref().is_none_or(|list| list.value.iter().any(holds))
+/// Returns whether a route applies to a request.
+fn applies(route: &Route, class: &str, plan: &str, customer: u64) -> bool {
+    fn any<T>(list: &Option<At<Vec<T>>>, matches: impl Fn(&T) -> bool) -> bool {
+        list.as_ref().is_none_or(|list| list.value.iter().any(matches))
     }
     any(&route.classes, |name| name == class)
         && any(&route.plans, |name| name == plan)
@@ -65,9 +65,9 @@
     })]
 
     #[test]
-    fn the_first_route_that_holds_is_chosen(
-        routes in prop::collection::vec(a_route(), 0..25),
-        asked in prop::collection::vec(customer(), 1..30),
+    fn the_look_up_finds_the_first_route_that_applies(
+        routes in prop::collection::vec(any_route(), 0..25),
+        customers in prop::collection::vec(customer(), 1..30),
     ) {
         let mut routes = routes;
         for (number, route) in routes.iter_mut().enumerate() {
@@ -77,12 +77,12 @@
         let compiled = platform.compile(&operators);
         for (class, class_name) in platform.classes.iter().enumerate() {
             for (plan, plan_name) in platform.plans.iter().enumerate() {
-                for &customer in &asked {
-                    let choice = compiled.lookup(class, plan, customer);
-                    let first = operators.routes.iter().find(|r| holds(r, class_name, plan_name, customer));
-                    let name = choice.route.map(|route| compiled.route_name(route));
+                for &customer in &customers {
+                    let destination = compiled.lookup(request(class, plan, customer));
+                    let first = operators.routes.iter().find(|r| applies(r, class_name, plan_name, customer));
+                    let name = destination.route.map(|route| compiled.route_name(route));
                     prop_assert_eq!(name, first.map(|route| route.name.value.as_str()));
-                    let pools: Vec<&str> = compiled.pool_names(choice.named_pools()).collect();
+                    let pools: Vec<&str> = compiled.pool_names(destination.named_pools()).collect();
                     prop_assert_eq!(pools.first().copied(), first.map(|route| route.pool.value.as_str()));
                 }
             }
--- a/crates/routing/tests/routing/common.rs
+++ b/crates/routing/tests/routing/common.rs
@@ -1,11 +1,11 @@
-//! Short ways to write an operators' file set as data.
+//! Builders for the operators' file sets, as data.
 
 use std::ops::RangeInclusive;
 
 use config_language::model::{At, Operators, Origin, Pool, QuotaPolicy, Route};
-use routing::{PlatformNames, RoutingTable};
+use routing::{PlatformNames, RequestAttributes, RoutingTable};
 
-/// A value that stands in some line.
+/// Returns a value that is defined in this line.
 pub fn at<T>(line: u32, value: T) -> At<T> {
     At { value, origin: Origin { file: "park.fb".into(), line, column: 3 } }
 }
@@ -14,7 +14,7 @@
     names.iter().map(|name| name.to_string()).collect()
 }
 
-/// The platform's names, owned.
+/// Owns the platform's names.
 pub struct Platform {
     pub classes: Vec<String>,
     pub plans: Vec<String>,
@@ -32,7 +32,7 @@
         }
     }
 
-    pub fn facts(&self) -> PlatformNames<'_> {
+    pub fn names(&self) -> PlatformNames<'_> {
         PlatformNames {
             classes: &self.classes,
             plans: &self.plans,
@@ -42,21 +42,25 @@
     }
 
     pub fn compile(&self, operators: &Operators) -> RoutingTable {
-        RoutingTable::compile(operators, &self.facts()).unwrap()
+        RoutingTable::compile(operators, &self.names()).unwrap()
     }
 }
 
-/// A pool with all hosts.
+pub fn request(class: usize, plan: usize, customer: u64) -> RequestAttributes {
+    RequestAttributes { class, plan, customer }
+}
+
+/// Returns a pool with all hosts.
 pub fn pool(name: &str) -> Pool {
     Pool { name: at(1, name.to_owned()), zones: None, machines: None, cells: None, ids: None }
 }
 
-/// A pool with the hosts of a zone.
+/// Returns a pool with the hosts of a zone.
 pub fn zone(name: &str, zone: &str) -> Pool {
     Pool { zones: Some(at(2, names(&[zone]))), ..pool(name) }
 }
 
-/// A route for all requests.
+/// Returns a route for all requests.
 pub fn route(name: &str, pool: &str) -> Route {
     Route {
         name: at(3, name.to_owned()),
@@ -69,12 +73,12 @@
     }
 }
 
-/// A route for some customers.
+/// Returns a route for some customers.
 pub fn customers(name: &str, pool: &str, customers: &[RangeInclusive<u64>]) -> Route {
     Route { customers: Some(at(5, customers.to_vec())), ..route(name, pool) }
 }
 
-/// A policy that says nothing yet.
+/// Returns a policy without limits.
 pub fn policy(name: &str, plan: &str) -> QuotaPolicy {
     QuotaPolicy {
         name: at(6, name.to_owned()),
--- a/crates/routing/tests/routing/main.rs
+++ b/crates/routing/tests/routing/main.rs
@@ -1,6 +1,6 @@
-//! Pools, routes and quotas as a gateway asks for them.
+//! Pools, routes and quotas, queried as a gateway does.
 
-mod brute;
+mod brute_force;
 mod common;
 mod errors;
 mod order;
