--- a/crates/api-gateway/src/operators.rs
+++ b/crates/api-gateway/src/operators.rs
@@ -6,7 +6,7 @@
 use config_language::loader::Fs;
 use config_language::model::{Operators, Origin};
 use config_language::{Diagnostic, FileSet, Platform, PlatformPlan, Severity};
-use gateway::Site;
+use gateway::PlatformSettings;
 use routing::{
     effective_quotas, EffectiveQuota, GrantedQuota, PlatformNames, RoutingError, RoutingErrorKind,
     RoutingTable,
@@ -14,10 +14,10 @@
 use std::path::Path;
 
 /// What the platform's settings say, as far as checks of the operators' files need it.
-pub fn platform(site: &Site) -> Platform {
-    let plans = site.plans.iter().zip(&site.settings.plans);
+pub fn platform(site: &PlatformSettings) -> Platform {
+    let plans = site.plan_names.iter().zip(&site.settings.plans);
     Platform {
-        classes: site.classes.clone(),
+        classes: site.class_names.clone(),
         worths: site.settings.classes.iter().map(|class| class.priority_weight).collect(),
         plans: plans
             .map(|(name, plan)| PlatformPlan {
@@ -28,20 +28,20 @@
                 worth: plan.weight_factor,
             })
             .collect(),
-        zones: site.zones.clone(),
-        machines: site.kinds.clone(),
+        zones: site.zone_names.clone(),
+        machines: site.machine_types.clone(),
         gateways: site.settings.gateways,
-        units_top: site.units_top,
+        units_top: site.max_request_units,
     }
 }
 
 /// The names that routes and pools speak of.
-pub fn facts(site: &Site) -> PlatformNames<'_> {
+pub fn facts(site: &PlatformSettings) -> PlatformNames<'_> {
     PlatformNames {
-        classes: &site.classes,
-        plans: &site.plans,
-        zones: &site.zones,
-        machine_types: &site.kinds,
+        classes: &site.class_names,
+        plans: &site.plan_names,
+        zones: &site.zone_names,
+        machine_types: &site.machine_types,
     }
 }
 
@@ -49,8 +49,8 @@
 ///
 /// # Errors
 /// As [`effective_quotas`].
-pub fn quotas(operators: &Operators, site: &Site) -> Result<Vec<EffectiveQuota>, RoutingError> {
-    let plans = site.plans.iter().zip(&site.settings.plans);
+pub fn quotas(operators: &Operators, site: &PlatformSettings) -> Result<Vec<EffectiveQuota>, RoutingError> {
+    let plans = site.plan_names.iter().zip(&site.settings.plans);
     let granted: Vec<GrantedQuota> = plans
         .map(|(name, plan)| GrantedQuota {
             plan: name,
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// The first error, and how many more there are. Warnings are none.
-pub fn load(path: &Path, site: Option<&Site>) -> Result<FileSet, Unusable> {
+pub fn load(path: &Path, site: Option<&PlatformSettings>) -> Result<FileSet, Unusable> {
     let Checked { set, diagnostics } = check(path, site);
     set.ok_or_else(|| unusable(path, &diagnostics))
 }
@@ -107,7 +107,7 @@
 }
 
 /// Reads and checks a file and all that it includes, as [`load`], and keeps all that there is to say.
-pub fn check(path: &Path, site: Option<&Site>) -> Checked {
+pub fn check(path: &Path, site: Option<&PlatformSettings>) -> Checked {
     let loaded = config_language::load(path, &Fs, site.map(platform).as_ref());
     let mut diagnostics = loaded.diagnostics;
     let Some((set, site)) = loaded.set.as_ref().zip(site) else {
@@ -118,7 +118,7 @@
     match plan::compile(&set.operators, site) {
         Ok(plan) => diagnostics.extend(plan::warnings(&set.operators, &plan)),
         Err(error) => {
-            diagnostics.push(Diagnostic::error("plan", &place(&error.origin), error.problem.to_string()));
+            diagnostics.push(Diagnostic::error("plan", &place(&error.origin), error.kind.to_string()));
         }
     }
     let is_clean = diagnostics.iter().all(|diagnostic| diagnostic.severity != Severity::Error);
@@ -126,7 +126,7 @@
 }
 
 /// Why a gateway could not put it in force: bounds of its tables, and quotas that need more than a figure.
-fn refused(operators: &Operators, site: &Site) -> Vec<RoutingError> {
+fn refused(operators: &Operators, site: &PlatformSettings) -> Vec<RoutingError> {
     let routes = RoutingTable::compile(operators, &facts(site)).err();
     routes.into_iter().chain(quotas(operators, site).err()).collect()
 }
@@ -167,7 +167,7 @@
 
     const EXAMPLE: &[u8] = include_bytes!("../../../deploy/example.json");
 
-    fn site() -> Site {
+    fn site() -> PlatformSettings {
         Config::parse(EXAMPLE).unwrap().site
     }
 
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/request_routing.rs
@@ -1,7 +1,7 @@
 //! The operators' pools, routes and quota policies as they are in force at this gateway.
 
 use config_language::model::Operators;
-use platform_settings::Site;
+use platform_settings::PlatformSettings;
 use policy::api::{Plan, Request, Route, RouteLimit};
 use routing::{
     effective_quotas, Destination, EffectiveQuota, GrantedQuota, HostAttributes, PlatformNames, PoolMask,
@@ -22,12 +22,12 @@
 
 /// One version of the operators' files after the other, and what requests in hand still hold of earlier ones.
 pub(crate) struct Routing {
-    site: Arc<Site>,
+    site: Arc<PlatformSettings>,
     routes: RoutingTable,
     /// What the platform grants, tightened by the operators.
     plans: Vec<Plan>,
     /// What to do when a whole site is lost.
-    sites: site_failover::Plan,
+    sites: site_failover::FailoverPlan,
     /// Numbers of the routes, by place. One that is there by its name in the next version keeps its number, so
     /// that its limit counts what is out of both.
     numbers: Vec<u32>,
@@ -40,9 +40,9 @@
 
 impl Routing {
     /// The first version.
-    pub fn new(site: Arc<Site>, operators: &Operators) -> Result<Routing, Unusable> {
+    pub fn new(site: Arc<PlatformSettings>, operators: &Operators) -> Result<Routing, Unusable> {
         let plans = site.settings.plans.clone();
-        let sites = site_failover::Plan::default();
+        let sites = site_failover::FailoverPlan::default();
         let routes = RoutingTable::default();
         let numbers = Vec::new();
         let mut routing =
@@ -55,15 +55,18 @@
     pub fn turn(&mut self, operators: &Operators) -> Result<(), Unusable> {
         let site = &self.site;
         let facts = PlatformNames {
-            classes: &site.classes,
-            plans: &site.plans,
-            zones: &site.zones,
-            machine_types: &site.kinds,
+            classes: &site.class_names,
+            plans: &site.plan_names,
+            zones: &site.zone_names,
+            machine_types: &site.machine_types,
         };
         let plans = plans(site, operators)?;
-        let facts_of_sites =
-            site_failover::Facts { classes: &site.classes, plans: &site.plans, zones: &site.zones };
-        let sites = site_failover::Plan::compile(operators, &facts_of_sites)?;
+        let facts_of_sites = site_failover::PlatformNames {
+            classes: &site.class_names,
+            plans: &site.plan_names,
+            zones: &site.zone_names,
+        };
+        let sites = site_failover::FailoverPlan::compile(operators, &facts_of_sites)?;
         let routes = RoutingTable::compile_after(&self.routes, self.in_use(), operators, &facts)?;
         self.number(&routes);
         self.plans = plans;
@@ -100,7 +103,7 @@
     }
 
     /// What to do when a whole site is lost.
-    pub fn sites(&self) -> &site_failover::Plan {
+    pub fn sites(&self) -> &site_failover::FailoverPlan {
         &self.sites
     }
 
@@ -174,15 +177,15 @@
 ///
 /// # Errors
 /// The first error, with file, line, column and reason.
-pub fn check_operators(site: &Site, operators: &Operators) -> anyhow::Result<()> {
+pub fn check_operators(site: &PlatformSettings, operators: &Operators) -> anyhow::Result<()> {
     Ok(Routing::new(Arc::new(site.clone()), operators).map(drop)?)
 }
 
 /// What the platform grants, tightened.
-fn plans(site: &Site, operators: &Operators) -> Result<Vec<Plan>, RoutingError> {
+fn plans(site: &PlatformSettings, operators: &Operators) -> Result<Vec<Plan>, RoutingError> {
     let granted = &site.settings.plans;
     let mut quotas = Vec::with_capacity(granted.len());
-    for (name, plan) in site.plans.iter().zip(granted) {
+    for (name, plan) in site.plan_names.iter().zip(granted) {
         quotas.push(GrantedQuota {
             plan: name,
             rate: plan.rate,
@@ -214,7 +217,8 @@
     }
 
     fn routing(text: &str) -> Routing {
-        let site = Site::parse(&crate::config::sample("safe", 1_000_000_000, 1_000_000_000)).unwrap();
+        let site =
+            PlatformSettings::parse(&crate::config::sample("safe", 1_000_000_000, 1_000_000_000)).unwrap();
         Routing::new(Arc::new(site), &operators(text)).unwrap()
     }
 
--- a/crates/site-failover-model/src/gateway.rs
+++ b/crates/site-failover-model/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use cluster_model::rng::Rng;
 use policy::api::{HostEntry, HostId, Span, Time};
-use site_failover::{SiteSet, Sites, State, Turn};
+use site_failover::{FailoverController, FailoverUpdate, SiteHealth, SiteSet};
 
 use crate::host::Host;
 use crate::setting::{MILLISECOND, SECOND};
@@ -16,7 +16,7 @@
 
 /// A gateway.
 pub(crate) struct Gateway {
-    pub sites: Sites,
+    pub sites: FailoverController,
     pub keep: Vec<f64>,
     withheld: Vec<bool>,
     alone_until: Vec<Time>,
@@ -24,7 +24,7 @@
 }
 
 impl Gateway {
-    pub fn new(sites: Sites, hosts: usize) -> Gateway {
+    pub fn new(sites: FailoverController, hosts: usize) -> Gateway {
         Gateway {
             sites,
             keep: vec![],
@@ -35,17 +35,17 @@
     }
 
     /// Ticks the controller if it is due.
-    pub fn tick(&mut self, now: Time) -> Option<Turn> {
-        if self.sites.due() > now {
+    pub fn tick(&mut self, now: Time) -> Option<FailoverUpdate> {
+        if self.sites.next_tick_at() > now {
             return None;
         }
         let mut turn = self.sites.tick(now)?;
-        for host in &turn.hosts {
-            self.withheld[host.0 as usize] = self.sites.is_withheld(*host);
+        for host in &turn.changed_hosts {
+            self.withheld[host.0 as usize] = self.sites.is_excluded(*host);
         }
-        if let Some(keep) = turn.keep.take() {
+        if let Some(keep) = turn.admission_fractions.take() {
             self.keep.clone_from(&keep);
-            turn.keep = Some(keep);
+            turn.admission_fractions = Some(keep);
         }
         Some(turn)
     }
@@ -82,7 +82,7 @@
                 true => rng.below(hosts.len() as u64) as usize,
                 false => (offset + n) % hosts.len(),
             };
-            if self.withheld[host] || !to.has(hosts[host].site) || now < self.alone_until[host] {
+            if self.withheld[host] || !to.contains(hosts[host].site) || now < self.alone_until[host] {
                 continue;
             }
             if best.is_none_or(|best| waits[host] < waits[best]) {
@@ -108,7 +108,10 @@
 
     /// Whether a site is withheld here.
     pub fn withholds(&self, site: usize) -> bool {
-        self.sites.states().nth(site).is_some_and(|site| site.share == 0.0 && site.state != State::Whole)
+        self.sites
+            .statuses()
+            .nth(site)
+            .is_some_and(|site| site.traffic_fraction == 0.0 && site.health != SiteHealth::Healthy)
     }
 }
 
