--- a/crates/policy/src/quota/customer_upkeep.rs
+++ b/crates/policy/src/quota/customer_upkeep.rs
@@ -17,10 +17,10 @@
 
     /// Removes customers that have been idle for long, and schedules the next review.
     pub(crate) fn review_customers(&mut self, now: Time) {
-        let (reviewed, next) = self.customers.review_expired(now);
-        self.work += reviewed;
-        self.customers.is_review_scheduled = next.is_some();
-        if let Some(at) = next {
+        let summary = self.customers.review_expired(now);
+        self.work += summary.reviewed;
+        self.customers.is_review_scheduled = summary.next_review_at.is_some();
+        if let Some(at) = summary.next_review_at {
             self.timers.schedule(at.max(now + TIMER_STEP), Timer::CustomerExpiry);
         }
     }
--- a/crates/policy/src/quota/customers/review.rs
+++ b/crates/policy/src/quota/customers/review.rs
@@ -16,6 +16,15 @@
 pub(super) const MAX_REVIEWED: u64 = 128;
 /// Customers that are reviewed for each queue to free memory for one.
 const MAX_REVIEWED_FOR_MEMORY: usize = 16;
+/// The result of a review of customers that have been idle for long.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ReviewSummary {
+    /// Number of customers reviewed.
+    pub reviewed: u64,
+    /// When the next review is due; `None` without customers.
+    pub next_review_at: Option<Time>,
+}
+
 /// Why a customer is reviewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReviewReason {
@@ -25,17 +34,16 @@
     Memory,
 }
 
-/// What becomes of a customer.
-enum Verdict {
+/// The outcome of the review of one customer.
+enum Decision {
     Keep,
     Compact(CompactCustomer),
     Remove,
 }
 
 impl Customers {
-    /// Reviews customers that have been idle for long, a bounded number. Returns how many, and when the next
-    /// review is due, if there are any customers.
-    pub fn review_expired(&mut self, now: Time) -> (u64, Option<Time>) {
+    /// Reviews customers that have been idle for long, a bounded number.
+    pub fn review_expired(&mut self, now: Time) -> ReviewSummary {
         let mut reviewed = 0;
         for queue in ReviewQueue::ORDER {
             while reviewed < MAX_REVIEWED && self.next_review(queue).is_some_and(|at| at <= now) {
@@ -48,7 +56,7 @@
             }
         }
         let next = ReviewQueue::ORDER.into_iter().filter_map(|queue| self.next_review(queue)).min();
-        (reviewed, next)
+        ReviewSummary { reviewed, next_review_at: next }
     }
 
     /// Returns when the first customer of a queue is reviewed.
@@ -93,10 +101,10 @@
     /// another review.
     fn review(&mut self, now: Time, slot: u32, idle_since: Time, reason: ReviewReason) {
         let Some(record) = self.records.get_mut(slot) else { return };
-        match verdict(record, now, idle_since, reason) {
-            Verdict::Keep => {}
-            Verdict::Remove => return self.remove(slot),
-            Verdict::Compact(compact) => {
+        match decide(record, now, idle_since, reason) {
+            Decision::Keep => {}
+            Decision::Remove => return self.remove(slot),
+            Decision::Compact(compact) => {
                 record.form = CustomerForm::Compact(compact);
                 self.full_count -= 1;
             }
@@ -116,18 +124,19 @@
     }
 }
 
-fn verdict(record: &CustomerRecord, now: Time, idle_since: Time, reason: ReviewReason) -> Verdict {
+/// Decides what is done with a customer; `idle_since` as for [`Customers::review`].
+fn decide(record: &CustomerRecord, now: Time, idle_since: Time, reason: ReviewReason) -> Decision {
     let mut compact = None;
     if let CustomerForm::Full(customer) = &record.form {
         if customer.is_busy() || customer.has_ceiling_to_refill(now) {
-            return Verdict::Keep;
+            return Decision::Keep;
         }
         if reason == ReviewReason::Memory {
             compact = customer.compact();
         }
     }
     if record.last_request_at > idle_since {
-        return Verdict::Keep;
+        return Decision::Keep;
     }
-    compact.map_or(Verdict::Remove, Verdict::Compact)
+    compact.map_or(Decision::Remove, Decision::Compact)
 }
--- a/crates/policy/src/quota/customers/tests.rs
+++ b/crates/policy/src/quota/customers/tests.rs
@@ -1,5 +1,5 @@
 use super::record::{CUSTOMER_RETENTION, REVIEW_INTERVAL, TICK};
-use super::review::MAX_REVIEWED;
+use super::review::{ReviewSummary, MAX_REVIEWED};
 use super::*;
 use crate::api::Plan;
 use ::quota::GatewaySet;
@@ -36,10 +36,13 @@
 /// Reviews until no review is due; returns the most customers of one review.
 fn review_until_idle(customers: &mut Customers, now: Time) -> u64 {
     let mut most = 0;
-    while let (reviewed @ 1.., _) = customers.review_expired(now) {
+    loop {
+        let reviewed = customers.review_expired(now).reviewed;
+        if reviewed == 0 {
+            return most;
+        }
         most = most.max(reviewed);
     }
-    most
 }
 
 #[test]
@@ -59,7 +62,8 @@
     assert_eq!(customers.len(), 100);
     review_until_idle(&mut customers, 30 * SECOND + CUSTOMER_RETENTION + REVIEW_INTERVAL + 2 * TICK);
     assert_eq!(customers.len(), 0);
-    assert_eq!(customers.review_expired(200 * SECOND), (0, None));
+    let nothing = ReviewSummary { reviewed: 0, next_review_at: None };
+    assert_eq!(customers.review_expired(200 * SECOND), nothing);
 }
 
 #[test]
--- a/crates/policy/src/tests/steps.rs
+++ b/crates/policy/src/tests/steps.rs
@@ -10,15 +10,7 @@
 /// A step of a run. `pick` chooses one of those that are possible.
 #[derive(Clone, Debug)]
 pub enum Step {
-    Request {
-        class: usize,
-        plan: usize,
-        customer: u64,
-        units: u8,
-        remaining: u16,
-        ago: u8,
-        route: usize,
-    },
+    Request(RequestStep),
     AttemptEnd {
         pick: usize,
         outcome: Outcome,
@@ -79,6 +71,19 @@
     },
 }
 
+/// A request; its indexes are taken modulo the number of what there is.
+#[derive(Clone, Debug)]
+pub struct RequestStep {
+    pub class: usize,
+    pub plan: usize,
+    pub customer: u64,
+    pub units: u8,
+    pub remaining_ms: u16,
+    pub ago_ms: u8,
+    pub route: usize,
+}
+
+/// How a host starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Start {
     Same,
@@ -222,8 +227,8 @@
     let remaining = prop_oneof![4 => 1..4_000_u16, 1 => 80..160_u16];
     let request = (0..3_usize, 0..2_usize, 0..4_u64, 0..9_u8, remaining, 0..60_u8, 0..8_usize);
     prop_oneof![
-        10 => request.prop_map(|(class, plan, customer, units, remaining, ago, route)| {
-            Step::Request { class, plan, customer, units, remaining, ago, route }
+        10 => request.prop_map(|(class, plan, customer, units, remaining_ms, ago_ms, route)| {
+            Step::Request(RequestStep { class, plan, customer, units, remaining_ms, ago_ms, route })
         }),
         10 => (any_of(), outcome(), 0..9_u8).prop_map(|(pick, outcome, units)| Step::AttemptEnd { pick, outcome, units }),
         10 => (any_of(), any_of()).prop_map(|(pick, answer)| Step::CounterReply { pick, answer }),
--- a/crates/policy/src/tests/world/forwarding.rs
+++ b/crates/policy/src/tests/world/forwarding.rs
@@ -15,14 +15,49 @@
         assert!(request.attempts.len() < settings.max_attempts.max(1) as usize, "not too many attempts");
         assert!(self.now < deadline && deadline <= request.deadline, "no attempt beyond the deadline");
         assert!(self.now < write_by);
+        self.check_route(request, entry);
+        self.check_repetition(request, location, write_by);
+        self.attempts += 1;
+        self.retries += u64::from(!request.attempts.is_empty());
+        let Some(request) = self.tracked.get_mut(&id) else { return };
+        let attempt = request.attempts.len() as u32;
+        request.attempts.push(SentAttempt {
+            host,
+            location,
+            sent_at: self.now,
+            deadline,
+            is_cancelled: false,
+            outcome: None,
+        });
+        if request.client == Client::Disconnecting {
+            request.client = Client::Disconnected;
+            self.events.push_back(Event::ClientDisconnected { id });
+            self.end(id, attempt, Outcome::NotSent, 0);
+        }
+    }
+
+    /// Checks the pools and the limit of a request's route.
+    fn check_route(&self, request: &TrackedRequest, entry: &HostEntry) {
         let in_pools = |pools: u64| pools == 0 || pools & entry.pools != 0;
         let route = request.request.route;
         assert!(
             in_pools(route.pools) || route.fallback != 0 && in_pools(route.fallback),
             "a host of its pools"
         );
+        if let Some(limit) = route.limit {
+            let is_of_route = |request: &&TrackedRequest| {
+                request.request.route.limit.is_some_and(|other| other.route == limit.route)
+            };
+            let requests = self.tracked.values().filter(is_of_route);
+            let in_flight: usize = requests.map(|request| request.in_flight().count()).sum();
+            assert!(in_flight < limit.max_in_flight as usize, "the limit of its route");
+        }
+    }
+
+    /// Checks that a request that may have been executed is repeated only where that is idempotent.
+    fn check_repetition(&self, request: &TrackedRequest, location: Location, write_by: Time) {
         if let Some(first) = request.first_possibly_executed() {
-            match settings.classes[request.request.class].idempotency {
+            match self.deployment.settings.classes[request.request.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NotIdempotent => {
                     panic!("a request that is not idempotent may be executed twice")
@@ -38,31 +73,6 @@
                 }
             }
         }
-        if let Some(limit) = route.limit {
-            let is_of_route = |request: &&TrackedRequest| {
-                request.request.route.limit.is_some_and(|other| other.route == limit.route)
-            };
-            let requests = self.tracked.values().filter(is_of_route);
-            let in_flight: usize = requests.map(|request| request.in_flight().count()).sum();
-            assert!(in_flight < limit.max_in_flight as usize, "the limit of its route");
-        }
-        self.attempts += 1;
-        self.retries += u64::from(!request.attempts.is_empty());
-        let Some(request) = self.tracked.get_mut(&id) else { return };
-        let attempt = request.attempts.len() as u32;
-        request.attempts.push(SentAttempt {
-            host,
-            location,
-            sent_at: self.now,
-            deadline,
-            is_cancelled: false,
-            outcome: None,
-        });
-        if request.client == Client::Disconnecting {
-            request.client = Client::Disconnected;
-            self.events.push_back(Event::ClientDisconnected { id });
-            self.end(id, attempt, Outcome::NotSent, 0);
-        }
     }
 
     /// Cancels an attempt, unless its end is about to be reported.
--- a/crates/policy/src/tests/world/run.rs
+++ b/crates/policy/src/tests/world/run.rs
@@ -1,37 +1,12 @@
 //! The steps of a run.
 
 use super::*;
-use crate::tests::steps::{Start, Step, ROUTES};
+use crate::tests::steps::{RequestStep, Start, Step, ROUTES};
 
 impl World {
     pub fn step(&mut self, step: Step) {
         match step {
-            Step::Request { class, plan, customer, units, remaining, ago, route } => {
-                self.last_request += 1;
-                let id = RequestId(self.last_request);
-                let settings = &self.deployment.settings;
-                let request = Request {
-                    id,
-                    class: class % settings.classes.len(),
-                    plan: customer as usize % 2 % settings.plans.len(),
-                    customer: CustomerId(customer),
-                    remaining: u64::from(remaining) * MILLISECOND,
-                    units: f64::from(units),
-                    set_size: plan as u32 + 1,
-                    route: ROUTES[if route < 4 { route } else { 0 }],
-                    arrived_at: self.now - u64::from(ago.saturating_sub(40)) * MILLISECOND,
-                    ..Request::default()
-                };
-                let tracked = TrackedRequest {
-                    request: request.clone(),
-                    deadline: request.arrived_at + request.remaining,
-                    client: Client::Waiting,
-                    charged_at: None,
-                    attempts: Vec::new(),
-                };
-                self.tracked.insert(id, tracked);
-                self.report(Event::Request(request));
-            }
+            Step::Request(request) => self.request(&request),
             Step::AttemptEnd { pick, outcome, units } => {
                 let in_flight = self.attempts_where(|attempt| attempt.outcome.is_none());
                 if let Some((id, attempt)) = in_flight.get(pick % in_flight.len().max(1)).copied() {
@@ -79,7 +54,34 @@
         }
     }
 
-    pub(super) fn host(&mut self, id: HostId, state: HostState, start: Start) {
+    fn request(&mut self, step: &RequestStep) {
+        self.last_request += 1;
+        let id = RequestId(self.last_request);
+        let settings = &self.deployment.settings;
+        let request = Request {
+            id,
+            class: step.class % settings.classes.len(),
+            plan: step.customer as usize % 2 % settings.plans.len(),
+            customer: CustomerId(step.customer),
+            remaining: u64::from(step.remaining_ms) * MILLISECOND,
+            units: f64::from(step.units),
+            set_size: step.plan as u32 + 1,
+            route: ROUTES[if step.route < 4 { step.route } else { 0 }],
+            arrived_at: self.now - u64::from(step.ago_ms.saturating_sub(40)) * MILLISECOND,
+            ..Request::default()
+        };
+        let tracked = TrackedRequest {
+            request: request.clone(),
+            deadline: request.arrived_at + request.remaining,
+            client: Client::Waiting,
+            charged_at: None,
+            attempts: Vec::new(),
+        };
+        self.tracked.insert(id, tracked);
+        self.report(Event::Request(request));
+    }
+
+    fn host(&mut self, id: HostId, state: HostState, start: Start) {
         let now = self.now;
         let Some(entry) = self.hosts.get_mut(&id) else { return };
         entry.state = state;
@@ -92,7 +94,7 @@
         self.report(Event::HostList { kind: HostListKind::Delta, entries });
     }
 
-    pub(super) fn list(&mut self, mask: u8, kind: HostListKind) {
+    fn list(&mut self, mask: u8, kind: HostListKind) {
         let mut entries = Vec::new();
         for entry in self.hosts.values_mut().filter(|_| kind != HostListKind::Failed) {
             let is_named = mask >> (entry.id.0 % 8) & 1 == 1;
@@ -103,7 +105,7 @@
     }
 
     /// Changes a plan: a tighter quota, a wider one, or other limits.
-    pub(super) fn plans(&mut self, change: usize) {
+    fn plans(&mut self, change: usize) {
         let plans = &mut self.deployment.settings.plans;
         let at = change % plans.len();
         let plan = &mut plans[at];
@@ -124,7 +126,7 @@
     }
 
     /// Reports an event that is repeated, too late, or about something unknown.
-    pub(super) fn report_stale(&mut self, what: usize) {
+    fn report_stale(&mut self, what: usize) {
         let id = RequestId(1 + what as u64 % self.last_request.max(1));
         let host = HostId(1 + what as u64 % 9);
         let is_known = self.tracked.contains_key(&id);
@@ -140,27 +142,7 @@
                 });
             }
             // The end of an attempt that has ended before, or that was never made.
-            2 | 3 => {
-                let ended = |request: &TrackedRequest| {
-                    let index = request.attempts.iter().position(|attempt| attempt.outcome.is_some());
-                    index
-                        .map_or((request.attempts.len(), host), |index| (index, request.attempts[index].host))
-                };
-                let tracked = self.tracked.get(&id);
-                let (attempt, host) = tracked.map_or((0, host), ended);
-                let end = AttemptEnded {
-                    id,
-                    attempt: attempt as u32,
-                    host,
-                    outcome: Outcome::Ok,
-                    elapsed: MILLISECOND,
-                    is_request_closed: tracked.is_none_or(TrackedRequest::needs_no_answer),
-                    quota_used: None,
-                    actual_units: Some(3.0),
-                    report: None,
-                };
-                self.report(Event::AttemptEnded(end));
-            }
+            2 | 3 => self.report_stale_attempt(id, host),
             // The reply to a call that was answered before.
             _ => {
                 let is_in_flight = |key: &CounterKey| self.calls.iter().any(|call| call.key == *key);
@@ -175,4 +157,25 @@
             }
         }
     }
+
+    fn report_stale_attempt(&mut self, id: RequestId, host: HostId) {
+        let tracked = self.tracked.get(&id);
+        let ended = |request: &TrackedRequest| {
+            let index = request.attempts.iter().position(|attempt| attempt.outcome.is_some());
+            index.map_or((request.attempts.len(), host), |index| (index, request.attempts[index].host))
+        };
+        let (attempt, host) = tracked.map_or((0, host), ended);
+        let end = AttemptEnded {
+            id,
+            attempt: attempt as u32,
+            host,
+            outcome: Outcome::Ok,
+            elapsed: MILLISECOND,
+            is_request_closed: tracked.is_none_or(TrackedRequest::needs_no_answer),
+            quota_used: None,
+            actual_units: Some(3.0),
+            report: None,
+        };
+        self.report(Event::AttemptEnded(end));
+    }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A gateway under test: settings with plain defaults, and helpers to feed it events.
 #![allow(dead_code)]
-pub mod cold;
 pub mod counter;
 pub mod load;
 pub mod site;
+pub mod slow_start;
 pub mod world;
 
 use policy::api::*;
@@ -13,12 +13,12 @@
 
 pub const MS: Span = 1_000_000;
 
-pub fn class(worth: f64, effect: Idempotency) -> Class {
+pub fn class(priority_weight: f64, idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 1_000 * MS,
         deadline: 4_000 * MS,
-        priority_weight: worth,
-        idempotency: effect,
+        priority_weight,
+        idempotency,
         ..Class::default()
     }
 }
@@ -53,53 +53,55 @@
     pub now: Time,
     gateways: u32,
     /// Whether the other gateways beat on the counter, and this one is answered there.
-    pub others_beat: bool,
-    pulses: BTreeMap<CounterKey, f64>,
+    pub others_send_heartbeats: bool,
+    heartbeat_totals: BTreeMap<CounterKey, f64>,
 }
 
 /// Gateways that share a pulse, and values of a digit of one.
-const PULSE: (u32, f64) = (4, 56.0);
+const HEARTBEAT_GROUP: u32 = 4;
+
+const HEARTBEAT_BASE: f64 = 56.0;
 
 impl Harness {
     pub fn new(settings: Settings, hosts: u64) -> Self {
-        let mut gateway = Harness::unheard(settings, hosts);
+        let mut gateway = Harness::just_started(settings, hosts);
         gateway.pass(4_000 * MS);
         gateway
     }
     /// One that has just started, and has not heard the others yet.
-    pub fn unheard(settings: Settings, hosts: u64) -> Self {
+    pub fn just_started(settings: Settings, hosts: u64) -> Self {
         let gateways = settings.gateways;
         let policy = Policy::new(settings, 1);
-        let (now, pulses) = (1_000_000 * MS, BTreeMap::new());
-        let mut gateway = Harness { policy, now, gateways, others_beat: true, pulses };
+        let (now, heartbeat_totals) = (1_000_000 * MS, BTreeMap::new());
+        let mut gateway = Harness { policy, now, gateways, others_send_heartbeats: true, heartbeat_totals };
         gateway.list(HostListKind::Cached, (1..=hosts).map(entry).collect());
         gateway
     }
     pub fn on(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
-        self.beat(&mut actions);
+        self.reply_to_heartbeats(&mut actions);
         actions
     }
     /// Answers calls to the pulses, to which the other gateways add as well.
-    fn beat(&mut self, actions: &mut Vec<Action>) {
-        let groups = self.gateways.div_ceil(PULSE.0);
+    fn reply_to_heartbeats(&mut self, actions: &mut Vec<Action>) {
+        let groups = self.gateways.div_ceil(HEARTBEAT_GROUP);
         let names: Vec<CounterKey> =
             (0..groups).map(|group| counter_keys::heartbeat(group, self.now)).collect();
-        let group = |name: CounterKey| names.iter().position(|pulse| *pulse == name);
-        let beats: Vec<(CounterKey, f64)> =
-            calls(actions).into_iter().filter(|(name, _)| group(*name).is_some()).collect();
+        let group = |name: CounterKey| names.iter().position(|key| *key == name);
+        let heartbeats: Vec<(CounterKey, f64)> =
+            calls_in(actions).into_iter().filter(|(name, _)| group(*name).is_some()).collect();
         actions.retain(
             |action| !matches!(action, Action::AddToCounter { key: name, .. } if group(*name).is_some()),
         );
-        for (name, amount) in beats {
-            let others = if self.others_beat { 1..PULSE.0 } else { 0..0 };
-            let theirs: f64 = others.map(|member| PULSE.1.powi(member as i32)).sum();
-            let first = if group(name) == Some(0) || !self.others_beat { 0.0 } else { 1.0 };
-            let total = self.pulses.entry(name).or_default();
+        for (name, amount) in heartbeats {
+            let others = if self.others_send_heartbeats { 1..HEARTBEAT_GROUP } else { 0..0 };
+            let theirs: f64 = others.map(|member| HEARTBEAT_BASE.powi(member as i32)).sum();
+            let first = if group(name) == Some(0) || !self.others_send_heartbeats { 0.0 } else { 1.0 };
+            let total = self.heartbeat_totals.entry(name).or_default();
             *total += amount + theirs + first;
             let total = *total;
-            actions.extend(self.counted(name, Outcome::Ok, total));
+            actions.extend(self.counter_replied(name, Outcome::Ok, total));
         }
     }
     pub fn list(&mut self, kind: HostListKind, entries: Vec<HostEntry>) -> Vec<Action> {
@@ -107,12 +109,12 @@
     }
     pub fn request(&mut self, id: u64, class: usize, customer: u64, units: f64) -> Vec<Action> {
         let (id, customer) = (RequestId(id), CustomerId(customer));
-        let patience = 4_000 * MS;
+        let remaining = 4_000 * MS;
         self.on(Event::Request(Request {
             id,
             class,
             customer,
-            remaining: patience,
+            remaining,
             units,
             set_size: 2,
             ..Request::default()
@@ -123,7 +125,7 @@
     }
     pub fn ended_after(
         &mut self,
-        took: Span,
+        elapsed: Span,
         id: u64,
         attempt: u32,
         host: HostId,
@@ -135,7 +137,7 @@
             attempt,
             host,
             outcome,
-            elapsed: took,
+            elapsed,
             is_request_closed: closed,
             quota_used: None,
             actual_units: None,
@@ -143,7 +145,7 @@
         };
         self.on(Event::AttemptEnded(end))
     }
-    pub fn counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
+    pub fn counter_replied(&mut self, name: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
         self.on(Event::CounterReplied { key: name, outcome, total, elapsed: 2 * MS })
     }
     /// Lets time pass, with the housekeeping timer ringing as it would.
@@ -159,7 +161,7 @@
     }
 }
 
-pub fn calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+pub fn calls_in(actions: &[Action]) -> Vec<(CounterKey, f64)> {
     let call = |a: &Action| match a {
         Action::AddToCounter { key: name, amount, .. } => Some((*name, *amount)),
         _ => None,
@@ -167,7 +169,7 @@
     actions.iter().filter_map(call).collect()
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, HostId)> {
+pub fn attempts_in(actions: &[Action]) -> Vec<(RequestId, HostId)> {
     let send = |a: &Action| match a {
         Action::Forward { id, host, .. } => Some((*id, *host)),
         _ => None,
@@ -175,11 +177,11 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
+pub fn is_rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
-pub fn failed(actions: &[Action], id: u64) -> bool {
+pub fn is_failed(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if i.0 == id))
 }
 
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -10,18 +10,18 @@
 pub struct HostSpec {
     pub cores: usize,
     /// So many times the usual work.
-    pub slow: f64,
+    pub work_factor: f64,
     /// Share of the attempts that it takes in and never answers.
-    pub swallows: f64,
+    pub loss_fraction: f64,
 }
 
-pub const USUAL: HostSpec = HostSpec { cores: 1, slow: 1.0, swallows: 0.0 };
+pub const USUAL_HOST: HostSpec = HostSpec { cores: 1, work_factor: 1.0, loss_fraction: 0.0 };
 
 /// An attempt that is out.
-struct Out {
+struct InFlight {
     host: HostId,
     sent: Time,
-    swallowed: bool,
+    lost: bool,
 }
 
 pub struct World {
@@ -32,7 +32,7 @@
     cores: BTreeMap<HostId, Vec<Time>>,
     /// What an attempt takes, drawn anew for each.
     work: fn(&mut Dice) -> Span,
-    out: BTreeMap<(u64, u32), Out>,
+    in_flight: BTreeMap<(u64, u32), InFlight>,
     ends: BinaryHeap<Reverse<(Time, u64, u32, bool)>>,
     closed: std::collections::BTreeSet<u64>,
     attempts: BTreeMap<u64, u32>,
@@ -40,10 +40,10 @@
     next: u64,
     pub sent: BTreeMap<HostId, u64>,
     pub served: u64,
-    pub asked: u64,
+    pub requests: u64,
     /// How long after it was sent a swallowed attempt got another beside it.
-    pub told: Vec<Span>,
-    pub swallowed: u64,
+    pub detection_times: Vec<Span>,
+    pub lost: u64,
     /// Further attempts beside one that was to be answered.
     pub false_alarms: u64,
 }
@@ -57,7 +57,7 @@
             hosts: all().map(|(id, spec)| (id, *spec)).collect(),
             cores: all().map(|(id, spec)| (id, vec![0; spec.cores])).collect(),
             work,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             ends: BinaryHeap::new(),
             closed: Default::default(),
             attempts: BTreeMap::new(),
@@ -65,59 +65,59 @@
             next: 0,
             sent: BTreeMap::new(),
             served: 0,
-            asked: 0,
-            told: Vec::new(),
-            swallowed: 0,
+            requests: 0,
+            detection_times: Vec::new(),
+            lost: 0,
             false_alarms: 0,
         };
         let entries = all().map(|(id, spec)| HostEntry { size: spec.cores as f64, ..entry(id.0) }).collect();
-        world.tell(Event::HostList { kind: HostListKind::Full, entries });
+        world.report(Event::HostList { kind: HostListKind::Full, entries });
         world
     }
 
     /// Counts from here on.
-    pub fn count_anew(&mut self) {
-        (self.sent, self.told) = Default::default();
-        (self.served, self.asked, self.swallowed, self.false_alarms) = (0, 0, 0, 0);
+    pub fn reset_counts(&mut self) {
+        (self.sent, self.detection_times) = Default::default();
+        (self.served, self.requests, self.lost, self.false_alarms) = (0, 0, 0, 0);
     }
 
-    fn tell(&mut self, event: Event) {
+    fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Forward { id, host, deadline: until, .. } => self.send(id.0, host, until),
+                Action::Forward { id, host, deadline: until, .. } => self.forward(id.0, host, until),
                 Action::Cancel { id, attempt } => self.ends.push(Reverse((self.now, id.0, attempt, false))),
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, id: u64, host: HostId, until: Time) {
+    fn forward(&mut self, id: u64, host: HostId, until: Time) {
         let number = self.attempts.entry(id).or_default();
         let attempt = *number;
         *number += 1;
-        for (_, out) in self.out.range((id, 0)..(id, attempt)) {
-            if out.swallowed {
-                self.told.push(self.now - out.sent);
+        for (_, in_flight) in self.in_flight.range((id, 0)..(id, attempt)) {
+            if in_flight.lost {
+                self.detection_times.push(self.now - in_flight.sent);
             } else {
                 self.false_alarms += 1;
             }
         }
         *self.sent.entry(host).or_default() += 1;
         let spec = self.hosts[&host];
-        let swallowed = self.dice.unit() < spec.swallows;
-        self.swallowed += u64::from(swallowed);
-        let work = ((self.work)(&mut self.dice) as f64 * spec.slow) as Span;
+        let lost = self.dice.unit() < spec.loss_fraction;
+        self.lost += u64::from(lost);
+        let work = ((self.work)(&mut self.dice) as f64 * spec.work_factor) as Span;
         let free = self.cores.get_mut(&host).and_then(|cores| cores.iter_mut().min()).expect("a known host");
         *free = (*free).max(self.now) + work;
-        let (end, answered) = if swallowed || *free > until { (until, false) } else { (*free, true) };
-        self.out.insert((id, attempt), Out { host, sent: self.now, swallowed });
+        let (end, answered) = if lost || *free > until { (until, false) } else { (*free, true) };
+        self.in_flight.insert((id, attempt), InFlight { host, sent: self.now, lost });
         self.ends.push(Reverse((end, id, attempt, answered)));
     }
 
     fn end(&mut self, id: u64, attempt: u32, answered: bool, at: Time) {
-        let Some(out) = self.out.remove(&(id, attempt)) else { return };
+        let Some(in_flight) = self.in_flight.remove(&(id, attempt)) else { return };
         let closed = self.closed.contains(&id);
         let outcome = match (answered, closed) {
             (true, _) => Outcome::Ok,
@@ -130,19 +130,19 @@
         let end = AttemptEnded {
             id: RequestId(id),
             attempt,
-            host: out.host,
+            host: in_flight.host,
             outcome,
-            elapsed: at.saturating_sub(out.sent),
+            elapsed: at.saturating_sub(in_flight.sent),
             is_request_closed: answered || closed,
             quota_used: None,
             actual_units: None,
             report: None,
         };
-        self.tell(Event::AttemptEnded(end));
+        self.report(Event::AttemptEnded(end));
     }
 
     /// So many seconds with so many requests in each, of the first class and without quotas.
-    pub fn play(&mut self, seconds: u64, rate: u64, patience: Span) {
+    pub fn run(&mut self, seconds: u64, rate: u64, remaining: Span) {
         for n in 0..seconds * 1_000 {
             self.now += MS;
             while self.ends.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
@@ -150,27 +150,21 @@
                 self.end(id, attempt, answered, at);
             }
             if n % 20 == 0 {
-                self.tell(Event::TimerExpired { token: 0 });
+                self.report(Event::TimerExpired { token: 0 });
             }
             if n * rate / 1_000 != (n + 1) * rate / 1_000 {
-                (self.next, self.asked) = (self.next + 1, self.asked + 1);
+                (self.next, self.requests) = (self.next + 1, self.requests + 1);
                 let (id, customer) = (RequestId(self.next), CustomerId(self.next));
-                let request = Request {
-                    id,
-                    customer,
-                    remaining: patience,
-                    units: 1.0,
-                    set_size: 1,
-                    ..Request::default()
-                };
-                self.tell(Event::Request(request));
+                let request =
+                    Request { id, customer, remaining, units: 1.0, set_size: 1, ..Request::default() };
+                self.report(Event::Request(request));
             }
         }
     }
 }
 
 /// One gateway, no counter, no quotas.
-pub fn alone() -> Settings {
+pub fn single_gateway() -> Settings {
     let mut settings = settings();
     (settings.gateways, settings.has_counter) = (1, false);
     (settings.plans[0].rate, settings.plans[0].burst) = (0.0, 0.0);
--- a/crates/policy/tests/doubt.rs
+++ b/crates/policy/tests/counter_failures.rs
@@ -1,8 +1,8 @@
 //! Quotas under doubt: random failures of the counter and of gateways, customers with all habits, and what must
 //! hold whatever comes. The world is in `common/site.rs`, its counter in `common/counter.rs`.
 mod common;
-use common::counter::{Fault, Trouble};
-use common::site::{Customer, Habit, Kill, Plot, Site, START};
+use common::counter::{Fault, FaultWindow};
+use common::site::{Customer, Kill, Scenario, Site, TrafficPattern, START};
 use common::*;
 use policy::api::*;
 use policy::counter_keys;
@@ -76,23 +76,25 @@
         sides
     }
 
-    fn trouble(&self, start: Time, gateways: usize) -> Option<Trouble> {
+    fn fault_window(&self, start: Time, gateways: usize) -> Option<FaultWindow> {
         let fault = match self.kind {
-            Kind::Lost => Fault::Lost,
-            Kind::Silent => Fault::Silent,
-            Kind::Mute => Fault::Mute,
-            Kind::Full => Fault::Full,
+            Kind::Lost => Fault::Unreachable,
+            Kind::Silent => Fault::NoReply,
+            Kind::Mute => Fault::AddedWithoutReply,
+            Kind::Full => Fault::Overloaded,
             Kind::Slow => Fault::Slow(80 * MS, 500 * MS),
             // About half of the answers come within the time-out.
             Kind::Late => Fault::Slow(5 * MS, 60 * MS),
             Kind::Flapping => Fault::Flapping(FLAP),
-            Kind::CutOff => [Fault::Lost, Fault::Silent, Fault::Mute][(self.pick / 7 % 3) as usize].clone(),
-            Kind::Split => Fault::Split(self.sides(gateways)),
-            Kind::Fresh => Fault::Fresh,
+            Kind::CutOff => [Fault::Unreachable, Fault::NoReply, Fault::AddedWithoutReply]
+                [(self.pick / 7 % 3) as usize]
+                .clone(),
+            Kind::Split => Fault::Partition(self.sides(gateways)),
+            Kind::Fresh => Fault::Reset,
             Kind::Killed => return None,
         };
         let gateway = (self.kind == Kind::CutOff).then(|| self.gateway(gateways));
-        Some(Trouble { fault, gateway, from: start + self.from, until: start + self.until() })
+        Some(FaultWindow { fault, gateway, from: start + self.from, until: start + self.until() })
     }
 
     fn kill(&self, start: Time, gateways: usize) -> Option<Kill> {
@@ -118,7 +120,7 @@
         let set = c.gateways(gateways);
         let dark = Failure {
             duration_s: span_s,
-            partitions: c.spread as u32,
+            partitions: c.set_size as u32,
             counter_answers: false,
             counter_resets: 0,
         };
@@ -145,7 +147,7 @@
                 stated(Failure { duration_s: 0.0, partitions: 1, counter_answers: false, counter_resets: 1 })
             }
             Kind::Flapping | Kind::Late => {
-                stated(dark) + c.rate * span_s * (c.spread as f64 - 1.0) / c.spread as f64
+                stated(dark) + c.rate * span_s * (c.set_size as f64 - 1.0) / c.set_size as f64
             }
             Kind::Lost | Kind::Silent | Kind::Mute | Kind::Full | Kind::Slow => stated(dark),
         }
@@ -154,25 +156,25 @@
 
 fn quota(c: &Customer) -> Quota {
     let most_units = c.most_units as f64 * c.truth.max(1.0);
-    Quota { rate: c.rate, burst: c.burst, set_size: c.spread as u32, max_request_units: most_units }
+    Quota { rate: c.rate, burst: c.burst, set_size: c.set_size as u32, max_request_units: most_units }
 }
 
 fn is_within(c: &Customer) -> bool {
-    c.habit.times() <= 1.0
+    c.traffic.load_factor() <= 1.0
 }
 
 /// Whether it may pass for one within its quota. A gateway's verdict is on what it is asked for, by the units
 /// that are named, and what passes through the others: near its line, and where requests are few, chance decides.
 fn may_be_known(c: &Customer) -> bool {
-    let (spread, asked) = (c.spread as f64, c.habit.times() * c.rate);
-    let seen = c.habit.times() / c.truth / spread + (spread - 1.0) / spread;
-    let requests = asked / (0.5 * (1 + c.most_units) as f64 * c.truth) / spread;
+    let (set_size, asked) = (c.set_size as f64, c.traffic.load_factor() * c.rate);
+    let seen = c.traffic.load_factor() / c.truth / set_size + (set_size - 1.0) / set_size;
+    let requests = asked / (0.5 * (1 + c.most_units) as f64 * c.truth) / set_size;
     is_within(c) || seen < 1.45 || requests < 3.0
 }
 
 /// Too many gateways for its burst: what it asks for is rationed.
-fn is_thin(c: &Customer) -> bool {
-    c.burst < 2.0 * c.spread as f64
+fn is_windowed(c: &Customer) -> bool {
+    c.burst < 2.0 * c.set_size as f64
 }
 
 #[derive(Clone, Debug)]
@@ -186,20 +188,20 @@
 }
 
 impl World {
-    fn plot(&self) -> Plot {
+    fn scenario(&self) -> Scenario {
         let start = START + self.phase;
         let fit = |c: &Customer| Customer {
-            spread: 1 + (c.spread - 1) % self.gateways,
-            first: c.first % self.gateways,
+            set_size: 1 + (c.set_size - 1) % self.gateways,
+            first_gateway: c.first_gateway % self.gateways,
             ..c.clone()
         };
-        Plot {
+        Scenario {
             fleets: 1,
             gateways: self.gateways,
             start,
             length: self.length(),
             customers: self.customers.iter().map(fit).collect(),
-            troubles: self.blows.iter().filter_map(|blow| blow.trouble(start, self.gateways)).collect(),
+            faults: self.blows.iter().filter_map(|blow| blow.fault_window(start, self.gateways)).collect(),
             kills: self.blows.iter().filter_map(|blow| blow.kill(start, self.gateways)).collect(),
             seed: self.seed,
         }
@@ -233,21 +235,21 @@
     fn stated(&self, c: &Customer) -> f64 {
         let none = Failure {
             duration_s: 0.0,
-            partitions: c.spread as u32,
+            partitions: c.set_size as u32,
             counter_answers: false,
             counter_resets: 0,
         };
         let calm = max_overshoot(&quota(c), &none, false);
         let each: f64 = self.blows.iter().map(|blow| blow.stated(c, self.gateways)).sum();
-        let moves = !matches!(c.habit, Habit::Even(_)) && !is_within(c);
+        let moves = !matches!(c.traffic, TrafficPattern::Even(_)) && !is_within(c);
         let epochs =
             (START + self.phase + self.length()) / counter_keys::EPOCH - START / counter_keys::EPOCH + 1;
         let anew = epochs as f64 + self.count(Kind::Fresh) as f64;
-        let unseen = if moves { anew * (c.spread - 1) as f64 * c.burst } else { 0.0 };
-        let over = (c.habit.times() - 1.0).max(0.0) * c.rate;
+        let unseen = if moves { anew * (c.set_size - 1) as f64 * c.burst } else { 0.0 };
+        let over = (c.traffic.load_factor() - 1.0).max(0.0) * c.rate;
         let spans: f64 = self.blows.iter().map(|blow| (blow.span + SETTLED_IN) as f64 / 1e9).sum();
-        let odds = 2.0 * c.spread as f64 * quota(c).max_request_units;
-        calm + each + unseen + if is_thin(c) { over * spans + odds } else { 0.0 }
+        let odds = 2.0 * c.set_size as f64 * quota(c).max_request_units;
+        calm + each + unseen + if is_windowed(c) { over * spans + odds } else { 0.0 }
     }
 
     /// Whether the counter must hold all that a customer passed, once the failures are over. In a split or with
@@ -258,10 +260,10 @@
         let fresh = || self.blows.iter().filter(|blow| blow.kind == Kind::Fresh);
         let settled = self.healed() + SETTLED_IN;
         let ends = |blow: &Blow| self.turns(blow.from, settled - blow.from);
-        let stays = matches!(c.habit, Habit::Even(_)) && !fresh().any(ends);
+        let stays = matches!(c.traffic, TrafficPattern::Even(_)) && !fresh().any(ends);
         let is_plain = self.count(Kind::Split) + self.count(Kind::Killed) == 0;
         let is_fresh = self.count(Kind::Fresh) > 0;
-        is_plain && !is_thin(c) && (!is_fresh || stays && self.blows.len() == 1)
+        is_plain && !is_windowed(c) && (!is_fresh || stays && self.blows.len() == 1)
     }
 
     /// Units told more than passed: at the least, and at the most.
@@ -272,38 +274,39 @@
     /// which all together is two stores, and as much in doubt; and where an epoch ends before an answer comes,
     /// what was told before is told again.
     fn outstanding(&self, c: &Customer) -> (f64, f64) {
-        let requests = c.spread as f64 * quota(c).max_request_units;
-        let blocks = 0.5 * (c.spread - 1) as f64 * (LEASE_HORIZON_S * c.rate + requests);
+        let requests = c.set_size as f64 * quota(c).max_request_units;
+        let blocks = 0.5 * (c.set_size - 1) as f64 * (LEASE_HORIZON_S * c.rate + requests);
         let hidden = self.count(Kind::Fresh) as f64 * blocks;
         let in_doubt =
             |blow: &&Blow| matches!(blow.kind, Kind::Mute | Kind::Slow | Kind::Late | Kind::CutOff);
         let again = |blow: &&Blow| self.turns(blow.from, blow.span + SETTLED_IN);
         let twice = self.blows.iter().filter(in_doubt).filter(again).map(|blow| blow.span as f64 / 1e9);
         let leased = 4.0 * c.burst.max(LEASE_HORIZON_S * c.rate);
-        (-(0.5 * c.spread as f64 + requests + hidden), leased + requests + twice.sum::<f64>() * c.rate)
+        (-(0.5 * c.set_size as f64 + requests + hidden), leased + requests + twice.sum::<f64>() * c.rate)
     }
 }
 
 /// What a world came to, for one customer.
 #[derive(Clone, Copy, Debug)]
 struct Outcomes {
-    beyond: f64,
+    max_overshoot: f64,
     stated: f64,
-    longest_refused: Span,
+    longest_rejection: Span,
     /// Units that the counter was told of more than passed, once all has settled.
     told_more: Option<f64>,
 }
 
 fn play(world: &World) -> (Site, Vec<Outcomes>) {
-    let mut site = Site::new(world.plot());
-    site.run(site.plot.start + world.healed() + SETTLED_IN);
-    let customers = site.plot.customers.clone();
-    let told: Vec<f64> = (0..customers.len()).map(|n| site.told(n) - site.records[n].passed).collect();
-    site.play();
+    let mut site = Site::new(world.scenario());
+    site.run(site.scenario.start + world.healed() + SETTLED_IN);
+    let customers = site.scenario.customers.clone();
+    let told: Vec<f64> =
+        (0..customers.len()).map(|n| site.counted_units(n) - site.records[n].forwarded_units).collect();
+    site.run_to_end();
     let result = |(n, c): (usize, &Customer)| Outcomes {
-        beyond: site.records[n].beyond,
+        max_overshoot: site.records[n].max_overshoot,
         stated: world.stated(c),
-        longest_refused: site.records[n].longest_refused.0,
+        longest_rejection: site.records[n].longest_rejection.0,
         told_more: world.is_reconciled(c).then_some(told[n]),
     };
     let results = customers.iter().enumerate().map(result).collect();
@@ -313,9 +316,12 @@
 fn check(world: &World) -> Result<(), TestCaseError> {
     let (site, results) = play(world);
     prop_assert!(site.wrong_answers.is_empty(), "one final answer each, but: {:?}", site.wrong_answers);
-    for (n, (c, outcome)) in site.plot.customers.iter().zip(&results).enumerate() {
-        prop_assert!(outcome.beyond <= outcome.stated, "customer {n}, {c:?}, got too much: {outcome:?}");
-        let is_patient = !is_within(c) || outcome.longest_refused <= PATIENT;
+    for (n, (c, outcome)) in site.scenario.customers.iter().zip(&results).enumerate() {
+        prop_assert!(
+            outcome.max_overshoot <= outcome.stated,
+            "customer {n}, {c:?}, got too much: {outcome:?}"
+        );
+        let is_patient = !is_within(c) || outcome.longest_rejection <= PATIENT;
         prop_assert!(is_patient, "customer {n}, {c:?}, keeps within its quota: {outcome:?}");
         let (least, most) = world.outstanding(c);
         let told = outcome.told_more.unwrap_or(0.0);
@@ -334,17 +340,17 @@
     })
 }
 
-fn habit() -> impl Strategy<Value = Habit> {
+fn traffic() -> impl Strategy<Value = TrafficPattern> {
     let every = (2_000..7_000_u64).prop_map(|ms| ms * MS);
     prop_oneof![
-        2 => Just(Habit::Even(5.0)),
-        1 => Just(Habit::Even(3.0)),
-        1 => Just(Habit::Even(0.6)),
-        1 => Just(Habit::Even(0.95)),
-        1 => every.clone().prop_map(|every| Habit::Shifting(0.8, every)),
-        1 => every.clone().prop_map(|every| Habit::Shifting(5.0, every)),
+        2 => Just(TrafficPattern::Even(5.0)),
+        1 => Just(TrafficPattern::Even(3.0)),
+        1 => Just(TrafficPattern::Even(0.6)),
+        1 => Just(TrafficPattern::Even(0.95)),
+        1 => every.clone().prop_map(|every| TrafficPattern::Shifting(0.8, every)),
+        1 => every.clone().prop_map(|every| TrafficPattern::Shifting(5.0, every)),
         1 => (0..12_000_u64, every).prop_map(|(from, span)| {
-            Habit::Gathering(5.0, from * MS, from * MS + 3 * span)
+            TrafficPattern::Concentrated(5.0, from * MS, from * MS + 3 * span)
         }),
     ]
 }
@@ -354,11 +360,20 @@
     let truth = prop::sample::select(&[0.7, 1.0, 1.4][..]);
     let from = prop_oneof![3 => Just(0), 1 => 0..20_000_u64];
     let shape = (8..28_u32, 18..28_u32, 1..=5_usize, 0..5_usize, prop::bool::weighted(0.15));
-    (habit(), shape, 1..=3_u64, truth, from).prop_map(|(habit, shape, most_units, truth, from)| {
-        let (rate, tenths, spread, first, thin) = shape;
+    (traffic(), shape, 1..=3_u64, truth, from).prop_map(|(traffic, shape, most_units, truth, from)| {
+        let (rate, tenths, set_size, first_gateway, thin) = shape;
         let usual = f64::from(rate * tenths) / 10.0;
         let (burst, most_units, truth) = if thin { (3.0, 1, 1.0) } else { (usual, most_units, truth) };
-        Customer { rate: f64::from(rate), burst, spread, first, most_units, truth, habit, from: from * MS }
+        Customer {
+            rate: f64::from(rate),
+            burst,
+            set_size,
+            first_gateway,
+            most_units,
+            truth,
+            traffic,
+            from: from * MS,
+        }
     })
 }
 
@@ -392,27 +407,27 @@
 }
 
 #[test]
-fn whatever_the_counter_does_not_answer_is_borne() {
+fn calls_without_a_reply_stay_within_the_bound() {
     holds(&[Kind::Lost, Kind::Silent, Kind::Mute, Kind::Full, Kind::Slow], 1..=2, 100, 1);
 }
 
 #[test]
-fn a_counter_that_answers_now_and_then_is_borne() {
+fn a_counter_that_replies_from_time_to_time_stays_within_the_bound() {
     holds(&[Kind::Late, Kind::Flapping, Kind::CutOff], 1..=1, 100, 2);
 }
 
 #[test]
-fn splits_and_fresh_counters_and_dead_gateways_are_borne() {
+fn partitions_and_counter_resets_and_dead_gateways_stay_within_the_bound() {
     holds(&[Kind::Split, Kind::Fresh, Kind::Killed], 1..=2, 100, 3);
 }
 
 #[test]
-fn failures_of_all_kinds_at_once_are_borne() {
+fn failures_of_all_kinds_at_once_stay_within_the_bound() {
     holds(&KINDS, 2..=4, 100, 4);
 }
 
 #[test]
-fn without_failures_only_what_is_leased_goes_beyond_a_quota() {
+fn without_failures_only_leased_units_exceed_a_quota() {
     holds(&KINDS, 0..=0, 10, 5);
 }
 
@@ -420,7 +435,7 @@
 /// the design note: `DOUBT_WORLDS=200 cargo test --release -p policy --test doubt -- --ignored`.
 #[test]
 #[ignore = "prints a table"]
-fn how_far_each_failure_goes() {
+fn print_the_overshoot_of_each_failure() {
     println!("kind       beyond  stated  most of it  longest refused  told more than passed");
     for kind in KINDS {
         let only: &'static [Kind] = &KINDS[KINDS.iter().position(|k| *k == kind).unwrap_or(0)..][..1];
@@ -430,18 +445,19 @@
         for _ in 0..cases(200) {
             let world = strategy.new_tree(&mut runner).expect("a world").current();
             let (site, results) = play(&world);
-            all.extend(site.plot.customers.iter().cloned().zip(results));
+            all.extend(site.scenario.customers.iter().cloned().zip(results));
         }
-        let plain = || all.iter().filter(|(c, _)| !is_thin(c));
-        let most = plain().max_by(|a, b| a.1.beyond.total_cmp(&b.1.beyond)).expect("a customer").1;
-        let share = plain().map(|(_, r)| r.beyond / r.stated).fold(0.0, f64::max);
-        let longest = all.iter().filter(|(c, _)| is_within(c)).map(|(_, r)| r.longest_refused).max();
+        let plain = || all.iter().filter(|(c, _)| !is_windowed(c));
+        let most =
+            plain().max_by(|a, b| a.1.max_overshoot.total_cmp(&b.1.max_overshoot)).expect("a customer").1;
+        let share = plain().map(|(_, r)| r.max_overshoot / r.stated).fold(0.0, f64::max);
+        let longest = all.iter().filter(|(c, _)| is_within(c)).map(|(_, r)| r.longest_rejection).max();
         let told: Vec<f64> = all.iter().filter_map(|(_, r)| r.told_more).collect();
         let (least, more) = told.iter().fold((0.0_f64, 0.0_f64), |(l, m), t| (l.min(*t), m.max(*t)));
         println!(
             "{:<10} {:>6.1} {:>7.1} {:>10.0} % {:>14.2} s {least:>10.1} to {more:.1}",
             format!("{kind:?}"),
-            most.beyond,
+            most.max_overshoot,
             most.stated,
             100.0 * share,
             longest.unwrap_or(0) as f64 / 1e9,
--- a/crates/policy/tests/crossings.rs
+++ b/crates/policy/tests/crossing_events.rs
@@ -21,26 +21,19 @@
     fn on(&mut self, event: Event) -> Vec<Action> {
         let mut all = self.g.on(event);
         let mut seen = 0;
-        while let Some((name, amount)) = calls(&all).get(seen).copied() {
+        while let Some((name, amount)) = calls_in(&all).get(seen).copied() {
             seen += 1;
             let total = self.totals.entry(name).or_default();
             *total += amount;
             let total = *total;
-            all.extend(self.g.counted(name, Outcome::Ok, total));
+            all.extend(self.g.counter_replied(name, Outcome::Ok, total));
         }
         all
     }
 
     fn ask(&mut self, id: u64, customer: u64, units: f64) -> Vec<Action> {
-        let (id, customer, patience) = (RequestId(id), CustomerId(customer), 4_000 * MS);
-        self.on(Event::Request(Request {
-            id,
-            customer,
-            remaining: patience,
-            units,
-            set_size: 1,
-            ..Request::default()
-        }))
+        let (id, customer, remaining) = (RequestId(id), CustomerId(customer), 4_000 * MS);
+        self.on(Event::Request(Request { id, customer, remaining, units, set_size: 1, ..Request::default() }))
     }
 
     fn pass(&mut self, seconds: u64) {
@@ -57,14 +50,14 @@
         outcome: Outcome,
         units: f64,
     ) -> Vec<Action> {
-        let (took, closed, true_units) = (50 * MS, outcome == Outcome::Ok, Some(units));
+        let (elapsed, closed, true_units) = (50 * MS, outcome == Outcome::Ok, Some(units));
         let (used, report) = (None, None);
         self.on(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
             host,
             outcome,
-            elapsed: took,
+            elapsed,
             is_request_closed: closed,
             quota_used: used,
             actual_units: true_units,
@@ -74,14 +67,14 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_it_waits_for_units_leaves_nothing_behind() {
+fn a_client_that_disconnects_while_its_request_waits_for_units_leaves_no_state() {
     let mut one = One::new(|_| {}, 30);
     let before = one.g.policy.size();
     // The last units are kept back for the other class: in the end one waits for the store to fill.
     let waits = (1..40).find(|id| {
         let actions = one.ask(*id, 7, 2.0);
-        sends(&actions).into_iter().for_each(|attempt| drop(one.end(attempt, 0, Outcome::Ok, 2.0)));
-        sends(&actions).is_empty() && !refused(&actions, *id) && calls(&actions).is_empty()
+        attempts_in(&actions).into_iter().for_each(|attempt| drop(one.end(attempt, 0, Outcome::Ok, 2.0)));
+        attempts_in(&actions).is_empty() && !is_rejected(&actions, *id) && calls_in(&actions).is_empty()
     });
     one.on(Event::ClientDisconnected { id: RequestId(waits.expect("one waits")) });
     one.pass(150);
@@ -89,29 +82,30 @@
 }
 
 #[test]
-fn true_units_are_settled_once_also_where_two_attempts_answer() {
+fn actual_units_are_settled_once_even_if_two_attempts_respond() {
     // Units that a customer can still have after a request that was taken for one unit and took six.
     let left_after = |second: Outcome| {
         let mut one = One::new(|s| (s.may_hedge, s.may_cancel) = (true, false), 4);
         for id in 100..120 {
-            let attempt = sends(&one.ask(id, id, 1.0))[0];
+            let attempt = attempts_in(&one.ask(id, id, 1.0))[0];
             one.end(attempt, 0, Outcome::Ok, 1.0);
         }
-        let first = sends(&one.ask(1, 7, 1.0))[0];
+        let first = attempts_in(&one.ask(1, 7, 1.0))[0];
         let hangs = (0..50).find_map(|_| {
             one.g.now += 20 * MS;
-            sends(&one.on(Event::TimerExpired { token: 0 })).pop()
+            attempts_in(&one.on(Event::TimerExpired { token: 0 })).pop()
         });
         let beside = hangs.expect("another attempt beside the first");
         one.end(first, 0, Outcome::Ok, 6.0);
         one.end(beside, 1, second, 6.0);
-        (2..60).filter(|id| !sends(&one.ask(*id, 7, 1.0)).is_empty()).count()
+        (2..60).filter(|id| !attempts_in(&one.ask(*id, 7, 1.0)).is_empty()).count()
     };
     assert_eq!(left_after(Outcome::Ok), left_after(Outcome::Cancelled));
 }
 
 #[test]
-fn a_keyed_request_is_repeated_where_its_first_attempt_ran_also_once_that_host_started_anew_elsewhere() {
+fn a_request_with_an_idempotency_key_is_retried_where_its_first_attempt_ran_even_if_that_host_restarted_elsewhere(
+) {
     for (scope, anew) in [(DedupScope::Cell, (0, 2)), (DedupScope::Zone, (1, 1))] {
         for ends_first in [false, true] {
             let keyed = |s: &mut Settings| {
@@ -123,7 +117,8 @@
             let entries = vec![at(1, (0, 1)), at(2, (0, 1)), at(3, anew), at(4, anew)];
             one.on(Event::HostList { kind: HostListKind::Full, entries });
             // The first two stand together, and the others.
-            let first = (1..).find_map(|id| sends(&one.ask(id, 7, 1.0)).pop().filter(|(_, host)| host.0 < 3));
+            let first =
+                (1..).find_map(|id| attempts_in(&one.ask(id, 7, 1.0)).pop().filter(|(_, host)| host.0 < 3));
             let first = first.expect("one goes there");
             let entries = vec![HostEntry { started_at: one.g.now, ..at(first.1 .0, anew) }];
             let moved = Event::HostList { kind: HostListKind::Delta, entries };
@@ -135,7 +130,7 @@
                 one.on(moved);
                 one.end(first, 0, Outcome::Error, 1.0)
             };
-            let to: Vec<u64> = sends(&again).iter().map(|(_, host)| host.0).collect();
+            let to: Vec<u64> = attempts_in(&again).iter().map(|(_, host)| host.0).collect();
             assert_eq!(to, [3 - first.1 .0], "{scope:?}, its end told first: {ends_first}");
         }
     }
@@ -143,27 +138,27 @@
 
 /// Units that a ceiling of 3 a second and 8 at once lets out in one moment, after a lease of 4 that nobody took.
 #[test]
-fn units_leased_long_ago_and_a_full_store_are_not_both_there() {
+fn units_leased_long_ago_do_not_add_to_a_full_token_bucket() {
     let ceiling = |s: &mut Settings| {
         s.classes.truncate(1);
         s.plans = vec![Plan { ceiling_rate: 3.0, ceiling_burst: 8.0, ..Plan::default() }];
     };
     let mut one = One::new(ceiling, 30);
-    let (name, amount) = calls(&one.g.request(1, 0, 7, 4.0))[0];
+    let (name, amount) = calls_in(&one.g.request(1, 0, 7, 4.0))[0];
     one.on(Event::ClientDisconnected { id: RequestId(1) });
     one.totals.insert(name, amount);
-    one.g.counted(name, Outcome::Ok, amount);
+    one.g.counter_replied(name, Outcome::Ok, amount);
     one.pass(10);
     let units: f64 = (2..40)
         .map(|id| (id, if id % 2 == 0 { 4.0 } else { 1.0 }))
-        .filter(|(id, units)| !sends(&one.ask(*id, 7, *units)).is_empty())
+        .filter(|(id, units)| !attempts_in(&one.ask(*id, 7, *units)).is_empty())
         .map(|(_, units)| units)
         .sum();
     assert!(units <= 8.0, "{units}");
 }
 
 #[test]
-fn a_customer_that_gives_way_to_others_gets_its_ceiling_no_second_time() {
+fn a_customer_removed_to_free_memory_does_not_get_its_ceiling_twice() {
     let ceiling = |s: &mut Settings| {
         s.has_counter = false;
         s.customer_bytes = 4_000;
@@ -173,7 +168,7 @@
     let mut units = 0.0;
     // Far more customers than there is room for come between.
     for id in 1..200 {
-        for (request, host) in sends(&one.ask(id, if id % 10 == 1 { 7 } else { id }, 2.0)) {
+        for (request, host) in attempts_in(&one.ask(id, if id % 10 == 1 { 7 } else { id }, 2.0)) {
             units += if id % 10 == 1 { 2.0 } else { 0.0 };
             one.end((request, host), 0, Outcome::Ok, 2.0);
         }
@@ -206,7 +201,7 @@
     one.pass(10);
     // Others take all slots, four at each host.
     let busy = if stands == Some(Stands::Queued) { 16 } else { 0 };
-    let others: Vec<_> = (500..500 + busy).flat_map(|id| sends(&one.ask(id, id, 1.0))).collect();
+    let others: Vec<_> = (500..500 + busy).flat_map(|id| attempts_in(&one.ask(id, id, 1.0))).collect();
     // Units that come too late for one are there for the next.
     let leave = match stands {
         None => 0,
@@ -218,33 +213,33 @@
             Some(Stands::Units) => one.g.request(id, 0, 7, 1.0),
             _ => one.ask(id, 7, 1.0),
         };
-        let sent = sends(&actions).pop();
+        let sent = attempts_in(&actions).pop();
         assert_eq!(sent.is_some(), matches!(stands, Some(Stands::Out(_))), "{stands:?}");
         one.on(Event::ClientDisconnected { id: RequestId(id) });
         if let (Some(Stands::Out(outcome)), Some(attempt)) = (stands, sent) {
             one.end(attempt, 0, outcome, 1.0);
         }
-        for (name, amount) in calls(&actions).into_iter().filter(|_| stands == Some(Stands::Units)) {
+        for (name, amount) in calls_in(&actions).into_iter().filter(|_| stands == Some(Stands::Units)) {
             *one.totals.entry(name).or_default() += amount;
             let total = one.totals[&name];
-            one.g.counted(name, Outcome::Ok, total);
+            one.g.counter_replied(name, Outcome::Ok, total);
         }
     }
     for attempt in others {
         one.end(attempt, 0, Outcome::Ok, 1.0);
     }
-    let out: Vec<_> = (600..).map_while(|id| sends(&one.ask(id, id, 1.0)).pop()).collect();
+    let out: Vec<_> = (600..).map_while(|id| attempts_in(&one.ask(id, id, 1.0)).pop()).collect();
     one.on(Event::ClientDisconnected { id: RequestId(600 + out.len() as u64) });
     out.iter().for_each(|attempt| drop(one.end(*attempt, 0, Outcome::Ok, 1.0)));
     let gets_in = |id: &u64| {
-        let sent = sends(&one.ask(*id, 7, 1.0)).pop();
+        let sent = attempts_in(&one.ask(*id, 7, 1.0)).pop();
         sent.map(|attempt| one.end(attempt, 0, Outcome::Ok, 1.0)).is_some()
     };
     (out.len(), (700..760).filter(gets_in).count())
 }
 
 #[test]
-fn clients_that_leave_take_no_slot_no_line_and_no_units_with_them() {
+fn clients_that_disconnect_release_slots_queues_and_units() {
     use Outcome::*;
     let (slots, units) = after_leaving(None);
     assert!(units > 12, "{units}");
@@ -255,8 +250,8 @@
         let (slots_then, units_then) = after_leaving(Some(stands));
         assert_eq!(slots_then, slots, "{stands:?}");
         // What came whole to a host has taken its units.
-        let took = matches!(stands, Stands::Out(Rejected | Cancelled | Ok | Timeout | ConnectionReset));
-        let left = if took { units - 12..=units - 11 } else { units..=units };
+        let elapsed = matches!(stands, Stands::Out(Rejected | Cancelled | Ok | Timeout | ConnectionReset));
+        let left = if elapsed { units - 12..=units - 11 } else { units..=units };
         assert!(left.contains(&units_then), "{stands:?}: {units_then} units, where else {units}");
     }
 }
--- a/crates/policy/tests/answers.rs
+++ b/crates/policy/tests/final_answers.rs
@@ -10,39 +10,39 @@
 }
 
 #[test]
-fn a_try_with_no_time_left_is_answered_at_once() {
+fn a_request_without_time_left_is_answered_at_once() {
     let mut g = Harness::new(open(), 3);
     let request = Request { id: RequestId(1), remaining: 5 * MS, units: 1.0, ..Request::default() };
-    assert!(refused(&g.on(Event::Request(request)), 1));
+    assert!(is_rejected(&g.on(Event::Request(request)), 1));
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
+fn a_non_idempotent_request_that_may_have_been_executed_fails_and_is_not_retried() {
     let mut g = Harness::new(open(), 3);
-    let (_, host) = sends(&g.request(1, 1, 1, 1.0))[0];
+    let (_, host) = attempts_in(&g.request(1, 1, 1, 1.0))[0];
     let actions = g.ended(1, 0, host, Outcome::ConnectionReset);
-    assert!(failed(&actions, 1) && sends(&actions).is_empty());
+    assert!(is_failed(&actions, 1) && attempts_in(&actions).is_empty());
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_goes_elsewhere() {
+fn a_non_idempotent_request_that_was_not_executed_is_retried_at_another_host() {
     let mut g = Harness::new(open(), 3);
-    let (_, host) = sends(&g.request(1, 1, 1, 1.0))[0];
-    let again = sends(&g.ended(1, 0, host, Outcome::ConnectFailed));
+    let (_, host) = attempts_in(&g.request(1, 1, 1, 1.0))[0];
+    let again = attempts_in(&g.ended(1, 0, host, Outcome::ConnectFailed));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, host);
 }
 
 #[test]
-fn a_keyed_request_is_repeated_only_in_its_scope() {
+fn a_request_with_an_idempotency_key_is_retried_only_within_its_scope() {
     let mut settings = open();
     settings.classes[1].idempotency = Idempotency::WithKey(DedupScope::Cell, 8_000 * MS);
     let mut g = Harness::new(settings, 0);
     let cell = |id, cell| HostEntry { cell, ..entry(id) };
     g.list(HostListKind::Full, vec![cell(1, 1), cell(2, 1), cell(3, 2), cell(4, 2)]);
     for id in 1..20 {
-        let (_, host) = sends(&g.request(id, 1, id, 1.0))[0];
-        let again = sends(&g.ended(id, 0, host, Outcome::Error));
+        let (_, host) = attempts_in(&g.request(id, 1, id, 1.0))[0];
+        let again = attempts_in(&g.ended(id, 0, host, Outcome::Error));
         for (_, other) in again {
             assert_eq!((other.0 - 1) / 2, (host.0 - 1) / 2);
             g.ended(id, 1, other, Outcome::Ok);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_repeated_only_while_its_bytes_can_arrive_within_the_window() {
+fn a_request_with_an_idempotency_key_is_retried_only_while_its_bytes_arrive_within_the_window() {
     // The window, when the first attempt fails, and by when the next has to be written, both from the first one.
     let cases = [
         (100, 0, None),
@@ -66,7 +66,7 @@
         settings.classes[1].idempotency = Idempotency::WithKey(DedupScope::All, window * MS);
         settings.classes[1].latency_objective = 4_000 * MS;
         let mut g = Harness::new(settings, 2);
-        let (_, host) = sends(&g.request(1, 1, 1, 1.0))[0];
+        let (_, host) = attempts_in(&g.request(1, 1, 1, 1.0))[0];
         let sent = g.now;
         g.now += fails * MS;
         let again = g.ended(1, 0, host, Outcome::Error);
@@ -75,28 +75,31 @@
             _ => None,
         });
         assert_eq!(bound, write_by, "window {window}, fails after {fails}");
-        assert!(bound.is_some() || refused(&again, 1), "hosts drop repeats, so to try again does no harm");
+        assert!(
+            bound.is_some() || is_rejected(&again, 1),
+            "hosts drop repeats, so to try again does no harm"
+        );
     }
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_removed_host() {
+fn a_draining_or_removed_host_gets_no_new_attempt() {
     let mut g = Harness::new(open(), 3);
     g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Draining, ..entry(1) }]);
     g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Gone, ..entry(2) }]);
-    assert!((1..12).flat_map(|id| sends(&g.request(id, 0, id, 1.0))).all(|(_, s)| s == HostId(3)));
+    assert!((1..12).flat_map(|id| attempts_in(&g.request(id, 0, id, 1.0))).all(|(_, s)| s == HostId(3)));
     g.list(HostListKind::Full, vec![entry(1)]);
-    assert!((20..24).flat_map(|id| sends(&g.request(id, 0, id, 1.0))).all(|(_, s)| s == HostId(1)));
+    assert!((20..24).flat_map(|id| attempts_in(&g.request(id, 0, id, 1.0))).all(|(_, s)| s == HostId(1)));
 }
 
 #[test]
-fn a_fresh_host_gets_its_part_and_no_burst() {
+fn a_restarted_host_gets_its_part_and_no_burst() {
     let mut g = Harness::new(open(), 3);
     g.pass(2_000 * MS);
     g.list(HostListKind::Delta, vec![HostEntry { started_at: g.now, ..entry(9) }]);
     let mut cold = 0;
     for id in 1..100 {
-        let sent = sends(&g.request(id, 0, id, 1.0));
+        let sent = attempts_in(&g.request(id, 0, id, 1.0));
         cold += sent.iter().filter(|(_, s)| *s == HostId(9)).count();
         for (request, host) in sent {
             g.ended(request.0, 0, host, Outcome::Ok);
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn a_silent_host_is_left_and_safe_requests_move_away() {
+fn a_host_without_responses_is_avoided_and_idempotent_requests_are_retried_elsewhere() {
     let mut g = Harness::new(open(), 4);
     let mut id = 0;
     let mut silent = Vec::new();
@@ -118,10 +121,10 @@
         actions.extend(g.pass(20 * MS));
         for action in &actions {
             if let Action::Cancel { id, attempt } = action {
-                late.extend(sends(&g.ended(id.0, *attempt, HostId(1), Outcome::Cancelled)));
+                late.extend(attempts_in(&g.ended(id.0, *attempt, HostId(1), Outcome::Cancelled)));
             }
         }
-        for (request, host) in sends(&actions) {
+        for (request, host) in attempts_in(&actions) {
             if host != HostId(1) {
                 g.ended(request.0, 0, host, Outcome::Ok);
             } else {
@@ -134,11 +137,11 @@
 }
 
 #[test]
-fn odd_input_is_taken_without_harm() {
+fn invalid_input_does_no_harm() {
     let mut g = Harness::new(settings(), 2);
     g.ended(99, 0, HostId(1), Outcome::Ok);
     g.ended(99, 7, HostId(77), Outcome::Timeout);
-    g.counted(CounterKey(5), Outcome::Ok, f64::NAN);
+    g.counter_replied(CounterKey(5), Outcome::Ok, f64::NAN);
     g.on(Event::TimerExpired { token: 12345 });
     g.on(Event::ClientDisconnected { id: RequestId(3) });
     g.on(Event::ResponseStarted { id: RequestId(3), attempt: 0 });
@@ -146,15 +149,15 @@
     g.on(Event::HealthCheckEnded { host: HostId(77), outcome: Outcome::Ok, report });
     g.on(Event::Request(Request { id: RequestId(4), class: 9, ..Request::default() }));
     let actions = g.request(5, 0, 1, f64::NAN);
-    let (name, _) = calls(&actions)[0];
-    g.counted(name, Outcome::Ok, f64::NAN);
-    g.counted(name, Outcome::Ok, -3.0);
+    let (name, _) = calls_in(&actions)[0];
+    g.counter_replied(name, Outcome::Ok, f64::NAN);
+    g.counter_replied(name, Outcome::Ok, -3.0);
     g.request(6, 0, 1, -2.0);
     g.pass(2_000 * MS);
 }
 
 #[test]
-fn extreme_settings_forget_no_request() {
+fn extreme_settings_leave_no_request_unanswered() {
     for variant in 0..8 {
         let mut s = settings();
         match variant {
@@ -172,54 +175,54 @@
         let mut all = Vec::new();
         for id in 1..=40 {
             all.extend(g.request(id, id as usize % classes, id % 3, 30.0 * (id % 2) as f64));
-            for (name, amount) in calls(&all).into_iter().skip(id as usize / 2).take(1) {
-                all.extend(g.counted(name, Outcome::Ok, amount));
+            for (name, amount) in calls_in(&all).into_iter().skip(id as usize / 2).take(1) {
+                all.extend(g.counter_replied(name, Outcome::Ok, amount));
             }
             all.extend(g.pass(7 * MS));
         }
-        for (request, host) in sends(&all) {
+        for (request, host) in attempts_in(&all) {
             all.extend(g.ended(request.0, 0, host, Outcome::Ok));
         }
         all.extend(g.pass(10_000 * MS));
         for id in 1..=40 {
-            let sent = sends(&all).iter().filter(|(request, _)| request.0 == id).count();
-            let answers = usize::from(refused(&all, id)) + usize::from(failed(&all, id));
+            let sent = attempts_in(&all).iter().filter(|(request, _)| request.0 == id).count();
+            let answers = usize::from(is_rejected(&all, id)) + usize::from(is_failed(&all, id));
             assert!(sent + answers >= 1, "variant {variant}: request {id} was forgotten");
         }
     }
 }
 
 #[test]
-fn a_host_that_fails_one_class_keeps_the_other() {
+fn a_host_that_fails_one_class_still_serves_the_other() {
     let mut g = Harness::new(Settings { gateways: 1, ..open() }, 2);
     for id in 1..100 {
-        for (request, host) in sends(&g.request(id, (id % 2) as usize, id, 1.0)) {
+        for (request, host) in attempts_in(&g.request(id, (id % 2) as usize, id, 1.0)) {
             let bad = id % 2 == 1 && host == HostId(1);
             g.ended(request.0, 0, host, if bad { Outcome::Error } else { Outcome::Ok });
         }
         g.pass(40 * MS);
     }
     // With an attempt out at the other host, the class that is served goes to the idle one, the failing not.
-    let to = |actions: Vec<Action>| sends(&actions)[0].1;
+    let to = |actions: Vec<Action>| attempts_in(&actions)[0].1;
     assert_eq!(to(g.request(201, 1, 201, 1.0)), HostId(2));
     assert_eq!(to(g.request(202, 0, 202, 1.0)), HostId(1));
     assert_eq!(to(g.request(203, 1, 203, 1.0)), HostId(2));
 }
 
 #[test]
-fn a_host_never_heard_of_is_not_taken_for_idle() {
+fn a_host_without_load_reports_does_not_count_as_idle() {
     let mut g = Harness::new(Settings { gateways: 1, ..open() }, 20);
     for id in 1..200 {
-        for (id, host) in sends(&g.request(id, 0, id, 1.0)) {
+        for (id, host) in attempts_in(&g.request(id, 0, id, 1.0)) {
             let report = Some(LoadReport { queued: Some(2.0), ..LoadReport::default() });
-            let (outcome, took) = (Outcome::Ok, 50 * MS);
+            let (outcome, elapsed) = (Outcome::Ok, 50 * MS);
             let (attempt, closed, used, true_units) = (0, true, None, None);
             g.on(Event::AttemptEnded(AttemptEnded {
                 id,
                 attempt,
                 host,
                 outcome,
-                elapsed: took,
+                elapsed,
                 is_request_closed: closed,
                 quota_used: used,
                 actual_units: true_units,
@@ -229,7 +232,7 @@
         g.pass(20 * MS);
     }
     g.list(HostListKind::Delta, (21..=25).map(entry).collect());
-    let next = (201..206).flat_map(|id| sends(&g.request(id, 0, id, 1.0)));
+    let next = (201..206).flat_map(|id| attempts_in(&g.request(id, 0, id, 1.0)));
     let strangers = next.filter(|(_, host)| host.0 > 20).count();
     assert!(strangers < 5, "five busy-looking hosts are not all passed over for five unknown ones");
 }
--- a/crates/policy/tests/sizes.rs
+++ b/crates/policy/tests/host_sizes.rs
@@ -1,21 +1,22 @@
 //! Hosts of different sizes: nothing tells a gateway what a size is worth, so it learns from answers.
 mod common;
-use common::world::{alone, HostSpec, World, USUAL};
+use common::world::{single_gateway, HostSpec, World, USUAL_HOST};
 use common::*;
 use policy::api::*;
 
 /// A host of one core does 12.5 a second, one of eight 100; 95 a second are 0.84 of both together, and an even share
 /// would be four times what the small one can do.
 #[test]
-fn a_large_host_gets_what_it_can_do_though_nobody_says_what_its_size_is_worth() {
-    let mut world = World::new(alone(), &[USUAL, HostSpec { cores: 8, ..USUAL }], |_| 80 * MS);
-    world.play(60, 60, 4_000 * MS);
-    world.play(60, 95, 4_000 * MS);
-    world.count_anew();
-    world.play(30, 95, 4_000 * MS);
+fn a_large_host_gets_what_it_can_execute_without_knowledge_of_its_size() {
+    let mut world =
+        World::new(single_gateway(), &[USUAL_HOST, HostSpec { cores: 8, ..USUAL_HOST }], |_| 80 * MS);
+    world.run(60, 60, 4_000 * MS);
+    world.run(60, 95, 4_000 * MS);
+    world.reset_counts();
+    world.run(30, 95, 4_000 * MS);
     let sent = |host| world.sent.get(&HostId(host)).copied().unwrap_or(0) as f64;
     let large = sent(2) / (sent(1) + sent(2));
-    let served = world.served as f64 / world.asked as f64;
+    let served = world.served as f64 / world.requests as f64;
     assert!(served > 0.95, "served {served}, {large} of it by the large one");
     assert!((0.80..0.95).contains(&large), "{large} by the large one, served {served}");
 }
--- a/crates/policy/tests/circle.rs
+++ b/crates/policy/tests/host_subset.rs
@@ -16,7 +16,7 @@
 fn used(g: &mut Harness, ids: std::ops::Range<u64>) -> BTreeSet<u64> {
     let mut hosts = BTreeSet::new();
     for id in ids {
-        for (request, host) in sends(&g.request(id, 0, id, 1.0)) {
+        for (request, host) in attempts_in(&g.request(id, 0, id, 1.0)) {
             hosts.insert(host.0);
             g.ended(request.0, 0, host, Outcome::Ok);
         }
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn a_gateway_of_a_large_fleet_uses_its_circle_and_one_of_a_small_fleet_all_hosts() {
+fn one_of_many_gateways_uses_its_subset_and_one_of_few_all_hosts() {
     assert!(used(&mut one_of(3), 1..1_000).len() > 150);
     let circle = used(&mut one_of(300), 1..1_000);
     assert!((16..32).contains(&circle.len()), "{circle:?}");
 }
 
 #[test]
-fn where_its_circle_is_gone_it_works_with_others_at_once() {
+fn without_its_subset_a_gateway_uses_other_hosts_at_once() {
     let mut g = one_of(300);
     let circle = used(&mut g, 1..1_000);
     let leave = |id: &u64| HostEntry { state: HostState::Draining, ..entry(*id) };
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn while_its_circle_takes_no_work_it_looks_further_but_never_at_cold_hosts_of_others() {
+fn while_its_subset_accepts_nothing_a_gateway_uses_other_hosts_but_none_that_warm_up() {
     let mut g = one_of(300);
     let circle = used(&mut g, 1..1_000);
     // All but a dozen hosts start anew; those of the circle are among them.
--- a/crates/policy/tests/shed.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -14,13 +14,13 @@
 
 fn request(id: u64, class: usize, plan: usize) -> Event {
     let (id, customer, spread) = (RequestId(id), CustomerId(id), 2);
-    let (patience, units) = (4_000 * MS, 1.0);
+    let (remaining, units) = (4_000 * MS, 1.0);
     Event::Request(Request {
         id,
         class,
         plan,
         customer,
-        remaining: patience,
+        remaining,
         units,
         set_size: spread,
         ..Request::default()
@@ -28,17 +28,17 @@
 }
 
 /// How many of a cell's requests are refused by the plan; each other one is served at once.
-fn refused(g: &mut Harness, from: u64, class: usize, plan: usize) -> usize {
+fn count_rejected(g: &mut Harness, from: u64, class: usize, plan: usize) -> usize {
     let mut refused = 0;
     for id in from..from + ASKED {
         let actions = g.on(request(id, class, plan));
         let advice = Some(800 * MS);
         let why = RejectReason::LoadShed;
         if actions.contains(&Action::Reject { id: RequestId(id), retry_after: advice, reason: why }) {
-            assert_eq!(sends(&actions), [], "it is over");
+            assert_eq!(attempts_in(&actions), [], "it is over");
             refused += 1;
         } else {
-            let (_, host) = sends(&actions)[0];
+            let (_, host) = attempts_in(&actions)[0];
             g.ended(id, 0, host, Outcome::Ok);
         }
     }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn of_each_class_and_plan_the_share_that_the_plan_names_is_let_in() {
+fn of_each_class_and_plan_the_given_fraction_is_admitted() {
     // By class times plans plus plan: reads of plan 0 not at all, of plan 1 three tenths, orders of plan 0 whole,
     // and those of plan 1 are left out.
     let keep = vec![0.0, 0.3, 1.0];
@@ -55,15 +55,15 @@
     for (cell, (class, plan, from, to)) in
         [(0, 0, 1_000, 1_000), (0, 1, 650, 750), (1, 0, 0, 0), (1, 1, 0, 0)].into_iter().enumerate()
     {
-        let refused = refused(&mut g, 1 + cell as u64 * ASKED, class, plan);
-        assert!((from..=to).contains(&refused), "class {class}, plan {plan}: {refused}");
+        let rejected = count_rejected(&mut g, 1 + cell as u64 * ASKED, class, plan);
+        assert!((from..=to).contains(&rejected), "class {class}, plan {plan}: {rejected}");
     }
 }
 
 #[test]
-fn what_is_in_hand_is_not_refused_and_nothing_is_once_all_is_let_in_again() {
+fn requests_in_flight_are_not_shed_and_none_is_once_all_are_admitted_again() {
     let mut g = gateway(4);
-    let (_, host) = sends(&g.on(request(1, 0, 0)))[0];
+    let (_, host) = attempts_in(&g.on(request(1, 0, 0)))[0];
     assert_eq!(g.on(Event::AdmissionFractionsChanged(vec![0.0])).len(), 0, "it stays where it is");
     assert!(g
         .ended(1, 0, host, Outcome::Rejected)
@@ -71,8 +71,8 @@
         .all(|action| !matches!(action, Action::Reject { .. })));
     for all in [vec![], vec![1.0; 4]] {
         g.on(Event::AdmissionFractionsChanged(vec![0.0]));
-        assert_eq!(refused(&mut g, 5 * ASKED, 0, 0), ASKED as usize);
+        assert_eq!(count_rejected(&mut g, 5 * ASKED, 0, 0), ASKED as usize);
         g.on(Event::AdmissionFractionsChanged(all));
-        assert_eq!(refused(&mut g, 9 * ASKED, 0, 0), 0);
+        assert_eq!(count_rejected(&mut g, 9 * ASKED, 0, 0), 0);
     }
 }
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_customer_costs_what_is_stated_in_either_form() {
+fn a_customer_takes_the_stated_memory_in_either_form() {
     let _alone = ONE_AT_A_TIME.lock();
     let nobody = held_by(load(0));
     // Asked three times, each at a different time, so that there is history.
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn customers_that_come_once_stay_within_what_is_granted_and_cost_regular_ones_nothing() {
+fn customers_with_one_request_stay_within_the_memory_and_displace_no_regular_ones() {
     let _alone = ONE_AT_A_TIME.lock();
     let granted = 4 * MB;
     let play = |flood: u64| {
@@ -72,16 +72,16 @@
         for ms in 0..4_000 {
             (0..flood).for_each(|n| load.ask(1_000_000 + ms * flood + n));
             // Two hundred that ask five times a second.
-            let before = load.refused;
+            let before = load.rejected;
             load.ask(ms % 200);
-            regular += u64::from(load.refused == before);
+            regular += u64::from(load.rejected == before);
             load.pass(MS);
             if ms % 500 == 0 {
                 most = most.max(load.policy.customer_bytes());
             }
         }
         load.pass(1_000 * MS);
-        (regular, load.refused, most, held_by(load))
+        (regular, load.rejected, most, held_by(load))
     };
     let (calm, flooded) = (play(0), play(25));
     assert_eq!(
@@ -95,15 +95,15 @@
 }
 
 #[test]
-fn where_all_are_owed_something_another_is_refused_and_nobody_forgotten() {
+fn where_all_customers_are_busy_another_is_rejected_and_none_is_removed() {
     let _alone = ONE_AT_A_TIME.lock();
     let mut load = load(200_000);
     let (most, _) = customers_within(200_000);
     // None is answered yet.
     (0..2 * most as u64).for_each(|n| load.ask(n));
-    assert_eq!((load.out.len(), load.refused), (most, most as u64));
+    assert_eq!((load.in_flight.len(), load.rejected), (most, most as u64));
     load.pass(100 * MS);
     assert_eq!(load.served, most as u64);
     load.ask(1_000_000);
-    assert_eq!(load.refused, most as u64, "there is room again");
+    assert_eq!(load.rejected, most as u64, "there is room again");
 }
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -44,15 +44,15 @@
 
 /// Sends until nothing more goes out; gives the hosts.
 fn fill(g: &mut Harness, from: u64, route: Route) -> Vec<HostId> {
-    (from..from + 100).flat_map(|id| sends(&request(g, id, 0, route))).map(|(_, host)| host).collect()
+    (from..from + 100).flat_map(|id| attempts_in(&request(g, id, 0, route))).map(|(_, host)| host).collect()
 }
 
 #[test]
-fn requests_go_to_their_pool_and_nowhere_else() {
+fn requests_are_forwarded_to_their_pool_only() {
     let mut g = gateway();
     for id in 1..60 {
         let pools = [A, B, A | B, 0][id as usize % 4];
-        let (_, host) = sends(&request(&mut g, id, 0, to(pools)))[0];
+        let (_, host) = attempts_in(&request(&mut g, id, 0, to(pools)))[0];
         let inside: &[u64] = match pools {
             A => &[1, 2],
             B => &[3, 4],
@@ -74,7 +74,7 @@
     assert_eq!(fill(&mut two(), 1, to(A)), [HostId(1), HostId(1)], "one host in A: ceil(4 / 3) slots");
     let mut g = two();
     let served = |id: u64| {
-        let (_, host) = sends(&request(&mut g, id, 0, to(B)))[0];
+        let (_, host) = attempts_in(&request(&mut g, id, 0, to(B)))[0];
         g.ended(id, 0, host, Outcome::Ok);
         host.0
     };
@@ -86,8 +86,8 @@
 fn a_retry_stays_in_the_pool() {
     let mut g = gateway();
     for id in 1..20 {
-        let (_, first) = sends(&request(&mut g, id, 0, to(A)))[0];
-        let again = sends(&g.ended(id, 0, first, Outcome::Error));
+        let (_, first) = attempts_in(&request(&mut g, id, 0, to(A)))[0];
+        let again = attempts_in(&g.ended(id, 0, first, Outcome::Error));
         for (_, host) in again {
             assert!([1, 2].contains(&host.0) && host != first, "{host:?} after {first:?}");
             g.ended(id, 1, host, Outcome::Ok);
@@ -97,22 +97,22 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_not_sent_to_the_fallback() {
+fn a_non_idempotent_request_that_may_have_been_executed_is_not_forwarded_to_the_fallback() {
     let mut g = gateway();
     let route = Route { fallback: B, ..to(A) };
-    let (_, host) = sends(&request(&mut g, 1, 1, route))[0];
+    let (_, host) = attempts_in(&request(&mut g, 1, 1, route))[0];
     g.list(HostListKind::Delta, vec![member(5, 0), HostEntry { state: HostState::Gone, ..member(1, A) }]);
     g.list(HostListKind::Delta, vec![HostEntry { state: HostState::Gone, ..member(2, A) }]);
     let actions = g.ended(1, 0, host, Outcome::ConnectionReset);
-    assert!(failed(&actions, 1) && sends(&actions).is_empty());
+    assert!(is_failed(&actions, 1) && attempts_in(&actions).is_empty());
 }
 
 #[test]
-fn the_fallback_takes_over_while_no_host_is_in_service_and_only_then() {
+fn the_fallback_takes_over_only_while_no_host_of_the_pool_is_ready() {
     let mut g = gateway();
     let route = Route { fallback: B, ..to(A) };
     let goes = |g: &mut Harness, id| {
-        let (_, host) = sends(&request(g, id, 0, route))[0];
+        let (_, host) = attempts_in(&request(g, id, 0, route))[0];
         g.ended(id, 0, host, Outcome::Ok);
         host.0
     };
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn what_no_host_can_serve_is_refused_at_once_with_advice() {
+fn a_request_that_no_host_can_serve_is_rejected_at_once_with_retry_after() {
     let mut g = gateway();
     g.list(HostListKind::Full, vec![member(3, B)]);
     let actions = request(&mut g, 1, 0, to(A));
@@ -133,31 +133,31 @@
         Action::Reject { id: RequestId(1), retry_after: Some(800 * MS), reason: RejectReason::NoHost };
     assert!(actions.contains(&refusal), "{actions:?}");
     // Before the first list there is nothing to go by: it waits, as ever.
-    let mut new = Harness::unheard(open(), 0);
-    assert!(!refused(&request(&mut new, 1, 0, to(A)), 1));
-    assert_eq!(sends(&new.list(HostListKind::Full, vec![member(1, A)])), [(RequestId(1), HostId(1))]);
+    let mut new = Harness::just_started(open(), 0);
+    assert!(!is_rejected(&request(&mut new, 1, 0, to(A)), 1));
+    assert_eq!(attempts_in(&new.list(HostListKind::Full, vec![member(1, A)])), [(RequestId(1), HostId(1))]);
 }
 
 #[test]
-fn a_full_pool_holds_up_no_other() {
+fn a_full_pool_does_not_delay_another() {
     let mut g = gateway();
     // Four slots a host, shared among three gateways: ceil(2 x 4 / 3) in A.
     let sent = fill(&mut g, 1, to(A));
     assert_eq!(sent.len(), 3, "{sent:?}");
-    let (_, other) = sends(&request(&mut g, 500, 0, to(B)))[0];
+    let (_, other) = attempts_in(&request(&mut g, 500, 0, to(B)))[0];
     assert!([3, 4].contains(&other.0));
     // An answer frees the slot for the one that has waited longest.
-    let next = sends(&g.ended(1, 0, sent[0], Outcome::Ok));
+    let next = attempts_in(&g.ended(1, 0, sent[0], Outcome::Ok));
     assert_eq!(next.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [4]);
 }
 
 #[test]
-fn hosts_that_leave_a_pool_take_nothing_new_for_it() {
+fn hosts_that_leave_a_pool_get_no_new_attempts_for_it() {
     let mut g = gateway();
     g.list(HostListKind::Delta, vec![member(1, B)]);
     let sent: Vec<_> = (1..20)
         .map(|id| {
-            let (_, host) = sends(&request(&mut g, id, 0, to(A)))[0];
+            let (_, host) = attempts_in(&request(&mut g, id, 0, to(A)))[0];
             g.ended(id, 0, host, Outcome::Ok);
             host.0
         })
@@ -168,51 +168,51 @@
 }
 
 #[test]
-fn a_route_has_no_more_out_than_its_limit() {
+fn a_route_has_no_more_attempts_in_flight_than_its_limit() {
     let mut g = gateway();
     let limited =
         |route, most_out| Route { limit: Some(RouteLimit { route, max_in_flight: most_out }), ..to(0) };
     let sent = fill(&mut g, 1, limited(7, 2));
     assert_eq!(sent.len(), 2, "{sent:?}");
     assert_eq!(fill(&mut g, 200, limited(8, 1)).len(), 1, "another route has its own");
-    assert!(!sends(&request(&mut g, 400, 0, to(0))).is_empty(), "what has no limit goes on");
-    let next = sends(&g.ended(1, 0, sent[0], Outcome::Ok));
+    assert!(!attempts_in(&request(&mut g, 400, 0, to(0))).is_empty(), "what has no limit goes on");
+    let next = attempts_in(&g.ended(1, 0, sent[0], Outcome::Ok));
     assert_eq!(next.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [3]);
     // One that ends without success frees its place as well, and its own retry needs one.
-    let again = sends(&g.ended(2, 0, sent[1], Outcome::Error));
+    let again = attempts_in(&g.ended(2, 0, sent[1], Outcome::Error));
     assert_eq!(again.len(), 1, "{again:?}");
 }
 
 #[test]
-fn a_limit_of_nothing_refuses_at_once() {
+fn a_limit_of_zero_rejects_at_once() {
     let mut g = gateway();
     let closed = Route { limit: Some(RouteLimit { route: 1, max_in_flight: 0 }), ..to(A) };
-    assert!(refused(&request(&mut g, 1, 0, closed), 1));
+    assert!(is_rejected(&request(&mut g, 1, 0, closed), 1));
 }
 
 #[test]
-fn a_hanging_attempt_leaves_its_slot_and_keeps_its_place_under_the_limit() {
+fn an_overdue_attempt_releases_its_slot_and_still_counts_towards_the_limit() {
     let hung = |limit| {
         let mut g = Harness::new(Settings { may_hedge: true, ..open() }, 0);
         g.list(HostListKind::Full, vec![member(1, A), member(2, A), member(3, B)]);
         let sent = fill(&mut g, 1, Route { limit, ..to(A) });
         // Longer than the aim without an answer; those that waited for a slot are over.
         g.pass(1_100 * MS);
-        (sent.len(), sends(&request(&mut g, 500, 0, Route { limit, ..to(A) })).len())
+        (sent.len(), attempts_in(&request(&mut g, 500, 0, Route { limit, ..to(A) })).len())
     };
     assert_eq!(hung(None), (3, 1), "slots of hanging attempts are lost");
     assert_eq!(hung(Some(RouteLimit { route: 1, max_in_flight: 2 })), (2, 0), "more out than the limit");
 }
 
 #[test]
-fn nothing_is_kept_of_routes_and_pools_that_are_done_with() {
+fn routes_and_pools_without_requests_leave_no_state() {
     let mut g = gateway();
     for id in 1..2_000 {
         let route = Route {
             limit: Some(RouteLimit { route: id as u32, max_in_flight: 3 }),
             ..to([A, B][id as usize % 2])
         };
-        let (_, host) = sends(&request(&mut g, id, 0, route))[0];
+        let (_, host) = attempts_in(&request(&mut g, id, 0, route))[0];
         g.ended(id, 0, host, Outcome::Ok);
     }
     // Counts that drifted would shut the pools in the end.
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -1,7 +1,7 @@
 //! Leases: blocks, return, settlement, and a counter that is silent, empty or slow.
 mod common;
-use common::counter::{Fault, Trouble};
-use common::site::{Customer, Habit, Plot, Site, START};
+use common::counter::{Fault, FaultWindow};
+use common::site::{Customer, Scenario, Site, TrafficPattern, START};
 use common::*;
 use policy::api::*;
 use policy::counter_keys;
@@ -11,26 +11,26 @@
 /// Sends a request and answers its call with the total that other gateways leave.
 fn lease(g: &mut Harness, id: u64, units: f64, others: f64, total: &mut f64) -> Vec<Action> {
     let mut actions = g.request(id, 0, 7, units);
-    for (name, amount) in calls(&actions) {
+    for (name, amount) in calls_in(&actions) {
         *total += amount + others;
-        actions.extend(g.counted(name, Outcome::Ok, *total));
+        actions.extend(g.counter_replied(name, Outcome::Ok, *total));
     }
     actions
 }
 
 #[test]
-fn units_are_leased_before_the_first_send_and_a_block_serves_several() {
+fn units_are_leased_before_the_first_attempt_and_a_lease_serves_several_requests() {
     let (mut g, mut total) = (Harness::new(settings(), 60), 0.0);
     let first = g.request(1, 0, 7, 2.0);
-    assert!(sends(&first).is_empty(), "nothing goes out before the lease");
-    let (name, amount) = calls(&first)[0];
+    assert!(attempts_in(&first).is_empty(), "nothing goes out before the lease");
+    let (name, amount) = calls_in(&first)[0];
     assert!(amount >= 2.0);
     total += amount;
-    assert_eq!(sends(&g.counted(name, Outcome::Ok, total)).len(), 1);
+    assert_eq!(attempts_in(&g.counter_replied(name, Outcome::Ok, total)).len(), 1);
     let mut asked = 0;
     for id in 2..8 {
         g.pass(100 * MS);
-        asked += calls(&lease(&mut g, id, 1.0, 0.0, &mut total)).len();
+        asked += calls_in(&lease(&mut g, id, 1.0, 0.0, &mut total)).len();
     }
     assert!(asked < 6, "blocks of several units, not a call a request: {asked}");
 }
@@ -38,20 +38,20 @@
 /// More requests of a customer wait for the counter than are tried at once: those behind wait as well, and are let in by
 /// answers that cover them.
 #[test]
-fn requests_behind_those_that_are_tried_are_let_in_by_answers_that_cover_them() {
+fn requests_behind_those_considered_are_admitted_by_replies_that_cover_them() {
     let plan =
         Plan { rate: 1_000.0, burst: 1_000.0, weight_factor: 1.0, over_quota_cost: 0.5, ..Plan::default() };
     let (mut g, mut total) = (Harness::new(Settings { plans: vec![plan], ..settings() }, 60), 0.0);
     let mut actions: Vec<Action> = (1..=40).flat_map(|id| g.request(id, 1, 7, 2.0)).collect();
     let mut sent = 0;
     while !actions.is_empty() {
-        sent += sends(&actions).len();
-        let refused = (1..=40).filter(|id| refused(&actions, *id)).count();
+        sent += attempts_in(&actions).len();
+        let refused = (1..=40).filter(|id| is_rejected(&actions, *id)).count();
         assert_eq!(refused, 0, "beyond a quota of 1,000 units, with {sent} sent");
         let mut news = Vec::new();
-        for (name, amount) in calls(&actions) {
+        for (name, amount) in calls_in(&actions) {
             total += amount;
-            news.extend(g.counted(name, Outcome::Ok, total));
+            news.extend(g.counter_replied(name, Outcome::Ok, total));
         }
         news.extend(g.pass(20 * MS));
         actions = news;
@@ -62,39 +62,39 @@
 }
 
 #[test]
-fn beyond_what_the_store_holds_requests_are_refused() {
+fn requests_beyond_the_token_bucket_are_rejected() {
     let (mut g, mut total) = (Harness::new(settings(), 60), 0.0);
     let mut sent = 0;
     for id in 1..=60 {
-        sent += sends(&lease(&mut g, id, 1.0, 0.0, &mut total)).len();
+        sent += attempts_in(&lease(&mut g, id, 1.0, 0.0, &mut total)).len();
     }
     assert!((15..=17).contains(&sent), "the cheap class leaves the last units to the worthier one: {sent}");
     for id in 100..=160 {
         let mut actions = g.request(id, 1, 7, 1.0);
-        for (name, amount) in calls(&actions) {
+        for (name, amount) in calls_in(&actions) {
             total += amount;
-            actions.extend(g.counted(name, Outcome::Ok, total));
+            actions.extend(g.counter_replied(name, Outcome::Ok, total));
         }
-        sent += sends(&actions).len();
+        sent += attempts_in(&actions).len();
     }
     assert!((18..=20).contains(&sent), "a burst of 20 units lets in 20 at most: {sent}");
 }
 
 #[test]
-fn units_used_by_other_gateways_are_not_there_for_us() {
+fn units_used_by_other_gateways_are_not_available_here() {
     let (mut g, mut total) = (Harness::new(settings(), 60), 0.0);
     let actions = lease(&mut g, 1, 2.0, 100.0, &mut total);
-    assert!(sends(&actions).is_empty());
-    assert!(refused(&g.pass(400 * MS), 1) || refused(&actions, 1));
+    assert!(attempts_in(&actions).is_empty());
+    assert!(is_rejected(&g.pass(400 * MS), 1) || is_rejected(&actions, 1));
 }
 
 #[test]
-fn true_units_are_settled_through_the_lease() {
+fn actual_units_are_settled_through_the_lease() {
     let settings = settings();
     let (mut g, mut total) = (Harness::new(settings, 60), 0.0);
     let mut sent = 0;
     for id in 1..=40 {
-        for (request, host) in sends(&lease(&mut g, id, 1.0, 0.0, &mut total)) {
+        for (request, host) in attempts_in(&lease(&mut g, id, 1.0, 0.0, &mut total)) {
             sent += 1;
             let end = AttemptEnded {
                 id: request,
@@ -114,25 +114,25 @@
 }
 
 #[test]
-fn a_refusing_counter_leaves_a_local_part_to_every_customer() {
+fn a_counter_that_rejects_calls_leaves_each_customer_a_local_grant() {
     let mut g = Harness::new(settings(), 60);
     let mut sent = 0;
     for id in 1..=60 {
         let actions = g.request(id, 0, id % 6, 1.0);
-        sent += sends(&actions).len();
-        for (name, _) in calls(&actions) {
-            sent += sends(&g.counted(name, Outcome::Rejected, 0.0)).len();
+        sent += attempts_in(&actions).len();
+        for (name, _) in calls_in(&actions) {
+            sent += attempts_in(&g.counter_replied(name, Outcome::Rejected, 0.0)).len();
         }
     }
     assert!(sent >= 42, "most of an even part of each store is let in: {sent}");
-    let more: usize = (100..140).map(|id| calls(&g.request(id, 0, id % 6, 1.0)).len()).sum();
+    let more: usize = (100..140).map(|id| calls_in(&g.request(id, 0, id % 6, 1.0)).len()).sum();
     assert_eq!(more, 0, "a dead counter is not called for every request");
     g.pass(1_100 * MS);
-    assert_eq!(calls(&g.request(200, 0, 1, 1.0)).len(), 1, "but tried again after a while");
+    assert_eq!(calls_in(&g.request(200, 0, 1, 1.0)).len(), 1, "but tried again after a while");
 }
 
 #[test]
-fn a_total_that_went_backwards_leaves_no_debt() {
+fn a_total_that_decreased_leaves_no_units_to_reconcile() {
     let mut g = Harness::new(settings(), 60);
     let (mut totals, mut sent, mut looked) = (BTreeMap::<CounterKey, f64>::new(), 0, 0);
     for id in 1..=80 {
@@ -140,14 +140,14 @@
             totals.clear();
         }
         let mut actions = g.pass(200 * MS);
-        looked += calls(&actions).iter().filter(|(_, amount)| *amount == 0.0).count();
+        looked += calls_in(&actions).iter().filter(|(_, amount)| *amount == 0.0).count();
         actions.extend(g.request(id, 0, 1, 1.0));
         while !actions.is_empty() {
-            sent += sends(&actions).len();
-            let answers = calls(&actions).into_iter().flat_map(|(name, amount)| {
+            sent += attempts_in(&actions).len();
+            let answers = calls_in(&actions).into_iter().flat_map(|(name, amount)| {
                 let total = totals.entry(name).or_default();
                 *total += amount;
-                g.counted(name, Outcome::Ok, *total)
+                g.counter_replied(name, Outcome::Ok, *total)
             });
             actions = answers.collect();
         }
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_ceiling_in_doubt_refuses() {
+fn a_ceiling_rejects_while_an_add_is_in_doubt() {
     let mut settings = settings();
     settings.plans[0].ceiling_rate = 20.0;
     settings.plans[0].ceiling_burst = 40.0;
@@ -165,20 +165,20 @@
     let mut sent = 0;
     for id in 1..=20 {
         let actions = g.request(id, 0, 7, 1.0);
-        sent += sends(&actions).len();
-        for (name, _) in calls(&actions) {
-            sent += sends(&g.counted(name, Outcome::Timeout, 0.0)).len();
+        sent += attempts_in(&actions).len();
+        for (name, _) in calls_in(&actions) {
+            sent += attempts_in(&g.counter_replied(name, Outcome::Timeout, 0.0)).len();
         }
     }
     assert_eq!(sent, 0);
 }
 
 #[test]
-fn without_a_counter_a_customer_gets_its_even_part() {
+fn without_a_counter_a_customer_gets_an_even_fraction() {
     let mut settings = settings();
     settings.has_counter = false;
     let mut g = Harness::new(settings, 60);
-    let sent: usize = (1..=60).map(|id| sends(&g.request(id, 0, 7, 1.0)).len()).sum();
+    let sent: usize = (1..=60).map(|id| attempts_in(&g.request(id, 0, 7, 1.0)).len()).sum();
     assert!((7..=12).contains(&sent), "about half of a burst of 20 for a spread of 2: {sent}");
 }
 
@@ -199,15 +199,15 @@
             ..Request::default()
         };
         let mut actions = g.on(Event::Request(request));
-        for (name, amount) in calls(&actions) {
+        for (name, amount) in calls_in(&actions) {
             // In a window, which has a number of its own, all are asked for as much as was said.
             let window = windows.window_at(g.now);
             assert_eq!(name, counter_keys::demand(CustomerId(0), window));
             let lasted = (g.now - windows.window_start(window)) as f64 / windows.window_length() as f64;
             let asked = use_of_rate * 20.0 * lasted;
-            actions.extend(g.counted(name, Outcome::Ok, asked + amount));
+            actions.extend(g.counter_replied(name, Outcome::Ok, asked + amount));
         }
-        for (request, host) in sends(&actions) {
+        for (request, host) in attempts_in(&actions) {
             sent += 1;
             g.ended(request.0, 0, host, Outcome::Ok);
         }
@@ -217,14 +217,14 @@
 }
 
 #[test]
-fn a_customer_spread_thin_is_rationed_by_what_all_gateways_are_asked_for() {
+fn a_small_quota_over_many_gateways_is_admitted_by_the_demand_at_all_of_them() {
     let (calm, heavy) = (let_in_when_spread(0.3), let_in_when_spread(4.0));
     assert!(calm >= 180, "inside its quota nearly all of it comes in: {calm}");
     assert!((1..=60).contains(&heavy), "at four times its quota at most its ration does: {heavy}");
 }
 
 #[test]
-fn calls_fall_while_the_counter_has_no_room_and_rise_again() {
+fn calls_decrease_while_the_counter_is_slow_and_increase_again() {
     let mut g = Harness::new(Settings { gateways: 200, ..settings() }, 60);
     let asked = |g: &mut Harness, ids: std::ops::Range<u64>, outcome: Outcome| {
         let mut count = 0;
@@ -237,11 +237,11 @@
                 ..Request::default()
             };
             let mut actions = g.on(Event::Request(Request { set_size: 200, ..request }));
-            for (name, _) in calls(&actions) {
+            for (name, _) in calls_in(&actions) {
                 count += 1;
-                actions.extend(g.counted(name, outcome, 1.0));
+                actions.extend(g.counter_replied(name, outcome, 1.0));
             }
-            for (request, host) in sends(&actions) {
+            for (request, host) in attempts_in(&actions) {
                 g.ended(request.0, 0, host, Outcome::Ok);
             }
             g.pass(200 * MS);
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn customers_and_hosts_that_come_and_go_leave_nothing_behind() {
+fn customers_and_hosts_that_come_and_go_leave_no_state() {
     let mut g = Harness::new(Settings { gateways: 200, ..settings() }, 0);
     let (mut id, mut most) = (0, 0);
     for round in 0..40 {
@@ -271,10 +271,10 @@
                 ..Request::default()
             };
             let mut actions = g.on(Event::Request(Request { remaining: 4_000 * MS, ..request }));
-            for (name, amount) in calls(&actions) {
-                actions.extend(g.counted(name, Outcome::Ok, amount));
+            for (name, amount) in calls_in(&actions) {
+                actions.extend(g.counter_replied(name, Outcome::Ok, amount));
             }
-            for (request, host) in sends(&actions) {
+            for (request, host) in attempts_in(&actions) {
                 g.ended(request.0, 0, host, Outcome::Ok);
             }
             g.pass(100 * MS);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn any_spread_and_any_number_of_gateways_give_sound_decisions() {
+fn any_set_size_and_any_number_of_gateways_give_valid_decisions() {
     for (gateways, spread) in
         [(1, 0), (1, 1), (1, 10_000), (3, 0), (3, 3), (5_000, 1), (5_000, 4_000), (5_000, u32::MAX)]
     {
@@ -302,19 +302,19 @@
                 ..Request::default()
             };
             let mut actions = g.on(Event::Request(request));
-            for (name, amount) in calls(&actions) {
+            for (name, amount) in calls_in(&actions) {
                 assert!(
                     amount.is_finite() && amount >= 0.0,
                     "{gateways} gateways, spread {spread}: adds {amount}"
                 );
-                actions.extend(g.counted(name, Outcome::Ok, amount));
+                actions.extend(g.counter_replied(name, Outcome::Ok, amount));
             }
             actions.extend(g.pass(1_000 * MS));
-            for (request, host) in sends(&actions) {
+            for (request, host) in attempts_in(&actions) {
                 sent += 1;
                 g.ended(request.0, 0, host, Outcome::Ok);
             }
-            refusals += (1..=id).filter(|id| refused(&actions, *id)).count();
+            refusals += (1..=id).filter(|id| is_rejected(&actions, *id)).count();
         }
         assert_eq!(sent + refusals, 100, "{gateways} gateways, spread {spread}: each request has its answer");
         assert!(sent > 0, "{gateways} gateways, spread {spread}: a customer far inside its quota is let in");
@@ -331,25 +331,25 @@
 /// Asks for the whole store, answers the calls, and gives the sends.
 fn ask_for_all(g: &mut Harness, id: u64, total: &mut f64) -> Vec<(RequestId, HostId)> {
     let mut actions = g.request(id, 1, 7, 2.0);
-    for (name, amount) in calls(&actions) {
+    for (name, amount) in calls_in(&actions) {
         *total += amount;
-        actions.extend(g.counted(name, Outcome::Ok, *total));
+        actions.extend(g.counter_replied(name, Outcome::Ok, *total));
     }
-    sends(&actions)
+    attempts_in(&actions)
 }
 
 /// Lets each attempt of a request end like this until it has its final answer.
 fn end_all(g: &mut Harness, mut out: Vec<(RequestId, HostId)>, outcome: Outcome) -> u32 {
     let mut attempt = 0;
     while let Some((id, host)) = out.pop() {
-        out.extend(sends(&g.ended(id.0, attempt, host, outcome)));
+        out.extend(attempts_in(&g.ended(id.0, attempt, host, outcome)));
         attempt += 1;
     }
     attempt
 }
 
 #[test]
-fn a_request_that_reached_no_host_gives_its_units_back() {
+fn a_request_that_reached_no_host_returns_its_units() {
     let (mut g, mut total) = (tight(), 0.0);
     let out = ask_for_all(&mut g, 1, &mut total);
     assert!(end_all(&mut g, out, Outcome::ConnectFailed) > 1, "it is tried at several hosts");
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn a_request_that_came_whole_to_a_host_keeps_its_units() {
+fn a_request_that_reached_a_host_spends_its_units() {
     for outcome in
         [Outcome::Rejected, Outcome::ConnectionReset, Outcome::Timeout, Outcome::Error, Outcome::Cancelled]
     {
@@ -369,7 +369,7 @@
     }
     let (mut g, mut total) = (tight(), 0.0);
     let (id, host) = ask_for_all(&mut g, 1, &mut total)[0];
-    let next = sends(&g.ended(id.0, 0, host, Outcome::Rejected));
+    let next = attempts_in(&g.ended(id.0, 0, host, Outcome::Rejected));
     end_all(&mut g, next, Outcome::ConnectFailed);
     assert_eq!(
         ask_for_all(&mut g, 2, &mut total).len(),
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn an_attempt_that_is_withdrawn_unsent_gives_its_units_back_once() {
+fn an_attempt_that_is_cancelled_unsent_returns_its_units_once() {
     let (mut g, mut total) = (tight(), 0.0);
     let (id, host) = ask_for_all(&mut g, 1, &mut total)[0];
     let left = g.on(Event::ClientDisconnected { id });
@@ -395,14 +395,14 @@
 /// Answers all calls with what they add, and gives the sends.
 fn sent_when_counted(g: &mut Harness, mut actions: Vec<Action>) -> Vec<(RequestId, HostId)> {
     while let Some(at) = actions.iter().position(|action| matches!(action, Action::AddToCounter { .. })) {
-        let (name, amount) = calls(&[actions.swap_remove(at)])[0];
-        actions.extend(g.counted(name, Outcome::Ok, amount));
+        let (name, amount) = calls_in(&[actions.swap_remove(at)])[0];
+        actions.extend(g.counter_replied(name, Outcome::Ok, amount));
     }
-    sends(&actions)
+    attempts_in(&actions)
 }
 
 #[test]
-fn a_rationed_customer_has_no_more_attempts_out_than_its_plan_allows() {
+fn a_customer_under_windowed_admission_has_no_more_open_requests_than_its_plan_allows() {
     let mut many = Settings { gateways: 200, ..settings() };
     many.plans[0].max_concurrent = 200;
     let mut g = Harness::new(many, 60);
@@ -439,39 +439,39 @@
         name: CounterKey,
         (added, said): (bool, bool),
     ) {
-        for (called, amount) in calls(actions) {
+        for (called, amount) in calls_in(actions) {
             let odd = called == name;
             let total = self.totals.entry(called).or_default();
             *total += if odd && !added { 0.0 } else { amount };
             let outcome = if odd && !said { Outcome::Timeout } else { Outcome::Ok };
-            actions.extend(g.counted(called, outcome, *total));
+            actions.extend(g.counter_replied(called, outcome, *total));
         }
     }
 }
 
 /// One gateway is in the dark for two seconds from the start, and is back: units sent until the counter was
 /// asked for some, and whole units under the late name after the first call that told went like this.
-fn told_after_the_dark(first: (bool, bool)) -> (f64, f64) {
+fn reconciled_after_outage(first_reply: (bool, bool)) -> (f64, f64) {
     let (mut g, mut book) = (Harness::new(Settings { gateways: 1, ..settings() }, 60), Book::default());
     let [late, leased] =
         [counter_keys::reconciled, counter_keys::leased].map(|name| name(CustomerId(7), g.now));
-    let (mut lent, mut how) = (0.0, first);
+    let (mut lent, mut how) = (0.0, first_reply);
     for id in 1..80 {
         let dark = id < 20;
         let mut actions = if dark || id % 10 == 0 { g.request(id, 1, 7, 1.0) } else { Vec::new() };
         actions.extend(g.pass(100 * MS));
         let lends = dark || !book.totals.contains_key(&leased);
-        let out = sends(&actions);
+        let out = attempts_in(&actions);
         lent += if lends { out.len() as f64 } else { 0.0 };
         if dark {
-            for (name, _) in calls(&actions) {
-                let more = sends(&g.counted(name, Outcome::ConnectFailed, 0.0));
+            for (name, _) in calls_in(&actions) {
+                let more = attempts_in(&g.counter_replied(name, Outcome::ConnectFailed, 0.0));
                 lent += more.len() as f64;
                 more.iter().for_each(|(id, host)| drop(g.ended(id.0, 0, *host, Outcome::Ok)));
             }
         } else {
             // The first call to a number may only read.
-            let tells = calls(&actions).iter().any(|(name, amount)| *name == late && *amount > 0.0);
+            let tells = calls_in(&actions).iter().any(|(name, amount)| *name == late && *amount > 0.0);
             book.answer(&mut g, &mut actions, late, if tells { how } else { (true, true) });
             how = if tells { (true, true) } else { how };
         }
@@ -481,28 +481,28 @@
 }
 
 #[test]
-fn what_was_lent_in_the_dark_is_told_exactly_once() {
+fn units_granted_locally_are_reconciled_exactly_once() {
     for first in [(true, true), (true, false), (false, false)] {
-        let (lent, told) = told_after_the_dark(first);
+        let (lent, told) = reconciled_after_outage(first);
         assert!(lent >= 10.0, "most of 18 units were let in: {lent}");
         assert_eq!(lent, told, "the first call to tell it was (added, answered): {first:?}");
     }
 }
 
 #[test]
-fn who_gives_units_back_before_it_tells_still_tells_what_it_lends_later() {
+fn units_returned_before_a_reconciliation_do_not_prevent_a_later_one() {
     let mut g = Harness::new(Settings { gateways: 1, ..settings() }, 60);
     let late = counter_keys::reconciled(CustomerId(7), g.now);
     let mut told = Vec::new();
     for id in 1..40 {
         let mut actions = g.request(id, 1, 7, 1.0);
         let refuse = |g: &mut Harness, actions: &mut Vec<Action>| {
-            for (name, _) in calls(actions) {
-                actions.extend(g.counted(name, Outcome::Rejected, 0.0));
+            for (name, _) in calls_in(actions) {
+                actions.extend(g.counter_replied(name, Outcome::Rejected, 0.0));
             }
         };
         refuse(&mut g, &mut actions);
-        for (request, host) in sends(&actions) {
+        for (request, host) in attempts_in(&actions) {
             // The early ones cost next to nothing, as it turns out.
             let true_units = Some(if id < 10 { 0.01 } else { 1.0 });
             let end = AttemptEnded {
@@ -519,48 +519,48 @@
             g.on(Event::AttemptEnded(end));
         }
         let mut actions = g.pass(200 * MS);
-        told.extend(calls(&actions).into_iter().filter(|(name, _)| *name == late));
+        told.extend(calls_in(&actions).into_iter().filter(|(name, _)| *name == late));
         refuse(&mut g, &mut actions);
     }
     assert!(told.len() >= 3, "it goes on trying: {told:?}");
 }
 
 #[test]
-fn a_counter_that_is_back_is_called_no_more_than_300_times_a_second_at_first() {
+fn a_counter_that_is_back_gets_at_most_300_calls_a_second_at_first() {
     let customer = |n: usize| Customer {
         rate: 4.0,
         burst: 10.0,
-        spread: 3,
-        first: n % 3,
+        set_size: 3,
+        first_gateway: n % 3,
         most_units: 1,
         truth: 1.0,
-        habit: Habit::Even(0.3),
+        traffic: TrafficPattern::Even(0.3),
         from: 0,
     };
     let (lost, back) = (START + 12_000 * MS, START + 20_000 * MS);
-    let plot = Plot {
+    let scenario = Scenario {
         fleets: 1,
         gateways: 3,
         start: START,
         length: 26_000 * MS,
         customers: (0..400).map(customer).collect(),
-        troubles: vec![Trouble { fault: Fault::Lost, gateway: None, from: lost, until: back }],
+        faults: vec![FaultWindow { fault: Fault::Unreachable, gateway: None, from: lost, until: back }],
         kills: Vec::new(),
         seed: 5,
     };
-    let mut site = Site::new(plot);
-    site.play();
-    let calls =
+    let mut site = Site::new(scenario);
+    site.run_to_end();
+    let calls_from =
         |from: Time| site.counter.calls.iter().filter(|at| (from..from + 1_000 * MS).contains(*at)).count();
-    let after: Vec<usize> = (0..20).map(|tenth| calls(back + tenth * 100 * MS)).collect();
+    let after: Vec<usize> = (0..20).map(|tenth| calls_from(back + tenth * 100 * MS)).collect();
     // The pulses, four a second, do not wait.
     assert!(after.iter().all(|count| *count <= 305), "calls in each second after it is back: {after:?}");
     assert!(after.iter().any(|count| *count >= 100), "and it is used: {after:?}");
 }
 
 #[test]
-fn a_ceiling_seen_in_part_gives_an_even_part_whatever_its_share_was() {
-    let let_in = |others_beat: bool| {
+fn a_ceiling_in_a_partition_grants_an_even_fraction_whatever_the_traffic_was() {
+    let let_in = |others_send_heartbeats: bool| {
         let mut settings = settings();
         settings.plans[0] = Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ..Plan::default() };
         let (mut g, mut total) = (Harness::new(settings, 60), 0.0);
@@ -571,7 +571,7 @@
             });
             g.pass(250 * MS);
         }
-        g.others_beat = others_beat;
+        g.others_send_heartbeats = others_send_heartbeats;
         g.pass(4_000 * MS);
         ask(&mut g, 1..81, |_, amount| {
             total += amount;
@@ -592,11 +592,11 @@
     let mut sent = 0;
     for id in ids {
         let mut actions = g.request(id, 1, 7, 1.0);
-        for (name, amount) in calls(&actions) {
+        for (name, amount) in calls_in(&actions) {
             let (outcome, total) = answer(name, amount);
-            actions.extend(g.counted(name, outcome, total));
+            actions.extend(g.counter_replied(name, outcome, total));
         }
-        for (request, host) in sends(&actions) {
+        for (request, host) in attempts_in(&actions) {
             sent += 1;
             g.ended(request.0, 0, host, Outcome::Ok);
         }
@@ -617,7 +617,7 @@
 }
 
 #[test]
-fn what_others_took_meanwhile_is_not_lent_once_the_counter_is_back() {
+fn units_used_elsewhere_meanwhile_are_not_granted_once_the_counter_is_back() {
     let mut g = Harness::new(settings(), 60);
     ask(&mut g, 1..2, |_, amount| (Outcome::Ok, amount));
     let dark = ask(&mut g, 2..40, no_connection);
@@ -629,7 +629,7 @@
 }
 
 #[test]
-fn what_others_took_out_of_a_full_store_is_no_debt_after_the_dark() {
+fn units_used_elsewhere_from_a_full_token_bucket_leave_no_deficit_after_an_outage() {
     let mut g = Harness::new(settings(), 60);
     let mut first = 0.0;
     ask(&mut g, 1..2, |_, amount| {
@@ -645,7 +645,7 @@
 }
 
 #[test]
-fn who_was_met_in_the_dark_does_not_owe_all_of_the_epoch() {
+fn a_customer_first_known_during_an_outage_does_not_owe_the_whole_epoch() {
     let mut g = Harness::new(settings(), 60);
     g.pass(30_000 * MS);
     ask(&mut g, 1..3, no_connection);
@@ -655,7 +655,7 @@
 }
 
 #[test]
-fn who_was_met_just_before_the_dark_is_lent_nothing_beyond_its_part() {
+fn a_customer_first_known_just_before_an_outage_gets_no_grant_beyond_its_fraction() {
     let let_in = |met_before: Span| {
         let mut g = Harness::new(settings(), 60);
         ask(&mut g, 1..2, |_, amount| (Outcome::Ok, amount));
@@ -670,7 +670,7 @@
 }
 
 #[test]
-fn no_two_numbers_of_the_counter_share_a_name() {
+fn no_two_numbers_on_the_counter_share_a_key() {
     let mut all = BTreeSet::new();
     for epoch in 0..40 {
         let at = START + epoch * counter_keys::EPOCH;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Request { class: usize, customer: u64, units: u8, patience: u16 },
+    Request { class: usize, customer: u64, units: u8, remaining: u16 },
     End { pick: usize, outcome: u8 },
     Count { pick: usize },
     Leave { pick: usize },
@@ -19,8 +19,8 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..4usize, 0..4u64, 0..9u8, 1..4000u16).prop_map(|(class, customer, units, patience)| {
-            Step::Request { class, customer, units, patience }
+        4 => (0..4usize, 0..4u64, 0..9u8, 1..4000u16).prop_map(|(class, customer, units, remaining)| {
+            Step::Request { class, customer, units, remaining }
         }),
         4 => (any::<usize>(), 0..7u8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
         4 => any::<usize>().prop_map(|pick| Step::Count { pick }),
@@ -75,11 +75,11 @@
         };
         let entries: Vec<_> = (1..=6).map(|id| HostEntry { cell: id as u32 / 3, ..entry(id) }).collect();
         world.hosts = entries.iter().map(|e| (e.id, e.clone())).collect();
-        world.tell(Event::HostList { kind: HostListKind::Cached, entries });
+        world.report(Event::HostList { kind: HostListKind::Cached, entries });
         world
     }
 
-    fn tell(&mut self, event: Event) {
+    fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         actions.into_iter().for_each(|action| self.check(action));
@@ -143,20 +143,20 @@
             r.answers += 1;
         }
         let closed = r.answers > 0 || r.left;
-        let took = self.now - sent;
+        let elapsed = self.now - sent;
         let (used, true_units, report, attempt) = (None, Some(2.0), None, attempt as u32);
         let end = AttemptEnded {
             id,
             attempt,
             host,
             outcome,
-            elapsed: took,
+            elapsed,
             is_request_closed: closed,
             quota_used: used,
             actual_units: true_units,
             report,
         };
-        self.tell(Event::AttemptEnded(end));
+        self.report(Event::AttemptEnded(end));
     }
 
     fn out(&self) -> Vec<(RequestId, usize)> {
@@ -177,27 +177,20 @@
             }
             let due = self.timers.iter().filter(|t| **t <= self.now).count();
             self.timers.retain(|t| *t > self.now);
-            (0..due).for_each(|_| self.tell(Event::TimerExpired { token: 0 }));
+            (0..due).for_each(|_| self.report(Event::TimerExpired { token: 0 }));
         }
     }
 
     fn step(&mut self, id: u64, step: Step) {
         match step {
-            Step::Request { class, customer, units, patience } => {
-                let (id, patience) = (RequestId(id), patience as u64 * MS);
-                let deadline = self.now + patience;
+            Step::Request { class, customer, units, remaining } => {
+                let (id, remaining) = (RequestId(id), remaining as u64 * MS);
+                let deadline = self.now + remaining;
                 self.requests.insert(id, Seen { class, deadline, ..Seen::default() });
                 let (customer, units) = (CustomerId(customer), units as f64);
-                let request = Request {
-                    id,
-                    class,
-                    customer,
-                    remaining: patience,
-                    units,
-                    set_size: 2,
-                    ..Request::default()
-                };
-                self.tell(Event::Request(request));
+                let request =
+                    Request { id, class, customer, remaining, units, set_size: 2, ..Request::default() };
+                self.report(Event::Request(request));
             }
             Step::End { pick, outcome } => {
                 let out = self.out();
@@ -219,13 +212,13 @@
                 *total = if pick % 50 == 0 { 0.0 } else { *total };
                 *total += if outcome == Outcome::Rejected { 0.0 } else { amount };
                 let total = *total;
-                self.tell(Event::CounterReplied { key: name, outcome, total, elapsed: 2 * MS });
+                self.report(Event::CounterReplied { key: name, outcome, total, elapsed: 2 * MS });
             }
             Step::Leave { pick } if !self.requests.is_empty() => {
                 let id = *self.requests.keys().nth(pick % self.requests.len()).expect("in range");
                 let r = self.requests.get_mut(&id).expect("known");
                 r.left |= r.answers == 0;
-                self.tell(Event::ClientDisconnected { id });
+                self.report(Event::ClientDisconnected { id });
             }
             Step::Host { id, state, fresh } => {
                 let state = [HostState::Ready, HostState::Draining, HostState::Gone][state as usize];
@@ -233,7 +226,7 @@
                 entry.state = state;
                 entry.started_at = if fresh { self.now } else { entry.started_at };
                 let entries = vec![entry.clone()];
-                self.tell(Event::HostList { kind: HostListKind::Delta, entries });
+                self.report(Event::HostList { kind: HostListKind::Delta, entries });
             }
             Step::Pass { ms } => self.pass(ms as u64),
             _ => {}
@@ -262,7 +255,7 @@
 }
 
 #[test]
-fn many_gateways_together_feed_a_cold_host_no_more_than_its_part() {
+fn many_gateways_together_send_a_host_in_slow_start_no_more_than_its_part() {
     // Each of 200 gateways sees two requests a second; 20 hosts, one of them restarts.
     let open = Settings { gateways: 200, plans: vec![Plan::default()], ..settings() };
     let mut gateways: Vec<_> = (0..200)
@@ -280,7 +273,7 @@
                 g.list(HostListKind::Delta, vec![HostEntry { started_at: g.now, ..entry(1) }]);
             }
             id += 1;
-            let sent = sends(&g.request(id, 0, id, 1.0));
+            let sent = attempts_in(&g.request(id, 0, id, 1.0));
             for (request, host) in &sent {
                 g.ended(request.0, 0, *host, Outcome::Ok);
                 cold += usize::from(half >= 12 && *host == HostId(1));
@@ -295,10 +288,10 @@
 }
 
 #[test]
-fn a_try_that_gets_its_units_too_late_is_still_answered_in_time() {
+fn a_request_that_gets_its_units_too_late_is_still_answered_in_time() {
     let mut g = Harness::new(settings(), 3);
     let request = Request { id: RequestId(1), remaining: 43 * MS, units: 1.0, ..Request::default() };
     let actions = g.on(Event::Request(request));
-    assert_eq!(calls(&actions).len(), 1);
-    assert!(refused(&g.pass(40 * MS), 1));
+    assert_eq!(calls_in(&actions).len(), 1);
+    assert!(is_rejected(&g.pass(40 * MS), 1));
 }
--- a/crates/policy/tests/session.rs
+++ b/crates/policy/tests/session.rs
@@ -57,7 +57,7 @@
         };
         let host = |id| HostEntry { zone: id as u32 % 3, cell: id as u32 / 3, ..entry(id) };
         session
-            .tell(Event::HostList { kind: HostListKind::Cached, entries: (1..=HOSTS).map(host).collect() });
+            .report(Event::HostList { kind: HostListKind::Cached, entries: (1..=HOSTS).map(host).collect() });
         session.plan(0, Due::Arrival);
         session.plan(500 * MS, Due::Change);
         let end = session.now + LENGTH;
@@ -77,7 +77,7 @@
         (self.dice.exponential(mean_ms) * MS as f64) as Span
     }
 
-    fn tell(&mut self, event: Event) {
+    fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in actions {
@@ -89,7 +89,7 @@
     fn step(&mut self, due: Due) {
         match due {
             Due::Told(Event::AttemptEnded(end)) => self.end(end),
-            Due::Told(event) => self.tell(event),
+            Due::Told(event) => self.report(event),
             Due::Arrival => self.arrive(),
             Due::Change => self.change(),
         }
@@ -118,7 +118,7 @@
             let after = self.span(300.0);
             self.plan(after, Due::Told(Event::ClientDisconnected { id }));
         }
-        self.tell(Event::Request(request));
+        self.report(Event::Request(request));
     }
 
     /// A host drains, goes, comes back, or reports its load.
@@ -128,7 +128,7 @@
         let id = 1 + self.dice.below(HOSTS);
         if self.dice.chance(0.5) {
             let report = LoadReport { queued: Some(self.dice.below(5) as f64), ..LoadReport::default() };
-            return self.tell(Event::HealthCheckEnded {
+            return self.report(Event::HealthCheckEnded {
                 host: HostId(id),
                 outcome: Outcome::Ok,
                 report: Some(report),
@@ -142,7 +142,7 @@
         let started = if self.colds && state == HostState::Ready { self.now - 100 * MS } else { 0 };
         let host =
             HostEntry { zone: id as u32 % 3, cell: id as u32 / 3, state, started_at: started, ..entry(id) };
-        self.tell(Event::HostList { kind: HostListKind::Delta, entries: vec![host] });
+        self.report(Event::HostList { kind: HostListKind::Delta, entries: vec![host] });
     }
 
     fn carry_out(&mut self, action: &Action) {
@@ -169,22 +169,23 @@
             luck if luck < 0.03 || (host.0 == 2 && luck < 0.3) => odd,
             _ => Ok,
         };
-        let took = self.span(if host.0 == 1 { 250.0 } else { 70.0 });
+        let elapsed = self.span(if host.0 == 1 { 250.0 } else { 70.0 });
         let left = until.saturating_sub(self.now);
-        let (outcome, took) = if drawn == Timeout || took > left { (Timeout, left) } else { (drawn, took) };
+        let (outcome, elapsed) =
+            if drawn == Timeout || elapsed > left { (Timeout, left) } else { (drawn, elapsed) };
         let report = LoadReport { queued: Some(self.dice.below(4) as f64), ..LoadReport::default() };
         let end = AttemptEnded {
             id,
             attempt,
             host,
             outcome,
-            elapsed: took,
+            elapsed,
             is_request_closed: false,
             quota_used: None,
             actual_units: Some((1 + self.dice.below(3)) as f64),
             report: Some(report),
         };
-        self.plan(took, Due::Told(Event::AttemptEnded(end)));
+        self.plan(elapsed, Due::Told(Event::AttemptEnded(end)));
     }
 
     fn end(&mut self, end: AttemptEnded) {
@@ -192,7 +193,7 @@
             self.over.insert(end.id);
         }
         let closed = self.over.contains(&end.id);
-        self.tell(Event::AttemptEnded(AttemptEnded { is_request_closed: closed, ..end }));
+        self.report(Event::AttemptEnded(AttemptEnded { is_request_closed: closed, ..end }));
     }
 
     /// Others add to the same numbers; for two seconds in every ten the counter is silent.
@@ -203,8 +204,8 @@
         let total = *total;
         let silent = self.now / (1_000 * MS) % 10 < 2;
         let outcome = if silent { Outcome::Timeout } else { Outcome::Ok };
-        let took = if silent { 30 * MS } else { self.span(3.0) };
-        self.plan(took, Due::Told(Event::CounterReplied { key: name, outcome, total, elapsed: took }));
+        let elapsed = if silent { 30 * MS } else { self.span(3.0) };
+        self.plan(elapsed, Due::Told(Event::CounterReplied { key: name, outcome, total, elapsed }));
     }
 }
 
@@ -243,7 +244,7 @@
 
 /// Where this fails the decisions have changed: mean it, say so, and write down what is printed here.
 #[test]
-fn a_session_without_cold_hosts_ends_in_the_same_actions_everywhere() {
+fn a_session_without_slow_start_gives_the_same_actions_everywhere() {
     let written_down = [
         (0xf168_430f_9a56_4225, [2903, 824, 1195, 18]),
         (0xd9cc_4276_f2a4_86dc, [2934, 717, 1070, 17]),
@@ -254,7 +255,7 @@
 }
 
 #[test]
-fn a_session_with_cold_hosts_ends_in_the_same_actions_everywhere() {
+fn a_session_with_slow_start_gives_the_same_actions_everywhere() {
     let written_down = [
         (0xd1eb_0830_db37_82e5, [2465, 1241, 1116, 14]),
         (0xb518_a3b8_dba7_3dcf, [2300, 1321, 963, 20]),
--- a/crates/policy/tests/slots.rs
+++ b/crates/policy/tests/slots.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn when_slots_bind_the_worthier_class_leaves_first() {
+fn while_slots_are_short_the_class_of_higher_priority_is_forwarded_first() {
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 1);
@@ -54,32 +54,32 @@
     // Fill every slot, then queue one of each class, the cheaper one first.
     while out.len() == id as usize {
         id += 1;
-        out.extend(sends(&g.request(id, 0, id, 1.0)));
+        out.extend(attempts_in(&g.request(id, 0, id, 1.0)));
     }
     let worthy = id + 1;
-    assert!(sends(&g.request(worthy, 1, worthy, 1.0)).is_empty());
-    let freed = sends(&g.ended(1, 0, HostId(1), Outcome::Ok));
+    assert!(attempts_in(&g.request(worthy, 1, worthy, 1.0)).is_empty());
+    let freed = attempts_in(&g.ended(1, 0, HostId(1), Outcome::Ok));
     assert_eq!(freed, vec![(RequestId(worthy), HostId(1))]);
 }
 
 #[test]
-fn a_request_held_past_half_its_aim_is_refused_in_time() {
+fn a_request_queued_past_half_of_its_objective_is_rejected_in_time() {
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 0);
-    assert!(sends(&g.request(1, 1, 1, 1.0)).is_empty());
+    assert!(attempts_in(&g.request(1, 1, 1, 1.0)).is_empty());
     let actions = g.pass(600 * MS);
-    assert!(refused(&actions, 1));
+    assert!(is_rejected(&actions, 1));
 }
 
 /// A spell of costly requests must not shut their class out once it is over.
 #[test]
-fn a_class_whose_answers_were_slow_is_still_tried() {
+fn a_class_with_slow_responses_is_still_forwarded() {
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 6);
     for id in 1..60 {
-        for (request, host) in sends(&g.request(id, 1, id, 1.0)) {
+        for (request, host) in attempts_in(&g.request(id, 1, id, 1.0)) {
             g.now += 3_900 * MS;
             let end = AttemptEnded {
                 id: request,
@@ -95,20 +95,20 @@
             g.on(Event::AttemptEnded(end));
         }
     }
-    assert_eq!(sends(&g.request(100, 1, 100, 1.0)).len(), 1);
+    assert_eq!(attempts_in(&g.request(100, 1, 100, 1.0)).len(), 1);
 }
 
 /// Cold hosts are slow, and warm up while nobody looks.
 #[test]
-fn a_host_that_was_slow_and_is_not_used_since_is_tried_again() {
+fn a_host_that_was_slow_and_is_unused_is_used_again() {
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 2);
     let mut again = 0;
     for id in 1..=300 {
-        for (request, host) in sends(&g.request(id, 1, id, 1.0)) {
-            let took = if host == HostId(1) && id <= 100 { 400 * MS } else { 40 * MS };
-            g.now += took;
+        for (request, host) in attempts_in(&g.request(id, 1, id, 1.0)) {
+            let elapsed = if host == HostId(1) && id <= 100 { 400 * MS } else { 40 * MS };
+            g.now += elapsed;
             let (attempt, outcome, closed) = (0, Outcome::Ok, true);
             let (used, true_units, report) = (None, None, None);
             let end = AttemptEnded {
@@ -116,7 +116,7 @@
                 attempt,
                 host,
                 outcome,
-                elapsed: took,
+                elapsed,
                 is_request_closed: closed,
                 quota_used: used,
                 actual_units: true_units,
@@ -132,30 +132,30 @@
 
 /// Attempts that hang past their aim leave the slot count, so that others are still sent.
 #[test]
-fn hung_attempts_do_not_hold_the_slots() {
+fn overdue_attempts_do_not_occupy_slots() {
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 1);
-    let sent: usize = (1..=40).map(|id| sends(&g.request(id, 1, id, 1.0)).len()).sum();
+    let sent: usize = (1..=40).map(|id| attempts_in(&g.request(id, 1, id, 1.0)).len()).sum();
     assert!(sent < 40, "slots bind");
     g.pass(1_200 * MS);
-    assert_eq!(sends(&g.request(100, 1, 100, 1.0)).len(), 1);
+    assert_eq!(attempts_in(&g.request(100, 1, 100, 1.0)).len(), 1);
 }
 
 /// With hundreds of gateways a fair part of the fleet is below one slot: it is saved up, not exceeded for long.
 #[test]
-fn a_part_below_two_slots_is_saved_up_and_not_exceeded_for_long() {
+fn a_share_below_two_slots_is_saved_up_and_not_exceeded_for_long() {
     let mut settings = Settings { gateways: 8, ..settings() };
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 1); // four slots in all, half a slot here
-    assert_eq!(sends(&g.request(1, 1, 1, 1.0)).len(), 1, "an idle gateway sends at once");
+    assert_eq!(attempts_in(&g.request(1, 1, 1, 1.0)).len(), 1, "an idle gateway sends at once");
     let mut out = vec![(0, 0, HostId(0)); 0];
     let (mut held_for, mut id) = (0, 1);
     for _ in 0..1_000 {
         id += 1;
         let mut actions = g.request(id, 0, id, 1.0);
         actions.extend(g.pass(20 * MS));
-        out.extend(sends(&actions).into_iter().map(|(request, host)| (request.0, 0, host)));
+        out.extend(attempts_in(&actions).into_iter().map(|(request, host)| (request.0, 0, host)));
         held_for += out.len();
         out.iter_mut().for_each(|o| o.1 += 1);
         for (request, _, host) in out.extract_if_over(10) {
@@ -180,20 +180,20 @@
 
 /// Where every host is silent, leaving slots would only pile more on them.
 #[test]
-fn where_all_hosts_drown_hung_attempts_keep_their_slots() {
+fn where_all_hosts_are_overloaded_overdue_attempts_keep_their_slots() {
     let mut settings = Settings { gateways: 1, ..settings() };
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 2); // eight slots
     let mut sent = 0;
     for id in 1..=400 {
-        sent += sends(&g.request(id, 1, id, 1.0)).len();
-        sent += sends(&g.pass(50 * MS)).len();
+        sent += attempts_in(&g.request(id, 1, id, 1.0)).len();
+        sent += attempts_in(&g.pass(50 * MS)).len();
     }
     assert!(sent <= 24, "a silent fleet is not sent one attempt after another: {sent}");
 }
 
 #[test]
-fn what_cannot_be_sent_in_time_is_refused_as_it_comes_and_orders_and_dear_plans_last() {
+fn requests_that_cannot_be_forwarded_in_time_are_rejected_on_arrival_with_high_priorities_last() {
     let mut settings = settings();
     settings.gateways = 1;
     let plan = Plan { rate: 1e5, burst: 1e5, ..settings.plans[0].clone() };
@@ -202,25 +202,25 @@
     let mut load = Load::with(settings, 10, 0);
     load.cost(2_000, 10);
     load.pass(100 * MS);
-    let (served, refused) = (load.served, load.refused);
+    let (served, refused) = (load.served, load.rejected);
     let ask = |load: &mut Load, count: u64, class: usize, plan: usize| {
-        let before = load.refused;
+        let before = load.rejected;
         for _ in 0..count {
             load.next += 1;
             let (id, customer) = (RequestId(load.next), CustomerId(100 + plan as u64));
-            let (patience, units) = (4_000 * MS, 1.0);
-            load.tell(Event::Request(Request {
+            let (remaining, units) = (4_000 * MS, 1.0);
+            load.report(Event::Request(Request {
                 id,
                 class,
                 plan,
                 customer,
-                remaining: patience,
+                remaining,
                 units,
                 set_size: 1,
                 ..Request::default()
             }));
         }
-        load.refused - before
+        load.rejected - before
     };
     assert_eq!(ask(&mut load, 500, 0, 0), 0, "as many as the slots take in time wait");
     let all_at_once = ask(&mut load, 20_000, 0, 0);
@@ -230,35 +230,34 @@
     assert_eq!(ask(&mut load, 100, 1, 0), 0, "before orders nobody waits");
     load.pass(2_000 * MS);
     assert!(load.served - served >= 600, "{}", load.served - served);
-    assert!(load.refused - refused < 20_500);
+    assert!(load.rejected - refused < 20_500);
 }
 
 #[test]
-fn whoever_waits_less_than_answers_take_is_refused_as_it_comes() {
+fn a_request_with_less_time_than_responses_take_is_rejected_on_arrival() {
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut g = Harness::new(settings, 20);
-    let ask = |g: &mut Harness, id, patience| {
-        let request =
-            Request { id: RequestId(id), units: 1.0, remaining: patience, set_size: 2, ..Request::default() };
+    let ask = |g: &mut Harness, id, remaining| {
+        let request = Request { id: RequestId(id), units: 1.0, remaining, set_size: 2, ..Request::default() };
         g.on(Event::Request(request))
     };
     let answered = |g: &mut Harness, actions: &[Action]| {
-        for (id, host) in sends(actions) {
+        for (id, host) in attempts_in(actions) {
             g.ended_after(400 * MS, id.0, 0, host, Outcome::Ok);
         }
     };
     let early = ask(&mut g, 1, 200 * MS);
-    assert_eq!(sends(&early).len(), 1, "nobody knows yet how long answers take");
+    assert_eq!(attempts_in(&early).len(), 1, "nobody knows yet how long answers take");
     answered(&mut g, &early);
     for id in 2..60 {
         let actions = ask(&mut g, id, 4_000 * MS);
         answered(&mut g, &actions);
     }
-    for (id, patience, is_refused) in [(100, 200, true), (101, 700, false), (102, 4_000, false)] {
-        let actions = ask(&mut g, id, patience * MS);
+    for (id, remaining, is_refused) in [(100, 200, true), (101, 700, false), (102, 4_000, false)] {
+        let actions = ask(&mut g, id, remaining * MS);
         assert_eq!(
-            (refused(&actions, id), sends(&actions).len()),
+            (is_rejected(&actions, id), attempts_in(&actions).len()),
             (is_refused, usize::from(!is_refused)),
             "{id}"
         );
--- a/crates/policy/tests/cost.rs
+++ b/crates/policy/tests/work_per_event.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn a_request_costs_the_same_with_many_customers_and_hosts() {
+fn the_work_for_a_request_does_not_grow_with_customers_and_hosts() {
     let (few, many) = (cost(100, 10), cost(100_000, 500));
     assert!(many <= 1.5 * few, "{many} records a request, with 100 customers and 10 hosts {few}");
     assert!(few > 5.0, "records are counted: {few}");
 }
 
 #[test]
-fn known_customers_cost_nothing_but_a_look_now_and_then() {
+fn idle_customers_cost_only_a_review_from_time_to_time() {
     let mut load = Load::new(10, 0);
     for customer in 0..100_000 {
         load.ask(customer);
@@ -36,18 +36,18 @@
     }
     load.pass(1_000 * MS);
     let before = load.policy.work();
-    load.most = 0;
+    load.most_work = 0;
     load.pass(20_000 * MS);
     // Each is looked at twice in 50 s at the most.
     let a_second = (load.policy.work() - before) as f64 / 20.0;
     assert!(a_second <= 4_100.0, "{a_second} records a second at rest");
-    assert!(load.most <= 200, "{} records at once", load.most);
+    assert!(load.most_work <= 200, "{} records at once", load.most_work);
     load.pass(100_000 * MS);
     assert!(load.policy.size() < 50, "{} records are kept", load.policy.size());
 }
 
 #[test]
-fn a_gateway_at_rest_does_nothing_but_its_control_and_its_beat() {
+fn an_idle_gateway_runs_only_its_control_period_and_its_heartbeat() {
     let mut load = Load::new(500, 0);
     load.pass(1_000 * MS);
     let before = load.policy.work();
@@ -57,11 +57,11 @@
 }
 
 #[test]
-fn requests_in_hand_make_another_one_no_dearer() {
+fn requests_in_flight_do_not_add_to_the_work_for_another() {
     let cost_of_one = |in_hand: u64| {
         let mut load = Load::new(6_000, 0);
         (0..in_hand).for_each(|n| load.ask(n % 1_000));
-        assert_eq!(load.out.len() as u64, in_hand, "all are out");
+        assert_eq!(load.in_flight.len() as u64, in_hand, "all are out");
         let before = load.policy.work();
         (0..100).for_each(|n| load.ask(n));
         (load.policy.work() - before) as f64 / 100.0
@@ -71,21 +71,25 @@
 }
 
 #[test]
-fn requests_that_find_no_host_are_not_tried_at_each_event() {
+fn requests_without_a_host_are_not_considered_at_each_event() {
     // All hosts are cold: of 512 requests most wait, and each event that helps none of them costs next to nothing.
     let mut load = Load::new(200, 1_000_000 * MS - MS);
     (0..512).for_each(|n| load.ask(n));
-    assert!(load.served == 0 && load.out.len() < 512);
+    assert!(load.served == 0 && load.in_flight.len() < 512);
     let before = load.policy.work();
     for n in 0..1_000 {
-        load.tell(Event::HealthCheckEnded { host: HostId(1 + n % 200), outcome: Outcome::Ok, report: None });
+        load.report(Event::HealthCheckEnded {
+            host: HostId(1 + n % 200),
+            outcome: Outcome::Ok,
+            report: None,
+        });
     }
     let each = (load.policy.work() - before) as f64 / 1_000.0;
     assert!(each < 1.0, "{each} records an event");
 }
 
 #[test]
-fn ten_thousand_customers_that_wait_while_the_counter_is_down_are_gone_through_once() {
+fn ten_thousand_customers_that_wait_while_the_counter_is_down_are_considered_once() {
     let mut load = Load::new(500, 0);
     // Calls go out and are not answered.
     let mut names = Vec::new();
@@ -101,23 +105,23 @@
         };
         let mut actions = Vec::new();
         load.policy.handle(load.now, Event::Request(request), &mut actions);
-        names.extend(calls(&actions).into_iter().map(|(name, _)| name));
+        names.extend(calls_in(&actions).into_iter().map(|(name, _)| name));
     }
     assert_eq!(names.len(), 10_000);
     let before = load.policy.work();
     load.now += 30 * MS;
     for name in names {
-        let (outcome, total, took) = (Outcome::Timeout, 0.0, 30 * MS);
-        load.tell(Event::CounterReplied { key: name, outcome, total, elapsed: took });
+        let (outcome, total, elapsed) = (Outcome::Timeout, 0.0, 30 * MS);
+        load.report(Event::CounterReplied { key: name, outcome, total, elapsed });
     }
     let each = (load.policy.work() - before) as f64 / 10_000.0;
     assert!(each <= 20.0, "{each} records for each of them");
     load.pass(2_000 * MS);
-    assert_eq!(load.served + load.refused, 10_000);
+    assert_eq!(load.served + load.rejected, 10_000);
 }
 
 #[test]
-fn a_customer_with_many_requests_that_wait_does_not_slow_down_each_of_them() {
+fn many_waiting_requests_of_a_customer_do_not_add_to_the_work_for_each() {
     let mut settings = settings();
     settings.gateways = 1;
     settings.plans[0].max_concurrent = 2;
@@ -133,15 +137,15 @@
 }
 
 #[test]
-fn five_hundred_hosts_replaced_at_once_are_taken_in_and_served_by() {
+fn five_hundred_hosts_replaced_at_once_are_taken_in_and_used() {
     let mut load = Load::new(500, 0);
     load.cost(500, 100);
     let entries = (1_001..=1_500).map(entry).collect();
-    load.tell(Event::HostList { kind: HostListKind::Full, entries });
+    load.report(Event::HostList { kind: HostListKind::Full, entries });
     let before = load.served;
     let cost = load.cost(500, 100);
     load.pass(100 * MS);
-    assert!(load.served - before >= 500 && load.refused == 0);
+    assert!(load.served - before >= 500 && load.rejected == 0);
     assert!(cost < 60.0, "{cost} records a request");
     load.pass(120_000 * MS);
     assert!(load.policy.size() < 520, "those that are gone are forgotten: {}", load.policy.size());
