--- a/crates/policy/tests/common/counter.rs
+++ b/crates/policy/tests/common/counter.rs
@@ -1,32 +1,32 @@
-//! A counter in memory with unlimited room, and the ways in which it fails. A stand-in: it has no parts.
-//!
-//! What it can be asked beside what a gateway asks is what was truly added: the sum over the lives of a name.
+//! A counter in memory without a limit, and the ways in which it fails. It also records what was truly added
+//! to each number over all resets.
 use super::MS;
 use policy::api::*;
 use std::collections::BTreeMap;
 
-/// How it fails.
+/// A way in which the counter fails.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// No connection, nothing is added.
+    /// No connection is made; nothing is added.
     Unreachable,
-    /// Nothing is added, and no answer comes.
+    /// Nothing is added, and no reply comes.
     NoReply,
-    /// Calls are added, and no answer comes.
+    /// Amounts are added, and no reply comes.
     AddedWithoutReply,
-    /// Calls are added at once and answered after so long; where that is beyond the time-out nothing comes.
+    /// Amounts are added at once, and replies take between these times; beyond the timeout none comes.
     Slow(Span, Span),
-    /// All calls are turned away.
+    /// All calls are rejected.
     Overloaded,
-    /// Lost for so long, there for so long, and so on.
+    /// Unreachable for this time, reachable for as long, and so on.
     Flapping(Span),
-    /// Each gateway reaches the side with this number. Sides begin alike; in the end what they added adds up.
+    /// Each gateway reaches the partition with this number. Partitions begin alike; in the end what they
+    /// added adds up.
     Partition(Vec<usize>),
-    /// All names are forgotten at the beginning.
+    /// All numbers are lost at the beginning.
     Reset,
 }
 
-/// A fault over a span of time, for one gateway or for all.
+/// A fault for some time, of one gateway or of all.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
     pub fault: Fault,
@@ -43,12 +43,12 @@
 
 #[derive(Clone, Copy, Default)]
 struct Entry {
-    shared: f64, // known to all sides
-    local: f64,  // added by this side since
+    shared: f64, // known to all partitions
+    local: f64,  // added by this partition since
     expires: Time,
 }
 
-/// What becomes of a call, and when its caller is told.
+/// How a call ends, and after which time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reply {
     pub outcome: Outcome,
@@ -60,14 +60,14 @@
     delay: Span,
     timeout: Span,
     faults: Vec<FaultWindow>,
-    started: Vec<bool>, // troubles that changed its names when they began
+    started: Vec<bool>, // faults that have changed the numbers
     partitions: Vec<BTreeMap<CounterKey, Entry>>,
     partition_of: Vec<usize>,
-    /// What was added to each name over all its lives.
+    /// What was added to each number, over all resets.
     pub added: BTreeMap<CounterKey, f64>,
-    /// What was forgotten of each name, and when.
+    /// What was lost of each number, and when.
     pub forgotten: BTreeMap<CounterKey, Vec<(Time, f64)>>,
-    /// Moments of all calls, also of those that found no counter.
+    /// Times of all calls, including those that did not reach the counter.
     pub calls: Vec<Time>,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A call comes. `lot`: drawn from 0 to 1.
+    /// Executes a call. `draw`: a random number from 0 to 1.
     pub fn call(&mut self, now: Time, from: usize, call: (CounterKey, f64, Span), draw: f64) -> Reply {
         self.update(now);
         self.calls.push(now);
@@ -129,11 +129,11 @@
             *entry = Entry { expires: now + time_to_live.clamp(1, 60_000 * MS), ..Entry::default() };
         }
         entry.local += amount;
-        // A total comes with seven digits.
+        // A total has seven digits.
         f64::from((entry.shared + entry.local) as f32)
     }
 
-    /// Splits, joins and forgets as it is time to.
+    /// Starts and ends partitions and resets that are due.
     fn update(&mut self, now: Time) {
         for n in 0..self.faults.len() {
             let fault_window = self.faults[n].clone();
@@ -188,7 +188,7 @@
         self.partition_of.fill(0);
     }
 
-    /// What a name's total is now on the whole counter.
+    /// Returns the total of a number on the joined counter.
     pub fn total(&mut self, now: Time, name: CounterKey) -> f64 {
         self.update(now);
         let entry = self.partitions[0].get(&name).filter(|entry| entry.expires > now);
@@ -196,7 +196,7 @@
     }
 }
 
-/// Whether this trouble is what a call meets now.
+/// Returns whether a fault affects the replies now.
 fn affects_replies(fault_window: &FaultWindow, now: Time) -> bool {
     match fault_window.fault {
         Fault::Partition(_) | Fault::Reset => false,
--- a/crates/policy/tests/common/load.rs
+++ b/crates/policy/tests/common/load.rs
@@ -1,21 +1,21 @@
-//! A load on one gateway's decisions, in time of its own.
+//! Load on the decisions of one gateway, in virtual time.
 use super::*;
 use policy::policy::Policy;
 use std::collections::{BTreeMap, VecDeque};
 
 const RESPONSE_TIME: Span = 20 * MS;
 
-/// A gateway alone whose hosts and counter answer after a while, and which is asked at even distances.
+/// A single gateway whose hosts and counter always respond, with requests at even intervals.
 pub struct Load {
     pub policy: Policy,
     pub now: Time,
     pub next: u64,
-    /// Attempts that are out, in the order in which they end.
+    /// Attempts in flight, in the order in which they end.
     pub in_flight: VecDeque<(Time, RequestId, HostId)>,
     pub totals: BTreeMap<CounterKey, f64>,
     pub served: u64,
     pub rejected: u64,
-    /// The most that one event cost.
+    /// Largest work for one event.
     pub most_work: u64,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Time goes on, with what it brings.
+    /// Advances time, with the responses and timers of it.
     pub fn pass(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
@@ -109,7 +109,8 @@
         }));
     }
 
-    /// So many requests, one each millisecond, of these customers in turn; gives what one costs.
+    /// Sends this number of requests, one each millisecond, of these customers in turn; returns the work for
+    /// one.
     pub fn cost(&mut self, requests: u64, customers: u64) -> f64 {
         let (before, requests_before) = (self.policy.work(), self.next);
         for n in 0..requests {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway under test: settings with plain defaults, and helpers to feed it events.
+//! A gateway under test: settings with plain defaults, and helpers that report events.
 #![allow(dead_code)]
 pub mod counter;
 pub mod load;
@@ -52,14 +52,15 @@
     pub policy: Policy,
     pub now: Time,
     gateways: u32,
-    /// Whether the other gateways beat on the counter, and this one is answered there.
+    /// Whether the other gateways send heartbeats and this one gets replies to its own.
     pub others_send_heartbeats: bool,
     heartbeat_totals: BTreeMap<CounterKey, f64>,
 }
 
-/// Gateways that share a pulse, and values of a digit of one.
+/// Gateways that share a number for their heartbeats.
 const HEARTBEAT_GROUP: u32 = 4;
 
+/// Values of the counter of one member in that number.
 const HEARTBEAT_BASE: f64 = 56.0;
 
 impl Harness {
@@ -68,7 +69,7 @@
         gateway.pass(4_000 * MS);
         gateway
     }
-    /// One that has just started, and has not heard the others yet.
+    /// Returns a gateway that has just started and has no heartbeats of the others yet.
     pub fn just_started(settings: Settings, hosts: u64) -> Self {
         let gateways = settings.gateways;
         let policy = Policy::new(settings, 1);
@@ -83,7 +84,7 @@
         self.reply_to_heartbeats(&mut actions);
         actions
     }
-    /// Answers calls to the pulses, to which the other gateways add as well.
+    /// Replies to calls for heartbeats, to which the other gateways add as well.
     fn reply_to_heartbeats(&mut self, actions: &mut Vec<Action>) {
         let groups = self.gateways.div_ceil(HEARTBEAT_GROUP);
         let names: Vec<CounterKey> =
@@ -148,7 +149,7 @@
     pub fn counter_replied(&mut self, name: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
         self.on(Event::CounterReplied { key: name, outcome, total, elapsed: 2 * MS })
     }
-    /// Lets time pass, with the housekeeping timer ringing as it would.
+    /// Advances time, with a timer in each step.
     pub fn pass(&mut self, span: Span) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -185,7 +186,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if i.0 == id))
 }
 
-/// Chance for the tests' own worlds: SplitMix64, stated here so that no release changes it.
+/// Random numbers for the tests: SplitMix64, stated here so that no release changes it.
 pub struct Dice(pub u64);
 
 impl Dice {
@@ -195,7 +196,7 @@
         let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         x ^ (x >> 31)
     }
-    /// Evenly from 0 up to but not 1.
+    /// Returns a number evenly distributed from 0 up to but not including 1.
     pub fn unit(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1_u64 << 53) as f64
     }
--- a/crates/policy/tests/common/site.rs
+++ b/crates/policy/tests/common/site.rs
@@ -1,5 +1,6 @@
-//! A closed world for quotas under doubt: gateways, their counter, hosts that answer everything after a while,
-//! customers with habits, and a referee. All in virtual time; a world is a function of its description.
+//! A simulated site for quotas under failures: gateways, their counter, hosts that always respond, customers
+//! with traffic patterns, and a record of what each of them got. Everything runs in virtual time, and a run
+//! is a function of its scenario.
 use super::counter::{Counter, FaultWindow};
 use super::{class, entry, Dice, MS};
 use policy::api::*;
@@ -11,24 +12,24 @@
 const HOSTS: u64 = 20;
 const RESPONSE_TIME: Span = 50 * MS;
 const REMAINING: Span = 4_000 * MS;
-/// So long clients go on calling a gateway that has died.
+/// Time for which clients keep using a gateway that has died.
 const FAILOVER_TIME: Span = 1_000 * MS;
 pub const TIMEOUT: Span = 30 * MS;
 
-/// How a customer asks. Up to its rate its requests come evenly, beyond it at random.
+/// The traffic of a customer. Up to its rate its requests come evenly, beyond it at random.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrafficPattern {
-    /// For so many times its rate, through all of its gateways alike.
+    /// A multiple of its rate, evenly through all of its gateways.
     Even(f64),
-    /// For so many times its rate, all of it through one gateway, and through another one after so long.
+    /// A multiple of its rate, all of it through one gateway, which changes after this time.
     Shifting(f64, Span),
-    /// For so many times its rate, through all of its gateways alike, but between these times all through one: so
-    /// that the others do not see what became of it.
+    /// A multiple of its rate, evenly through all of its gateways, but between these times all through one,
+    /// so that the others do not observe it.
     Concentrated(f64, Span, Span),
 }
 
 impl TrafficPattern {
-    /// Times its rate.
+    /// Returns the load as a multiple of the rate.
     pub fn load_factor(self) -> f64 {
         match self {
             TrafficPattern::Even(times)
@@ -44,12 +45,12 @@
     pub burst: f64,
     pub set_size: usize,
     pub first_gateway: usize,
-    /// Requests name 1 to so many units.
+    /// Requests are estimated at 1 up to this number of units.
     pub most_units: u64,
-    /// True units as a multiple of those named.
-    pub truth: f64,
+    /// Actual units as a multiple of the estimate.
+    pub actual_factor: f64,
     pub traffic: TrafficPattern,
-    /// It appears so long after the start.
+    /// Time after the start at which the customer appears.
     pub from: Span,
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// A gateway is killed, with all that it knows, and starts anew later.
+/// A gateway is killed, with its state, and starts again later.
 #[derive(Clone, Copy, Debug)]
 pub struct Kill {
     pub gateway: usize,
@@ -70,7 +71,8 @@
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub gateways: usize,
-    /// So many fleets, alike and by mistake on one counter, divide the gateways; else one.
+    /// Number of sites that are set up alike, by mistake on one counter, and divide the gateways; usually
+    /// one.
     pub fleets: usize,
     pub start: Time,
     pub length: Span,
@@ -80,20 +82,20 @@
     pub seed: u64,
 }
 
-/// What the referee saw of a customer. A try takes its units when it is first sent on; the answer tells the
-/// true ones.
+/// What a customer got. A request takes its units when it is first forwarded; its response tells the actual
+/// ones.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     pub forwarded_units: f64,
-    /// Units that the customer's store holds; below nought what went beyond it.
+    /// Units available to the customer; negative for those beyond the quota.
     available: f64,
     filled: Time,
-    /// The most that passed beyond `rate * time + burst`, over any span of time.
+    /// Largest excess over `rate * time + burst`, over any span of time.
     pub max_overshoot: f64,
-    /// The most that passed beyond `rate * time + burst`, counted from the start.
+    /// Largest excess over `rate * time + burst`, counted from the start.
     pub max_overshoot_since_start: f64,
     rejected_since: Option<Time>,
-    /// The longest time that it was refused on end while its store had room, and when that ended.
+    /// Longest time for which it was rejected while units were available, and when that ended.
     pub longest_rejection: (Span, Time),
     pub asked: u64,
     pub served: u64,
@@ -110,7 +112,7 @@
     customer: usize,
     gateway: usize,
     units: f64,
-    truth: f64,
+    actual_units: f64,
     sent: bool,
     answers: u32,
 }
@@ -132,7 +134,7 @@
     requests: BTreeMap<RequestId, OpenRequest>,
     pub records: Vec<Record>,
     random: Dice,
-    /// Tries whose final answer is owed, or that got more than one.
+    /// Requests without a final answer, or with more than one.
     pub wrong_answers: Vec<RequestId>,
 }
 
@@ -176,7 +178,7 @@
         self.agenda.insert((at, self.last_number), step);
     }
 
-    /// Plays to the end, and until all tries must have had their answers.
+    /// Runs to the end, and until all requests must have had their answers.
     pub fn run_to_end(&mut self) {
         self.run(self.scenario.start + self.scenario.length);
         self.run(self.scenario.start + self.scenario.length + REMAINING + 500 * MS);
@@ -184,7 +186,7 @@
         self.wrong_answers.extend(unanswered);
     }
 
-    /// Plays until then.
+    /// Runs until this time.
     pub fn run(&mut self, until: Time) {
         while let Some(first) = self.agenda.first_entry().filter(|first| first.key().0 <= until) {
             let ((at, _), step) = first.remove_entry();
@@ -244,11 +246,12 @@
         if killed.policy.take().is_some() {
             (killed.incarnation, killed.down_since) = (killed.incarnation + 1, now);
         }
-        // Its clients find their connections broken.
+        // The connections of its clients break.
         self.requests.retain(|_, t| t.gateway != gateway || t.answers > 0);
     }
 
-    /// The gateway that a customer's next try goes to; clients leave one that they know to be dead.
+    /// Returns the gateway that a customer's next request is sent to; clients leave one that they know to be
+    /// dead.
     fn route(&mut self, customer: usize) -> Option<usize> {
         let c = &self.scenario.customers[customer];
         let turn = match c.traffic {
@@ -276,12 +279,13 @@
         }
         let c = self.scenario.customers[customer].clone();
         let units = 1 + self.random.below(c.most_units);
-        let per_second = c.traffic.load_factor() * c.rate / (0.5 * (1 + c.most_units) as f64 * c.truth);
+        let per_second =
+            c.traffic.load_factor() * c.rate / (0.5 * (1 + c.most_units) as f64 * c.actual_factor);
         let gap = match c.traffic.load_factor() <= 1.0 {
             true => (0.5 + self.random.unit()) / per_second,
             false => self.random.exponential(1.0 / per_second),
         };
-        // Whoever stays within its quota waits longer after a larger request.
+        // A customer within its quota waits longer after a larger request.
         let size = if c.traffic.load_factor() <= 1.0 {
             units as f64 / (0.5 * (1 + c.most_units) as f64)
         } else {
@@ -291,10 +295,11 @@
         let Some(gateway) = self.route(customer) else { return };
         self.last_number += 1;
         let id = RequestId(self.last_number);
-        let truth = units as f64 * c.truth;
+        let actual_units = units as f64 * c.actual_factor;
         let units = units as f64;
         self.records[customer].asked += 1;
-        self.requests.insert(id, OpenRequest { customer, gateway, units, truth, sent: false, answers: 0 });
+        self.requests
+            .insert(id, OpenRequest { customer, gateway, units, actual_units, sent: false, answers: 0 });
         let request = Request {
             id,
             plan: customer,
@@ -322,9 +327,9 @@
             Action::SetTimer { after, token } => {
                 self.put(self.now + after, later(Event::TimerExpired { token }))
             }
-            Action::AddToCounter { key: name, amount, time_to_live: keep } => {
+            Action::AddToCounter { key: name, amount, time_to_live } => {
                 let draw = self.random.unit();
-                let reply = self.counter.call(self.now, gateway, (name, amount, keep), draw);
+                let reply = self.counter.call(self.now, gateway, (name, amount, time_to_live), draw);
                 let (outcome, total, elapsed) = (reply.outcome, reply.total, reply.elapsed);
                 self.put(
                     self.now + elapsed,
@@ -332,7 +337,7 @@
                 );
             }
             Action::Forward { id, host, .. } => {
-                let truth = self.sent(id);
+                let actual_units = self.sent(id);
                 let end = AttemptEnded {
                     id,
                     attempt: 0,
@@ -341,7 +346,7 @@
                     elapsed: RESPONSE_TIME,
                     is_request_closed: true,
                     quota_used: None,
-                    actual_units: Some(truth),
+                    actual_units: Some(actual_units),
                     report: None,
                 };
                 self.put(self.now + RESPONSE_TIME, later(Event::AttemptEnded(end)));
@@ -352,15 +357,15 @@
         }
     }
 
-    /// Takes the units of a try; gives the true ones.
+    /// Takes the units of a request; returns the actual ones.
     fn sent(&mut self, id: RequestId) -> f64 {
         let t = self.requests.get_mut(&id).expect("a try that is open");
         assert!(!t.sent && t.answers == 0, "one attempt is enough where hosts answer");
         t.sent = true;
-        let (customer, units, truth) = (t.customer, t.units, t.truth);
+        let (customer, units, actual_units) = (t.customer, t.units, t.actual_units);
         self.records[customer].rejected_since = None;
         self.take(customer, units);
-        truth
+        actual_units
     }
 
     fn answered(&mut self, event: &Event) {
@@ -370,7 +375,7 @@
         if t.answers > 1 {
             self.wrong_answers.push(end.id);
         }
-        let (customer, more) = (t.customer, t.truth - t.units);
+        let (customer, more) = (t.customer, t.actual_units - t.units);
         self.records[customer].served += 1;
         self.take(customer, more);
     }
@@ -405,8 +410,8 @@
         record.longest_rejection = record.longest_rejection.max((now - since, now));
     }
 
-    /// Units of a customer that the counter was told of, leased or late; without those that it has forgotten
-    /// while their epoch went on, which it is to be told again.
+    /// Returns the units of a customer on the counter, leased or reconciled, without those that it has lost
+    /// while their epoch lasted, which are added again.
     pub fn counted_units(&self, customer: usize) -> f64 {
         let id = CustomerId(1 + customer as u64);
         let of = |name, epoch| {
@@ -422,7 +427,7 @@
     }
 }
 
-/// Units without the marks behind the point.
+/// Returns the units of a total without the contribution marks after the decimal point.
 fn without_marks(total: f64) -> f64 {
     libm::floor(total + 0.005)
 }
--- a/crates/policy/tests/common/slow_start.rs
+++ b/crates/policy/tests/common/slow_start.rs
@@ -1,5 +1,6 @@
-//! A small closed world for cold starts: gateways, hosts that share their cores among what they hold, and the
-//! rule by which a cold host falls over. A stand-in with the figures of the operators' site, not a model of it.
+//! A small simulated site for slow start: gateways, hosts that share their cores among their attempts, and
+//! the rule by which a host that warms up is overloaded. It uses the figures of the operators' site, and is
+//! no model of it.
 use super::{Dice, MS};
 use policy::api::*;
 use policy::policy::Policy;
@@ -9,8 +10,8 @@
 const STEP: Span = 2 * MS; // also the time that a message takes
 const START: Time = 1_000_000 * MS;
 const CORES: f64 = 2.0;
-const WORKERS: usize = 8; // requests that a host works on at once
-const MAX_QUEUED: usize = 36; // and that wait; more are turned away
+const WORKERS: usize = 8; // attempts that a host executes at once
+const MAX_QUEUED: usize = 36; // and queues; more are rejected
 const COLD_CAPACITY: f64 = 0.21;
 const WARM_UP: Span = 17_000 * MS;
 const OVERLOAD_WINDOW: Span = 1_500 * MS;
@@ -26,11 +27,11 @@
 }
 
 struct Machine {
-    started: Option<Time>, // none: long ago
+    started: Option<Time>, // `None`: long ago
     refuses_until: Time,
     overloaded: bool,
     jobs: VecDeque<Job>,
-    came: VecDeque<(Time, f64)>, // work that came lately
+    came: VecDeque<(Time, f64)>, // recent work, by its arrival
 }
 
 impl Machine {
@@ -38,13 +39,13 @@
         Machine { started, refuses_until: 0, overloaded: false, jobs: VecDeque::new(), came: VecDeque::new() }
     }
 
-    /// What it can do now, as a share of what it does warm.
+    /// Returns the present capacity as a fraction of that of a warm host.
     fn capacity(&self, now: Time) -> f64 {
         let age = |started| now.saturating_sub(started) as f64 / WARM_UP as f64;
         self.started.map_or(1.0, |started| (COLD_CAPACITY + (1.0 - COLD_CAPACITY) * age(started)).min(1.0))
     }
 
-    /// Counts work that came; gives the share of the budget of the fall rule that is used up.
+    /// Records work, and returns the fraction of the overload budget that is used up.
     fn record_work(&mut self, now: Time, work: f64) -> f64 {
         self.came.push_back((now, work));
         while self.came.front().is_some_and(|(at, _)| at + OVERLOAD_WINDOW < now) {
@@ -54,7 +55,7 @@
         came / (OVERLOAD_FACTOR * CORES * self.capacity(now) * OVERLOAD_WINDOW as f64 / 1e9)
     }
 
-    /// Works for one step; gives what is done.
+    /// Executes one step, and returns the jobs that are done.
     fn work(&mut self, now: Time) -> Vec<Job> {
         let busy = self.jobs.len().min(WORKERS);
         let each = self.capacity(now) * (CORES / busy.max(1) as f64).min(1.0) * STEP as f64 / 1e9;
@@ -72,20 +73,20 @@
     }
 }
 
-/// What a run came to.
+/// The counts of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub requests: u32,
     pub within_objective: u32,
     pub served: u32,
     pub overloaded: u32,
-    /// The largest share of the fall rule's budget that any cold host was sent.
+    /// Largest fraction of the overload budget that any host used up while it warmed up.
     pub peak: f64,
-    /// When the first request was sent, after its arrival, in milliseconds.
+    /// Time after which the first request was forwarded, in milliseconds.
     pub first_ms: Option<u64>,
-    /// Attempts that met a host which takes no connection.
+    /// Attempts at hosts that accept no connection.
     pub not_connected: u32,
-    /// Attempts at cold hosts.
+    /// Attempts at hosts that warm up.
     pub at_warming_hosts: u32,
 }
 
@@ -100,9 +101,9 @@
 pub struct World {
     pub now: Time,
     pub counts: Counts,
-    /// Requests a second, over all gateways; it may be changed at any time.
+    /// Requests per second over all gateways; may be changed at any time.
     pub offered: f64,
-    /// Work of a request, in the mean, in seconds of a core.
+    /// Mean work of a request, in seconds of a core.
     pub work: f64,
     dice: Dice,
     gateways: Vec<Policy>,
@@ -144,7 +145,8 @@
 }
 
 impl World {
-    /// Gateways that have just been told of hosts that are all warm, or have all just started.
+    /// Returns gateways that have just got an endpoint list, of hosts that are all warm or have all just
+    /// started.
     pub fn new(seed: u64, gateways: u32, cold: bool) -> World {
         let policy = |n: u32| Policy::new(site(gateways), seed * 1_000 + u64::from(n));
         let machine = |id| (HostId(id), Machine::new(cold.then_some(START)));
@@ -166,7 +168,7 @@
         world
     }
 
-    /// Kills these hosts; others take their places at once (`fresh`: under new names) and are cold.
+    /// Kills these hosts; others replace them at once (under new identifiers, if given) and warm up.
     pub fn restart(&mut self, ids: std::ops::RangeInclusive<u64>, under_new_ids: bool) {
         for id in ids {
             let Some(mut old) = self.hosts.remove(&HostId(id)) else { continue };
@@ -179,7 +181,7 @@
         self.report_hosts();
     }
 
-    /// From now on all hosts take no connection for this long.
+    /// All hosts accept no connection for this time.
     pub fn refuse(&mut self, span: Span) {
         let until = self.now + span;
         self.hosts.values_mut().for_each(|host| host.refuses_until = until);
@@ -211,12 +213,12 @@
         }
     }
 
-    /// What comes from now on is counted, what came before is not.
+    /// Resets the counts; earlier requests are not counted any more.
     pub fn reset_counts(&mut self) {
         (self.counts, self.counted_from) = (Counts::default(), self.now);
     }
 
-    /// No more requests come; each of those that came gets its one final answer.
+    /// Ends the requests, and checks that each has got its final answer.
     pub fn close(&mut self) {
         self.next = Time::MAX;
         self.run(2_100 * MS);
@@ -246,7 +248,7 @@
         self.report(gateway, Event::Request(request));
     }
 
-    /// What falls due: a timer, or an end that reaches its gateway.
+    /// Delivers a timer, or the end of an attempt, to its gateway.
     fn deliver(&mut self, gateway: usize, event: Event) {
         let Event::AttemptEnded(mut end) = event else { return self.report(gateway, event) };
         end.is_request_closed = !self.open.contains_key(&end.id);
@@ -318,7 +320,7 @@
 
     fn forward(&mut self, id: RequestId, to: HostId, until: Time) {
         let now = self.now;
-        let open = self.open.get_mut(&id).expect("nothing goes out after the final answer");
+        let open = self.open.get_mut(&id).expect("no attempt after the final answer");
         let job =
             Job { id, attempt: open.attempts, gateway: open.gateway, sent: now, until, left: open.work };
         open.attempts += 1;
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -1,23 +1,23 @@
-//! Hosts whose cores each do one attempt at a time, that may be slow or swallow requests, in time of their own, and a
-//! gateway alone in front of them.
+//! A single gateway in virtual time, with hosts whose cores execute one attempt each, which may be slow or
+//! lose responses.
 use super::*;
 use policy::policy::Policy;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// What a host is like.
+/// The properties of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostSpec {
     pub cores: usize,
-    /// So many times the usual work.
+    /// Work of an attempt as a multiple of the usual work.
     pub work_factor: f64,
-    /// Share of the attempts that it takes in and never answers.
+    /// Fraction of the attempts that get no response.
     pub loss_fraction: f64,
 }
 
 pub const USUAL_HOST: HostSpec = HostSpec { cores: 1, work_factor: 1.0, loss_fraction: 0.0 };
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct InFlight {
     host: HostId,
     sent: Time,
@@ -28,9 +28,9 @@
     policy: Policy,
     pub now: Time,
     hosts: BTreeMap<HostId, HostSpec>,
-    /// When each core of a host is free.
+    /// When each core of a host is free next.
     cores: BTreeMap<HostId, Vec<Time>>,
-    /// What an attempt takes, drawn anew for each.
+    /// Draws the work of an attempt.
     work: fn(&mut Dice) -> Span,
     in_flight: BTreeMap<(u64, u32), InFlight>,
     ends: BinaryHeap<Reverse<(Time, u64, u32, bool)>>,
@@ -41,10 +41,10 @@
     pub sent: BTreeMap<HostId, u64>,
     pub served: u64,
     pub requests: u64,
-    /// How long after it was sent a swallowed attempt got another beside it.
+    /// Time after which an attempt without a response got another beside it.
     pub detection_times: Vec<Span>,
     pub lost: u64,
-    /// Further attempts beside one that was to be answered.
+    /// Attempts made beside one that would have got a response.
     pub false_alarms: u64,
 }
 
@@ -75,7 +75,7 @@
         world
     }
 
-    /// Counts from here on.
+    /// Resets all counts.
     pub fn reset_counts(&mut self) {
         (self.sent, self.detection_times) = Default::default();
         (self.served, self.requests, self.lost, self.false_alarms) = (0, 0, 0, 0);
@@ -141,7 +141,7 @@
         self.report(Event::AttemptEnded(end));
     }
 
-    /// So many seconds with so many requests in each, of the first class and without quotas.
+    /// Runs for some seconds with this rate of requests, of the first class and without quotas.
     pub fn run(&mut self, seconds: u64, rate: u64, remaining: Span) {
         for n in 0..seconds * 1_000 {
             self.now += MS;
@@ -163,7 +163,7 @@
     }
 }
 
-/// One gateway, no counter, no quotas.
+/// Returns the settings of a single gateway without counter and quotas.
 pub fn single_gateway() -> Settings {
     let mut settings = settings();
     (settings.gateways, settings.has_counter) = (1, false);
--- a/crates/policy/tests/counter_failures.rs
+++ b/crates/policy/tests/counter_failures.rs
@@ -1,5 +1,5 @@
-//! Quotas under doubt: random failures of the counter and of gateways, customers with all habits, and what must
-//! hold whatever comes. The world is in `common/site.rs`, its counter in `common/counter.rs`.
+//! Quotas under random failures of the counter and of gateways, with customers of all traffic patterns. The
+//! simulated site is in `common/site.rs`, its counter in `common/counter.rs`.
 mod common;
 use common::counter::{Fault, FaultWindow};
 use common::site::{Customer, Kill, Scenario, Site, TrafficPattern, START};
@@ -11,11 +11,11 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use quota::bound::{max_overshoot, Failure, Quota, LEASE_HORIZON_S};
 
-/// After a failure all is as it was within so long.
+/// Time after a failure within which everything is as before.
 const SETTLED_IN: Span = 5_000 * MS;
-/// No customer within its quota is refused for longer on end. With the operators' traffic it is 3 s; here are
-/// customers whose traffic, 0.8 of the quota, jumps as a whole among up to five gateways every few seconds, and of
-/// 7,500 worlds a handful come to 3.0 to 3.6 s.
+/// Longest time for which a customer within its quota is rejected. With the operators' traffic it is 3 s.
+/// Here customers use 0.8 of the quota, and all of their traffic moves among up to five gateways every few
+/// seconds; of 7,500 sites a handful come to 3.0 to 3.6 s.
 const PATIENT: Span = 4_000 * MS;
 const FLAP: Span = 700 * MS;
 
@@ -26,11 +26,11 @@
     Mute,
     Full,
     Slow,
-    Late,
+    Delayed,
     Flapping,
-    CutOff,
+    GatewayUnreachable,
     Split,
-    Fresh,
+    Reset,
     Killed,
 }
 
@@ -40,15 +40,15 @@
     Kind::Mute,
     Kind::Full,
     Kind::Slow,
-    Kind::Late,
+    Kind::Delayed,
     Kind::Flapping,
-    Kind::CutOff,
+    Kind::GatewayUnreachable,
     Kind::Split,
-    Kind::Fresh,
+    Kind::Reset,
     Kind::Killed,
 ];
 
-/// One failure: when, for how long, and which gateways it is about.
+/// One failure: when it begins, how long it lasts, and which gateways it concerns.
 #[derive(Clone, Copy, Debug)]
 struct Blow {
     kind: Kind,
@@ -66,14 +66,15 @@
         (self.pick % gateways as u64) as usize
     }
 
-    /// The side of each gateway in a split: two sides at the least.
-    fn sides(&self, gateways: usize) -> Vec<usize> {
+    /// The partition of each gateway; there are at least two.
+    fn partitions(&self, gateways: usize) -> Vec<usize> {
         let mut dice = Dice(self.pick);
-        let mut sides: Vec<usize> = (0..gateways).map(|_| dice.below(gateways as u64) as usize).collect();
-        if sides.iter().all(|side| *side == sides[0]) {
-            sides[0] = (sides[0] + 1) % gateways;
+        let mut partitions: Vec<usize> =
+            (0..gateways).map(|_| dice.below(gateways as u64) as usize).collect();
+        if partitions.iter().all(|partition| *partition == partitions[0]) {
+            partitions[0] = (partitions[0] + 1) % gateways;
         }
-        sides
+        partitions
     }
 
     fn fault_window(&self, start: Time, gateways: usize) -> Option<FaultWindow> {
@@ -83,17 +84,17 @@
             Kind::Mute => Fault::AddedWithoutReply,
             Kind::Full => Fault::Overloaded,
             Kind::Slow => Fault::Slow(80 * MS, 500 * MS),
-            // About half of the answers come within the time-out.
-            Kind::Late => Fault::Slow(5 * MS, 60 * MS),
+            // About half of the replies arrive within the timeout.
+            Kind::Delayed => Fault::Slow(5 * MS, 60 * MS),
             Kind::Flapping => Fault::Flapping(FLAP),
-            Kind::CutOff => [Fault::Unreachable, Fault::NoReply, Fault::AddedWithoutReply]
+            Kind::GatewayUnreachable => [Fault::Unreachable, Fault::NoReply, Fault::AddedWithoutReply]
                 [(self.pick / 7 % 3) as usize]
                 .clone(),
-            Kind::Split => Fault::Partition(self.sides(gateways)),
-            Kind::Fresh => Fault::Reset,
+            Kind::Split => Fault::Partition(self.partitions(gateways)),
+            Kind::Reset => Fault::Reset,
             Kind::Killed => return None,
         };
-        let gateway = (self.kind == Kind::CutOff).then(|| self.gateway(gateways));
+        let gateway = (self.kind == Kind::GatewayUnreachable).then(|| self.gateway(gateways));
         Some(FaultWindow { fault, gateway, from: start + self.from, until: start + self.until() })
     }
 
@@ -102,60 +103,61 @@
         (self.kind == Kind::Killed).then_some(Kill { gateway, from, until })
     }
 
-    /// What this failure may cost a customer, in units beyond its quota, by the advance statement and with what
-    /// the statement leaves out:
+    /// Returns the units beyond its quota that a customer may get by this failure, by the advance statement
+    /// and with what the statement leaves out:
     ///
-    /// - Lost, silent, mute, full, slow: in the dark each gateway of the set is a side.
-    /// - Flapping, and answers that come within the time-out now and then: each gateway finds out for itself
-    ///   that there is light, and those that have take all of the quota while the others lend their shares of
-    ///   it. The statement is for a failure as a whole; to it comes `rate * T * (m - 1) / m`.
-    /// - One gateway cut off: two sides, one of which goes on being answered.
-    /// - A split: the sides that the customer's gateways are on, all of them answered.
-    /// - Whoever is new then, and not yet known, finds its whole store on each side that is answered.
-    /// - A fresh counter: no time, no sides, one replacement.
-    /// - A gateway killed: for those who do not hear it, it is another side; and a burst, since one that starts
-    ///   anew knows of the store only what was leased since the epoch began.
+    /// - Unreachable, no reply, overloaded, slow: each gateway of the set is a partition of its own.
+    /// - Flapping, and replies that arrive within the timeout from time to time: each gateway finds out for
+    ///   itself that the counter replies. Those that have found out use the whole quota, while the others
+    ///   grant their fractions of it. The statement is for a complete failure; `rate * T * (m - 1) / m` is
+    ///   added to it.
+    /// - One gateway without the counter: two partitions, one of which gets replies.
+    /// - A partition: the partitions that the customer's gateways are in, which all get replies.
+    /// - A customer that appears then finds its whole token bucket in each partition that gets replies.
+    /// - A reset of the counter: no time, no partitions, one replacement.
+    /// - A gateway killed: to those that get no heartbeat of it, it is another partition. A burst is added,
+    ///   since a gateway that starts knows of the token bucket only what was leased since the epoch began.
     fn stated(&self, c: &Customer, gateways: usize) -> f64 {
         let span_s = self.span as f64 / 1e9;
         let set = c.gateways(gateways);
-        let dark = Failure {
+        let outage = Failure {
             duration_s: span_s,
             partitions: c.set_size as u32,
             counter_answers: false,
             counter_resets: 0,
         };
-        let two = Failure { partitions: 2, counter_answers: true, ..dark };
+        let two = Failure { partitions: 2, counter_answers: true, ..outage };
         let is_new = self.from < c.from + 10_000 * MS;
         let stated = |failure: Failure| {
             let others = f64::from(failure.partitions.saturating_sub(1));
             let stores =
                 if failure.counter_answers && is_new && !is_within(c) { others * c.burst } else { 0.0 };
-            max_overshoot(&quota(c), &failure, may_be_known(c)) + stores
+            max_overshoot(&quota(c), &failure, may_count_as_within(c)) + stores
         };
         match self.kind {
-            Kind::CutOff | Kind::Killed if !set.contains(&self.gateway(gateways)) => 0.0,
-            Kind::CutOff => stated(two),
+            Kind::GatewayUnreachable | Kind::Killed if !set.contains(&self.gateway(gateways)) => 0.0,
+            Kind::GatewayUnreachable => stated(two),
             Kind::Killed => stated(two) + c.burst,
             Kind::Split => {
-                let sides = self.sides(gateways);
-                let mut met: Vec<usize> = set.iter().map(|gateway| sides[*gateway]).collect();
+                let partitions = self.partitions(gateways);
+                let mut met: Vec<usize> = set.iter().map(|gateway| partitions[*gateway]).collect();
                 met.sort_unstable();
                 met.dedup();
-                stated(Failure { partitions: met.len() as u32, counter_answers: true, ..dark })
+                stated(Failure { partitions: met.len() as u32, counter_answers: true, ..outage })
             }
-            Kind::Fresh => {
+            Kind::Reset => {
                 stated(Failure { duration_s: 0.0, partitions: 1, counter_answers: false, counter_resets: 1 })
             }
-            Kind::Flapping | Kind::Late => {
-                stated(dark) + c.rate * span_s * (c.set_size as f64 - 1.0) / c.set_size as f64
+            Kind::Flapping | Kind::Delayed => {
+                stated(outage) + c.rate * span_s * (c.set_size as f64 - 1.0) / c.set_size as f64
             }
-            Kind::Lost | Kind::Silent | Kind::Mute | Kind::Full | Kind::Slow => stated(dark),
+            Kind::Lost | Kind::Silent | Kind::Mute | Kind::Full | Kind::Slow => stated(outage),
         }
     }
 }
 
 fn quota(c: &Customer) -> Quota {
-    let most_units = c.most_units as f64 * c.truth.max(1.0);
+    let most_units = c.most_units as f64 * c.actual_factor.max(1.0);
     Quota { rate: c.rate, burst: c.burst, set_size: c.set_size as u32, max_request_units: most_units }
 }
 
@@ -163,16 +165,17 @@
     c.traffic.load_factor() <= 1.0
 }
 
-/// Whether it may pass for one within its quota. A gateway's verdict is on what it is asked for, by the units
-/// that are named, and what passes through the others: near its line, and where requests are few, chance decides.
-fn may_be_known(c: &Customer) -> bool {
+/// Returns whether a customer may count as one within its quota. A gateway decides by the demand that it
+/// gets, in units as estimated, and by what the others admit: near the limit, and with few requests, that is
+/// random.
+fn may_count_as_within(c: &Customer) -> bool {
     let (set_size, asked) = (c.set_size as f64, c.traffic.load_factor() * c.rate);
-    let seen = c.traffic.load_factor() / c.truth / set_size + (set_size - 1.0) / set_size;
-    let requests = asked / (0.5 * (1 + c.most_units) as f64 * c.truth) / set_size;
-    is_within(c) || seen < 1.45 || requests < 3.0
+    let demand_seen = c.traffic.load_factor() / c.actual_factor / set_size + (set_size - 1.0) / set_size;
+    let requests = asked / (0.5 * (1 + c.most_units) as f64 * c.actual_factor) / set_size;
+    is_within(c) || demand_seen < 1.45 || requests < 3.0
 }
 
-/// Too many gateways for its burst: what it asks for is rationed.
+/// Returns whether there are too many gateways for the customer's burst, so that it is admitted by windows.
 fn is_windowed(c: &Customer) -> bool {
     c.burst < 2.0 * c.set_size as f64
 }
@@ -180,7 +183,7 @@
 #[derive(Clone, Debug)]
 struct World {
     gateways: usize,
-    /// When it begins, within an epoch.
+    /// When the run begins, within an epoch.
     phase: Span,
     blows: Vec<Blow>,
     customers: Vec<Customer>,
@@ -207,7 +210,7 @@
         }
     }
 
-    /// When the last failure is over.
+    /// Returns when the last failure ends.
     fn healed(&self) -> Span {
         self.blows.iter().map(Blow::until).max().unwrap_or(0)
     }
@@ -220,18 +223,20 @@
         self.blows.iter().filter(|blow| blow.kind == kind).count()
     }
 
-    /// Whether an epoch turns from then on within so long.
+    /// Returns whether an epoch ends within this time from then on.
     fn turns(&self, from: Span, within: Span) -> bool {
         let at = START + self.phase + from;
         at / counter_keys::EPOCH != (at + within) / counter_keys::EPOCH
     }
 
-    /// What all failures together may cost a customer: what each may, and what is out with no failure at all.
+    /// Returns the units beyond its quota that a customer may get by all failures together: what each may
+    /// cost, and what is leased without any failure.
     ///
-    /// The statement leaves out two more things. Whoever moves all of its traffic about and asks for more than
-    /// its quota finds gateways that have not looked since its number began anew, with the epoch or with the
-    /// counter: a burst each, each time. And a rationed customer gets in the dark the part that it got before
-    /// of whatever it asks for; and from the odds at any time two requests at each gateway.
+    /// The statement leaves out two more things. A customer that moves all of its traffic and uses more than
+    /// its quota finds gateways that have read no total since its number began anew, with the epoch or by a
+    /// reset: a burst each, each time. And a customer under windowed admission gets during an outage the
+    /// fraction that it got before, of whatever it requests; and by the probabilities, at any time, two
+    /// requests at each gateway.
     fn stated(&self, c: &Customer) -> f64 {
         let none = Failure {
             duration_s: 0.0,
@@ -244,77 +249,82 @@
         let moves = !matches!(c.traffic, TrafficPattern::Even(_)) && !is_within(c);
         let epochs =
             (START + self.phase + self.length()) / counter_keys::EPOCH - START / counter_keys::EPOCH + 1;
-        let anew = epochs as f64 + self.count(Kind::Fresh) as f64;
-        let unseen = if moves { anew * (c.set_size - 1) as f64 * c.burst } else { 0.0 };
+        let restarts = epochs as f64 + self.count(Kind::Reset) as f64;
+        let unseen = if moves { restarts * (c.set_size - 1) as f64 * c.burst } else { 0.0 };
         let over = (c.traffic.load_factor() - 1.0).max(0.0) * c.rate;
         let spans: f64 = self.blows.iter().map(|blow| (blow.span + SETTLED_IN) as f64 / 1e9).sum();
-        let odds = 2.0 * c.set_size as f64 * quota(c).max_request_units;
-        calm + each + unseen + if is_windowed(c) { over * spans + odds } else { 0.0 }
+        let by_chance = 2.0 * c.set_size as f64 * quota(c).max_request_units;
+        calm + each + unseen + if is_windowed(c) { over * spans + by_chance } else { 0.0 }
     }
 
-    /// Whether the counter must hold all that a customer passed, once the failures are over. In a split or with
-    /// a gateway that died it need not; nor after a fresh one what nobody asks about any more: the units of a
-    /// gateway that the customer has left, or of an epoch that has ended; nor with a second failure beside a
-    /// fresh one, where what one gateway tells late may hide from another that what it told late is gone.
+    /// Returns whether the counter has to hold all units of a customer once the failures have ended. It need
+    /// not in a partition or with a gateway that was killed; nor, after a reset, units that no request
+    /// concerns any more: those of a gateway that the customer has left, or of an epoch that has ended; nor
+    /// with a second failure beside a reset, where the reconciliation of one gateway may hide from another
+    /// that its own was lost.
     fn is_reconciled(&self, c: &Customer) -> bool {
-        let fresh = || self.blows.iter().filter(|blow| blow.kind == Kind::Fresh);
+        let resets = || self.blows.iter().filter(|blow| blow.kind == Kind::Reset);
         let settled = self.healed() + SETTLED_IN;
         let ends = |blow: &Blow| self.turns(blow.from, settled - blow.from);
-        let stays = matches!(c.traffic, TrafficPattern::Even(_)) && !fresh().any(ends);
+        let stays = matches!(c.traffic, TrafficPattern::Even(_)) && !resets().any(ends);
         let is_plain = self.count(Kind::Split) + self.count(Kind::Killed) == 0;
-        let is_fresh = self.count(Kind::Fresh) > 0;
-        is_plain && !is_windowed(c) && (!is_fresh || stays && self.blows.len() == 1)
+        let is_reset = self.count(Kind::Reset) > 0;
+        is_plain && !is_windowed(c) && (!is_reset || stays && self.blows.len() == 1)
     }
 
-    /// Units told more than passed: at the least, and at the most.
+    /// Returns by how many units the counter may hold more than were used: at the least, and at the most.
     ///
-    /// Less: what a gateway does not tell yet (half a unit), the true units of answers that have just come, and
-    /// what a counter that knows nothing hides from a gateway if the others have leased as much anew before it
-    /// asks: none from the first, a block of each of the others from the last. More: what is leased and not spent, a block at each gateway,
-    /// which all together is two stores, and as much in doubt; and where an epoch ends before an answer comes,
-    /// what was told before is told again.
+    /// Fewer: what a gateway does not reconcile yet (half a unit), the actual units of responses that have
+    /// just come, and what a counter that was reset hides from a gateway if the others have leased as much
+    /// again before it calls: none from the first, a lease of each of the others from the last. More: what is
+    /// leased and not spent, a lease at each gateway, which together are two token buckets, and as much in
+    /// doubt; and where an epoch ends before a reply comes, what was reconciled before is reconciled again.
     fn outstanding(&self, c: &Customer) -> (f64, f64) {
         let requests = c.set_size as f64 * quota(c).max_request_units;
         let blocks = 0.5 * (c.set_size - 1) as f64 * (LEASE_HORIZON_S * c.rate + requests);
-        let hidden = self.count(Kind::Fresh) as f64 * blocks;
-        let in_doubt =
-            |blow: &&Blow| matches!(blow.kind, Kind::Mute | Kind::Slow | Kind::Late | Kind::CutOff);
+        let hidden = self.count(Kind::Reset) as f64 * blocks;
+        let in_doubt = |blow: &&Blow| {
+            matches!(blow.kind, Kind::Mute | Kind::Slow | Kind::Delayed | Kind::GatewayUnreachable)
+        };
         let again = |blow: &&Blow| self.turns(blow.from, blow.span + SETTLED_IN);
-        let twice = self.blows.iter().filter(in_doubt).filter(again).map(|blow| blow.span as f64 / 1e9);
+        let added_twice = self.blows.iter().filter(in_doubt).filter(again).map(|blow| blow.span as f64 / 1e9);
         let leased = 4.0 * c.burst.max(LEASE_HORIZON_S * c.rate);
-        (-(0.5 * c.set_size as f64 + requests + hidden), leased + requests + twice.sum::<f64>() * c.rate)
+        (
+            -(0.5 * c.set_size as f64 + requests + hidden),
+            leased + requests + added_twice.sum::<f64>() * c.rate,
+        )
     }
 }
 
-/// What a world came to, for one customer.
+/// The outcome of a run for one customer.
 #[derive(Clone, Copy, Debug)]
 struct Outcomes {
     max_overshoot: f64,
     stated: f64,
     longest_rejection: Span,
-    /// Units that the counter was told of more than passed, once all has settled.
-    told_more: Option<f64>,
+    /// Units that the counter holds beyond those that were used, once everything has settled.
+    excess_on_counter: Option<f64>,
 }
 
-fn play(world: &World) -> (Site, Vec<Outcomes>) {
+fn run(world: &World) -> (Site, Vec<Outcomes>) {
     let mut site = Site::new(world.scenario());
     site.run(site.scenario.start + world.healed() + SETTLED_IN);
     let customers = site.scenario.customers.clone();
-    let told: Vec<f64> =
+    let excess: Vec<f64> =
         (0..customers.len()).map(|n| site.counted_units(n) - site.records[n].forwarded_units).collect();
     site.run_to_end();
     let result = |(n, c): (usize, &Customer)| Outcomes {
         max_overshoot: site.records[n].max_overshoot,
         stated: world.stated(c),
         longest_rejection: site.records[n].longest_rejection.0,
-        told_more: world.is_reconciled(c).then_some(told[n]),
+        excess_on_counter: world.is_reconciled(c).then_some(excess[n]),
     };
     let results = customers.iter().enumerate().map(result).collect();
     (site, results)
 }
 
 fn check(world: &World) -> Result<(), TestCaseError> {
-    let (site, results) = play(world);
+    let (site, results) = run(world);
     prop_assert!(site.wrong_answers.is_empty(), "one final answer each, but: {:?}", site.wrong_answers);
     for (n, (c, outcome)) in site.scenario.customers.iter().zip(&results).enumerate() {
         prop_assert!(
@@ -324,8 +334,11 @@
         let is_patient = !is_within(c) || outcome.longest_rejection <= PATIENT;
         prop_assert!(is_patient, "customer {n}, {c:?}, keeps within its quota: {outcome:?}");
         let (least, most) = world.outstanding(c);
-        let told = outcome.told_more.unwrap_or(0.0);
-        prop_assert!((least..=most).contains(&told), "customer {n}, {c:?}: told {told} more than passed");
+        let excess = outcome.excess_on_counter.unwrap_or(0.0);
+        prop_assert!(
+            (least..=most).contains(&excess),
+            "customer {n}, {c:?}: the counter holds {excess} more than used"
+        );
     }
     Ok(())
 }
@@ -355,26 +368,29 @@
     ]
 }
 
-/// One of the usual kind, at times one that appears late, or one with a burst too thin for its gateways.
+/// A usual customer, at times one that appears late, or one with a burst too small for its gateways.
 fn customer() -> impl Strategy<Value = Customer> {
-    let truth = prop::sample::select(&[0.7, 1.0, 1.4][..]);
+    let actual_factor = prop::sample::select(&[0.7, 1.0, 1.4][..]);
     let from = prop_oneof![3 => Just(0), 1 => 0..20_000_u64];
     let shape = (8..28_u32, 18..28_u32, 1..=5_usize, 0..5_usize, prop::bool::weighted(0.15));
-    (traffic(), shape, 1..=3_u64, truth, from).prop_map(|(traffic, shape, most_units, truth, from)| {
-        let (rate, tenths, set_size, first_gateway, thin) = shape;
-        let usual = f64::from(rate * tenths) / 10.0;
-        let (burst, most_units, truth) = if thin { (3.0, 1, 1.0) } else { (usual, most_units, truth) };
-        Customer {
-            rate: f64::from(rate),
-            burst,
-            set_size,
-            first_gateway,
-            most_units,
-            truth,
-            traffic,
-            from: from * MS,
-        }
-    })
+    (traffic(), shape, 1..=3_u64, actual_factor, from).prop_map(
+        |(traffic, shape, most_units, actual_factor, from)| {
+            let (rate, tenths, set_size, first_gateway, is_small) = shape;
+            let usual = f64::from(rate * tenths) / 10.0;
+            let (burst, most_units, actual_factor) =
+                if is_small { (3.0, 1, 1.0) } else { (usual, most_units, actual_factor) };
+            Customer {
+                rate: f64::from(rate),
+                burst,
+                set_size,
+                first_gateway,
+                most_units,
+                actual_factor,
+                traffic,
+                from: from * MS,
+            }
+        },
+    )
 }
 
 fn world(kinds: &'static [Kind], blows: std::ops::RangeInclusive<usize>) -> impl Strategy<Value = World> {
@@ -396,7 +412,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
 }
 
-/// How many worlds each test plays: more with `DOUBT_WORLDS=1000`.
+/// Runs of each test: more with `DOUBT_WORLDS=1000`.
 fn cases(usual: u32) -> u32 {
     std::env::var("DOUBT_WORLDS").ok().and_then(|count| count.parse().ok()).unwrap_or(usual)
 }
@@ -413,12 +429,12 @@
 
 #[test]
 fn a_counter_that_replies_from_time_to_time_stays_within_the_bound() {
-    holds(&[Kind::Late, Kind::Flapping, Kind::CutOff], 1..=1, 100, 2);
+    holds(&[Kind::Delayed, Kind::Flapping, Kind::GatewayUnreachable], 1..=1, 100, 2);
 }
 
 #[test]
 fn partitions_and_counter_resets_and_dead_gateways_stay_within_the_bound() {
-    holds(&[Kind::Split, Kind::Fresh, Kind::Killed], 1..=2, 100, 3);
+    holds(&[Kind::Split, Kind::Reset, Kind::Killed], 1..=2, 100, 3);
 }
 
 #[test]
@@ -431,12 +447,12 @@
     holds(&KINDS, 0..=0, 10, 5);
 }
 
-/// Of each kind of failure the customer that came nearest to what is stated, over so many worlds; a table for
-/// the design note: `DOUBT_WORLDS=200 cargo test --release -p policy --test doubt -- --ignored`.
+/// Prints for each kind of failure the customer that came nearest to the stated bound, as a table for the
+/// design note: `DOUBT_WORLDS=200 cargo test --release -p policy --test counter_failures -- --ignored`.
 #[test]
 #[ignore = "prints a table"]
 fn print_the_overshoot_of_each_failure() {
-    println!("kind       beyond  stated  most of it  longest refused  told more than passed");
+    println!("kind       excess  stated  most of it  longest rejected  more on the counter than used");
     for kind in KINDS {
         let only: &'static [Kind] = &KINDS[KINDS.iter().position(|k| *k == kind).unwrap_or(0)..][..1];
         let mut runner = runner(1, 6);
@@ -444,7 +460,7 @@
         let mut all = Vec::new();
         for _ in 0..cases(200) {
             let world = strategy.new_tree(&mut runner).expect("a world").current();
-            let (site, results) = play(&world);
+            let (site, results) = run(&world);
             all.extend(site.scenario.customers.iter().cloned().zip(results));
         }
         let plain = || all.iter().filter(|(c, _)| !is_windowed(c));
@@ -452,8 +468,8 @@
             plain().max_by(|a, b| a.1.max_overshoot.total_cmp(&b.1.max_overshoot)).expect("a customer").1;
         let share = plain().map(|(_, r)| r.max_overshoot / r.stated).fold(0.0, f64::max);
         let longest = all.iter().filter(|(c, _)| is_within(c)).map(|(_, r)| r.longest_rejection).max();
-        let told: Vec<f64> = all.iter().filter_map(|(_, r)| r.told_more).collect();
-        let (least, more) = told.iter().fold((0.0_f64, 0.0_f64), |(l, m), t| (l.min(*t), m.max(*t)));
+        let excess: Vec<f64> = all.iter().filter_map(|(_, r)| r.excess_on_counter).collect();
+        let (least, more) = excess.iter().fold((0.0_f64, 0.0_f64), |(l, m), t| (l.min(*t), m.max(*t)));
         println!(
             "{:<10} {:>6.1} {:>7.1} {:>10.0} % {:>14.2} s {least:>10.1} to {more:.1}",
             format!("{kind:?}"),
--- a/crates/policy/tests/crossing_events.rs
+++ b/crates/policy/tests/crossing_events.rs
@@ -1,10 +1,10 @@
-//! Events that cross, told in one order or the other: what the module decides and keeps is the same.
+//! Events that cross: in either order the decisions and the remaining state are the same.
 mod common;
 use common::*;
 use policy::api::*;
 use std::collections::BTreeMap;
 
-/// One gateway, which alone adds to the counter.
+/// A single gateway, which alone adds to the counter.
 struct One {
     g: Harness,
     totals: BTreeMap<CounterKey, f64>,
@@ -17,12 +17,12 @@
         One { g: Harness::new(settings, hosts), totals: BTreeMap::new() }
     }
 
-    /// With the answers of the counter, and what follows from them.
+    /// Includes the replies of the counter, and what follows from them.
     fn on(&mut self, event: Event) -> Vec<Action> {
         let mut all = self.g.on(event);
-        let mut seen = 0;
-        while let Some((name, amount)) = calls_in(&all).get(seen).copied() {
-            seen += 1;
+        let mut next = 0;
+        while let Some((name, amount)) = calls_in(&all).get(next).copied() {
+            next += 1;
             let total = self.totals.entry(name).or_default();
             *total += amount;
             let total = *total;
@@ -70,7 +70,8 @@
 fn a_client_that_disconnects_while_its_request_waits_for_units_leaves_no_state() {
     let mut one = One::new(|_| {}, 30);
     let before = one.g.policy.size();
-    // The last units are kept back for the other class: in the end one waits for the store to fill.
+    // The last units are reserved for the other class: in the end one request waits for the token bucket to
+    // fill.
     let waits = (1..40).find(|id| {
         let actions = one.ask(*id, 7, 2.0);
         attempts_in(&actions).into_iter().for_each(|attempt| drop(one.end(attempt, 0, Outcome::Ok, 2.0)));
@@ -83,7 +84,8 @@
 
 #[test]
 fn actual_units_are_settled_once_even_if_two_attempts_respond() {
-    // Units that a customer can still have after a request that was taken for one unit and took six.
+    // Returns the units that a customer can still get after a request that was estimated at one unit and cost
+    // six.
     let left_after = |second: Outcome| {
         let mut one = One::new(|s| (s.may_hedge, s.may_cancel) = (true, false), 4);
         for id in 100..120 {
@@ -106,7 +108,7 @@
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_where_its_first_attempt_ran_even_if_that_host_restarted_elsewhere(
 ) {
-    for (scope, anew) in [(DedupScope::Cell, (0, 2)), (DedupScope::Zone, (1, 1))] {
+    for (scope, elsewhere) in [(DedupScope::Cell, (0, 2)), (DedupScope::Zone, (1, 1))] {
         for ends_first in [false, true] {
             let keyed = |s: &mut Settings| {
                 s.classes[0].idempotency = Idempotency::WithKey(scope, 3_000 * MS);
@@ -114,13 +116,13 @@
             };
             let mut one = One::new(keyed, 0);
             let at = |id, (zone, cell)| HostEntry { zone, cell, ..entry(id) };
-            let entries = vec![at(1, (0, 1)), at(2, (0, 1)), at(3, anew), at(4, anew)];
+            let entries = vec![at(1, (0, 1)), at(2, (0, 1)), at(3, elsewhere), at(4, elsewhere)];
             one.on(Event::HostList { kind: HostListKind::Full, entries });
-            // The first two stand together, and the others.
+            // The first two are in one place, and so are the others.
             let first =
                 (1..).find_map(|id| attempts_in(&one.ask(id, 7, 1.0)).pop().filter(|(_, host)| host.0 < 3));
-            let first = first.expect("one goes there");
-            let entries = vec![HostEntry { started_at: one.g.now, ..at(first.1 .0, anew) }];
+            let first = first.expect("one is forwarded there");
+            let entries = vec![HostEntry { started_at: one.g.now, ..at(first.1 .0, elsewhere) }];
             let moved = Event::HostList { kind: HostListKind::Delta, entries };
             let again = if ends_first {
                 let again = one.end(first, 0, Outcome::Error, 1.0);
@@ -131,12 +133,13 @@
                 one.end(first, 0, Outcome::Error, 1.0)
             };
             let to: Vec<u64> = attempts_in(&again).iter().map(|(_, host)| host.0).collect();
-            assert_eq!(to, [3 - first.1 .0], "{scope:?}, its end told first: {ends_first}");
+            assert_eq!(to, [3 - first.1 .0], "{scope:?}, its end reported first: {ends_first}");
         }
     }
 }
 
-/// Units that a ceiling of 3 a second and 8 at once lets out in one moment, after a lease of 4 that nobody took.
+/// Returns the units that a ceiling of 3 a second and 8 at once admits in one moment, after a lease of 4 that
+/// was not used.
 #[test]
 fn units_leased_long_ago_do_not_add_to_a_full_token_bucket() {
     let ceiling = |s: &mut Settings| {
@@ -166,7 +169,7 @@
     };
     let mut one = One::new(ceiling, 30);
     let mut units = 0.0;
-    // Far more customers than there is room for come between.
+    // Far more customers than fit into memory come in between.
     for id in 1..200 {
         for (request, host) in attempts_in(&one.ask(id, if id % 10 == 1 { 7 } else { id }, 2.0)) {
             units += if id % 10 == 1 { 2.0 } else { 0.0 };
@@ -176,33 +179,34 @@
     assert!(units > 0.0 && units <= 8.0, "{units}");
 }
 
-/// Where a request stands when its client leaves.
+/// The state of a request when its client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stands {
-    /// It waits for the counter.
+    /// The request waits for the counter.
     Units,
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Queued,
-    /// Its attempt is out, and ends like this after the word of it.
+    /// Its attempt is in flight, and ends like this after the disconnection is reported.
     Out(Outcome),
 }
 
-/// Attempts that others get at once, and requests that the customer gets in, after some of its clients have left.
+/// Returns the attempts that others get at once, and the requests of the customer that are admitted, after
+/// some of its clients have disconnected.
 fn after_leaving(stands: Option<Stands>) -> (usize, usize) {
-    // A ceiling: beside a quota's store that has filled a lease may lie that nobody took.
+    // A ceiling: a quota could have a full token bucket and an unused lease at once.
     let ceiling = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, weight_factor: 1.0, ..Plan::default() };
     let settings = |s: &mut Settings| {
         s.classes.truncate(1);
         s.plans = vec![ceiling];
     };
     let mut one = One::new(settings, 4);
-    // Of a customer met anew nobody knows what the number held before.
+    // A customer that was removed has no known total.
     one.ask(99, 7, 1.0);
     one.pass(10);
-    // Others take all slots, four at each host.
+    // Others use all slots, four at each host.
     let busy = if stands == Some(Stands::Queued) { 16 } else { 0 };
     let others: Vec<_> = (500..500 + busy).flat_map(|id| attempts_in(&one.ask(id, id, 1.0))).collect();
-    // Units that come too late for one are there for the next.
+    // Units that come too late for one request are available to the next.
     let leave = match stands {
         None => 0,
         Some(Stands::Units) => 1,
@@ -249,7 +253,7 @@
     {
         let (slots_then, units_then) = after_leaving(Some(stands));
         assert_eq!(slots_then, slots, "{stands:?}");
-        // What came whole to a host has taken its units.
+        // A request that reached a host has spent its units.
         let elapsed = matches!(stands, Stands::Out(Rejected | Cancelled | Ok | Timeout | ConnectionReset));
         let left = if elapsed { units - 12..=units - 11 } else { units..=units };
         assert!(left.contains(&units_then), "{stands:?}: {units_then} units, where else {units}");
--- a/crates/policy/tests/final_answers.rs
+++ b/crates/policy/tests/final_answers.rs
@@ -1,4 +1,4 @@
-//! Final answers, effects, drains, cold and silent hosts, and odd input.
+//! Final answers, idempotency, draining hosts, hosts that warm up or do not respond, and invalid input.
 mod common;
 use common::*;
 use policy::api::*;
@@ -52,7 +52,8 @@
 
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_while_its_bytes_arrive_within_the_window() {
-    // The window, when the first attempt fails, and by when the next has to be written, both from the first one.
+    // The window, when the first attempt fails, and when the next has to be written, the last two counted
+    // from the first attempt.
     let cases = [
         (100, 0, None),
         (150, 40, Some(50)),
@@ -114,14 +115,14 @@
     let mut g = Harness::new(open(), 4);
     let mut id = 0;
     let mut silent = Vec::new();
-    let mut late = Vec::new();
+    let mut retries = Vec::new();
     for round in 0..100 {
         id += 1;
         let mut actions = g.request(id, 0, id, 1.0);
         actions.extend(g.pass(20 * MS));
         for action in &actions {
             if let Action::Cancel { id, attempt } = action {
-                late.extend(attempts_in(&g.ended(id.0, *attempt, HostId(1), Outcome::Cancelled)));
+                retries.extend(attempts_in(&g.ended(id.0, *attempt, HostId(1), Outcome::Cancelled)));
             }
         }
         for (request, host) in attempts_in(&actions) {
@@ -133,7 +134,10 @@
         }
     }
     assert!(!silent.is_empty() && silent.len() < 10, "a trial now and then, not a flood: {silent:?}");
-    assert!(late.iter().any(|(_, host)| *host != HostId(1)), "what hung there was tried elsewhere");
+    assert!(
+        retries.iter().any(|(_, host)| *host != HostId(1)),
+        "the overdue attempts were retried elsewhere"
+    );
 }
 
 #[test]
@@ -202,7 +206,8 @@
         }
         g.pass(40 * MS);
     }
-    // With an attempt out at the other host, the class that is served goes to the idle one, the failing not.
+    // With an attempt in flight at the other host, the class that is served is forwarded to the idle one, the
+    // failing class is not.
     let to = |actions: Vec<Action>| attempts_in(&actions)[0].1;
     assert_eq!(to(g.request(201, 1, 201, 1.0)), HostId(2));
     assert_eq!(to(g.request(202, 0, 202, 1.0)), HostId(1));
--- a/crates/policy/tests/host_sizes.rs
+++ b/crates/policy/tests/host_sizes.rs
@@ -1,11 +1,11 @@
-//! Hosts of different sizes: nothing tells a gateway what a size is worth, so it learns from answers.
+//! Hosts of different sizes: a gateway learns from responses what a host can execute.
 mod common;
 use common::world::{single_gateway, HostSpec, World, USUAL_HOST};
 use common::*;
 use policy::api::*;
 
-/// A host of one core does 12.5 a second, one of eight 100; 95 a second are 0.84 of both together, and an even share
-/// would be four times what the small one can do.
+/// A host of one core executes 12.5 requests a second, one of eight cores 100; 95 a second are 0.84 of both
+/// together, and an even share would be four times what the small one can execute.
 #[test]
 fn a_large_host_gets_what_it_can_execute_without_knowledge_of_its_size() {
     let mut world =
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -1,4 +1,5 @@
-//! What operators' plan for lost hosts refuses: which, at once, with the time to come back, and nothing else.
+//! Load shedding by the operators' plan for lost hosts: the given fraction of each class and plan is rejected
+//! at once, with the time for `Retry-After`, and nothing else.
 mod common;
 use common::*;
 use policy::api::*;
@@ -27,7 +28,7 @@
     })
 }
 
-/// How many of a cell's requests are refused by the plan; each other one is served at once.
+/// Returns the number of a cell's requests that are shed; each of the others is served at once.
 fn count_rejected(g: &mut Harness, from: u64, class: usize, plan: usize) -> usize {
     let mut refused = 0;
     for id in from..from + ASKED {
@@ -47,11 +48,11 @@
 
 #[test]
 fn of_each_class_and_plan_the_given_fraction_is_admitted() {
-    // By class times plans plus plan: reads of plan 0 not at all, of plan 1 three tenths, orders of plan 0 whole,
-    // and those of plan 1 are left out.
-    let keep = vec![0.0, 0.3, 1.0];
+    // By `class * plans + plan`: no reads of plan 0, three tenths of those of plan 1, all orders of plan 0;
+    // the cell of plan 1 is missing.
+    let fractions = vec![0.0, 0.3, 1.0];
     let mut g = gateway(4);
-    g.on(Event::AdmissionFractionsChanged(keep));
+    g.on(Event::AdmissionFractionsChanged(fractions));
     for (cell, (class, plan, from, to)) in
         [(0, 0, 1_000, 1_000), (0, 1, 650, 750), (1, 0, 0, 0), (1, 1, 0, 0)].into_iter().enumerate()
     {
--- a/crates/policy/tests/lost_responses.rs
+++ b/crates/policy/tests/lost_responses.rs
@@ -1,21 +1,21 @@
-//! How soon an attempt that nobody answers is told from one that takes long, and how often one that takes long is taken
-//! for one that nobody answers.
+//! How soon a lost response is detected, and how often a slow one is taken for lost.
 mod common;
 use common::world::{single_gateway, HostSpec, World, USUAL_HOST};
 use common::*;
 use policy::api::*;
 
-/// Lognormal, about 38 ms in the median, now and then five times as long.
+/// Lognormal, about 38 ms in the median, at times five times as long.
 fn work(dice: &mut Dice) -> Span {
     let sum: f64 = (0..12).map(|_| dice.unit()).sum();
     (38.0 * libm::exp(0.6 * (sum - 6.0)) * MS as f64) as Span
 }
 
-/// What came of a minute, after one in which it was learnt: of ten hosts some are like this.
+/// The results of a minute, after one to learn from, with some of ten hosts like this.
 struct Measured {
-    /// Half of the swallowed attempts that got another beside them got it within this.
+    /// Median time until an attempt without a response got another beside it.
     median: Span,
-    /// The share of them that got one, and that of all attempts which got one though they were to be answered.
+    /// Fraction of these attempts that got another; and fraction of all attempts that got another although
+    /// they would have got a response.
     detected: f64,
     alarms: f64,
     served: f64,
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Pools and routes: where requests go, what a full or deserted pool holds up, and limits of routes.
+//! Pools and routes: where requests are forwarded, what a full or empty pool delays, and limits of routes.
 mod common;
 use common::*;
 use policy::api::*;
@@ -42,7 +42,7 @@
     g.on(Event::Request(Request { remaining: 4_000 * MS, set_size: 2, ..request }))
 }
 
-/// Sends until nothing more goes out; gives the hosts.
+/// Sends requests until none is forwarded any more; returns the hosts.
 fn fill(g: &mut Harness, from: u64, route: Route) -> Vec<HostId> {
     (from..from + 100).flat_map(|id| attempts_in(&request(g, id, 0, route))).map(|(_, host)| host).collect()
 }
@@ -132,7 +132,7 @@
     let refusal =
         Action::Reject { id: RequestId(1), retry_after: Some(800 * MS), reason: RejectReason::NoHost };
     assert!(actions.contains(&refusal), "{actions:?}");
-    // Before the first list there is nothing to go by: it waits, as ever.
+    // Before the first endpoint list no pool is known to be empty: the request waits.
     let mut new = Harness::just_started(open(), 0);
     assert!(!is_rejected(&request(&mut new, 1, 0, to(A)), 1));
     assert_eq!(attempts_in(&new.list(HostListKind::Full, vec![member(1, A)])), [(RequestId(1), HostId(1))]);
@@ -146,7 +146,7 @@
     assert_eq!(sent.len(), 3, "{sent:?}");
     let (_, other) = attempts_in(&request(&mut g, 500, 0, to(B)))[0];
     assert!([3, 4].contains(&other.0));
-    // An answer frees the slot for the one that has waited longest.
+    // A response releases the slot for the request that has waited longest.
     let next = attempts_in(&g.ended(1, 0, sent[0], Outcome::Ok));
     assert_eq!(next.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [4]);
 }
@@ -163,7 +163,7 @@
         })
         .collect();
     assert!(sent.iter().all(|host| *host == 2), "{sent:?}");
-    // Its slot went with it: a pool of one host has as many as one host has.
+    // Its slot is gone: a pool of one host has as many as one host has.
     assert_eq!(fill(&mut g, 100, to(A)).len(), 2);
 }
 
@@ -175,10 +175,10 @@
     let sent = fill(&mut g, 1, limited(7, 2));
     assert_eq!(sent.len(), 2, "{sent:?}");
     assert_eq!(fill(&mut g, 200, limited(8, 1)).len(), 1, "another route has its own");
-    assert!(!attempts_in(&request(&mut g, 400, 0, to(0))).is_empty(), "what has no limit goes on");
+    assert!(!attempts_in(&request(&mut g, 400, 0, to(0))).is_empty(), "a route without a limit continues");
     let next = attempts_in(&g.ended(1, 0, sent[0], Outcome::Ok));
     assert_eq!(next.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [3]);
-    // One that ends without success frees its place as well, and its own retry needs one.
+    // An attempt that ends without success counts no more either, and its retry needs a place.
     let again = attempts_in(&g.ended(2, 0, sent[1], Outcome::Error));
     assert_eq!(again.len(), 1, "{again:?}");
 }
@@ -196,7 +196,7 @@
         let mut g = Harness::new(Settings { may_hedge: true, ..open() }, 0);
         g.list(HostListKind::Full, vec![member(1, A), member(2, A), member(3, B)]);
         let sent = fill(&mut g, 1, Route { limit, ..to(A) });
-        // Longer than the aim without an answer; those that waited for a slot are over.
+        // Longer than the objective without a response; those that waited for a slot are given up.
         g.pass(1_100 * MS);
         (sent.len(), attempts_in(&request(&mut g, 500, 0, Route { limit, ..to(A) })).len())
     };
@@ -215,6 +215,6 @@
         let (_, host) = attempts_in(&request(&mut g, id, 0, route))[0];
         g.ended(id, 0, host, Outcome::Ok);
     }
-    // Counts that drifted would shut the pools in the end.
+    // Wrong counts would close the pools in the end.
     assert_eq!(fill(&mut g, 5_000, to(A)).len(), 3);
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Leases: blocks, return, settlement, and a counter that is silent, empty or slow.
+//! Leases, returned units, settlement, and a counter that is unreachable, reset or slow.
 mod common;
 use common::counter::{Fault, FaultWindow};
 use common::site::{Customer, Scenario, Site, TrafficPattern, START};
@@ -8,7 +8,7 @@
 use quota::{GatewaySet, WindowedLimiter};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Sends a request and answers its call with the total that other gateways leave.
+/// Sends a request and replies to its call with the total that other gateways leave.
 fn lease(g: &mut Harness, id: u64, units: f64, others: f64, total: &mut f64) -> Vec<Action> {
     let mut actions = g.request(id, 0, 7, units);
     for (name, amount) in calls_in(&actions) {
@@ -22,7 +22,7 @@
 fn units_are_leased_before_the_first_attempt_and_a_lease_serves_several_requests() {
     let (mut g, mut total) = (Harness::new(settings(), 60), 0.0);
     let first = g.request(1, 0, 7, 2.0);
-    assert!(attempts_in(&first).is_empty(), "nothing goes out before the lease");
+    assert!(attempts_in(&first).is_empty(), "no attempt before the lease");
     let (name, amount) = calls_in(&first)[0];
     assert!(amount >= 2.0);
     total += amount;
@@ -32,11 +32,11 @@
         g.pass(100 * MS);
         asked += calls_in(&lease(&mut g, id, 1.0, 0.0, &mut total)).len();
     }
-    assert!(asked < 6, "blocks of several units, not a call a request: {asked}");
+    assert!(asked < 6, "leases of several units, not a call for each request: {asked}");
 }
 
-/// More requests of a customer wait for the counter than are tried at once: those behind wait as well, and are let in by
-/// answers that cover them.
+/// More requests of a customer wait for the counter than are considered at once: those behind wait as well,
+/// and are admitted by replies that cover them.
 #[test]
 fn requests_behind_those_considered_are_admitted_by_replies_that_cover_them() {
     let plan =
@@ -48,15 +48,15 @@
         sent += attempts_in(&actions).len();
         let refused = (1..=40).filter(|id| is_rejected(&actions, *id)).count();
         assert_eq!(refused, 0, "beyond a quota of 1,000 units, with {sent} sent");
-        let mut news = Vec::new();
+        let mut replies = Vec::new();
         for (name, amount) in calls_in(&actions) {
             total += amount;
-            news.extend(g.counter_replied(name, Outcome::Ok, total));
+            replies.extend(g.counter_replied(name, Outcome::Ok, total));
         }
-        news.extend(g.pass(20 * MS));
-        actions = news;
+        replies.extend(g.pass(20 * MS));
+        actions = replies;
     }
-    // Whatever still waits is refused in its time.
+    // The requests that still wait are rejected in time.
     g.pass(1_000 * MS);
     assert_eq!(sent, 40);
 }
@@ -124,23 +124,23 @@
             sent += attempts_in(&g.counter_replied(name, Outcome::Rejected, 0.0)).len();
         }
     }
-    assert!(sent >= 42, "most of an even part of each store is let in: {sent}");
+    assert!(sent >= 42, "most of an even fraction of each token bucket is admitted: {sent}");
     let more: usize = (100..140).map(|id| calls_in(&g.request(id, 0, id % 6, 1.0)).len()).sum();
     assert_eq!(more, 0, "a dead counter is not called for every request");
     g.pass(1_100 * MS);
-    assert_eq!(calls_in(&g.request(200, 0, 1, 1.0)).len(), 1, "but tried again after a while");
+    assert_eq!(calls_in(&g.request(200, 0, 1, 1.0)).len(), 1, "but called again after a while");
 }
 
 #[test]
 fn a_total_that_decreased_leaves_no_units_to_reconcile() {
     let mut g = Harness::new(settings(), 60);
-    let (mut totals, mut sent, mut looked) = (BTreeMap::<CounterKey, f64>::new(), 0, 0);
+    let (mut totals, mut sent, mut reads) = (BTreeMap::<CounterKey, f64>::new(), 0, 0);
     for id in 1..=80 {
         if id == 40 {
             totals.clear();
         }
         let mut actions = g.pass(200 * MS);
-        looked += calls_in(&actions).iter().filter(|(_, amount)| *amount == 0.0).count();
+        reads += calls_in(&actions).iter().filter(|(_, amount)| *amount == 0.0).count();
         actions.extend(g.request(id, 0, 1, 1.0));
         while !actions.is_empty() {
             sent += attempts_in(&actions).len();
@@ -153,7 +153,7 @@
         }
     }
     assert!(sent >= 75, "five units a second of a rate of ten: {sent}");
-    assert!(looked > 0, "the other numbers are looked at as well");
+    assert!(reads > 0, "the other numbers are read as well");
 }
 
 #[test]
@@ -182,8 +182,8 @@
     assert!((7..=12).contains(&sent), "about half of a burst of 20 for a spread of 2: {sent}");
 }
 
-/// One of 200 gateways meets a customer spread over all of them: how many of 200 requests it lets in when
-/// all gateways together are asked for `use_of_rate` times the customer's rate.
+/// Returns how many of 200 requests one of 200 gateways admits of a customer that all of them serve, when all
+/// together get `use_of_rate` times the customer's rate.
 fn let_in_when_spread(use_of_rate: f64) -> usize {
     let many = Settings { gateways: 200, ..settings() };
     let set = GatewaySet { first_gateway: 0, set_size: 200, gateway_index: 0, gateways: 200 };
@@ -200,7 +200,7 @@
         };
         let mut actions = g.on(Event::Request(request));
         for (name, amount) in calls_in(&actions) {
-            // In a window, which has a number of its own, all are asked for as much as was said.
+            // In a window, which has a number of its own, the demand is as given.
             let window = windows.window_at(g.now);
             assert_eq!(name, counter_keys::demand(CustomerId(0), window));
             let lasted = (g.now - windows.window_start(window)) as f64 / windows.window_length() as f64;
@@ -317,18 +317,21 @@
             refusals += (1..=id).filter(|id| is_rejected(&actions, *id)).count();
         }
         assert_eq!(sent + refusals, 100, "{gateways} gateways, spread {spread}: each request has its answer");
-        assert!(sent > 0, "{gateways} gateways, spread {spread}: a customer far inside its quota is let in");
+        assert!(
+            sent > 0,
+            "{gateways} gateways, spread {spread}: a customer far within its quota is admitted"
+        );
     }
 }
 
-/// One gateway of one, with a customer whose store holds one request of two units and hardly fills.
+/// A single gateway, with a customer whose token bucket holds one request of two units and hardly refills.
 fn tight() -> Harness {
     let mut settings = Settings { gateways: 1, ..settings() };
     (settings.plans[0].rate, settings.plans[0].burst) = (0.01, 2.0);
     Harness::new(settings, 60)
 }
 
-/// Asks for the whole store, answers the calls, and gives the sends.
+/// Requests all units, replies to the calls, and returns the attempts.
 fn ask_for_all(g: &mut Harness, id: u64, total: &mut f64) -> Vec<(RequestId, HostId)> {
     let mut actions = g.request(id, 1, 7, 2.0);
     for (name, amount) in calls_in(&actions) {
@@ -338,7 +341,7 @@
     attempts_in(&actions)
 }
 
-/// Lets each attempt of a request end like this until it has its final answer.
+/// Lets each attempt of a request end like this until the request has its final answer.
 fn end_all(g: &mut Harness, mut out: Vec<(RequestId, HostId)>, outcome: Outcome) -> u32 {
     let mut attempt = 0;
     while let Some((id, host)) = out.pop() {
@@ -352,7 +355,7 @@
 fn a_request_that_reached_no_host_returns_its_units() {
     let (mut g, mut total) = (tight(), 0.0);
     let out = ask_for_all(&mut g, 1, &mut total);
-    assert!(end_all(&mut g, out, Outcome::ConnectFailed) > 1, "it is tried at several hosts");
+    assert!(end_all(&mut g, out, Outcome::ConnectFailed) > 1, "it is forwarded to several hosts");
     assert_eq!(ask_for_all(&mut g, 2, &mut total).len(), 1, "its units are there for the next one");
     assert_eq!(ask_for_all(&mut g, 3, &mut total).len(), 0, "and only once");
 }
@@ -374,7 +377,7 @@
     assert_eq!(
         ask_for_all(&mut g, 2, &mut total).len(),
         0,
-        "the first attempt has come whole, the others not"
+        "the first attempt has reached its host, the others have not"
     );
 }
 
@@ -392,7 +395,7 @@
     assert_eq!(ask_for_all(&mut g, 4, &mut total).len(), 0);
 }
 
-/// Answers all calls with what they add, and gives the sends.
+/// Replies to all calls with what they add, and returns the attempts.
 fn sent_when_counted(g: &mut Harness, mut actions: Vec<Action>) -> Vec<(RequestId, HostId)> {
     while let Some(at) = actions.iter().position(|action| matches!(action, Action::AddToCounter { .. })) {
         let (name, amount) = calls_in(&[actions.swap_remove(at)])[0];
@@ -424,76 +427,78 @@
     assert!(sent >= 18, "and each that ends makes room: {sent}");
 }
 
-/// What a counter of one's own holds, for one gateway of one.
+/// What the counter of a single gateway holds.
 #[derive(Default)]
 struct Book {
     totals: BTreeMap<CounterKey, f64>,
 }
 
 impl Book {
-    /// Answers all calls; those to `name` as given: added or not, answered or not.
+    /// Replies to all calls; those to `name` as given: whether the amount is added, and whether a reply
+    /// comes.
     fn answer(
         &mut self,
         g: &mut Harness,
         actions: &mut Vec<Action>,
         name: CounterKey,
-        (added, said): (bool, bool),
+        (is_added, is_answered): (bool, bool),
     ) {
         for (called, amount) in calls_in(actions) {
             let odd = called == name;
             let total = self.totals.entry(called).or_default();
-            *total += if odd && !added { 0.0 } else { amount };
-            let outcome = if odd && !said { Outcome::Timeout } else { Outcome::Ok };
+            *total += if odd && !is_added { 0.0 } else { amount };
+            let outcome = if odd && !is_answered { Outcome::Timeout } else { Outcome::Ok };
             actions.extend(g.counter_replied(called, outcome, *total));
         }
     }
 }
 
-/// One gateway is in the dark for two seconds from the start, and is back: units sent until the counter was
-/// asked for some, and whole units under the late name after the first call that told went like this.
+/// A single gateway has no counter for the first two seconds. Returns the units forwarded until the counter
+/// is called for some, and the units reconciled after the first reconciliation went like this.
 fn reconciled_after_outage(first_reply: (bool, bool)) -> (f64, f64) {
     let (mut g, mut book) = (Harness::new(Settings { gateways: 1, ..settings() }, 60), Book::default());
-    let [late, leased] =
+    let [reconciled, leased] =
         [counter_keys::reconciled, counter_keys::leased].map(|name| name(CustomerId(7), g.now));
-    let (mut lent, mut how) = (0.0, first_reply);
+    let (mut granted, mut how) = (0.0, first_reply);
     for id in 1..80 {
-        let dark = id < 20;
-        let mut actions = if dark || id % 10 == 0 { g.request(id, 1, 7, 1.0) } else { Vec::new() };
+        let is_counter_down = id < 20;
+        let mut actions = if is_counter_down || id % 10 == 0 { g.request(id, 1, 7, 1.0) } else { Vec::new() };
         actions.extend(g.pass(100 * MS));
-        let lends = dark || !book.totals.contains_key(&leased);
+        let is_granted_locally = is_counter_down || !book.totals.contains_key(&leased);
         let out = attempts_in(&actions);
-        lent += if lends { out.len() as f64 } else { 0.0 };
-        if dark {
+        granted += if is_granted_locally { out.len() as f64 } else { 0.0 };
+        if is_counter_down {
             for (name, _) in calls_in(&actions) {
                 let more = attempts_in(&g.counter_replied(name, Outcome::ConnectFailed, 0.0));
-                lent += more.len() as f64;
+                granted += more.len() as f64;
                 more.iter().for_each(|(id, host)| drop(g.ended(id.0, 0, *host, Outcome::Ok)));
             }
         } else {
-            // The first call to a number may only read.
-            let tells = calls_in(&actions).iter().any(|(name, amount)| *name == late && *amount > 0.0);
-            book.answer(&mut g, &mut actions, late, if tells { how } else { (true, true) });
-            how = if tells { (true, true) } else { how };
+            // The first call for a number may only read.
+            let reconciles =
+                calls_in(&actions).iter().any(|(name, amount)| *name == reconciled && *amount > 0.0);
+            book.answer(&mut g, &mut actions, reconciled, if reconciles { how } else { (true, true) });
+            how = if reconciles { (true, true) } else { how };
         }
         out.iter().for_each(|(id, host)| drop(g.ended(id.0, 0, *host, Outcome::Ok)));
     }
-    (lent, book.totals.get(&late).map_or(0.0, |total| total.floor()))
+    (granted, book.totals.get(&reconciled).map_or(0.0, |total| total.floor()))
 }
 
 #[test]
 fn units_granted_locally_are_reconciled_exactly_once() {
     for first in [(true, true), (true, false), (false, false)] {
-        let (lent, told) = reconciled_after_outage(first);
-        assert!(lent >= 10.0, "most of 18 units were let in: {lent}");
-        assert_eq!(lent, told, "the first call to tell it was (added, answered): {first:?}");
+        let (granted, reconciled) = reconciled_after_outage(first);
+        assert!(granted >= 10.0, "most of 18 units were admitted: {granted}");
+        assert_eq!(granted, reconciled, "the first reconciliation was (added, answered): {first:?}");
     }
 }
 
 #[test]
 fn units_returned_before_a_reconciliation_do_not_prevent_a_later_one() {
     let mut g = Harness::new(Settings { gateways: 1, ..settings() }, 60);
-    let late = counter_keys::reconciled(CustomerId(7), g.now);
-    let mut told = Vec::new();
+    let key = counter_keys::reconciled(CustomerId(7), g.now);
+    let mut reconciliations = Vec::new();
     for id in 1..40 {
         let mut actions = g.request(id, 1, 7, 1.0);
         let refuse = |g: &mut Harness, actions: &mut Vec<Action>| {
@@ -503,7 +508,7 @@
         };
         refuse(&mut g, &mut actions);
         for (request, host) in attempts_in(&actions) {
-            // The early ones cost next to nothing, as it turns out.
+            // The first requests turn out to cost next to nothing.
             let true_units = Some(if id < 10 { 0.01 } else { 1.0 });
             let end = AttemptEnded {
                 id: request,
@@ -519,10 +524,10 @@
             g.on(Event::AttemptEnded(end));
         }
         let mut actions = g.pass(200 * MS);
-        told.extend(calls_in(&actions).into_iter().filter(|(name, _)| *name == late));
+        reconciliations.extend(calls_in(&actions).into_iter().filter(|(name, _)| *name == key));
         refuse(&mut g, &mut actions);
     }
-    assert!(told.len() >= 3, "it goes on trying: {told:?}");
+    assert!(reconciliations.len() >= 3, "it is retried: {reconciliations:?}");
 }
 
 #[test]
@@ -533,7 +538,7 @@
         set_size: 3,
         first_gateway: n % 3,
         most_units: 1,
-        truth: 1.0,
+        actual_factor: 1.0,
         traffic: TrafficPattern::Even(0.3),
         from: 0,
     };
@@ -553,7 +558,7 @@
     let calls_from =
         |from: Time| site.counter.calls.iter().filter(|at| (from..from + 1_000 * MS).contains(*at)).count();
     let after: Vec<usize> = (0..20).map(|tenth| calls_from(back + tenth * 100 * MS)).collect();
-    // The pulses, four a second, do not wait.
+    // The heartbeats, four a second, do not wait.
     assert!(after.iter().all(|count| *count <= 305), "calls in each second after it is back: {after:?}");
     assert!(after.iter().any(|count| *count >= 100), "and it is used: {after:?}");
 }
@@ -578,12 +583,12 @@
             (Outcome::Ok, total)
         })
     };
-    let (whole, apart) = (let_in(true), let_in(false));
-    assert!((36..=41).contains(&whole), "all of a store of 40: {whole}");
-    assert!((15..=21).contains(&apart), "half of it for one of two gateways: {apart}");
+    let (complete, partitioned) = (let_in(true), let_in(false));
+    assert!((36..=41).contains(&complete), "all of a token bucket of 40: {complete}");
+    assert!((15..=21).contains(&partitioned), "half of it for one of two gateways: {partitioned}");
 }
 
-/// Asks for one unit each and answers all calls; how many were sent on.
+/// Requests one unit each, replies to all calls, and returns the number of attempts.
 fn ask(
     g: &mut Harness,
     ids: std::ops::Range<u64>,
@@ -604,7 +609,7 @@
     sent
 }
 
-/// A counter that holds this, and what is added from now on, marks and all.
+/// A counter that holds these units and what is added from now on, marks included.
 fn adds_to(mut total: f64) -> impl FnMut(CounterKey, f64) -> (Outcome, f64) {
     move |_, amount| {
         total += amount;
@@ -620,10 +625,10 @@
 fn units_used_elsewhere_meanwhile_are_not_granted_once_the_counter_is_back() {
     let mut g = Harness::new(settings(), 60);
     ask(&mut g, 1..2, |_, amount| (Outcome::Ok, amount));
-    let dark = ask(&mut g, 2..40, no_connection);
-    assert!((8..=11).contains(&dark), "its part of a store of 20: {dark}");
+    let granted = ask(&mut g, 2..40, no_connection);
+    assert!((8..=11).contains(&granted), "its fraction of a token bucket of 20: {granted}");
     g.pass(2_000 * MS);
-    // The first is lent while its call is on the way.
+    // Units are granted locally to the first while its call is in flight.
     let back = ask(&mut g, 40..60, |_, amount| (Outcome::Ok, 200.0 + amount));
     assert!(back <= 1, "the others took all there was: {back}");
 }
@@ -636,7 +641,7 @@
         first += amount;
         (Outcome::Ok, first)
     });
-    // Ten units a second, of which the others take eight, and it does not look.
+    // Ten units a second, of which the others use eight, and the gateway makes no call.
     g.pass(10_000 * MS);
     ask(&mut g, 2..8, no_connection);
     g.pass(1_000 * MS);
@@ -665,8 +670,8 @@
         ask(&mut g, 4..60, no_connection)
     };
     let (new, known) = (let_in(4_000 * MS), let_in(12_000 * MS));
-    assert!((8..=11).contains(&new), "half of a store of 20: {new}");
-    assert!((17..=26).contains(&known), "and what is lent to one who is known: {known}");
+    assert!((8..=11).contains(&new), "half of a token bucket of 20: {new}");
+    assert!((17..=26).contains(&known), "and what a known customer is granted: {known}");
 }
 
 #[test]
@@ -678,20 +683,23 @@
             assert!(all.insert(counter_keys::leased(customer, at)), "{customer:?}, leased in epoch {epoch}");
             assert!(
                 all.insert(counter_keys::reconciled(customer, at)),
-                "{customer:?}, told late in epoch {epoch}"
+                "{customer:?}, reconciled in epoch {epoch}"
             );
         }
     }
-    for beats in 0..80 {
+    for epoch in 0..80 {
         for group in 0..50 {
-            let at = START + beats * quota::HEARTBEAT_EPOCH;
-            assert!(all.insert(counter_keys::heartbeat(group, at)), "pulse of group {group}, epoch {beats}");
+            let at = START + epoch * quota::HEARTBEAT_EPOCH;
+            assert!(
+                all.insert(counter_keys::heartbeat(group, at)),
+                "heartbeats of group {group}, epoch {epoch}"
+            );
         }
     }
-    let (first, late) = (START, START + counter_keys::EPOCH - 1);
+    let (first, last) = (START, START + counter_keys::EPOCH - 1);
     assert_eq!(
         counter_keys::leased(CustomerId(1), first),
-        counter_keys::leased(CustomerId(1), late),
+        counter_keys::leased(CustomerId(1), last),
         "one name an epoch"
     );
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules under random legal events, with a fixed seed.
+//! The rules for attempts and answers under random legal events, with a fixed seed.
 mod common;
 use common::*;
 use policy::api::*;
@@ -13,7 +13,7 @@
     End { pick: usize, outcome: u8 },
     Count { pick: usize },
     Leave { pick: usize },
-    Host { id: u64, state: u8, fresh: bool },
+    Host { id: u64, state: u8, is_restarted: bool },
     Pass { ms: u16 },
 }
 
@@ -25,13 +25,13 @@
         4 => (any::<usize>(), 0..7u8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
         4 => any::<usize>().prop_map(|pick| Step::Count { pick }),
         1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
-        1 => (1..7u64, 0..3u8, any::<bool>()).prop_map(|(id, state, fresh)| Step::Host { id, state, fresh }),
+        1 => (1..7u64, 0..3u8, any::<bool>()).prop_map(|(id, state, is_restarted)| Step::Host { id, state, is_restarted }),
         3 => (1..300u16).prop_map(|ms| Step::Pass { ms }),
     ]
 }
 
 #[derive(Default)]
-struct Seen {
+struct TrackedRequest {
     class: usize,
     deadline: Time,
     answers: u32,
@@ -44,7 +44,7 @@
     settings: Settings,
     policy: Policy,
     now: Time,
-    requests: BTreeMap<RequestId, Seen>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     hosts: BTreeMap<HostId, HostEntry>,
     counts: Vec<(CounterKey, f64)>,
     totals: BTreeMap<CounterKey, f64>,
@@ -91,7 +91,7 @@
                 let to = self.hosts.get(&host).expect("a listed host");
                 assert_eq!(to.state, HostState::Ready, "drains are kept");
                 let r = self.requests.get_mut(&id).expect("a known request");
-                assert!(r.answers == 0 && !r.left, "nothing goes out after the final answer");
+                assert!(r.answers == 0 && !r.left, "no attempt after the final answer");
                 assert!(self.settings.may_hedge || r.attempts.iter().all(|a| a.3.is_some()));
                 assert!((r.attempts.len() as u32) < self.settings.max_attempts);
                 if let Some(first) = r.attempts.iter().find(|a| !never_ran(a.3)) {
@@ -166,7 +166,7 @@
         attempts.collect()
     }
 
-    /// Time passes in steps of the bench's kind: due timers ring, due attempts time out.
+    /// Advances time in steps: timers, and attempts without a response, expire.
     fn pass(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(2) {
             self.now += 2 * MS;
@@ -175,9 +175,9 @@
                     self.end(id, attempt, Outcome::Timeout);
                 }
             }
-            let due = self.timers.iter().filter(|t| **t <= self.now).count();
+            let expired = self.timers.iter().filter(|t| **t <= self.now).count();
             self.timers.retain(|t| *t > self.now);
-            (0..due).for_each(|_| self.report(Event::TimerExpired { token: 0 }));
+            (0..expired).for_each(|_| self.report(Event::TimerExpired { token: 0 }));
         }
     }
 
@@ -186,7 +186,7 @@
             Step::Request { class, customer, units, remaining } => {
                 let (id, remaining) = (RequestId(id), remaining as u64 * MS);
                 let deadline = self.now + remaining;
-                self.requests.insert(id, Seen { class, deadline, ..Seen::default() });
+                self.requests.insert(id, TrackedRequest { class, deadline, ..TrackedRequest::default() });
                 let (customer, units) = (CustomerId(customer), units as f64);
                 let request =
                     Request { id, class, customer, remaining, units, set_size: 2, ..Request::default() };
@@ -220,11 +220,11 @@
                 r.left |= r.answers == 0;
                 self.report(Event::ClientDisconnected { id });
             }
-            Step::Host { id, state, fresh } => {
+            Step::Host { id, state, is_restarted } => {
                 let state = [HostState::Ready, HostState::Draining, HostState::Gone][state as usize];
                 let entry = self.hosts.get_mut(&HostId(id)).expect("listed");
                 entry.state = state;
-                entry.started_at = if fresh { self.now } else { entry.started_at };
+                entry.started_at = if is_restarted { self.now } else { entry.started_at };
                 let entries = vec![entry.clone()];
                 self.report(Event::HostList { kind: HostListKind::Delta, entries });
             }
@@ -256,7 +256,7 @@
 
 #[test]
 fn many_gateways_together_send_a_host_in_slow_start_no_more_than_its_part() {
-    // Each of 200 gateways sees two requests a second; 20 hosts, one of them restarts.
+    // Each of 200 gateways gets two requests a second; of 20 hosts one restarts.
     let open = Settings { gateways: 200, plans: vec![Plan::default()], ..settings() };
     let mut gateways: Vec<_> = (0..200)
         .map(|seed| {
@@ -282,7 +282,8 @@
             g.pass(500 * MS);
         }
     }
-    // Six seconds of a ten-second ramp from a fifth: at most its ramp's part of an even share.
+    // Six seconds of a warm-up of ten seconds, from a fifth of the capacity: at most its part of an even
+    // share.
     let even = all as f64 / 20.0;
     assert!(cold > 0 && (cold as f64) < 0.6 * even, "{cold} sent against {even} to a warm one");
 }
--- a/crates/policy/tests/session.rs
+++ b/crates/policy/tests/session.rs
@@ -1,4 +1,4 @@
-//! The module decides the same on every machine and in every build: the digest of a fixed session is pinned.
+//! The decisions are the same on every machine and in every build: the digests of fixed sessions are pinned.
 mod common;
 use common::*;
 use policy::api::*;
@@ -8,23 +8,23 @@
 const LENGTH: Span = 40_000 * MS;
 const HOSTS: u64 = 6;
 
-enum Due {
+enum Scheduled {
     Arrival,
     Change,
-    Told(Event),
+    Event(Event),
 }
 
-/// One gateway under random events: requests of all kinds, a shared counter, hosts that come and go.
+/// A single gateway under random events: requests of all kinds, a shared counter, hosts that come and go.
 struct Session {
     policy: Policy,
     dice: Dice,
     now: Time,
-    due: BTreeMap<(Time, u64), Due>,
+    schedule: BTreeMap<(Time, u64), Scheduled>,
     number: u64,
     attempts: BTreeMap<RequestId, u32>,
     over: BTreeSet<RequestId>,
     totals: BTreeMap<CounterKey, f64>,
-    colds: bool,
+    with_slow_start: bool,
     done: Vec<(Time, Action)>,
 }
 
@@ -42,35 +42,35 @@
 }
 
 impl Session {
-    fn play(seed: u64, colds: bool) -> Vec<(Time, Action)> {
+    fn run(seed: u64, with_slow_start: bool) -> Vec<(Time, Action)> {
         let mut session = Session {
             policy: Policy::new(site(seed % 2 == 0), seed),
             dice: Dice(seed),
             now: 1_000_000 * MS,
-            due: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             number: 0,
             attempts: BTreeMap::new(),
             over: BTreeSet::new(),
             totals: BTreeMap::new(),
-            colds,
+            with_slow_start,
             done: Vec::new(),
         };
         let host = |id| HostEntry { zone: id as u32 % 3, cell: id as u32 / 3, ..entry(id) };
         session
             .report(Event::HostList { kind: HostListKind::Cached, entries: (1..=HOSTS).map(host).collect() });
-        session.plan(0, Due::Arrival);
-        session.plan(500 * MS, Due::Change);
+        session.schedule(0, Scheduled::Arrival);
+        session.schedule(500 * MS, Scheduled::Change);
         let end = session.now + LENGTH;
-        while let Some(((at, _), due)) = session.due.pop_first().filter(|((at, _), _)| *at < end) {
+        while let Some(((at, _), scheduled)) = session.schedule.pop_first().filter(|((at, _), _)| *at < end) {
             session.now = at;
-            session.step(due);
+            session.step(scheduled);
         }
         session.done
     }
 
-    fn plan(&mut self, after: Span, due: Due) {
+    fn schedule(&mut self, after: Span, scheduled: Scheduled) {
         self.number += 1;
-        self.due.insert((self.now + after, self.number), due);
+        self.schedule.insert((self.now + after, self.number), scheduled);
     }
 
     fn span(&mut self, mean_ms: f64) -> Span {
@@ -86,12 +86,12 @@
         }
     }
 
-    fn step(&mut self, due: Due) {
-        match due {
-            Due::Told(Event::AttemptEnded(end)) => self.end(end),
-            Due::Told(event) => self.report(event),
-            Due::Arrival => self.arrive(),
-            Due::Change => self.change(),
+    fn step(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Event(Event::AttemptEnded(end)) => self.end(end),
+            Scheduled::Event(event) => self.report(event),
+            Scheduled::Arrival => self.arrive(),
+            Scheduled::Change => self.change(),
         }
     }
 
@@ -99,7 +99,7 @@
     fn arrive(&mut self) {
         let jump = self.now / (1_000 * MS) % 8 == 0;
         let gap = self.span(if jump { 5.0 } else { 14.0 });
-        self.plan(gap, Due::Arrival);
+        self.schedule(gap, Scheduled::Arrival);
         let (id, customer) = (RequestId(self.number), self.dice.below(45));
         let request = Request {
             id,
@@ -116,15 +116,15 @@
         };
         if self.dice.chance(0.02) {
             let after = self.span(300.0);
-            self.plan(after, Due::Told(Event::ClientDisconnected { id }));
+            self.schedule(after, Scheduled::Event(Event::ClientDisconnected { id }));
         }
         self.report(Event::Request(request));
     }
 
-    /// A host drains, goes, comes back, or reports its load.
+    /// A host drains, is removed, comes back, or reports its load.
     fn change(&mut self) {
         let gap = self.span(400.0);
-        self.plan(gap, Due::Change);
+        self.schedule(gap, Scheduled::Change);
         let id = 1 + self.dice.below(HOSTS);
         if self.dice.chance(0.5) {
             let report = LoadReport { queued: Some(self.dice.below(5) as f64), ..LoadReport::default() };
@@ -139,7 +139,7 @@
             1 => HostState::Gone,
             _ => HostState::Ready,
         };
-        let started = if self.colds && state == HostState::Ready { self.now - 100 * MS } else { 0 };
+        let started = if self.with_slow_start && state == HostState::Ready { self.now - 100 * MS } else { 0 };
         let host =
             HostEntry { zone: id as u32 % 3, cell: id as u32 / 3, state, started_at: started, ..entry(id) };
         self.report(Event::HostList { kind: HostListKind::Delta, entries: vec![host] });
@@ -150,13 +150,15 @@
             Action::Forward { id, host, deadline: until, .. } => self.attempt(id, host, until),
             Action::AddToCounter { key: name, amount, .. } => self.count(name, amount),
             Action::Reject { id, .. } | Action::Fail { id, .. } => drop(self.over.insert(id)),
-            Action::SetTimer { after, token } => self.plan(after, Due::Told(Event::TimerExpired { token })),
-            // Withdrawn attempts run on here: their outcomes come as drawn, which is legal.
+            Action::SetTimer { after, token } => {
+                self.schedule(after, Scheduled::Event(Event::TimerExpired { token }))
+            }
+            // Cancelled attempts continue here: their outcomes come as drawn, which is legal.
             _ => {}
         }
     }
 
-    /// Host 1 is slow, host 2 often fails; now and then an attempt hangs until it times out.
+    /// Host 1 is slow, host 2 often fails, and some attempts get no response until they time out.
     fn attempt(&mut self, id: RequestId, host: HostId, until: Time) {
         use Outcome::*;
         let count = self.attempts.entry(id).or_default();
@@ -185,7 +187,7 @@
             actual_units: Some((1 + self.dice.below(3)) as f64),
             report: Some(report),
         };
-        self.plan(elapsed, Due::Told(Event::AttemptEnded(end)));
+        self.schedule(elapsed, Scheduled::Event(Event::AttemptEnded(end)));
     }
 
     fn end(&mut self, end: AttemptEnded) {
@@ -196,7 +198,7 @@
         self.report(Event::AttemptEnded(AttemptEnded { is_request_closed: closed, ..end }));
     }
 
-    /// Others add to the same numbers; for two seconds in every ten the counter is silent.
+    /// Other gateways add to the same numbers; for two seconds in every ten the counter does not reply.
     fn count(&mut self, name: CounterKey, amount: f64) {
         let others = self.dice.exponential(1.0);
         let total = self.totals.entry(name).or_default();
@@ -205,7 +207,10 @@
         let silent = self.now / (1_000 * MS) % 10 < 2;
         let outcome = if silent { Outcome::Timeout } else { Outcome::Ok };
         let elapsed = if silent { 30 * MS } else { self.span(3.0) };
-        self.plan(elapsed, Due::Told(Event::CounterReplied { key: name, outcome, total, elapsed }));
+        self.schedule(
+            elapsed,
+            Scheduled::Event(Event::CounterReplied { key: name, outcome, total, elapsed }),
+        );
     }
 }
 
@@ -217,8 +222,8 @@
         Action::Reject { id, retry_after, .. } => [*at, 3, id.0, retry_after.unwrap_or(0), 0],
         Action::Fail { id, .. } => [*at, 4, id.0, 0, 0],
         Action::SetTimer { after, token } => [*at, 5, after, token.into(), 0],
-        Action::AddToCounter { key: name, amount, time_to_live: keep } => {
-            [*at, 6, name.0, amount.to_bits(), keep]
+        Action::AddToCounter { key: name, amount, time_to_live } => {
+            [*at, 6, name.0, amount.to_bits(), time_to_live]
         }
         Action::SubscribeToHosts => [*at, 7, 0, 0, 0],
     };
@@ -226,10 +231,10 @@
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Of four sessions: the digest, and how many actions of each sort it covers.
-fn pinned(colds: bool) -> Vec<(u64, [usize; 4])> {
-    let play = |seed| {
-        let actions = Session::play(seed, colds);
+/// Returns the digest of four sessions, and the number of actions of each sort that it covers.
+fn pinned(with_slow_start: bool) -> Vec<(u64, [usize; 4])> {
+    let run = |seed| {
+        let actions = Session::run(seed, with_slow_start);
         let count = |of: fn(&Action) -> bool| actions.iter().filter(|(_, a)| of(a)).count();
         let sorts = [
             count(|a| matches!(a, Action::Forward { .. })),
@@ -239,10 +244,10 @@
         ];
         (digest(&actions), sorts)
     };
-    (1..=4).map(play).collect()
+    (1..=4).map(run).collect()
 }
 
-/// Where this fails the decisions have changed: mean it, say so, and write down what is printed here.
+/// A failure means that decisions have changed. If that is intended, say so, and pin what is printed here.
 #[test]
 fn a_session_without_slow_start_gives_the_same_actions_everywhere() {
     let written_down = [
--- a/crates/policy/tests/slots.rs
+++ b/crates/policy/tests/slots.rs
@@ -1,4 +1,4 @@
-//! The fuzzy table, reserves, and the order in which slots are given.
+//! The fuzzy table, reservations, and the order in which slots are assigned.
 mod common;
 use common::load::Load;
 use common::*;
@@ -72,7 +72,7 @@
     assert!(is_rejected(&actions, 1));
 }
 
-/// A spell of costly requests must not shut their class out once it is over.
+/// After a period of costly requests the class is still forwarded.
 #[test]
 fn a_class_with_slow_responses_is_still_forwarded() {
     let mut settings = settings();
@@ -98,7 +98,7 @@
     assert_eq!(attempts_in(&g.request(100, 1, 100, 1.0)).len(), 1);
 }
 
-/// Cold hosts are slow, and warm up while nobody looks.
+/// Hosts that warm up are slow at first, and warm up without attempts as well.
 #[test]
 fn a_host_that_was_slow_and_is_unused_is_used_again() {
     let mut settings = settings();
@@ -130,7 +130,7 @@
     assert!(again >= 2, "{again} of 200 in some 50 s");
 }
 
-/// Attempts that hang past their aim leave the slot count, so that others are still sent.
+/// Overdue attempts release their slots, so that others are still forwarded.
 #[test]
 fn overdue_attempts_do_not_occupy_slots() {
     let mut settings = settings();
@@ -142,7 +142,8 @@
     assert_eq!(attempts_in(&g.request(100, 1, 100, 1.0)).len(), 1);
 }
 
-/// With hundreds of gateways a fair part of the fleet is below one slot: it is saved up, not exceeded for long.
+/// With hundreds of gateways an even share of the hosts is below one slot: it is saved up, and not exceeded
+/// for long.
 #[test]
 fn a_share_below_two_slots_is_saved_up_and_not_exceeded_for_long() {
     let mut settings = Settings { gateways: 8, ..settings() };
@@ -178,7 +179,7 @@
     }
 }
 
-/// Where every host is silent, leaving slots would only pile more on them.
+/// Where no host responds, released slots would only add to the overload.
 #[test]
 fn where_all_hosts_are_overloaded_overdue_attempts_keep_their_slots() {
     let mut settings = Settings { gateways: 1, ..settings() };
@@ -198,7 +199,8 @@
     settings.gateways = 1;
     let plan = Plan { rate: 1e5, burst: 1e5, ..settings.plans[0].clone() };
     settings.plans = vec![Plan { weight_factor: 1.0, ..plan.clone() }, Plan { weight_factor: 2.0, ..plan }];
-    // Ten hosts have forty slots at the least, and an answer takes 20 ms: some hundreds go out in half of a read's aim.
+    // Ten hosts have forty slots at the least, and a response takes 20 ms: some hundreds are forwarded within
+    // half of the objective.
     let mut load = Load::with(settings, 10, 0);
     load.cost(2_000, 10);
     load.pass(100 * MS);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Cold starts in a small closed world: work is found for hosts that have just started, and none is pushed over.
+//! Slow start in a small simulated site: hosts that have just started are used, and none is overloaded.
 mod common;
 use common::slow_start::*;
 use common::*;
@@ -6,9 +6,9 @@
 use policy::policy::Policy;
 
 const SEEDS: u64 = 20;
-const FEW: u64 = 3; // where many gateways make a run long
+const FEW: u64 = 3; // seeds where many gateways make a run long
 
-/// What a scenario came to over all seeds.
+/// The outcome of a scenario over all seeds.
 struct Sum {
     runs: Vec<Counts>,
 }
@@ -22,7 +22,7 @@
         };
         let sum = Sum { runs: (1..=seeds).map(run).collect() };
         println!(
-            "{name}: {:.3} in their aim, {:.3} served, {} hosts fell, budget used {:.2} (mean) {:.2} (most)",
+            "{name}: {:.3} within the objective, {:.3} served, {} hosts overloaded, budget used {:.2} (mean) {:.2} (most)",
             sum.share(|t| t.within_objective),
             sum.share(|t| t.served),
             sum.count(|t| t.overloaded),
@@ -45,7 +45,8 @@
     }
 }
 
-/// Ten hosts under load; then those from `first` on are replaced by fresh ones, and load stays for four seconds.
+/// Ten hosts under load; then those from `first` on are replaced by new ones, and the load stays for four
+/// seconds.
 fn replaced(seed: u64, gateways: u32, work: f64, load: f64, first: u64) -> World {
     let mut world = World::new(seed, gateways, false);
     world.work = work;
@@ -65,13 +66,13 @@
     world
 }
 
-/// With every host cold nobody can tell what a warm one carries: only answers show what they can do.
+/// While all hosts warm up, only responses show what they can execute.
 #[test]
 fn after_a_power_failure_requests_are_served_at_once_and_no_host_is_overloaded() {
     let sum = Sum::of("power back, 3 gateways", SEEDS, |seed| power_back(seed, 3));
     assert!(sum.runs.iter().all(|t| t.first_ms.is_some_and(|ms| ms <= 5)), "the first one is sent at once");
     assert_eq!(sum.count(|t| t.overloaded), 0);
-    // The hosts could do 0.91 of it: at the start they do 56 requests a second of the 130 asked for.
+    // The hosts could execute 0.91 of it: at the start they execute 56 of the 130 requests a second.
     assert!(sum.share(|t| t.within_objective) > 0.82 && sum.share(|t| t.served) > 0.88);
     assert!(sum.mean_peak() < 0.55, "one out at each host from each gateway");
 }
@@ -90,7 +91,7 @@
     assert!(sum.share(|t| t.within_objective) > 0.76);
 }
 
-/// The one warm host is sent far more than it can do, which says nothing of what the cold ones can take.
+/// The only warm host gets far more than it can execute, which says nothing about the others.
 #[test]
 fn nine_hosts_of_ten_replaced_under_load_are_not_overloaded() {
     let sum = Sum::of("nine replaced, 3 gateways", SEEDS, |seed| replaced(seed, 3, 0.1, 260.0, 2));
@@ -109,10 +110,11 @@
     assert!(sum.mean_peak() < 0.25, "as long as warm hosts have room it is not used on credit");
 }
 
-/// What a host turns away is sent to it all the same: without pacing each refusal would bring the next try.
+/// A host gets attempts again after it has rejected some: without a limit each rejection would cause the next
+/// attempt.
 #[test]
 fn hosts_that_accept_no_connection_while_they_warm_up_get_few_attempts_and_are_found_again() {
-    let sum = Sum::of("refused for 10 s", SEEDS, |seed| {
+    let sum = Sum::of("not connected for 10 s", SEEDS, |seed| {
         let mut world = World::new(seed, 3, true);
         world.refuse(10_000 * MS);
         world.run(10_000 * MS);
--- a/crates/policy/tests/two_sites.rs
+++ b/crates/policy/tests/two_sites.rs
@@ -1,12 +1,13 @@
-//! Two fleets that were set up alike, by mistake on one counter: for whoever asks both it is one quota.
+//! Two sites that were set up alike, by mistake on one counter: to a customer of both it is one quota.
 mod common;
 use common::site::{Customer, Scenario, Site, TrafficPattern, START};
 use common::*;
 
 const LENGTH_S: u64 = 120;
 
-/// What a customer who asks so many gateways, which are so many fleets, for so many times its rate passes in all, as a
-/// part of `rate * time + burst`, the share refused, and the longest that it was refused with room, in seconds.
+/// Returns for a customer of this number of gateways, which are this number of sites, and a multiple of its
+/// rate: what it gets as a fraction of `rate * time + burst`, the fraction rejected, and the longest time for
+/// which it was rejected while units were available, in seconds.
 fn on_one_counter(fleets: usize, gateways: usize, burst: f64, times: f64) -> (f64, f64, f64) {
     let customer = Customer {
         rate: 20.0,
@@ -14,7 +15,7 @@
         set_size: gateways,
         first_gateway: 0,
         most_units: 2,
-        truth: 1.0,
+        actual_factor: 1.0,
         traffic: TrafficPattern::Even(times),
         from: 0,
     };
@@ -38,7 +39,7 @@
 
 #[test]
 fn two_sites_on_one_counter_share_a_quota_and_starve_no_customer() {
-    // Leased for in blocks, listened for as in a large fleet, and rationed.
+    // On leases, with heartbeats as at a large site, and under windowed admission.
     for (gateways, burst) in [(6, 40.0), (16, 400.0), (80, 40.0)] {
         let (_, refused, longest) = on_one_counter(2, gateways, burst, 0.9);
         assert!(refused < 0.1 && longest < 1.0, "{gateways}, within its quota: {refused}, {longest} s");
--- a/crates/policy/tests/work_per_event.rs
+++ b/crates/policy/tests/work_per_event.rs
@@ -1,11 +1,11 @@
-//! What an event costs does not grow with the customers, hosts and requests that are known: counted in records
+//! The work for an event does not grow with the known customers, hosts and requests. It is counted in records
 //! looked at, which are the same on each machine.
 mod common;
 use common::load::Load;
 use common::*;
 use policy::api::*;
 
-/// What one request costs once so many customers are known.
+/// Returns the work for one request once this number of customers is known.
 fn cost(customers: u64, hosts: u64) -> f64 {
     let mut load = Load::new(hosts, 0);
     for customer in 0..customers {
@@ -38,7 +38,7 @@
     let before = load.policy.work();
     load.most_work = 0;
     load.pass(20_000 * MS);
-    // Each is looked at twice in 50 s at the most.
+    // Each is reviewed at most twice in 50 s.
     let a_second = (load.policy.work() - before) as f64 / 20.0;
     assert!(a_second <= 4_100.0, "{a_second} records a second at rest");
     assert!(load.most_work <= 200, "{} records at once", load.most_work);
@@ -72,7 +72,8 @@
 
 #[test]
 fn requests_without_a_host_are_not_considered_at_each_event() {
-    // All hosts are cold: of 512 requests most wait, and each event that helps none of them costs next to nothing.
+    // All hosts warm up: of 512 requests most wait, and an event that helps none of them costs next to
+    // nothing.
     let mut load = Load::new(200, 1_000_000 * MS - MS);
     (0..512).for_each(|n| load.ask(n));
     assert!(load.served == 0 && load.in_flight.len() < 512);
@@ -91,7 +92,7 @@
 #[test]
 fn ten_thousand_customers_that_wait_while_the_counter_is_down_are_considered_once() {
     let mut load = Load::new(500, 0);
-    // Calls go out and are not answered.
+    // Calls are made and get no reply.
     let mut names = Vec::new();
     for customer in 0..10_000 {
         load.next += 1;
