--- a/crates/api-gateway/src/config/mod.rs
+++ b/crates/api-gateway/src/config/mod.rs
@@ -45,7 +45,7 @@
 /// # Errors
 /// The document cannot be used.
 pub fn site(settings: Option<&Path>) -> Result<Option<PlatformSettings>> {
-    settings.map(|path| Ok(crate::source::document(path)?.site)).transpose()
+    settings.map(|path| Ok(crate::source::document(path)?.platform)).transpose()
 }
 
 /// All messages, each with its line shown.
--- a/crates/api-gateway/src/main.rs
+++ b/crates/api-gateway/src/main.rs
@@ -74,10 +74,10 @@
         "{} descriptors are too few: {MIN_SOCKETS} are the least (see ulimit -n)",
         config.sockets
     );
-    for key in &config.unknown {
+    for key in &config.unknown_keys {
         tracing::warn!("configuration: `{key}` is skipped, this version does not know it");
     }
-    gateway::serve(clock::start(), config, move || source.read(), signals).await
+    Ok(gateway::serve(clock::start(), config, move || source.read(), signals).await?)
 }
 
 /// SIGHUP and SIGTERM, in the order of their coming.
@@ -97,7 +97,7 @@
 /// Says in a few lines what the configuration means.
 fn check(path: &Path) -> Result<()> {
     let config = source::document(path)?;
-    let settings = &config.site.settings;
+    let settings = &config.platform.settings;
     println!("{}: can be used", path.display());
     println!("  {} listens on {}, asks discovery at {}", config.name, config.listen, config.discovery);
     match config.counter.filter(|_| settings.has_counter) {
@@ -106,23 +106,23 @@
     }
     say_budget(&config);
     if settings.has_counter && config.counter.is_some() {
-        say_bounds(&config.site);
+        say_bounds(&config.platform);
     }
-    for key in &config.unknown {
+    for key in &config.unknown_keys {
         println!("  skips `{key}`, which this version does not know");
     }
-    println!("  classes: {}", config.site.class_names.join(", "));
-    println!("  plans: {}", config.site.plan_names.join(", "));
-    println!("  knows {} hosts before discovery speaks", config.known.instances.len());
+    println!("  classes: {}", config.platform.class_names.join(", "));
+    println!("  plans: {}", config.platform.plan_names.join(", "));
+    println!("  knows {} hosts before discovery speaks", config.cached_endpoints.endpoints.len());
     Ok(())
 }
 
 /// What the memory goes to (see docs/capacity.md).
 fn say_budget(config: &Config) {
-    let budget = config.budget();
-    let (full, small) = budget.customers_known();
-    println!("  {} descriptors, {} MB:", config.sockets, config.memory >> 20);
-    println!("    {} commands in hand, with values of 64 KiB", budget.places);
+    let budget = config.memory_budget();
+    let (full, small) = budget.max_customers();
+    println!("  {} descriptors, {} MB:", config.sockets, config.memory_bytes >> 20);
+    println!("    {} commands in hand, with values of 64 KiB", budget.command_slots);
     println!("    {} KiB of commands that wait", budget.commands >> 10);
     println!(
         "    {} KiB of customers: {full} that come often, or up to {small} that come seldom",
--- a/crates/api-gateway/src/operators.rs
+++ b/crates/api-gateway/src/operators.rs
@@ -168,7 +168,7 @@
     const EXAMPLE: &[u8] = include_bytes!("../../../deploy/example.json");
 
     fn site() -> PlatformSettings {
-        Config::parse(EXAMPLE).unwrap().site
+        Config::parse(EXAMPLE).unwrap().platform
     }
 
     /// A file of a test's own, which goes with the folder.
--- a/crates/api-gateway/src/source.rs
+++ b/crates/api-gateway/src/source.rs
@@ -31,7 +31,7 @@
     pub fn read(&self) -> Result<Config> {
         let config = document(&self.config)?;
         let Some(path) = &self.operator else { return Ok(config) };
-        let site = self.site.get_or_init(|| config.site.clone());
+        let site = self.site.get_or_init(|| config.platform.clone());
         let set = operators::load(path, Some(site))?;
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(before) = last.as_ref() {
--- a/crates/cluster-emulator/examples/site_fleet.rs
+++ b/crates/cluster-emulator/examples/site_fleet.rs
@@ -53,7 +53,7 @@
             }
             Ok(Config { operators, ..Config::parse(document.text().as_bytes())? })
         };
-        Box::pin(async move { serve(start.env, read()?, read, start.signals).await })
+        Box::pin(async move { Ok(serve(start.env, read()?, read, start.signals).await?) })
     })
 }
 
--- a/crates/cluster-emulator/src/operators.rs
+++ b/crates/cluster-emulator/src/operators.rs
@@ -36,6 +36,6 @@
     let (name, seed) = ("n0".to_owned(), 0);
     let start = Start { name, listen: nowhere, discovery: nowhere, counter: nowhere, seed, known };
     let config = Config::parse(document(scenario, 0, &start).to_string().as_bytes());
-    check_operators(&config.context("the scenario's settings")?.site, &set.operators)?;
+    check_operators(&config.context("the scenario's settings")?.platform, &set.operators)?;
     Ok(set.operators)
 }
--- a/crates/cluster-emulator/src/plan.rs
+++ b/crates/cluster-emulator/src/plan.rs
@@ -53,8 +53,8 @@
         let error = loaded.diagnostics.iter().find(|found| found.severity == Severity::Error);
         bail!(error.map_or_else(|| "cannot be used".to_owned(), |error| error.one_line()));
     };
-    check_operators(&config.site, &set.operators)?;
-    let site = &config.site;
+    check_operators(&config.platform, &set.operators)?;
+    let site = &config.platform;
     let facts =
         PlatformNames { classes: &site.class_names, plans: &site.plan_names, zones: &site.zone_names };
     let plan = FailoverPlan::compile(&set.operators, &facts)?;
--- a/crates/cluster-emulator/src/virtual_time.rs
+++ b/crates/cluster-emulator/src/virtual_time.rs
@@ -63,7 +63,7 @@
         Ok(Config { operators: operators.clone(), ..config })
     };
     let config = read()?;
-    Ok(Box::pin(serve(env, config, read, signals)))
+    Ok(Box::pin(async move { Ok(serve(env, config, read, signals).await?) }))
 }
 
 /// A gateway's process that runs.
--- a/crates/cluster-emulator/tests/quota/totals.rs
+++ b/crates/cluster-emulator/tests/quota/totals.rs
@@ -28,9 +28,9 @@
 fn read_at(moment: Time, ledger: Arc<Mutex<Ledger>>, totals: Arc<Mutex<Totals>>) -> GatewayMaker {
     Arc::new(move |start| {
         let GatewayStart { env, document, signals } = start;
-        let read = move || Config::parse(document.text().as_bytes());
-        let config = read().expect("a configuration");
-        if config.site.settings.gateway_index == 0 {
+        let read = move || Ok(Config::parse(document.text().as_bytes())?);
+        let config: Config = read().expect("a configuration");
+        if config.platform.settings.gateway_index == 0 {
             let (own, ledger, totals) = (env.clone(), ledger.clone(), totals.clone());
             let counter = config.counter.expect("a counter");
             env.spawn(async move {
@@ -40,7 +40,7 @@
                 *totals.lock().unwrap() = read.expect("the counter answers");
             });
         }
-        Box::pin(serve(env, config, read, signals))
+        Box::pin(async move { Ok(serve(env, config, read, signals).await?) })
     })
 }
 
--- a/crates/cluster-emulator/tests/wrongdoers/proxy.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/proxy.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use cluster_emulator::{Document, GatewayMaker, GatewayStart};
 use cluster_model::{MS, SECOND};
-use gateway::{Lifecycle, Member, Membership, Signal};
+use gateway::{Endpoint, EndpointList, Lifecycle, Signal};
 use resp::{decode, encode_array_header, encode_bulk, fill, Frame, RespError};
 use runtime::{Env, Listener, Span, Time};
 use serde_json::Value;
@@ -153,19 +153,19 @@
 #[derive(Default)]
 struct Hosts {
     generation: u64,
-    by_id: BTreeMap<String, Member>,
+    by_id: BTreeMap<String, Endpoint>,
     turn: usize,
     /// Those that drain or are gone stay.
     keeps_all: bool,
 }
 
 impl Hosts {
-    fn told(&mut self, list: Membership) {
+    fn told(&mut self, list: EndpointList) {
         self.generation = list.generation;
-        if list.reset && !self.keeps_all {
+        if list.is_complete && !self.keeps_all {
             self.by_id.clear();
         }
-        for member in list.instances {
+        for member in list.endpoints {
             if member.lifecycle == Lifecycle::InService {
                 self.by_id.insert(member.instance_id.clone(), member);
             } else if !self.keeps_all {
@@ -175,10 +175,10 @@
     }
 
     /// The next in turn of those that are cold, or are not.
-    fn next(&mut self, cold: bool, is_cold: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
-        let hosts: Vec<&Member> = self.by_id.values().filter(|host| is_cold(host) == cold).collect();
+    fn next(&mut self, cold: bool, is_cold: impl Fn(&Endpoint) -> bool) -> Option<SocketAddr> {
+        let hosts: Vec<&Endpoint> = self.by_id.values().filter(|host| is_cold(host) == cold).collect();
         self.turn += 1;
-        hosts.get(self.turn % hosts.len().max(1))?.host_port
+        hosts.get(self.turn % hosts.len().max(1))?.address
     }
 }
 
@@ -323,7 +323,7 @@
     /// A host to ask: one that is not cold, or, to flood it, one that is.
     fn pick(&self) -> Option<SocketAddr> {
         let now = self.env.now();
-        let is_cold = |host: &Member| host.started_at_ms > 0 && now < host.started_at_ms * MS + self.cold;
+        let is_cold = |host: &Endpoint| host.started_at_ms > 0 && now < host.started_at_ms * MS + self.cold;
         let mut hosts = self.hosts.lock().unwrap();
         let flooded = if self.wrong == Wrong::FloodsCold { hosts.next(true, is_cold) } else { None };
         flooded.or_else(|| hosts.next(false, is_cold))
--- a/crates/gateway/src/client/tests.rs
+++ b/crates/gateway/src/client/connection/tests.rs
@@ -1,41 +1,55 @@
+use super::input::{MAX_PIPELINE, MAX_UNANSWERED};
 use super::*;
+use crate::client::linger::{MAX_DISCARDED, MAX_LINGERING};
+use crate::client::listener::{accept, listen, ConnectionLimits};
+use crate::client::replies::READ_TIMEOUT;
+use crate::client::slots::SlotContention;
+use crate::client::CommandBudget;
+use crate::config::memory_budget::MemoryBudget;
+use crate::messages::IncomingRequest;
+use bytes::Bytes;
 use cluster_model::SECOND;
-use runtime::{SystemEnv, Writer};
+use platform_settings::PlatformSettings;
+use policy::api::Span;
+use runtime::{Listener, SystemEnv, Writer};
 use simulated_runtime::{Place, Sim, SimConfig, SimEnv};
+use std::net::SocketAddr;
 use std::pin::Pin;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
 use std::task::Waker;
 use std::time::Duration;
+use tokio::io::AsyncReadExt;
 use tokio::io::ReadBuf;
 use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-fn context(room: usize, phase: watch::Receiver<Phase>) -> (Context<SystemEnv>, UnboundedReceiver<Input>) {
+const MS: Span = 1_000_000;
+
+fn context(
+    room: usize,
+    phase: watch::Receiver<LifecyclePhase>,
+) -> (Context<SystemEnv>, UnboundedReceiver<TrafficEvent>) {
     context_in(SystemEnv::start(), room, phase)
 }
 
 fn context_in<E: Env>(
     env: E,
     room: usize,
-    phase: watch::Receiver<Phase>,
-) -> (Context<E>, UnboundedReceiver<Input>) {
+    phase: watch::Receiver<LifecyclePhase>,
+) -> (Context<E>, UnboundedReceiver<TrafficEvent>) {
     let settings = crate::config::sample("safe", 1_000_000_000, 1_000_000_000);
     let (gateway, inbox) = mpsc::unbounded_channel();
-    let context = Context {
-        site: Arc::new(PlatformSettings::parse(&settings).unwrap()),
-        env,
-        gateway,
-        phase,
-        ids: Arc::default(),
-        crowd: Crowd::default(),
-        room: Room::within(&Budget::within(room * 2 * resp::MAX_VALUE, 0)),
-    };
+    let platform = Arc::new(PlatformSettings::parse(&settings).unwrap());
+    let memory = MemoryBudget::within(room * 2 * resp::MAX_VALUE, 0);
+    let context = Context::new(env, platform, gateway, phase, CommandBudget::within(&memory));
     (context, inbox)
 }
 
-async fn request(inbox: &mut UnboundedReceiver<Input>) -> Incoming {
+async fn request(inbox: &mut UnboundedReceiver<TrafficEvent>) -> IncomingRequest {
     match timeout(Duration::from_secs(20), inbox.recv()).await.unwrap() {
-        Some(Input::Request(incoming)) => *incoming,
+        Some(TrafficEvent::Request(incoming)) => *incoming,
         other => panic!("{other:?}"),
     }
 }
@@ -55,7 +69,7 @@
 fn accepting(context: Context<SystemEnv>) -> SocketAddr {
     let listener = listen(&context.env, "127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
-    tokio::spawn(accept(listener, Limits { connections: 16, callers: 16 }, context));
+    tokio::spawn(accept(listener, ConnectionLimits { connections: 16, callers: 16 }, context));
     address
 }
 
@@ -67,7 +81,7 @@
 
 #[tokio::test]
 async fn commands_in_hand_are_bounded_over_all_connections() {
-    let (_phase, phases) = watch::channel(Phase::Ready);
+    let (_phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (context, mut inbox) = context(2, phases);
     let (address, call) = (accepting(context), a_call());
     let (mut clients, mut taken) = (Vec::new(), Vec::new());
@@ -80,15 +94,15 @@
     let mut other = TcpStream::connect(address).await.unwrap();
     other.write_all(&call).await.unwrap();
     expect(&mut other, b"-BUSY\r\n").await;
-    taken.pop().unwrap().reply.answer(Answer::Failed);
+    taken.pop().unwrap().reply_to.send(FinalAnswer::Failed);
     expect(&mut clients[1], b"-ERR failed\r\n").await;
     other.write_all(&call).await.unwrap();
-    request(&mut inbox).await.reply.answer(Answer::Failed);
+    request(&mut inbox).await.reply_to.send(FinalAnswer::Failed);
 }
 
 #[tokio::test]
 async fn a_connection_that_takes_many_places_leaves_some_to_others() {
-    let (_phase, phases) = watch::channel(Phase::Ready);
+    let (_phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (context, mut inbox) = context(8, phases);
     let (address, call) = (accepting(context), a_call());
     let mut greedy = TcpStream::connect(address).await.unwrap();
@@ -99,18 +113,18 @@
     for _ in 0..6 {
         let mut other = TcpStream::connect(address).await.unwrap();
         other.write_all(&call).await.unwrap();
-        request(&mut inbox).await.reply.answer(Answer::Served(Bytes::from_static(b"v")));
+        request(&mut inbox).await.reply_to.send(FinalAnswer::Response(Bytes::from_static(b"v")));
         expect(&mut other, b"$1\r\nv\r\n").await;
         others.push(other);
     }
-    first.reply.answer(Answer::Failed);
-    second.reply.answer(Answer::Failed);
+    first.reply_to.send(FinalAnswer::Failed);
+    second.reply_to.send(FinalAnswer::Failed);
     expect(&mut greedy, b"-ERR failed\r\n-ERR failed\r\n-BUSY\r\n-BUSY\r\n").await;
 }
 
 #[tokio::test]
 async fn a_value_that_is_not_read_keeps_its_place() {
-    let (_phase, phases) = watch::channel(Phase::Ready);
+    let (_phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (context, mut inbox) = context(1, phases);
     let (address, call) = (accepting(context), a_call());
     let socket = TcpSocket::new_v4().unwrap();
@@ -122,8 +136,8 @@
     loop {
         deaf.write_all(&call).await.unwrap();
         let next = timeout(Duration::from_secs(20), inbox.recv());
-        let Ok(Some(Input::Request(incoming))) = next.await else { panic!("no request") };
-        incoming.reply.answer(Answer::Served(Bytes::from(vec![b'x'; resp::MAX_VALUE])));
+        let Ok(Some(TrafficEvent::Request(incoming))) = next.await else { panic!("no request") };
+        incoming.reply_to.send(FinalAnswer::Response(Bytes::from(vec![b'x'; resp::MAX_VALUE])));
         unread += 1;
         other.write_all(&call).await.unwrap();
         let busy = async {
@@ -137,8 +151,8 @@
                 assert_eq!(&answer, b"-BUSY\r\n");
                 break;
             }
-            Some(Input::Request(incoming)) = inbox.recv() => {
-                incoming.reply.answer(Answer::Served(Bytes::from_static(b"v")));
+            Some(TrafficEvent::Request(incoming)) = inbox.recv() => {
+                incoming.reply_to.send(FinalAnswer::Response(Bytes::from_static(b"v")));
             }
         }
         expect(&mut other, b"$1\r\nv\r\n").await;
@@ -148,12 +162,13 @@
 
 #[tokio::test]
 async fn without_room_each_whole_command_gets_an_answer_of_its_own() {
-    let (_phase, phases) = watch::channel(Phase::Ready);
+    let (_phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (mut context, mut inbox) = context(2, phases);
-    context.room = Room { places: Arc::new(Semaphore::new(64)), bytes: Arc::new(Semaphore::new(1)) };
+    context.budget =
+        CommandBudget { slots: Arc::new(Semaphore::new(64)), bytes: Arc::new(Semaphore::new(1)) };
     tokio::spawn(async move {
-        while let Some(Input::Request(incoming)) = inbox.recv().await {
-            incoming.reply.answer(Answer::Failed);
+        while let Some(TrafficEvent::Request(incoming)) = inbox.recv().await {
+            incoming.reply_to.send(FinalAnswer::Failed);
         }
     });
     let mut client = TcpStream::connect(accepting(context)).await.unwrap();
@@ -173,9 +188,9 @@
 
 #[tokio::test]
 async fn long_commands_beyond_the_room_are_an_error_not_a_wait() {
-    let (_phase, phases) = watch::channel(Phase::Ready);
+    let (_phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (mut context, _inbox) = context(2, phases);
-    context.room = Room::within(&Budget::within(8 * 64 * 1024, 0));
+    context.budget = CommandBudget::within(&MemoryBudget::within(8 * 64 * 1024, 0));
     let address = accepting(context);
     let mut begun = BytesMut::new();
     resp::encode_array_header(&mut begun, 5);
@@ -196,28 +211,28 @@
 /// One connection that has had its first answer, with all that its task shares with others.
 struct Served {
     client: TcpStream,
-    phase: watch::Sender<Phase>,
-    crowd: Crowd,
-    seat: Arc<Seat>,
+    phase: watch::Sender<LifecyclePhase>,
+    contention: SlotContention,
+    slot: Arc<ConnectionSlot>,
     places: Arc<Semaphore>,
-    inbox: UnboundedReceiver<Input>,
+    inbox: UnboundedReceiver<TrafficEvent>,
 }
 
 impl Served {
     async fn start() -> Served {
-        let (phase, phases) = watch::channel(Phase::Ready);
+        let (phase, phases) = watch::channel(LifecyclePhase::Ready);
         let (context, inbox) = context(4, phases);
         let mut listener = listen(&context.env, "127.0.0.1:0".parse().unwrap()).unwrap();
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let (seat, places) = (Arc::new(Seat::new(context.env.now())), Arc::new(Semaphore::new(1)));
-        let (crowd, permit) = (context.crowd.clone(), places.clone().try_acquire_owned().unwrap());
-        tokio::spawn(serve(stream, context, seat.clone(), permit));
+        let (slot, places) = (Arc::new(ConnectionSlot::new(context.env.now())), Arc::new(Semaphore::new(1)));
+        let (contention, permit) = (context.contention.clone(), places.clone().try_acquire_owned().unwrap());
+        tokio::spawn(serve(stream, context, slot.clone(), permit));
         let mut inbox = inbox;
         client.write_all(&a_call()).await.unwrap();
-        request(&mut inbox).await.reply.answer(Answer::Failed);
+        request(&mut inbox).await.reply_to.send(FinalAnswer::Failed);
         expect(&mut client, b"-ERR failed\r\n").await;
-        Served { client, phase, crowd, seat, places, inbox }
+        Served { client, phase, contention, slot, places, inbox }
     }
 
     /// Sends a request that only the system knows of: until the test waits, nobody is told.
@@ -228,9 +243,9 @@
     /// Why it is to close: now, or (`full`) after its next answer.
     fn close_for(&self, reason: Reason) {
         match reason {
-            Reason::Full => self.crowd.full.store(true, Ordering::Relaxed),
-            Reason::Told => self.seat.leave.notify_one(),
-            Reason::Stop => drop(self.phase.send_replace(Phase::Closing)),
+            Reason::Full => self.contention.set_wanted(true),
+            Reason::Told => self.slot.evict.notify_one(),
+            Reason::Stop => drop(self.phase.send_replace(LifecyclePhase::Closing)),
         }
     }
 }
@@ -255,13 +270,13 @@
             let first = request(&mut served.inbox).await;
             served.send_unseen(&a_call());
             served.close_for(reason);
-            first.reply.answer(Answer::Failed);
+            first.reply_to.send(FinalAnswer::Failed);
             expect(&mut served.client, b"-ERR failed\r\n").await;
         } else {
             served.send_unseen(&a_call());
             served.close_for(reason);
         }
-        request(&mut served.inbox).await.reply.answer(Answer::Failed);
+        request(&mut served.inbox).await.reply_to.send(FinalAnswer::Failed);
         expect(&mut served.client, b"-ERR failed\r\n").await;
     }
 }
@@ -277,13 +292,13 @@
             Reason::Full => served.close_for(reason),
             Reason::Told | Reason::Stop => {}
         }
-        last.reply.answer(Answer::Served(Bytes::from_static(b"last")));
+        last.reply_to.send(FinalAnswer::Response(Bytes::from_static(b"last")));
         // The answer has left, and nobody has read it.
         served.client.readable().await.unwrap();
         served.close_for(reason);
         if reason == Reason::Stop {
             // It lingers, and is told to make room.
-            while served.seat.get().0 != Use::Lingering {
+            while served.slot.get().0 != Activity::Lingering {
                 tokio::task::yield_now().await;
             }
             served.close_for(Reason::Told);
@@ -314,16 +329,18 @@
         }
         let place = timeout(Duration::from_secs(20), served.places.acquire()).await;
         drop(place.expect("its place stays taken").unwrap());
-        let is_full = served.crowd.full.load(Ordering::Relaxed);
+        let is_full = served.contention.is_wanted();
         assert!(!is_full, "another would go for it as well; its client goes: {client_goes}");
     }
 }
 
 #[tokio::test]
 async fn of_those_that_linger_without_a_place_the_oldest_are_cut() {
-    let crowd = Crowd::default();
-    let linger = |crowd: Crowd| tokio::spawn(async move { crowd.linger(std::future::pending::<()>()).await });
-    let mut lingering: Vec<_> = (0..MAX_LINGERERS + 2).map(|_| linger(crowd.clone())).collect();
+    let contention = SlotContention::default();
+    let linger = |contention: SlotContention| {
+        tokio::spawn(async move { contention.linger_without_slot(std::future::pending::<()>()).await })
+    };
+    let mut lingering: Vec<_> = (0..MAX_LINGERING + 2).map(|_| linger(contention.clone())).collect();
     for cut in lingering.drain(..2) {
         timeout(Duration::from_secs(20), cut).await.expect("too many linger").unwrap();
     }
@@ -335,7 +352,7 @@
 async fn a_client_that_sends_without_an_end_is_given_up() {
     let ping = b"*1\r\n$4\r\nPING\r\n";
     for (what, flood) in
-        [("nonsense", vec![b'x'; 2 * MAX_SCRAP]), ("commands", ping.repeat(16 * MAX_UNANSWERED))]
+        [("nonsense", vec![b'x'; 2 * MAX_DISCARDED]), ("commands", ping.repeat(16 * MAX_UNANSWERED))]
     {
         let mut served = Served::start().await;
         let (mut from, mut to) = served.client.split();
@@ -348,8 +365,11 @@
             let waiting = request(&mut served.inbox).await;
             let left =
                 timeout(Duration::from_secs(20), served.inbox.recv()).await.expect("it is not given up");
-            assert!(matches!(left, Some(Input::Left(id)) if id == waiting.request.id), "{what}: {left:?}");
-            waiting.reply.answer(Answer::Served(Bytes::from_static(b"late")));
+            assert!(
+                matches!(left, Some(TrafficEvent::ClientDisconnected(id)) if id == waiting.request.id),
+                "{what}: {left:?}"
+            );
+            waiting.reply_to.send(FinalAnswer::Response(Bytes::from_static(b"late")));
             let mut first = [0; 13];
             from.read_exact(&mut first).await.unwrap();
             assert_eq!(&first, b"-ERR failed\r\n", "{what}");
@@ -360,9 +380,10 @@
 
 #[tokio::test]
 async fn commands_far_behind_a_full_pipeline_are_refused_in_their_order() {
-    let (_phase, phases) = watch::channel(Phase::Ready);
+    let (_phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (mut context, mut inbox) = context(2, phases);
-    context.room = Room { places: Arc::new(Semaphore::new(512)), bytes: Arc::new(Semaphore::new(64 << 20)) };
+    context.budget =
+        CommandBudget { slots: Arc::new(Semaphore::new(512)), bytes: Arc::new(Semaphore::new(64 << 20)) };
     let (mut from, mut to) = TcpStream::connect(accepting(context)).await.unwrap().into_split();
     // A word that means nothing makes a call long.
     let long = |length: usize| {
@@ -392,7 +413,11 @@
     };
     tokio::join!(writing, taking);
     for (number, incoming) in (0..).zip(taken.drain(..).rev()) {
-        incoming.reply.answer(if number % 2 == 0 { Answer::Failed } else { Answer::Busy(Some(MS)) });
+        incoming.reply_to.send(if number % 2 == 0 {
+            FinalAnswer::Failed
+        } else {
+            FinalAnswer::Rejected(Some(MS))
+        });
     }
     let mut answers = Vec::new();
     let mut lines = tokio::io::BufReader::new(&mut from);
@@ -416,7 +441,7 @@
 /// What is in the backlog as connections begin to close has been taken by the machine: it is not reset.
 #[tokio::test]
 async fn what_waits_to_be_accepted_as_connections_close_is_answered() {
-    let (phase, phases) = watch::channel(Phase::Ready);
+    let (phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (context, mut inbox) = context(8, phases);
     let address = accepting(context);
     let mut early = TcpStream::connect(address).await.unwrap();
@@ -426,11 +451,11 @@
     let mut late: Vec<std::net::TcpStream> =
         (0..3).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
     late.iter_mut().for_each(|client| std::io::Write::write_all(client, &a_call()).unwrap());
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(LifecyclePhase::Closing);
     for _ in &late {
-        request(&mut inbox).await.reply.answer(Answer::Failed);
+        request(&mut inbox).await.reply_to.send(FinalAnswer::Failed);
     }
-    held.reply.answer(Answer::Failed);
+    held.reply_to.send(FinalAnswer::Failed);
     let tokio_of = |client: std::net::TcpStream| {
         client.set_nonblocking(true).unwrap();
         TcpStream::from_std(client).unwrap()
@@ -448,7 +473,7 @@
 /// More commands in one go than are taken at once, and nothing that comes later: none waits for another event.
 #[tokio::test]
 async fn commands_beyond_the_pipeline_are_answered_without_a_further_event() {
-    let (_phase, phases) = watch::channel(Phase::Ready);
+    let (_phase, phases) = watch::channel(LifecyclePhase::Ready);
     let (context, _inbox) = context(2, phases);
     let mut client = TcpStream::connect(accepting(context)).await.unwrap();
     for count in [MAX_PIPELINE + 1, 3 * MAX_PIPELINE] {
@@ -531,29 +556,29 @@
 struct Wired {
     sim: Sim,
     half: Half,
-    seat: Arc<Seat>,
-    crowd: Crowd,
-    inbox: UnboundedReceiver<Input>,
+    slot: Arc<ConnectionSlot>,
+    contention: SlotContention,
+    inbox: UnboundedReceiver<TrafficEvent>,
     has_ended: Arc<AtomicBool>,
-    _phase: watch::Sender<Phase>,
+    _phase: watch::Sender<LifecyclePhase>,
 }
 
 impl Wired {
     fn start() -> Wired {
         let sim = Sim::new(SimConfig { seed: 1, start: SECOND, network: Default::default() });
         let env: SimEnv = sim.machine("gateway", Place::Building(0)).process("gateway");
-        let (phase, phases) = watch::channel(Phase::Ready);
+        let (phase, phases) = watch::channel(LifecyclePhase::Ready);
         let (context, inbox) = context_in(env.clone(), 512, phases);
         let (half, has_ended) = (Half::default(), Arc::new(AtomicBool::new(false)));
         let (mut reader, mut writer, ended) = (half.clone(), half.clone(), has_ended.clone());
-        let (seat, crowd) = (Arc::new(Seat::new(env.now())), context.crowd.clone());
-        let own = seat.clone();
+        let (slot, contention) = (Arc::new(ConnectionSlot::new(env.now())), context.contention.clone());
+        let own = slot.clone();
         env.spawn(async move {
             let (mut connection, inbox) = Connection::new(context, own);
             let _ = connection.run(&mut reader, &mut writer, inbox).await;
             ended.store(true, Ordering::Relaxed);
         });
-        Wired { sim, half, seat, crowd, inbox, has_ended, _phase: phase }
+        Wired { sim, half, slot, contention, inbox, has_ended, _phase: phase }
     }
 
     fn run(&self, span: Span) -> bool {
@@ -561,9 +586,9 @@
         !self.has_ended.load(Ordering::Relaxed)
     }
 
-    fn request(&mut self) -> Incoming {
+    fn request(&mut self) -> IncomingRequest {
         match self.inbox.try_recv() {
-            Ok(Input::Request(incoming)) => *incoming,
+            Ok(TrafficEvent::Request(incoming)) => *incoming,
             other => panic!("{other:?}"),
         }
     }
@@ -578,11 +603,11 @@
     assert!(wired.run(MS));
     for second in 0..MAX_PIPELINE {
         let value = vec![b'v'; 2_000];
-        wired.request().reply.answer(Answer::Served(value.into()));
+        wired.request().reply_to.send(FinalAnswer::Response(value.into()));
         wired.half.0.lock().unwrap().room += 1_000;
         assert!(wired.run(SECOND), "given up after {second} s");
     }
-    assert!(!wired.run(STALLED), "it takes nothing any more");
+    assert!(!wired.run(READ_TIMEOUT), "it takes nothing any more");
 }
 
 /// What a moment's look at the system finds, before the runtime has been told of it.
@@ -590,7 +615,7 @@
 fn a_first_command_that_lies_with_the_system_as_it_is_overdue_is_answered() {
     for comes in [true, false] {
         let mut wired = Wired::start();
-        wired.run(OWED - 1);
+        wired.run(COMMAND_TIMEOUT - 1);
         wired.half.0.lock().unwrap().is_unseen = comes;
         assert_eq!(wired.run(2), comes, "ended over a command, or not for want of one");
         if comes {
@@ -609,13 +634,13 @@
         wired.half.0.lock().unwrap().room = usize::MAX;
         wired.half.say(&a_call());
         wired.run(MS);
-        (0..told).for_each(|_| wired.seat.leave.notify_one());
+        (0..told).for_each(|_| wired.slot.evict.notify_one());
         assert!(wired.run(MS), "ended with a request in hand");
-        let stays = wired.crowd.stays.clone();
+        let stays = wired.contention.eviction_refused.clone();
         assert!(pin!(stays.notified()).enable(), "nobody else is asked");
-        wired.request().reply.answer(Answer::Failed);
+        wired.request().reply_to.send(FinalAnswer::Failed);
         assert!(wired.run(MS), "told {told} times");
-        wired.seat.leave.notify_one();
+        wired.slot.evict.notify_one();
         assert!(!wired.run(MS), "it does not leave");
     }
 }
--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -1,4 +1,55 @@
-//! Clients.
+//! Clients: the listener, their connections, and the commands on them.
+//!
+//! `listener` accepts connections, and closes idle ones where there are too many (`slots` holds what it knows of each).
+//! `connection` reads commands (`call` parses them), reports requests to the gateway's event loop, and writes the replies
+//! in the order of the commands. `budget` bounds the memory of all commands together, `linger` ends a connection without
+//! losing its last reply.
 
+mod budget;
 pub(crate) mod call;
-pub(crate) mod connection;
+mod connection;
+mod linger;
+mod listener;
+mod replies;
+mod slots;
+
+pub(crate) use budget::CommandBudget;
+pub(crate) use listener::{accept, listen, ConnectionLimits};
+
+use crate::messages::{LifecyclePhase, TrafficEvent};
+use platform_settings::PlatformSettings;
+use policy::api::RequestId;
+use slots::SlotContention;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::watch;
+
+/// What all connections of clients share.
+#[derive(Clone)]
+pub(crate) struct Context<E> {
+    env: E,
+    platform: Arc<PlatformSettings>,
+    gateway: UnboundedSender<TrafficEvent>,
+    phase: watch::Receiver<LifecyclePhase>,
+    next_request_id: Arc<AtomicU64>,
+    budget: CommandBudget,
+    contention: SlotContention,
+}
+
+impl<E> Context<E> {
+    pub fn new(
+        env: E,
+        platform: Arc<PlatformSettings>,
+        gateway: UnboundedSender<TrafficEvent>,
+        phase: watch::Receiver<LifecyclePhase>,
+        budget: CommandBudget,
+    ) -> Context<E> {
+        let contention = SlotContention::default();
+        Context { env, platform, gateway, phase, next_request_id: Arc::default(), budget, contention }
+    }
+
+    fn next_request_id(&self) -> RequestId {
+        RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed))
+    }
+}
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,35 +1,77 @@
-//! What this gateway is told at its start.
+//! The gateway's configuration document.
 
 pub(crate) mod memory_budget;
 
-use crate::config::memory_budget::Budget;
-use crate::discovery::endpoint_list::Membership;
-use anyhow::{anyhow, ensure, Context, Result};
+use crate::discovery::endpoint_list::EndpointList;
 use config_language::model::Operators;
-use platform_settings::{unknown_keys, PlatformSettings};
+use memory_budget::MemoryBudget;
+use platform_settings::{unknown_keys, PlatformSettings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
+use std::num::ParseIntError;
 
-/// With fewer descriptors there is no room for clients beside hosts, discovery and the counter.
+/// Minimum number of descriptors: with fewer there is no room for clients beside hosts, discovery and the counter.
 pub const MIN_SOCKETS: usize = 64;
-
-/// A gateway and its buffers do not fit in less.
+/// Minimum memory in which a gateway and its buffers fit, in megabytes.
 const MIN_MEMORY_MB: usize = 4;
 const KEYS: &[&str] = &["name", "listen", "discovery", "counter", "seed", "limits", "known", "settings"];
 const LIMITS: &[&str] = &["cores", "memory_mb", "sockets"];
 
+/// Why a configuration document is rejected.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum ConfigError {
+    /// The document is not JSON.
+    #[error(transparent)]
+    NotJson(#[from] serde_json::Error),
+    /// A key has a value of another type.
+    #[error("`{key}`: {error}")]
+    Key {
+        /// Full name of the key.
+        key: String,
+        /// What is wrong with its value.
+        error: serde_json::Error,
+    },
+    /// A key of the document is misspelt.
+    #[error(transparent)]
+    Keys(#[from] SettingsError),
+    /// A key of `limits` is misspelt.
+    #[error("`limits`: {0}")]
+    LimitKeys(SettingsError),
+    /// The platform's settings cannot be used.
+    #[error("`settings`: {0}")]
+    Settings(SettingsError),
+    /// Too few descriptors.
+    #[error("`limits.sockets` is {0}, under {MIN_SOCKETS}")]
+    TooFewSockets(usize),
+    /// Too little memory.
+    #[error("`limits.memory_mb` is {0}, under {MIN_MEMORY_MB}")]
+    TooLittleMemory(usize),
+    /// The settings allow the counter, and its address is missing.
+    #[error("`counter` is missing: the settings allow the counter, and nothing says where it is")]
+    NoCounter,
+    /// The seed is not a number.
+    #[error("`seed` is `{seed}`, not a hexadecimal number of 64 bits: {error}")]
+    Seed {
+        /// The value.
+        seed: String,
+        /// What is wrong with it.
+        error: ParseIntError,
+    },
+}
+
 #[derive(Debug, Deserialize)]
 struct Document {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
     counter: Option<SocketAddr>,
-    #[serde(default = "no_seed")]
+    #[serde(default = "default_seed")]
     seed: String,
     limits: Limits,
     #[serde(default)]
-    known: Membership,
+    known: EndpointList,
     settings: Value,
 }
 
@@ -39,92 +81,103 @@
     memory_mb: usize,
 }
 
-fn no_seed() -> String {
+fn default_seed() -> String {
     "0".into()
 }
 
-/// The configuration, checked.
+/// A checked configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The counter service.
+    /// Address of the counter service.
     pub counter: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Descriptors that the process may hold.
     pub sockets: usize,
-    /// Bytes beyond which it is killed.
-    pub memory: usize,
-    /// The list of hosts as it was last held.
-    pub known: Membership,
-    /// The settings.
-    pub site: PlatformSettings,
-    /// What the operators' files say; the document itself names none.
+    /// Memory beyond which the process is killed, in bytes.
+    pub memory_bytes: usize,
+    /// The endpoint list as the gateway had it before (`known` in the document); it may be old.
+    pub cached_endpoints: EndpointList,
+    /// The platform's settings.
+    pub platform: PlatformSettings,
+    /// The operators' files; the document itself names none.
     pub operators: Operators,
-    /// Keys that are not known here and are skipped, by their full names.
-    pub unknown: Vec<String>,
-    /// The document itself, which another one is compared with.
+    /// Full names of the keys that this version does not know and skips.
+    pub unknown_keys: Vec<String>,
+    /// The document itself, for comparison with later ones.
     pub document: Value,
 }
 
 impl Config {
-    /// Reads the document. The error says what is wrong with it, and names the key.
-    pub fn parse(text: &[u8]) -> Result<Config> {
-        let whole: Value = serde_json::from_slice(text)?;
-        let mut unknown = keys(&whole)?;
-        let document: Document =
-            serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))
-                .map_err(|error| anyhow!("`{}`: {}", error.path(), error.inner()))?;
-        let site = PlatformSettings::parse(&document.settings).context("`settings`")?;
-        unknown.extend(site.unknown_keys.iter().map(|key| format!("settings.{key}")));
-        let (limits, counter) = (&document.limits, document.counter);
-        ensure!(limits.sockets >= MIN_SOCKETS, "`limits.sockets` is {}, under {MIN_SOCKETS}", limits.sockets);
-        let memory_mb = limits.memory_mb;
-        ensure!(memory_mb >= MIN_MEMORY_MB, "`limits.memory_mb` is {memory_mb}, under {MIN_MEMORY_MB}");
-        ensure!(
-            counter.is_some() || !site.settings.has_counter,
-            "`counter` is missing: the settings allow the counter, and nothing says where it is"
-        );
-        let seed = &document.seed;
-        let seed = u64::from_str_radix(seed, 16)
-            .with_context(|| format!("`seed` is `{seed}`, not a hexadecimal number of 64 bits"))?;
+    /// Reads the document.
+    ///
+    /// # Errors
+    /// What is wrong with the document, with the name of the key.
+    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
+        let json: Value = serde_json::from_slice(text)?;
+        let mut unknown_keys = unknown_keys_of(&json)?;
+        let document: Document = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(
+            text,
+        ))
+        .map_err(|error| ConfigError::Key { key: error.path().to_string(), error: error.into_inner() })?;
+        let platform = PlatformSettings::parse(&document.settings).map_err(ConfigError::Settings)?;
+        unknown_keys.extend(platform.unknown_keys.iter().map(|key| format!("settings.{key}")));
+        check_limits(&document.limits)?;
+        if document.counter.is_none() && platform.settings.has_counter {
+            return Err(ConfigError::NoCounter);
+        }
         Ok(Config {
+            seed: parse_seed(&document.seed)?,
             name: document.name,
             listen: document.listen,
             discovery: document.discovery,
             counter: document.counter,
-            seed,
             sockets: document.limits.sockets,
-            memory: document.limits.memory_mb.saturating_mul(1 << 20),
-            known: document.known,
-            site,
+            memory_bytes: document.limits.memory_mb.saturating_mul(1 << 20),
+            cached_endpoints: document.known,
+            platform,
             operators: Operators::default(),
-            unknown,
-            document: whole,
+            unknown_keys,
+            document: json,
         })
     }
 
-    /// What the memory goes to.
-    pub fn budget(&self) -> Budget {
-        Budget::within(self.memory, self.sockets)
+    /// Returns how the memory is divided.
+    pub fn memory_budget(&self) -> MemoryBudget {
+        MemoryBudget::within(self.memory_bytes, self.sockets)
     }
 }
 
-/// The keys that are not known here, outside the settings; an error for a misspelt one.
-fn keys(document: &Value) -> Result<Vec<String>> {
+/// Returns the keys that this version does not know, except those of the settings.
+fn unknown_keys_of(document: &Value) -> Result<Vec<String>, ConfigError> {
     let mut unknown = unknown_keys(document, KEYS)?;
     if let Some(limits) = document.get("limits").filter(|limits| limits.is_object()) {
-        let inside = unknown_keys(limits, LIMITS).context("`limits`")?;
+        let inside = unknown_keys(limits, LIMITS).map_err(ConfigError::LimitKeys)?;
         unknown.extend(inside.into_iter().map(|key| format!("limits.{key}")));
     }
     Ok(unknown)
 }
 
+fn check_limits(limits: &Limits) -> Result<(), ConfigError> {
+    if limits.sockets < MIN_SOCKETS {
+        return Err(ConfigError::TooFewSockets(limits.sockets));
+    }
+    if limits.memory_mb < MIN_MEMORY_MB {
+        return Err(ConfigError::TooLittleMemory(limits.memory_mb));
+    }
+    Ok(())
+}
+
+fn parse_seed(seed: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(seed, 16).map_err(|error| ConfigError::Seed { seed: seed.to_owned(), error })
+}
+
 /// Settings of one class, named `read` where it is safe and else `order`, and of the plan `team`, for tests.
 #[cfg(test)]
 pub(crate) fn sample(semantics: &str, aim: u64, limit: u64) -> Value {
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/client/tests.rs
@@ -2,30 +2,33 @@
 use cluster_model::scenario::NetworkSpec;
 use runtime::{Listener, SystemEnv};
 use simulated_runtime::{Place, ProcessId, Sim, SimConfig, SimEnv, SimStream};
+use std::sync::Arc;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncReadExt;
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::timeout;
 
 const SECOND: Span = 1_000_000_000;
 const NAME: CounterKey = CounterKey(10);
 
 /// A counter whose service is the listener, given up by the test alone or after a `patience`.
-async fn counter(patience: Span) -> (Counter<SystemEnv>, TcpListener, UnboundedReceiver<Input>) {
+async fn counter(patience: Span) -> (CounterClient<SystemEnv>, TcpListener, UnboundedReceiver<TrafficEvent>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (tell, inbox) = mpsc::unbounded_channel();
     let address = Some(listener.local_addr().unwrap());
-    (Counter::new(SystemEnv::start(), address, tell, patience), listener, inbox)
+    (CounterClient::new(SystemEnv::start(), address, tell, patience), listener, inbox)
 }
 
-async fn call(counter: &mut Counter<SystemEnv>) -> CallId {
-    counter.call(NAME, -2.5, 4 * SECOND).unwrap().0
+async fn call(counter: &mut CounterClient<SystemEnv>) -> CallId {
+    counter.add(NAME, -2.5, 4 * SECOND).unwrap().0
 }
 
-async fn event(inbox: &mut UnboundedReceiver<Input>) -> CounterEvent {
+async fn event(inbox: &mut UnboundedReceiver<TrafficEvent>) -> CounterEvent {
     match timeout(Duration::from_secs(20), inbox.recv()).await.unwrap() {
-        Some(Input::Counter(event)) => event,
+        Some(TrafficEvent::Counter(event)) => event,
         other => panic!("{other:?}"),
     }
 }
@@ -43,13 +46,13 @@
     let first = call(&mut counter).await;
     let mut service = listener.accept().await.unwrap().0;
     expect_command(&mut service).await;
-    assert_eq!(counter.give_up(first).unwrap().outcome, Outcome::Timeout, "it may have been added");
+    assert_eq!(counter.time_out(first).unwrap().outcome, Outcome::Timeout, "it may have been added");
     // A link with a late answer to come is taken only when all others have calls out too.
-    for _ in 1..MAX_LINKS {
+    for _ in 1..MAX_CONNECTIONS {
         call(&mut counter).await;
     }
     let mut others = Vec::new();
-    for _ in 1..MAX_LINKS {
+    for _ in 1..MAX_CONNECTIONS {
         others.push(listener.accept().await.unwrap());
     }
     call(&mut counter).await;
@@ -64,7 +67,7 @@
 async fn a_call_given_up_before_it_was_written_is_never_written() {
     let (mut counter, listener, mut inbox) = counter(20 * SECOND).await;
     let first = call(&mut counter).await;
-    assert_eq!(counter.give_up(first).unwrap().outcome, Outcome::ConnectFailed, "nothing was added");
+    assert_eq!(counter.time_out(first).unwrap().outcome, Outcome::ConnectFailed, "nothing was added");
     assert!(counter.on_event(event(&mut inbox).await).is_none(), "given up before");
     call(&mut counter).await;
     let mut service = listener.accept().await.unwrap().0;
@@ -113,7 +116,7 @@
     expect_command(&mut silent).await;
     let ended = counter.on_event(event(&mut inbox).await).unwrap();
     assert_eq!(ended.outcome, Outcome::Timeout);
-    assert!(matches!(event(&mut inbox).await, CounterEvent::Down(_)));
+    assert!(matches!(event(&mut inbox).await, CounterEvent::Closed(_)));
     call(&mut counter).await;
     let mut fresh = listener.accept().await.unwrap().0;
     expect_command(&mut fresh).await;
@@ -152,8 +155,8 @@
 /// A counter in a room whose network takes half of a call unread, so that writing it rests in the middle.
 struct SlowReader {
     sim: Sim,
-    counter: Counter<SimEnv>,
-    inbox: UnboundedReceiver<Input>,
+    counter: CounterClient<SimEnv>,
+    inbox: UnboundedReceiver<TrafficEvent>,
     heard: Arc<Mutex<Vec<u8>>>,
     service: ProcessId,
 }
@@ -176,12 +179,12 @@
             }
         });
         let (tell, inbox) = mpsc::unbounded_channel();
-        let counter = Counter::new(gateway, address, tell, 20 * SECOND);
+        let counter = CounterClient::new(gateway, address, tell, 20 * SECOND);
         SlowReader { sim, counter, inbox, heard, service: id }
     }
 
     fn call(&mut self, amount: f64) -> CallId {
-        self.counter.call(NAME, amount, 4 * SECOND).unwrap().0
+        self.counter.add(NAME, amount, 4 * SECOND).unwrap().0
     }
 
     /// All that the service has read by then.
@@ -204,37 +207,37 @@
     let mut room = SlowReader::start();
     let call = room.call(-2.5);
     assert!(room.heard(SECOND / 2).is_empty());
-    assert_eq!(room.counter.give_up(call).unwrap().outcome, Outcome::Timeout);
-    assert_eq!(room.heard(2 * SECOND), command(NAME, -2.5, 4 * SECOND), "all of it has come");
+    assert_eq!(room.counter.time_out(call).unwrap().outcome, Outcome::Timeout);
+    assert_eq!(room.heard(2 * SECOND), add_command(NAME, -2.5, 4 * SECOND), "all of it has come");
 }
 
 #[test]
 fn a_call_given_up_behind_one_in_mid_write_is_never_written() {
     let mut room = SlowReader::start();
-    for _ in 0..MAX_LINKS {
+    for _ in 0..MAX_CONNECTIONS {
         room.call(1.0);
     }
     room.sim.run_until(SECOND / 2).unwrap();
     let behind = room.call(2.0);
     room.sim.run_until(SECOND * 3 / 4).unwrap();
-    assert_eq!(room.counter.give_up(behind).unwrap().outcome, Outcome::ConnectFailed);
-    let one = command(NAME, 1.0, 4 * SECOND).len();
-    assert_eq!(room.heard(2 * SECOND).len(), MAX_LINKS * one);
-    let Ok(Input::Counter(event)) = room.inbox.try_recv() else { panic!("its end is told") };
+    assert_eq!(room.counter.time_out(behind).unwrap().outcome, Outcome::ConnectFailed);
+    let one = add_command(NAME, 1.0, 4 * SECOND).len();
+    assert_eq!(room.heard(2 * SECOND).len(), MAX_CONNECTIONS * one);
+    let Ok(TrafficEvent::Counter(event)) = room.inbox.try_recv() else { panic!("its end is told") };
     assert!(room.counter.on_event(event).is_none(), "given up before");
 }
 
 #[test]
 fn a_call_half_written_when_its_connection_dies_added_nothing_and_neither_did_those_behind_it() {
     let mut room = SlowReader::start();
-    let calls: Vec<CallId> = (0..=MAX_LINKS).map(|_| room.call(1.0)).collect();
+    let calls: Vec<CallId> = (0..=MAX_CONNECTIONS).map(|_| room.call(1.0)).collect();
     room.sim.run_until(SECOND / 2).unwrap();
     room.sim.kill(room.service);
     room.sim.run_until(2 * SECOND).unwrap();
     let events = std::iter::from_fn(|| room.inbox.try_recv().ok());
     let events: Vec<CounterEvent> = events
         .map(|input| match input {
-            Input::Counter(event) => event,
+            TrafficEvent::Counter(event) => event,
             other => panic!("{other:?}"),
         })
         .collect();
--- a/crates/gateway/src/crash_points.rs
+++ b/crates/gateway/src/crash_points.rs
@@ -1,37 +1,37 @@
-//! Points at which a test build can be told to die, to show that no rule is broken by it.
+//! Points at which a test build can be made to crash, to show that no rule is broken by it.
 //!
-//! Only with the feature `crash-points`, which no release has (`.ci/run` checks that); without it a point is an empty
-//! inline function. `FENNELBEAM_CRASH=point:n` ends the process at the n-th time (from 1) that the point is reached.
-//! The process sends itself SIGKILL rather than aborting: nothing can catch it, no buffer is flushed, no task ends in
-//! order, and no core is written. To whoever looks on it is a `kill -9` at the worst moment.
+//! Only the feature `crash-points`, which no release has (`.ci/run` checks that), arms them; without it a point is an
+//! empty inline function. `FENNELBEAM_CRASH=point:n` kills the process when the point is reached for the n-th time, from
+//! 1. The process sends itself SIGKILL rather than aborting: nothing can catch it, no buffer is flushed, no task ends in
+//! order, and no core is dumped. From outside it looks like `kill -9` at the worst time.
 
-/// A moment in the life of a request or of the process.
+/// A point in the processing of a request, or in the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// A connection was accepted, and nothing read from it yet.
+    /// A connection has been accepted, and nothing has been read from it yet.
     Accepted,
-    /// An attempt's last byte is written to a host, and nobody has noted it.
+    /// The last byte of an attempt has been written to a host, and nothing records it yet.
     AttemptWritten,
-    /// An attempt's answer is read whole, and the client has none yet.
+    /// The response to an attempt has been read, and the client has no answer yet.
     AnswerRead,
-    /// The first byte of an answer to a client is written, the second is not.
+    /// The first byte of an answer has been written to a client, the second has not.
     InAnswer,
-    /// Calls are written to the counter, and nobody has noted it.
+    /// Calls have been written to the counter, and nothing records it yet.
     CallWritten,
-    /// The counter has answered, and the units are not booked.
+    /// The counter has answered, and the units are not recorded yet.
     Counted,
-    /// A list of hosts, or changes to it, are read and not applied.
+    /// An endpoint list, or changes to it, have been read and not applied yet.
     ListRead,
-    /// A new configuration is read, and nothing of it is in force.
+    /// A new configuration has been read, and nothing of it is in effect yet.
     ReloadRead,
-    /// Of a new configuration the operators' files are in force, and the counter's address is not.
+    /// The operators' files of a new configuration are in effect, and the counter's address is not yet.
     ReloadHalf,
-    /// Told to stop, it accepts no more, and has yet to answer what it has taken.
+    /// The gateway shuts down: it accepts no more connections, and requests are still without an answer.
     Stopping,
 }
 
 impl CrashPoint {
-    /// All of them, in the order of a request's way.
+    /// All points, in the order in which a request passes them.
     pub const ALL: [CrashPoint; 10] = [
         CrashPoint::Accepted,
         CrashPoint::AttemptWritten,
@@ -62,25 +62,25 @@
     }
 }
 
-pub(crate) use switch::{die, here, is_due};
+pub(crate) use switch::{crash, crash_if_armed, is_armed};
 
 #[cfg(not(feature = "crash-points"))]
 mod switch {
     use super::CrashPoint;
 
-    /// Nothing.
+    /// Does nothing.
     #[inline(always)]
-    pub(crate) fn here(_: CrashPoint) {}
+    pub(crate) fn crash_if_armed(_: CrashPoint) {}
 
-    /// Never.
+    /// Returns false.
     #[inline(always)]
-    pub(crate) fn is_due(_: CrashPoint) -> bool {
+    pub(crate) fn is_armed(_: CrashPoint) -> bool {
         false
     }
 
-    /// Never called.
+    /// Never called, since no point is armed.
     #[inline(always)]
-    pub(crate) fn die() {}
+    pub(crate) fn crash() {}
 }
 
 #[cfg(feature = "crash-points")]
@@ -90,38 +90,38 @@
     use std::sync::atomic::{AtomicU64, Ordering};
     use std::sync::OnceLock;
 
-    /// The point that is asked for, and which time it is reached.
-    static ASKED: OnceLock<Option<(CrashPoint, u64)>> = OnceLock::new();
+    /// The armed point, and at which time of reaching it to crash.
+    static ARMED: OnceLock<Option<(CrashPoint, u64)>> = OnceLock::new();
     static REACHED: AtomicU64 = AtomicU64::new(0);
 
-    /// Dies here if this is the point and the time.
-    pub(crate) fn here(point: CrashPoint) {
-        if is_due(point) {
-            die();
+    /// Crashes if this is the armed point, reached for the armed time.
+    pub(crate) fn crash_if_armed(point: CrashPoint) {
+        if is_armed(point) {
+            crash();
         }
     }
 
-    /// Whether this is the point and the time. Counts, so it is to be asked once each time.
-    pub(crate) fn is_due(point: CrashPoint) -> bool {
-        let asked = ASKED.get_or_init(|| parse(&std::env::var("FENNELBEAM_CRASH").ok()?));
-        asked.is_some_and(|(at, nth)| at == point && REACHED.fetch_add(1, Ordering::Relaxed) + 1 == nth)
+    /// Returns whether this is the armed point, reached for the armed time. Each call counts as reaching the point.
+    pub(crate) fn is_armed(point: CrashPoint) -> bool {
+        let armed = ARMED.get_or_init(|| parse(&std::env::var("FENNELBEAM_CRASH").ok()?));
+        armed.is_some_and(|(at, nth)| at == point && REACHED.fetch_add(1, Ordering::Relaxed) + 1 == nth)
     }
 
-    /// Ends the process as `kill -9` would.
-    pub(crate) fn die() {
+    /// Kills the process as `kill -9` would.
+    pub(crate) fn crash() {
         let _ = kill_process(getpid(), Signal::KILL);
-        // The signal may take a moment to come: nothing is done meanwhile.
+        // The signal may take a while to arrive: nothing else is done meanwhile.
         loop {
             std::thread::park();
         }
     }
 
-    /// `point:n`. A test that asks for what there is not is to end at once, rather than to show nothing.
+    /// Reads `point:n`. A test that arms a point that does not exist fails at once, rather than showing nothing.
     fn parse(text: &str) -> Option<(CrashPoint, u64)> {
         let parts = text.split_once(':');
         let point = |name| CrashPoint::ALL.into_iter().find(|point| point.name() == name);
-        let asked = parts.and_then(|(name, nth)| Some((point(name)?, nth.parse().ok()?)));
-        assert!(asked.is_some(), "FENNELBEAM_CRASH: no such point as {text:?}, see CrashPoint");
-        asked
+        let armed = parts.and_then(|(name, nth)| Some((point(name)?, nth.parse().ok()?)));
+        assert!(armed.is_some(), "FENNELBEAM_CRASH: no such point as {text:?}, see CrashPoint");
+        armed
     }
 }
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,68 +1,64 @@
-//! The list of hosts, as discovery tells it.
+//! The endpoint list in the form in which discovery sends it.
 
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// A list of hosts, or the entries that changed.
+/// An endpoint list, or changes to one.
 #[derive(Clone, Debug, Default, Deserialize)]
-#[serde(try_from = "Told")]
-pub struct Membership {
-    /// Its version.
+#[serde(try_from = "Document")]
+pub struct EndpointList {
+    /// Version of the list.
     pub generation: u64,
-    /// It is whole: a host that is not in it is gone.
-    pub reset: bool,
-    /// The hosts.
-    pub instances: Vec<Member>,
-    /// Entries that could not be read whole, if only some of each.
-    pub unreadable: usize,
+    /// Whether the list is complete (`reset` on the wire): a host that it does not name is gone.
+    pub is_complete: bool,
+    /// The hosts (`instances` on the wire).
+    pub endpoints: Vec<Endpoint>,
+    /// Number of entries that could not be read completely.
+    pub invalid_entries: usize,
 }
 
-/// A list as it comes.
-#[derive(Deserialize)]
-struct Told {
-    #[serde(default)]
-    generation: u64,
-    #[serde(default)]
-    reset: bool,
-    #[serde(default)]
-    instances: Vec<Value>,
-}
+impl EndpointList {
+    /// Returns this list with changes applied to it.
+    pub(crate) fn with_changes(mut self, changes: EndpointList) -> EndpointList {
+        let changed: HashSet<&str> = changes.endpoints.iter().map(|host| &*host.instance_id).collect();
+        self.endpoints.retain(|host| !changed.contains(&*host.instance_id));
+        self.endpoints.extend(changes.endpoints);
+        EndpointList { generation: changes.generation, ..self }
+    }
 
-impl Membership {
-    /// This list with these changes to it.
-    pub(crate) fn changed_by(mut self, changes: Membership) -> Membership {
-        let changed: HashSet<&str> = changes.instances.iter().map(|host| &*host.instance_id).collect();
-        self.instances.retain(|host| !changed.contains(&*host.instance_id));
-        self.instances.extend(changes.instances);
-        Membership { generation: changes.generation, ..self }
+    /// Returns whether this is a complete list without a host.
+    pub(crate) fn is_complete_and_empty(&self) -> bool {
+        self.is_complete && self.endpoints.is_empty()
     }
 }
 
 /// One host.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Member {
-    /// Its name, the same at every gateway.
+pub struct Endpoint {
+    /// Name of the host, the same at every gateway.
     pub instance_id: String,
-    /// Where it listens. `None`: what is told is that it wants nothing new, and nothing else of it could be read.
-    pub host_port: Option<SocketAddr>,
-    /// Its state.
+    /// Address of the host (`hostPort` on the wire). `None` for a host that accepts nothing new and of which nothing
+    /// else could be read.
+    #[serde(rename = "hostPort")]
+    pub address: Option<SocketAddr>,
+    /// State of the host.
     pub lifecycle: Lifecycle,
-    /// The name of its zone.
+    /// Name of the host's zone.
     #[serde(default)]
     pub zone: String,
-    /// The name of its kind of machine.
+    /// Name of the host's machine type.
     #[serde(default)]
     pub machine_type: String,
-    /// Its cell.
+    /// Cell of the host.
     #[serde(default)]
     pub cell: u32,
-    /// Its size, without a unit.
+    /// Relative size of the host, without a unit.
     #[serde(default)]
     pub weight: f64,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// Latest start of the host, in milliseconds of Unix time; 0 for one long past.
     #[serde(default)]
     pub started_at_ms: u64,
 }
@@ -71,50 +67,62 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
-    /// Takes work.
+    /// The host accepts requests.
     InService,
-    /// Finishes what it has, wants nothing new.
+    /// The host is draining: it finishes what is in flight and accepts nothing new.
     Terminating,
-    /// Gone.
+    /// The host is gone.
     Terminated,
 }
 
-/// Why a list says nothing.
+/// The document that discovery sends.
+#[derive(Deserialize)]
+struct Document {
+    #[serde(default)]
+    generation: u64,
+    #[serde(default)]
+    reset: bool,
+    #[serde(default)]
+    instances: Vec<Value>,
+}
+
+/// The error of a list of which no entry can be read.
 #[derive(Debug, thiserror::Error)]
 #[error("no entry can be read")]
 struct NoEntry;
 
-impl TryFrom<Told> for Membership {
+impl TryFrom<Document> for EndpointList {
     type Error = NoEntry;
 
-    /// Entries one by one: what cannot be read of one says nothing of the others. That a host drains or is gone
-    /// counts whatever else its entry holds: the version goes on, and nobody would say it again.
-    fn try_from(told: Told) -> Result<Membership, NoEntry> {
-        let Told { generation, reset, instances: all } = told;
-        let (mut instances, mut unreadable) = (Vec::with_capacity(all.len()), 0);
-        for entry in &all {
-            match Member::deserialize(entry).ok().filter(|member| member.host_port.is_some()) {
-                Some(member) => instances.push(member),
+    /// Reads the entries one by one: an invalid one does not invalidate the others. That a host drains or is gone
+    /// counts whatever else its entry holds, since the version advances and discovery would not send it again.
+    fn try_from(document: Document) -> Result<EndpointList, NoEntry> {
+        let Document { generation, reset, instances } = document;
+        let mut endpoints = Vec::with_capacity(instances.len());
+        let mut invalid_entries = 0;
+        for entry in &instances {
+            match Endpoint::deserialize(entry).ok().filter(|endpoint| endpoint.address.is_some()) {
+                Some(endpoint) => endpoints.push(endpoint),
                 None => {
-                    unreadable += 1;
-                    instances.extend(end_of(entry));
+                    invalid_entries += 1;
+                    endpoints.extend(departure_in(entry));
                 }
             }
         }
-        if instances.is_empty() && !all.is_empty() {
+        if endpoints.is_empty() && !instances.is_empty() {
             return Err(NoEntry);
         }
-        Ok(Membership { generation, reset, instances, unreadable })
+        Ok(EndpointList { generation, is_complete: reset, endpoints, invalid_entries })
     }
 }
 
-/// What an entry that cannot be read whole says of a host that wants nothing new.
-fn end_of(entry: &Value) -> Option<Member> {
+/// Reads an invalid entry of a host that drains or is gone, as far as it says so.
+fn departure_in(entry: &Value) -> Option<Endpoint> {
     let lifecycle = Lifecycle::deserialize(entry.get("lifecycle")?).ok()?;
     let instance_id = entry.get("instanceId")?.as_str()?.to_owned();
-    (lifecycle != Lifecycle::InService).then(|| Member {
+    (lifecycle != Lifecycle::InService).then(|| Endpoint {
         instance_id,
-        host_port: None,
+        address: None,
         lifecycle,
         zone: String::new(),
         machine_type: String::new(),
--- a/crates/gateway/src/discovery/documents/tests.rs
+++ b/crates/gateway/src/discovery/json_stream/tests.rs
@@ -2,13 +2,13 @@
 
 /// All parts of a stream that comes in frames of one size, and how it ends.
 fn parts(stream: &str, size: usize) -> (Vec<String>, Result<(), ListError>) {
-    let (mut documents, mut found) = (Documents::default(), Vec::new());
+    let (mut documents, mut found) = (JsonStream::default(), Vec::new());
     for frame in stream.as_bytes().chunks(size) {
         documents.push(frame);
         loop {
             match documents.next() {
-                Ok(Some(Part::Document(text))) => found.push(String::from_utf8(text.to_vec()).unwrap()),
-                Ok(Some(Part::Blank)) => {}
+                Ok(Some(StreamItem::Document(text))) => found.push(String::from_utf8(text.to_vec()).unwrap()),
+                Ok(Some(StreamItem::Whitespace)) => {}
                 Ok(None) => break,
                 Err(error) => return (found, Err(error)),
             }
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn documents_are_cut_alike_however_they_come() {
+fn documents_are_split_alike_however_they_are_fragmented() {
     let cases: [(&str, &[&str]); 8] = [
         ("", &[]),
         (" \r\n\t\n", &[]),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_is_no_document_ends_the_stream_and_a_long_one_is_bounded() {
+fn an_invalid_or_too_long_document_is_an_error() {
     let long = format!("{{\"a\":\"{}", "x".repeat(MAX_DOCUMENT));
     let cases = [("{}\n[]", 1, ListError::NoDocument), ("x", 0, ListError::NoDocument)];
     for (stream, whole, error) in cases.into_iter().chain([(long.as_str(), 0, ListError::TooLong)]) {
--- /dev/null
+++ b/crates/gateway/src/gateway/logging.rs
@@ -0,0 +1,72 @@
+//! What the gateway logs of its own state: all of it at a limited rate.
+
+use super::{DecisionModule, Gateway};
+use crate::counter::log::LogLine;
+use crate::telemetry::event_loop_delay::DelayReport;
+use crate::telemetry::failure_stats::{describe, FailureReason};
+use policy::api::{RequestId, Span, Time};
+use runtime::Env;
+
+const MS: Span = 1_000_000;
+const SECOND: Span = 1_000 * MS;
+
+impl<E: Env, D: DecisionModule> Gateway<E, D> {
+    /// Takes in that a request which arrived at `arrived_at` is processed now.
+    pub(super) fn log_event_loop_delay(&mut self, arrived_at: Time) {
+        match self.event_loop_delay.observe(self.env.now(), arrived_at) {
+            None => {}
+            Some(DelayReport::Delayed(delay)) => tracing::warn!(
+                lag_ms = delay / MS,
+                in_hand = self.requests.len(),
+                "too little of a core: requests wait before they are looked at"
+            ),
+            Some(DelayReport::Recovered(duration)) => {
+                tracing::info!(after_s = duration / SECOND, "requests wait no more");
+            }
+        }
+    }
+
+    /// Counts and logs a request that has no response within its latency objective, and will have none.
+    pub(super) fn log_failure(&mut self, id: RequestId, reason: FailureReason) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let now = self.env.now();
+        let last = request.failed_attempts.last();
+        let Some(suppressed) = self.failure_stats.count_failure(now, reason, last, request.weight) else {
+            return;
+        };
+        let name = |names: &'_ [String], index: usize| names.get(index).cloned().unwrap_or_default();
+        tracing::info!(
+            request = format_args!("{:016x}", request.call.client_id),
+            class = name(&self.platform.class_names, request.class),
+            plan = name(&self.platform.plan_names, request.plan),
+            after_ms = now.saturating_sub(request.arrived_at) / MS,
+            reason = reason.label(),
+            attempts = describe(&request.failed_attempts, |host| self.upstream.name(host)),
+            left_out = suppressed,
+            "lost"
+        );
+    }
+
+    /// Logs the summary of failures when its period is over.
+    pub(super) fn log_failure_summary(&mut self) {
+        let now = self.env.now();
+        if self.failure_stats.needs_summary(now) {
+            if let Some(summary) = self.failure_stats.summary(now) {
+                tracing::info!("lost in the last minute: {summary}");
+            }
+        }
+    }
+
+    /// Logs changes of the counter's state.
+    pub(super) fn log_counter_state(&mut self) {
+        let now = self.env.now();
+        if !self.counter_log.needs_update(now) {
+            return;
+        }
+        let report = self.module.counter_report(now);
+        self.counter_log.update(now, &report).iter().for_each(LogLine::log);
+        if self.counter_log.is_healthy(&report) {
+            self.module.reset_local_grants();
+        }
+    }
+}
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 use crate::client::call;
+use crate::lifecycle::reload::Reload;
+use crate::messages::{IncomingRequest, ReplyTo};
+use bytes::Bytes;
 use cluster_model::scenario::NetworkSpec;
 use config_language::{load, loader::Memory};
+use policy::api::{Action, CounterKey, HostId, Time};
 use resp::Frame;
 use runtime::{Listener, SystemEnv};
 use serde_json::json;
@@ -17,7 +21,7 @@
     static TELLS: std::cell::RefCell<Option<mpsc::UnboundedSender<&'static str>>> = const { std::cell::RefCell::new(None) };
 }
 
-impl Decisions for Told {
+impl DecisionModule for Told {
     fn start(_: Settings, _: u64) -> Self {
         Told(TELLS.with_borrow_mut(Option::take).expect("one gateway"))
     }
@@ -39,13 +43,13 @@
         "settings": crate::config::sample("safe", 8_000_000_000, 9_000_000_000),
     });
     let config = Config::parse(document.to_string().as_bytes()).unwrap();
-    let site = Arc::new(config.site.clone());
-    let routing = Routing::new(site.clone(), &config.operators).unwrap();
+    let site = Arc::new(config.platform.clone());
+    let routing = RequestRouter::new(site.clone(), &config.operators).unwrap();
     let (tell, mut told) = mpsc::unbounded_channel();
     TELLS.set(Some(tell));
     let (inputs, inbox) = mpsc::unbounded_channel();
     let (news, binding) = mpsc::unbounded_channel();
-    let (phase, _) = watch::channel(Phase::Starting);
+    let (phase, _) = watch::channel(LifecyclePhase::Starting);
     let gateway: Gateway<SystemEnv, Told> =
         Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
     assert_eq!(told.recv().await, Some("hosts"), "the list known before the start");
@@ -57,11 +61,11 @@
         let frame = |word: &String| Frame::Bulk(Bytes::from(word.clone()));
         let words: Vec<Frame> = words.iter().chain([&list]).map(frame).collect();
         let (request, call) = call::parse(&site, RequestId(id), &words).unwrap();
-        let reply = ReplyTo { slot: id, answers: answers.clone() };
-        let incoming = Incoming { at: 1, request, call, reply };
-        inputs.send(Input::Request(Box::new(incoming))).unwrap();
+        let reply_to = ReplyTo { command: id, answers: answers.clone() };
+        let incoming = IncomingRequest { arrived_at: 1, request, call, reply_to };
+        inputs.send(TrafficEvent::Request(Box::new(incoming))).unwrap();
     }
-    news.send(News::Hosts(Membership::default())).unwrap();
+    news.send(ControlEvent::EndpointList(EndpointList::default())).unwrap();
     tokio::spawn(gateway.run(binding, inbox));
     assert_eq!(told.recv().await, Some("hosts"));
     for _ in 0..5_000 {
@@ -80,7 +84,7 @@
     NOTED.with_borrow_mut(|noted| noted.push(text));
 }
 
-impl Decisions for SendsWhenTimed {
+impl DecisionModule for SendsWhenTimed {
     fn start(_: Settings, _: u64) -> Self {
         SendsWhenTimed(None)
     }
@@ -114,7 +118,7 @@
         "settings": crate::config::sample("safe", 8_000_000_000, 9_000_000_000),
     });
     let config = Config::parse(document.to_string().as_bytes()).unwrap();
-    let site = Arc::new(config.site.clone());
+    let site = Arc::new(config.platform.clone());
     let id = RequestId(7);
     let words =
         ["CALL.GET", "0000000000000001", "0000000000000007", "c=read,t=team,d=900,units=1,spread=1,first=0"];
@@ -128,32 +132,36 @@
         (Some(1), &["request", "NotSent, closed: false", "left", unsent]),
     ];
     for (attempts, expected) in cases {
-        let routing = Routing::new(site.clone(), &config.operators).unwrap();
+        let routing = RequestRouter::new(site.clone(), &config.operators).unwrap();
         let (inputs, _inbox) = mpsc::unbounded_channel();
-        let (phase, _) = watch::channel(Phase::Starting);
+        let (phase, _) = watch::channel(LifecyclePhase::Starting);
         let mut gateway: Gateway<SystemEnv, SendsWhenTimed> =
             Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
         NOTED.take();
         let (answers, answered) = mpsc::unbounded_channel();
         let (request, call) = call::parse(&site, id, &words).unwrap();
-        let incoming = Incoming { at: 1, request, call, reply: ReplyTo { slot: 0, answers } };
+        let incoming =
+            IncomingRequest { arrived_at: 1, request, call, reply_to: ReplyTo { command: 0, answers } };
         let mut answered = Some(answered);
         if attempts.is_none() {
             answered.take();
         }
-        gateway.on_input(Input::Request(Box::new(incoming)));
+        gateway.on_traffic(TrafficEvent::Request(Box::new(incoming)));
         if let Some(attempts) = attempts {
             for _ in 0..attempts {
-                gateway.tell(Event::TimerExpired { token: 0 });
+                gateway.notify(Event::TimerExpired { token: 0 });
                 gateway.report_finished();
             }
             answered.take();
-            gateway.tell(Event::TimerExpired { token: 0 });
+            gateway.notify(Event::TimerExpired { token: 0 });
             gateway.report_finished();
         }
-        gateway.on_input(Input::Left(id));
+        gateway.on_traffic(TrafficEvent::ClientDisconnected(id));
         assert_eq!(NOTED.take(), expected, "{attempts:?}");
-        assert!(gateway.requests.is_empty() && gateway.open.is_empty(), "{attempts:?}: it is still held");
+        assert!(
+            gateway.requests.is_empty() && gateway.client_ids.is_empty(),
+            "{attempts:?}: it is still held"
+        );
         assert_eq!(gateway.timers.next(), None, "{attempts:?}: something still falls due");
     }
 }
@@ -162,7 +170,7 @@
 /// with, and what it is told of plans, hosts and the counter.
 struct Frail;
 
-impl Decisions for Frail {
+impl DecisionModule for Frail {
     fn start(settings: Settings, _: u64) -> Self {
         note(format!("starts at {}", settings.plans[0].rate));
         Frail
@@ -190,7 +198,7 @@
     sim: Sim,
     site: Arc<PlatformSettings>,
     gateway: Gateway<SimEnv, Frail>,
-    inbox: UnboundedReceiver<Input>,
+    inbox: UnboundedReceiver<TrafficEvent>,
     /// Calls that have come to the counter. Each gets this number for an answer, 10 ms later.
     counted: Arc<AtomicU32>,
 }
@@ -225,10 +233,10 @@
             "known": {"generation": 1, "reset": true, "instances": [host]}, "settings": settings,
         });
         let config = Config::parse(document.to_string().as_bytes()).unwrap();
-        let site = Arc::new(config.site.clone());
-        let routing = Routing::new(site.clone(), &config.operators).unwrap();
+        let site = Arc::new(config.platform.clone());
+        let routing = RequestRouter::new(site.clone(), &config.operators).unwrap();
         let (inputs, inbox) = mpsc::unbounded_channel();
-        let (phase, _) = watch::channel(Phase::Starting);
+        let (phase, _) = watch::channel(LifecyclePhase::Starting);
         NOTED.take();
         let gateway = Gateway::new(env, &config, site.clone(), routing, &inputs, 16, phase);
         assert_eq!(NOTED.take(), ["starts at 10"]);
@@ -242,8 +250,13 @@
         let words: Vec<Frame> = words.into_iter().map(|word| Frame::Bulk(word.into())).collect();
         let (request, call) = call::parse(&self.site, RequestId(id), &words).unwrap();
         let (answers, mut answered) = mpsc::unbounded_channel();
-        let incoming = Incoming { at: self.sim.now(), request, call, reply: ReplyTo { slot: 0, answers } };
-        self.gateway.on_input(Input::Request(Box::new(incoming)));
+        let incoming = IncomingRequest {
+            arrived_at: self.sim.now(),
+            request,
+            call,
+            reply_to: ReplyTo { command: 0, answers },
+        };
+        self.gateway.on_traffic(TrafficEvent::Request(Box::new(incoming)));
         answered.try_recv().is_ok()
     }
 
@@ -251,7 +264,7 @@
     fn run(&mut self, span: Span) {
         self.sim.run_until(self.sim.now() + span).unwrap();
         while let Ok(input) = self.inbox.try_recv() {
-            self.gateway.on_input(input);
+            self.gateway.on_traffic(input);
         }
         self.gateway.fire_timers();
     }
@@ -261,7 +274,7 @@
         let (done, mut outcome) = oneshot::channel();
         let operators = operators.set.unwrap().operators;
         let reload = Reload { counter: None, operators, done };
-        self.gateway.on_news(News::Reload(Box::new(reload)));
+        self.gateway.on_control(ControlEvent::Reload(Box::new(reload)));
         outcome.try_recv().unwrap().unwrap();
     }
 }
@@ -279,7 +292,8 @@
     let mut room = FrailRoom::new();
     assert!(room.ask(1, 6));
     NOTED.take();
-    room.gateway.on_news(News::Hosts(Membership { generation: 2, ..Membership::default() }));
+    room.gateway
+        .on_control(ControlEvent::EndpointList(EndpointList { generation: 2, ..EndpointList::default() }));
     assert_eq!(NOTED.take(), ["Cached, 1 hosts"]);
     room.run(1_000 * MS);
     assert_eq!(NOTED.take(), [""; 0], "once");
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,12 +1,20 @@
-//! The network side of the gateway: a library that the program and rehearsals drive. Everything here carries
-//! out what the decision module asks for, over any [`runtime::Env`].
+//! The network side of the gateway, as a library that the program and the emulator drive. It executes what the decision
+//! module ([`policy`]) wants, over any [`runtime::Env`].
 //!
-//! One request's way: `clients` takes a command off a connection and reads it (`call`); the gateway
-//! (`gateway`) tells the decision module, which wants an attempt; `hosts` puts that on a connection; what comes
-//! back goes through the gateway to the client's connection, in the order of its commands. The `counter` and
-//! `discovery` speak to the outside on their own tasks. Where a request may go is found in `routing`, and what is kept from it while
-//! a whole site is lost in `sites`. What passes between them is in `messages`, and none of
-//! them knows another.
+//! The way of a request:
+//!
+//! 1. `client` accepts a connection, reads a command and parses it as a call.
+//! 2. `gateway`, the event loop, selects the request's route (`request_routing`, `site_control`) and reports it to the
+//!    decision module.
+//! 3. The decision module asks the shared counter for units where it has to (`counter`), and orders an attempt at a host,
+//!    or answers at once.
+//! 4. `upstream` writes the attempt on a connection to the host and reads the response.
+//! 5. `gateway` sends the one final answer to the client's connection, which writes the replies in the order of the
+//!    commands.
+//!
+//! `discovery` watches the endpoint list; `lifecycle` starts the parts, reloads the configuration (`config`) and shuts
+//! down; `telemetry` measures what the log reports. The parts know the messages between them (`messages`) and not one
+//! another.
 
 mod client;
 mod config;
@@ -22,11 +30,11 @@
 mod timers;
 mod upstream;
 
-pub use config::memory_budget::Budget;
-pub use config::{Config, MIN_SOCKETS};
+pub use config::memory_budget::MemoryBudget;
+pub use config::{Config, ConfigError, MIN_SOCKETS};
 pub use config_language::model::Operators;
 pub use crash_points::CrashPoint;
-pub use discovery::endpoint_list::{Lifecycle, Member, Membership};
-pub use lifecycle::{serve, Signal};
+pub use discovery::endpoint_list::{Endpoint, EndpointList, Lifecycle};
+pub use lifecycle::{serve, ServeError, Signal};
 pub use platform_settings::PlatformSettings;
-pub use request_routing::check_operators;
+pub use request_routing::{check_operators, OperatorsError};
--- a/crates/gateway/src/lifecycle/reload/mod.rs
+++ b/crates/gateway/src/lifecycle/reload/mod.rs
@@ -1,59 +1,62 @@
-//! What of a configuration that was read again a gateway takes without a start, and what it does not.
+//! What a running gateway takes from a configuration that has been read again, and what takes effect only at a start.
 
-use crate::request_routing::Unusable;
+use crate::request_routing::OperatorsError;
 use config_language::model::Operators;
 use serde_json::Value;
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 
-/// Keys of the document that count without a start.
-const TAKEN: [&str; 2] = ["discovery", "counter"];
-/// Keys in which a whole list is one thing: another version of it is no news of its parts.
-const WHOLE: [&str; 1] = ["known"];
-/// Keys that a line names; what is beyond is counted.
-const NAMED: usize = 8;
+/// Keys of the document that take effect without a start.
+const RELOADABLE: [&str; 2] = ["discovery", "counter"];
+/// Keys whose values are compared as a whole: the difference of two endpoint lists is of no interest.
+const OPAQUE: [&str; 1] = ["known"];
+/// Maximum number of keys that a line names; the others are counted.
+const MAX_NAMED: usize = 8;
 
-/// What the gateway puts in force, all of it or nothing.
+/// The reloadable part of a configuration, which takes effect completely or not at all.
 #[derive(Debug)]
 pub(crate) struct Reload {
     pub counter: Option<SocketAddr>,
     pub operators: Operators,
-    /// Told when it is in force, or why all stays as it was.
-    pub done: oneshot::Sender<Result<(), Unusable>>,
+    /// Receives the outcome.
+    pub done: oneshot::Sender<Result<(), OperatorsError>>,
 }
 
-/// The keys in which a document differs from the one that the gateway started with, as far as it goes on by that one,
-/// in words. `None`: there are none.
-pub(crate) fn left_for_a_start(started: &Value, now: &Value) -> Option<String> {
+/// Names the keys in which a document differs from the one that the gateway started with, as far as the change takes
+/// effect only at a start. `None` if there are none.
+pub(crate) fn keys_that_need_a_start(started_with: &Value, current: &Value) -> Option<String> {
     let mut keys = Vec::new();
-    differences("", started, now, &mut keys);
-    keys.retain(|key| !TAKEN.contains(&key.as_str()));
-    let named: Vec<String> = keys.iter().take(NAMED).map(|key| format!("`{key}`")).collect();
-    let more = keys.len() - named.len();
-    let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-    (!keys.is_empty()).then(|| named.join(", ") + &more)
+    collect_differences("", started_with, current, &mut keys);
+    keys.retain(|key| !RELOADABLE.contains(&key.as_str()));
+    if keys.is_empty() {
+        return None;
+    }
+    let named: Vec<String> = keys.iter().take(MAX_NAMED).map(|key| format!("`{key}`")).collect();
+    let others = keys.len() - named.len();
+    let others = if others > 0 { format!(" and {others} more") } else { String::new() };
+    Some(named.join(", ") + &others)
 }
 
-/// Adds the full names of the keys whose values are not the same.
-fn differences(path: &str, a: &Value, b: &Value, keys: &mut Vec<String>) {
-    match (a, b) {
-        (Value::Object(a), Value::Object(b)) if !WHOLE.contains(&path) => {
-            let only_b = b.keys().filter(|key| !a.contains_key(*key));
-            for key in a.keys().chain(only_b) {
-                let inner = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-                let of =
+/// Adds the full names of the keys whose values differ.
+fn collect_differences(path: &str, old: &Value, new: &Value, keys: &mut Vec<String>) {
+    match (old, new) {
+        (Value::Object(old), Value::Object(new)) if !OPAQUE.contains(&path) => {
+            let added = new.keys().filter(|key| !old.contains_key(*key));
+            for key in old.keys().chain(added) {
+                let full_name = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                let value_in =
                     |object: &serde_json::Map<String, Value>| object.get(key).cloned().unwrap_or_default();
-                differences(&inner, &of(a), &of(b), keys);
+                collect_differences(&full_name, &value_in(old), &value_in(new), keys);
             }
         }
-        (Value::Array(a), Value::Array(b)) if a.len() == b.len() => {
-            for (number, (a, b)) in a.iter().zip(b).enumerate() {
-                differences(&format!("{path}[{number}]"), a, b, keys);
+        (Value::Array(old), Value::Array(new)) if old.len() == new.len() => {
+            for (index, (old, new)) in old.iter().zip(new).enumerate() {
+                collect_differences(&format!("{path}[{index}]"), old, new, keys);
             }
         }
-        // One number may be written in two ways.
-        (Value::Number(a), Value::Number(b)) if a.as_f64() == b.as_f64() => {}
-        _ if a == b => {}
+        // A number may be written in several ways.
+        (Value::Number(old), Value::Number(new)) if old.as_f64() == new.as_f64() => {}
+        _ if old == new => {}
         _ => keys.push(path.to_owned()),
     }
 }
--- a/crates/gateway/src/lifecycle/reload/tests.rs
+++ b/crates/gateway/src/lifecycle/reload/tests.rs
@@ -5,8 +5,8 @@
     serde_json::from_str(include_str!("../../../../../deploy/example.json")).unwrap()
 }
 
-/// What is said of the example with these values in place of its own.
-fn said(changes: &[(&str, Value)]) -> Option<String> {
+/// Returns the named keys if the example has these values in place of its own.
+fn named_keys(changes: &[(&str, Value)]) -> Option<String> {
     let mut document = example();
     for (pointer, value) in changes {
         match document.pointer_mut(pointer) {
@@ -14,11 +14,11 @@
             None => document[&pointer[1..]] = value.clone(),
         }
     }
-    left_for_a_start(&example(), &document)
+    keys_that_need_a_start(&example(), &document)
 }
 
 #[test]
-fn each_key_that_is_not_taken_is_named_and_no_other() {
+fn each_key_that_needs_a_start_is_named_and_no_other() {
     for (pointer, value, named) in [
         ("/discovery", json!("127.0.0.1:1"), None),
         ("/counter", json!("127.0.0.1:1"), None),
@@ -36,7 +36,7 @@
         ("/settings/domain/shared-counter", json!(false), Some("`settings.domain.shared-counter`")),
         ("/added", json!(1), Some("`added`")),
     ] {
-        assert_eq!(said(&[(pointer, value)]).as_deref(), named, "{pointer}");
+        assert_eq!(named_keys(&[(pointer, value)]).as_deref(), named, "{pointer}");
     }
 }
 
@@ -44,7 +44,7 @@
 fn many_keys_are_one_bounded_line() {
     let all: Vec<String> = (0..20).map(|number| format!("/more-{number:02}")).collect();
     let changes: Vec<(&str, Value)> = all.iter().map(|key| (key.as_str(), json!(1))).collect();
-    let line = said(&changes).unwrap();
+    let line = named_keys(&changes).unwrap();
     assert!(line.starts_with("`more-00`, `more-01`, ") && line.ends_with("`more-07` and 12 more"), "{line}");
 }
 
@@ -53,12 +53,12 @@
     let mut without = example();
     without.as_object_mut().unwrap().remove("known");
     let line = Some("`known`".to_owned());
-    assert_eq!(left_for_a_start(&example(), &without), line);
-    assert_eq!(left_for_a_start(&without, &example()), line);
+    assert_eq!(keys_that_need_a_start(&example(), &without), line);
+    assert_eq!(keys_that_need_a_start(&without, &example()), line);
     without["counter"] = Value::Null;
     without["known"] = example()["known"].clone();
     assert_eq!(
-        left_for_a_start(&example(), &without),
+        keys_that_need_a_start(&example(), &without),
         None,
         "where the counter is counts at once, also that there is none"
     );
--- a/crates/gateway/src/lifecycle/tests.rs
+++ b/crates/gateway/src/lifecycle/tests.rs
@@ -10,7 +10,7 @@
 /// The decision module, but that it panics at requests of six units, with half of what it wants said.
 struct Panics(Policy);
 
-impl Decisions for Panics {
+impl DecisionModule for Panics {
     fn start(settings: Settings, seed: u64) -> Self {
         Panics(Policy::new(settings, seed))
     }
@@ -26,7 +26,7 @@
 /// The decision module, but that it panics where its plans change.
 struct Settled(Policy);
 
-impl Decisions for Settled {
+impl DecisionModule for Settled {
     fn start(settings: Settings, seed: u64) -> Self {
         Settled(Policy::new(settings, seed))
     }
--- a/crates/gateway/src/request_routing.rs
+++ b/crates/gateway/src/request_routing.rs
@@ -1,4 +1,4 @@
-//! The operators' pools, routes and quota policies as they are in force at this gateway.
+//! The operators' pools, routes and quota policies in effect at this gateway, across versions of their files.
 
 use config_language::model::Operators;
 use platform_settings::PlatformSettings;
@@ -7,267 +7,215 @@
     effective_quotas, Destination, EffectiveQuota, GrantedQuota, HostAttributes, PlatformNames, PoolMask,
     RoutingError, RoutingTable,
 };
-use site_failover::{PlanError, SiteSet};
+use site_failover::{FailoverPlan, PlanError, SiteSet};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// Number of pools: the bits of a mask.
+const POOLS: usize = 64;
+
 /// Why the operators' files cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Unusable {
+pub enum OperatorsError {
+    /// The pools, routes or quota policies cannot be used.
     #[error(transparent)]
-    Route(#[from] RoutingError),
+    Routing(#[from] RoutingError),
+    /// The plan for lost sites cannot be used.
     #[error(transparent)]
-    Plan(#[from] PlanError),
+    Failover(#[from] PlanError),
 }
 
-/// One version of the operators' files after the other, and what requests in hand still hold of earlier ones.
-pub(crate) struct Routing {
-    site: Arc<PlatformSettings>,
-    routes: RoutingTable,
-    /// What the platform grants, tightened by the operators.
+/// The current version of the operators' files, and what requests in flight still use of earlier ones.
+pub(crate) struct RequestRouter {
+    platform: Arc<PlatformSettings>,
+    table: RoutingTable,
+    /// The platform's plans, tightened by the operators.
     plans: Vec<Plan>,
-    /// What to do when a whole site is lost.
-    sites: site_failover::FailoverPlan,
-    /// Numbers of the routes, by place. One that is there by its name in the next version keeps its number, so
-    /// that its limit counts what is out of both.
-    numbers: Vec<u32>,
-    next_number: u32,
-    /// How many requests in hand may go to each pool.
-    held: [u32; 64],
-    /// Pools with a host that takes work, a bit each.
-    peopled: u64,
+    failover_plan: FailoverPlan,
+    /// Numbers of the routes, by index in the table. A route that the next version has by the same name keeps its number,
+    /// so that its limit counts the attempts of both versions.
+    route_numbers: Vec<u32>,
+    last_route_number: u32,
+    /// Number of requests in flight that may go to each pool.
+    requests_by_pool: [u32; POOLS],
+    /// Pools with a host that accepts requests, one bit each.
+    pools_with_hosts: u64,
 }
 
-impl Routing {
-    /// The first version.
-    pub fn new(site: Arc<PlatformSettings>, operators: &Operators) -> Result<Routing, Unusable> {
-        let plans = site.settings.plans.clone();
-        let sites = site_failover::FailoverPlan::default();
-        let routes = RoutingTable::default();
-        let numbers = Vec::new();
-        let mut routing =
-            Routing { site, routes, plans, sites, numbers, next_number: 0, held: [0; 64], peopled: 0 };
-        routing.turn(operators)?;
-        Ok(routing)
-    }
-
-    /// Puts another version in force as a whole, or leaves all as it was.
-    pub fn turn(&mut self, operators: &Operators) -> Result<(), Unusable> {
-        let site = &self.site;
-        let facts = PlatformNames {
-            classes: &site.class_names,
-            plans: &site.plan_names,
-            zones: &site.zone_names,
-            machine_types: &site.machine_types,
+impl RequestRouter {
+    /// Creates the router with the first version of the files.
+    ///
+    /// # Errors
+    /// The files cannot be used.
+    pub fn new(
+        platform: Arc<PlatformSettings>,
+        operators: &Operators,
+    ) -> Result<RequestRouter, OperatorsError> {
+        let mut router = RequestRouter {
+            plans: platform.settings.plans.clone(),
+            platform,
+            table: RoutingTable::default(),
+            failover_plan: FailoverPlan::default(),
+            route_numbers: Vec::new(),
+            last_route_number: 0,
+            requests_by_pool: [0; POOLS],
+            pools_with_hosts: 0,
+        };
+        router.reload(operators)?;
+        Ok(router)
+    }
+
+    /// Puts another version of the files into effect as a whole.
+    ///
+    /// # Errors
+    /// The files cannot be used; nothing changes then.
+    pub fn reload(&mut self, operators: &Operators) -> Result<(), OperatorsError> {
+        let platform = &self.platform;
+        let names = PlatformNames {
+            classes: &platform.class_names,
+            plans: &platform.plan_names,
+            zones: &platform.zone_names,
+            machine_types: &platform.machine_types,
         };
-        let plans = plans(site, operators)?;
-        let facts_of_sites = site_failover::PlatformNames {
-            classes: &site.class_names,
-            plans: &site.plan_names,
-            zones: &site.zone_names,
+        let failover_names = site_failover::PlatformNames {
+            classes: &platform.class_names,
+            plans: &platform.plan_names,
+            zones: &platform.zone_names,
         };
-        let sites = site_failover::FailoverPlan::compile(operators, &facts_of_sites)?;
-        let routes = RoutingTable::compile_after(&self.routes, self.in_use(), operators, &facts)?;
-        self.number(&routes);
+        let plans = tightened_plans(platform, operators)?;
+        let failover_plan = FailoverPlan::compile(operators, &failover_names)?;
+        let table = RoutingTable::compile_after(&self.table, self.pools_in_use(), operators, &names)?;
+        self.route_numbers = self.numbers_in(&table);
         self.plans = plans;
-        self.sites = sites;
-        self.routes = routes;
+        self.failover_plan = failover_plan;
+        self.table = table;
         Ok(())
     }
 
-    fn number(&mut self, next: &RoutingTable) {
+    /// Numbers the routes of the next table.
+    fn numbers_in(&mut self, next: &RoutingTable) -> Vec<u32> {
         let mut kept = BTreeMap::new();
-        for (number, successor) in self.numbers.iter().zip(self.routes.successors(next)) {
+        for (number, successor) in self.route_numbers.iter().zip(self.table.successors(next)) {
             if let Some(successor) = successor {
                 kept.insert(successor.index(), *number);
             }
         }
-        let fresh = &mut self.next_number;
-        let number = |place: usize| {
-            kept.get(&place).copied().unwrap_or_else(|| {
-                *fresh = fresh.wrapping_add(1);
-                *fresh
-            })
+        let mut number = |index: usize| match kept.get(&index) {
+            Some(number) => *number,
+            None => {
+                self.last_route_number = self.last_route_number.wrapping_add(1);
+                self.last_route_number
+            }
         };
-        self.numbers = (0..next.len()).map(number).collect();
+        (0..next.len()).map(&mut number).collect()
     }
 
-    fn in_use(&self) -> PoolMask {
-        let used = (0..64).filter(|bit| self.held[*bit] > 0);
-        PoolMask(used.fold(0, |mask, bit| mask | 1 << bit))
+    fn pools_in_use(&self) -> PoolMask {
+        let used = (0..POOLS).filter(|pool| self.requests_by_pool[*pool] > 0);
+        PoolMask(used.fold(0, |mask, pool| mask | 1 << pool))
     }
 
-    /// The plans in force.
+    /// Returns the plans in effect.
     pub fn plans(&self) -> &[Plan] {
         &self.plans
     }
 
-    /// What to do when a whole site is lost.
-    pub fn sites(&self) -> &site_failover::FailoverPlan {
-        &self.sites
+    /// Returns the plan for lost sites.
+    pub fn failover_plan(&self) -> &FailoverPlan {
+        &self.failover_plan
     }
 
-    /// How many routes there are.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
-        self.routes.len()
+        self.table.len()
     }
 
-    /// The pools that a host is in.
+    /// Returns the pools that a host belongs to.
     pub fn pools_of(&self, host: &HostAttributes) -> u64 {
-        self.routes.pools_of(host).0
+        self.table.pools_of(host).0
     }
 
-    /// These hosts are all that take work, each with its pools.
-    pub fn people(&mut self, pools: impl Iterator<Item = u64>) {
-        self.peopled = pools.fold(0, |all, pools| all | pools);
+    /// Sets the pools of all hosts that accept requests.
+    pub fn set_pools_with_hosts(&mut self, pools: impl Iterator<Item = u64>) {
+        self.pools_with_hosts = pools.fold(0, |all, pools| all | pools);
     }
 
-    /// Says where a request may go that is kept to these sites, and holds the pools for it until [`Routing::let_go`].
-    pub fn choose(&mut self, request: &Request, sites: SiteSet) -> Route {
-        let choice = self.routes.lookup(request.class, request.plan, request.customer.0);
-        let route = self.route(&choice);
-        let route = if sites == SiteSet::ALL { route } else { self.within(route, sites) };
-        self.count(&route, 1);
+    /// Selects the route of a request that is restricted to these sites. Its pools stay in use until
+    /// [`RequestRouter::release`].
+    pub fn select(&mut self, request: &Request, sites: SiteSet) -> Route {
+        let destination = self.table.lookup(request.class, request.plan, request.customer.0);
+        let route = self.route_to(&destination);
+        let route = if sites == SiteSet::ALL { route } else { self.restrict(route, sites) };
+        self.for_each_pool(&route, |requests| *requests = requests.wrapping_add(1));
         route
     }
 
-    fn route(&self, choice: &Destination) -> Route {
-        let Some(number) = choice.route.and_then(|route| self.numbers.get(route.index()).copied()) else {
-            return Route::default();
-        };
+    fn route_to(&self, destination: &Destination) -> Route {
+        let number = destination.route.and_then(|route| self.route_numbers.get(route.index()).copied());
+        let Some(number) = number else { return Route::default() };
         let limit =
-            choice.max_in_flight.map(|most_out| RouteLimit { route: number, max_in_flight: most_out });
-        Route { pools: choice.pool.0, fallback: choice.fallback.0, limit }
-    }
-
-    /// The same, kept to sites. Where its pool has no host there, its route counts as it stands: hosts of lost sites
-    /// take no work anyway. Once those sites have no host any more, the rest of its pool takes over, and only where
-    /// there is no rest, what its route falls back on.
-    fn within(&self, route: Route, sites: SiteSet) -> Route {
-        let part = |sites: SiteSet| self.routes.pools_in_sites(PoolMask(route.pools), sites.0).0;
-        let (here, all) = (part(sites), part(SiteSet::ALL));
-        if here & self.peopled == 0 {
+            destination.max_in_flight.map(|max_in_flight| RouteLimit { route: number, max_in_flight });
+        Route { pools: destination.pool.0, fallback: destination.fallback.0, limit }
+    }
+
+    /// Restricts a route to sites. A pool without a host there is not restricted: hosts of lost sites accept no requests
+    /// anyway. Once the sites have no host any more, the rest of the pool takes over, and only where there is no rest the
+    /// route's fallback.
+    fn restrict(&self, route: Route, sites: SiteSet) -> Route {
+        let pools_in = |sites: SiteSet| self.table.pools_in_sites(PoolMask(route.pools), sites.0).0;
+        let allowed = pools_in(sites);
+        let all = pools_in(SiteSet::ALL);
+        if allowed & self.pools_with_hosts == 0 {
             return route;
         }
-        let fallback = match all & !here & self.peopled {
-            0 => route.fallback,
-            _ => all,
-        };
-        Route { pools: here, fallback, ..route }
+        let has_rest = all & !allowed & self.pools_with_hosts != 0;
+        let fallback = if has_rest { all } else { route.fallback };
+        Route { pools: allowed, fallback, ..route }
     }
 
-    /// The request is over, and all its attempts.
-    pub fn let_go(&mut self, route: &Route) {
-        self.count(route, -1);
+    /// Releases the pools of a request that is over, with all its attempts.
+    pub fn release(&mut self, route: &Route) {
+        self.for_each_pool(route, |requests| *requests = requests.wrapping_sub(1));
     }
 
-    fn count(&mut self, route: &Route, by: i32) {
-        let mut left = route.pools | route.fallback;
-        while left != 0 {
-            let held = &mut self.held[left.trailing_zeros() as usize];
-            *held = held.wrapping_add_signed(by);
-            left &= left - 1;
+    fn for_each_pool(&mut self, route: &Route, change: impl Fn(&mut u32)) {
+        let mut remaining = route.pools | route.fallback;
+        while remaining != 0 {
+            change(&mut self.requests_by_pool[remaining.trailing_zeros() as usize]);
+            remaining &= remaining - 1;
         }
     }
 }
 
-/// Whether the gateways of a site can put operators' files in force.
+/// Checks whether gateways with these settings can put operators' files into effect.
 ///
 /// # Errors
 /// The first error, with file, line, column and reason.
-pub fn check_operators(site: &PlatformSettings, operators: &Operators) -> anyhow::Result<()> {
-    Ok(Routing::new(Arc::new(site.clone()), operators).map(drop)?)
+pub fn check_operators(platform: &PlatformSettings, operators: &Operators) -> Result<(), OperatorsError> {
+    RequestRouter::new(Arc::new(platform.clone()), operators).map(drop)
 }
 
-/// What the platform grants, tightened.
-fn plans(site: &PlatformSettings, operators: &Operators) -> Result<Vec<Plan>, RoutingError> {
-    let granted = &site.settings.plans;
-    let mut quotas = Vec::with_capacity(granted.len());
-    for (name, plan) in site.plan_names.iter().zip(granted) {
-        quotas.push(GrantedQuota {
+/// Returns the platform's plans, tightened by the operators' quota policies.
+fn tightened_plans(platform: &PlatformSettings, operators: &Operators) -> Result<Vec<Plan>, RoutingError> {
+    let plans = &platform.settings.plans;
+    let named = platform.plan_names.iter().zip(plans);
+    let granted: Vec<GrantedQuota> = named
+        .map(|(name, plan)| GrantedQuota {
             plan: name,
             rate: plan.rate,
             burst: plan.burst,
             max_concurrent: plan.max_concurrent,
-        });
-    }
-    let in_force = effective_quotas(operators, &quotas)?;
-    let plan = |(plan, force): (&Plan, EffectiveQuota)| Plan {
-        rate: force.rate.value,
-        burst: force.burst.value,
-        max_concurrent: force.max_concurrent.value,
+        })
+        .collect();
+    let effective = effective_quotas(operators, &granted)?;
+    let tightened = |(plan, quota): (&Plan, EffectiveQuota)| Plan {
+        rate: quota.rate.value,
+        burst: quota.burst.value,
+        max_concurrent: quota.max_concurrent.value,
         ..plan.clone()
     };
-    Ok(granted.iter().zip(in_force).map(plan).collect())
+    Ok(plans.iter().zip(effective).map(tightened).collect())
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use config_language::{load, loader::Memory};
-
-    fn operators(text: &str) -> Operators {
-        load("site.fb".as_ref(), &Memory::default().with("site.fb", text), None).set.unwrap().operators
-    }
-
-    fn route(name: &str, pool: &str) -> String {
-        format!("route \"{name}\" {{\n  customers = 1..9\n  pool = \"{pool}\"\n  most-out = 5 attempts\n}}\n")
-    }
-
-    fn routing(text: &str) -> Routing {
-        let site =
-            PlatformSettings::parse(&crate::config::sample("safe", 1_000_000_000, 1_000_000_000)).unwrap();
-        Routing::new(Arc::new(site), &operators(text)).unwrap()
-    }
-
-    fn request() -> Request {
-        Request { customer: policy::api::CustomerId(1), ..Request::default() }
-    }
-
-    fn number(routing: &mut Routing) -> u32 {
-        let route = routing.choose(&request(), SiteSet::ALL);
-        routing.let_go(&route);
-        route.limit.unwrap().route
-    }
-
-    #[test]
-    fn a_route_keeps_its_number_by_its_name_and_no_other_gets_it() {
-        let pool = "pool \"all\" {}\n";
-        let mut routing = routing(&format!("{pool}{}", route("a", "all")));
-        let first = number(&mut routing);
-        let other = format!(
-            "{pool}route \"before\" {{\n  customers = 77\n  pool = \"all\"\n}}\n{}",
-            route("a", "all")
-        );
-        routing.turn(&operators(&other)).unwrap();
-        assert_eq!(number(&mut routing), first);
-        routing.turn(&operators(&format!("{pool}{}", route("b", "all")))).unwrap();
-        assert_ne!(number(&mut routing), first);
-    }
-
-    #[test]
-    fn a_pool_is_held_for_requests_in_hand_and_not_for_longer() {
-        let mut routing = routing(&format!("pool \"old\" {{}}\n{}", route("a", "old")));
-        let held = routing.choose(&request(), SiteSet::ALL);
-        let again = routing.choose(&request(), SiteSet::ALL);
-        routing.let_go(&again);
-        let next = operators(&format!("pool \"new\" {{}}\n{}", route("a", "new")));
-        routing.turn(&next).unwrap();
-        let host = HostAttributes { id: "s-1", zone: "a", machine_type: "m", cell: 0 };
-        assert_ne!(routing.pools_of(&host) & held.pools, 0, "its request may still go there");
-        routing.let_go(&held);
-        routing.turn(&next).unwrap();
-        assert_eq!(routing.pools_of(&host).count_ones(), 1, "nobody holds it any more");
-    }
-
-    #[test]
-    fn with_an_error_all_stays_as_it_was() {
-        let mut routing = routing(&format!("pool \"all\" {{}}\n{}", route("a", "all")));
-        let before = number(&mut routing);
-        let policy = "quota policy \"q\" {\n  plan = \"nobody\"\n  rate = 1 units/s\n}\n";
-        let broken = operators(&format!("{policy}pool \"all\" {{}}\n{}", route("b", "all")));
-        let error = routing.turn(&broken).unwrap_err().to_string();
-        assert!(error.starts_with("site.fb:2:10"), "{error}");
-        assert_eq!((number(&mut routing), routing.len()), (before, 1));
-    }
-}
+mod tests;
--- a/crates/gateway/src/site_control.rs
+++ b/crates/gateway/src/site_control.rs
@@ -1,116 +1,141 @@
-//! Between the gateway and the controller of its sites: what the gateway sees is told to that, and what it withholds
-//! is put into the lines of hosts that the decision module is told. Without sites nothing is done and nothing falls
-//! due.
+//! Connects the gateway's event loop to the site failover controller: events are reported to the controller, and hosts of
+//! the sites that it excludes are presented to the decision module as draining. Without sites nothing is done.
 
 use policy::api::{
     AttemptEnded, HostEntry, HostListKind, HostState, RejectReason, Request, RequestId, Settings, Time,
 };
 use site_failover::{FailoverController, FailoverPlan, FailoverUpdate, GatewayIdentity, SiteSet};
 
-/// The sites of this gateway.
-pub(crate) struct Watch {
-    sites: FailoverController,
-    /// Classes and plans that the platform has.
-    cells: (usize, usize),
-    /// What of requests is let in, as it was said last.
-    keep: Vec<f64>,
-    /// When the next look is, as the timers know.
-    armed: Time,
+/// The site failover of this gateway.
+pub(crate) struct SiteControl {
+    controller: FailoverController,
+    classes: usize,
+    plans: usize,
+    /// The latest admission fractions, by class and plan.
+    admission_fractions: Vec<f64>,
+    /// When the timer of the next tick expires.
+    tick_timer: Time,
 }
 
-impl Watch {
-    /// All is held for whole.
-    pub fn new(plan: &FailoverPlan, settings: &Settings, seed: u64, now: Time) -> Watch {
-        let Settings { gateways, gateway_index: me, zone, .. } = *settings;
-        let sites = FailoverController::new(
-            plan.clone(),
-            GatewayIdentity { gateways, gateway_index: me, zone },
-            seed,
-            now,
-        );
-        let cells = (settings.classes.len(), settings.plans.len());
-        Watch { sites, cells, keep: Vec::new(), armed: Time::MAX }
+/// A timer that has to be moved.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct TimerMove {
+    pub from: Time,
+    pub to: Time,
+}
+
+impl SiteControl {
+    /// Starts with all sites healthy.
+    pub fn new(plan: &FailoverPlan, settings: &Settings, seed: u64, now: Time) -> SiteControl {
+        let identity = GatewayIdentity {
+            gateways: settings.gateways,
+            gateway_index: settings.gateway_index,
+            zone: settings.zone,
+        };
+        SiteControl {
+            controller: FailoverController::new(plan.clone(), identity, seed, now),
+            classes: settings.classes.len(),
+            plans: settings.plans.len(),
+            admission_fractions: Vec::new(),
+            tick_timer: Time::MAX,
+        }
     }
 
-    /// There are none.
+    /// Returns whether there are no sites, so that nothing has to be done.
     pub fn is_idle(&self) -> bool {
-        self.sites.is_idle()
+        self.controller.is_idle()
     }
 
-    /// Another version of the plan.
-    pub fn turn(&mut self, plan: &FailoverPlan, now: Time) {
-        self.sites.apply_plan(plan.clone(), now);
+    /// Puts another version of the plan into effect.
+    pub fn apply_plan(&mut self, plan: &FailoverPlan, now: Time) {
+        self.controller.apply_plan(plan.clone(), now);
     }
 
-    /// Takes in what discovery tells, and withholds.
-    pub fn on_list(&mut self, now: Time, kind: HostListKind, entries: &mut [HostEntry]) {
-        self.sites.on_host_list(now, kind, entries);
-        self.withhold(entries);
+    /// Takes in an endpoint list, and marks the hosts of excluded sites in it as draining.
+    pub fn on_host_list(&mut self, now: Time, kind: HostListKind, entries: &mut [HostEntry]) {
+        self.controller.on_host_list(now, kind, entries);
+        self.drain_excluded(entries);
     }
 
-    /// Hosts of lost sites drain, whatever discovery says of them; that they drain or are gone counts always.
-    pub fn withhold(&self, entries: &mut [HostEntry]) {
+    /// Marks the hosts of excluded sites as draining. An entry that says that its host drains or is gone stays as it is.
+    pub fn drain_excluded(&self, entries: &mut [HostEntry]) {
         if self.is_idle() {
             return;
         }
-        let ready = entries.iter_mut().filter(|entry| entry.state == HostState::Ready);
-        ready.filter(|entry| self.sites.is_excluded(entry.id)).for_each(|entry| {
-            entry.state = HostState::Draining;
-        });
+        for entry in entries.iter_mut().filter(|entry| entry.state == HostState::Ready) {
+            if self.controller.is_excluded(entry.id) {
+                entry.state = HostState::Draining;
+            }
+        }
     }
 
-    /// A request has come in. Where it may go: the same for each of its tries, so it is drawn by its client's id.
-    pub fn on_asked(&mut self, now: Time, request: &Request, client_id: u64, is_safe: bool) -> SiteSet {
+    /// Takes in a request, and returns the sites that it may be forwarded to: the same ones for each of its retries, since
+    /// they are drawn by the client's identifier of the request.
+    pub fn on_request(
+        &mut self,
+        now: Time,
+        request: &Request,
+        client_id: u64,
+        is_idempotent: bool,
+    ) -> SiteSet {
         if self.is_idle() {
             return SiteSet::ALL;
         }
-        if request.class < self.cells.0 && request.plan < self.cells.1 {
-            self.sites.on_request_received(request.class, request.plan);
+        if self.is_known(request.class, request.plan) {
+            self.controller.on_request_received(request.class, request.plan);
         }
-        self.sites.allowed_sites(now, RequestId(client_id), is_safe)
+        self.controller.allowed_sites(now, RequestId(client_id), is_idempotent)
     }
 
-    /// An attempt has ended.
-    pub fn on_ended(&mut self, now: Time, ended: &AttemptEnded) {
-        self.sites.on_attempt_ended(now, ended);
+    fn is_known(&self, class: usize, plan: usize) -> bool {
+        class < self.classes && plan < self.plans
     }
 
-    /// A request was given up.
-    pub fn on_given_up(&mut self, class: usize, plan: usize, why: RejectReason) {
-        if !self.is_idle() && class < self.cells.0 && plan < self.cells.1 {
-            self.sites.on_request_rejected(why);
+    /// Takes in the end of an attempt.
+    pub fn on_attempt_ended(&mut self, now: Time, ended: &AttemptEnded) {
+        self.controller.on_attempt_ended(now, ended);
+    }
+
+    /// Takes in that a request was rejected or failed.
+    pub fn on_rejected(&mut self, class: usize, plan: usize, reason: RejectReason) {
+        if !self.is_idle() && self.is_known(class, plan) {
+            self.controller.on_request_rejected(reason);
         }
     }
 
-    /// Discovery does not answer, or does again.
-    pub fn on_discovery(&mut self, now: Time, silent: bool) {
-        self.sites.on_discovery_status(now, silent);
+    /// Takes in whether discovery is reachable.
+    pub fn on_discovery_reachable(&mut self, now: Time, is_reachable: bool) {
+        self.controller.on_discovery_status(now, !is_reachable);
     }
 
-    /// Whether it is time to look; once more after the last site has left the plan, to let go of what is withheld.
-    pub fn is_due(&self, now: Time) -> bool {
-        now >= self.sites.next_tick_at()
+    /// Returns whether the controller has to decide. That is so once more after the last site has left the plan, to put
+    /// its hosts back.
+    pub fn needs_tick(&self, now: Time) -> bool {
+        now >= self.controller.next_tick_at()
     }
 
-    /// Looks; gives what has changed.
-    pub fn tick(&mut self, now: Time, counter_in_doubt: bool) -> Option<FailoverUpdate> {
-        self.sites.on_counter_status(now, counter_in_doubt);
-        let turn = self.sites.tick(now)?;
-        turn.admission_fractions.iter().for_each(|keep| self.keep.clone_from(keep));
-        Some(turn)
+    /// Lets the controller decide. Returns what has changed.
+    pub fn tick(&mut self, now: Time, is_counter_degraded: bool) -> Option<FailoverUpdate> {
+        self.controller.on_counter_status(now, is_counter_degraded);
+        let update = self.controller.tick(now)?;
+        if let Some(fractions) = &update.admission_fractions {
+            self.admission_fractions.clone_from(fractions);
+        }
+        Some(update)
     }
 
-    /// What of requests is let in, for a module that begins anew.
-    pub fn keep(&self) -> Vec<f64> {
-        self.keep.clone()
+    /// Returns the latest admission fractions, for a decision module that starts again.
+    pub fn admission_fractions(&self) -> Vec<f64> {
+        self.admission_fractions.clone()
     }
 
-    /// When to look next, if the timers do not know: the moment that they knew, and the one that counts.
-    pub fn arm(&mut self, now: Time) -> Option<(Time, Time)> {
-        let due = self.sites.next_tick_at().max(now + 1);
-        if due == self.armed {
+    /// Returns how the timer of the next tick has to be moved, if it has to.
+    pub fn move_timer(&mut self, now: Time) -> Option<TimerMove> {
+        let to = self.controller.next_tick_at().max(now + 1);
+        if to == self.tick_timer {
             return None;
         }
-        Some((std::mem::replace(&mut self.armed, due), due)).filter(|_| due != Time::MAX)
+        let from = std::mem::replace(&mut self.tick_timer, to);
+        (to != Time::MAX).then_some(TimerMove { from, to })
     }
 }
--- a/crates/gateway/src/telemetry/event_loop_delay.rs
+++ b/crates/gateway/src/telemetry/event_loop_delay.rs
@@ -1,81 +1,65 @@
-//! How far the gateway is behind: how long ago what it takes up now came in. A machine that gives it too little of a
-//! core shows here, and nowhere else: hosts, counter and clients all seem slow then.
+//! Measures the delay of the gateway's event loop: the time between the arrival of an event and its processing.
+//!
+//! A machine that gives the gateway too little of a core shows only here; hosts, counter and clients all seem slow then.
 
 use policy::api::{Span, Time};
 
 const MS: Span = 1_000_000;
-/// What is older than this when it is taken up is told of: a sixth of the shortest aim of a usual site.
-const BEHIND: Span = 100 * MS;
-/// So long without lag, and it is over.
-const CALM: Span = 5_000 * MS;
+/// A delay above this is reported: a sixth of the shortest latency objective of a usual deployment.
+const REPORTED_DELAY: Span = 100 * MS;
+/// The event loop has recovered after this long without a reported delay.
+const RECOVERY: Span = 5_000 * MS;
+/// Time between the first two reports; it doubles with each further one.
 const FIRST_PAUSE: Span = 10_000 * MS;
 const LONGEST_PAUSE: Span = 600_000 * MS;
 
-/// What is to be said.
+/// What is to be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Said {
-    /// It is behind: by so much at the most since it was last said.
-    Behind(Span),
-    /// It is behind no more, after so long.
-    Over(Span),
+pub(crate) enum DelayReport {
+    /// Events are delayed: the longest delay since the previous report.
+    Delayed(Span),
+    /// Events are no longer delayed: how long they were.
+    Recovered(Span),
 }
 
-/// What is known of the gateway's lag.
+/// Decides when the delay of the event loop is logged: at once, then at growing intervals, and once at its end.
 #[derive(Debug, Default)]
-pub(crate) struct Lag {
-    since: Option<Time>,
-    /// When it was last behind.
-    last: Time,
-    most: Span,
-    quiet_until: Time,
+pub(crate) struct EventLoopDelay {
+    delayed_since: Option<Time>,
+    last_delayed: Time,
+    /// The longest delay since the previous report.
+    longest: Span,
+    silent_until: Time,
     pause: Span,
 }
 
-impl Lag {
-    /// Something that came in then is taken up now.
-    pub fn took(&mut self, now: Time, came: Time) -> Option<Said> {
-        let lag = now.saturating_sub(came);
-        if lag <= BEHIND {
-            let since = self.since.filter(|_| now.saturating_sub(self.last) >= CALM)?;
-            *self = Lag::default();
-            return Some(Said::Over(now.saturating_sub(since)));
+impl EventLoopDelay {
+    /// Takes in that an event which arrived at `arrived_at` is processed now.
+    pub fn observe(&mut self, now: Time, arrived_at: Time) -> Option<DelayReport> {
+        let delay = now.saturating_sub(arrived_at);
+        if delay <= REPORTED_DELAY {
+            return self.recover(now);
         }
-        self.since.get_or_insert(came);
-        self.last = now;
-        self.most = self.most.max(lag);
-        if now < self.quiet_until {
+        self.delayed_since.get_or_insert(arrived_at);
+        self.last_delayed = now;
+        self.longest = self.longest.max(delay);
+        if now < self.silent_until {
             return None;
         }
         self.pause = (2 * self.pause).clamp(FIRST_PAUSE, LONGEST_PAUSE);
-        self.quiet_until = now + self.pause;
-        Some(Said::Behind(std::mem::take(&mut self.most)))
+        self.silent_until = now + self.pause;
+        Some(DelayReport::Delayed(std::mem::take(&mut self.longest)))
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const SECOND: Span = 1_000 * MS;
 
-    #[test]
-    fn lag_is_told_at_once_then_ever_more_seldom_and_once_when_it_is_over() {
-        let mut lag = Lag::default();
-        let mut lines = Vec::new();
-        // A hundred a second for a minute; from 5 s to 45 s they are 300 ms old, and once 800.
-        for n in 0..6_000 {
-            let now = 100 * SECOND + n * 10 * MS;
-            let late = match n {
-                3_000 => 800,
-                500..4_500 => 300,
-                _ => 100,
-            };
-            lines.extend(lag.took(now, now - late * MS).map(|said| (n / 100, said)));
+    fn recover(&mut self, now: Time) -> Option<DelayReport> {
+        let delayed_since = self.delayed_since?;
+        if now.saturating_sub(self.last_delayed) < RECOVERY {
+            return None;
         }
-        let behind = |ms| Said::Behind(ms * MS);
-        let over = Said::Over(45 * SECOND + 290 * MS);
-        assert_eq!(lines, [(5, behind(300)), (15, behind(300)), (35, behind(800)), (49, over)]);
-        // It is news again after that.
-        assert_eq!(lag.took(200 * SECOND, 199 * SECOND), Some(behind(1_000)));
+        *self = EventLoopDelay::default();
+        Some(DelayReport::Recovered(now.saturating_sub(delayed_since)))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/telemetry/failure_stats.rs
+++ b/crates/gateway/src/telemetry/failure_stats.rs
@@ -1,5 +1,6 @@
-//! Requests that were not answered within their aim, and why: a line for each at a bounded rate, and each minute what
-//! all of them were worth, by cause. A request is lost for one cause only, so the parts add up to the whole.
+//! Statistics of requests that missed their latency objective: a log line for each, at a limited rate, and a summary per
+//! minute that adds up their priority weight by reason. A request is counted for one reason only, so the parts add up to
+//! the total.
 
 use policy::api::{HostId, Outcome, RejectReason, Span, Time};
 use std::collections::BTreeMap;
@@ -7,74 +8,87 @@
 
 const MS: Span = 1_000_000;
 const SECOND: Span = 1_000 * MS;
-/// Lines about single requests: so many at once, and so many a second after that.
-const LINES: f64 = 100.0;
-const LINES_A_SECOND: f64 = 10.0;
-const PERIOD: Span = 60 * SECOND;
-/// Causes that a summary names; the rest are put together.
-const NAMED: usize = 8;
-/// A request that breaks this soon on a kept connection found it dead.
-pub(crate) const AT_ONCE: Span = 10 * MS;
-
-/// Why a request was lost.
+/// Lines about single requests that may be written at once, and per second after that.
+const LINE_BURST: f64 = 100.0;
+const LINES_PER_SECOND: f64 = 10.0;
+const SUMMARY_PERIOD: Span = 60 * SECOND;
+/// Maximum number of reasons that a summary names; the others are added up.
+const MAX_NAMED: usize = 8;
+/// A request that fails this soon on a reused connection found it closed by the host.
+pub(crate) const STALE_CONNECTION: Span = 10 * MS;
+
+/// Why a request missed its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Cause {
-    /// The module gave it up.
-    GivenUp(RejectReason),
-    /// Its client went away.
-    Left,
-    /// Its client's time was over with no answer.
-    Overdue,
-    /// It was answered after its aim.
-    Slow,
+pub(crate) enum FailureReason {
+    /// The decision module rejected or failed it.
+    Rejected(RejectReason),
+    /// Its client disconnected.
+    ClientDisconnected,
+    /// Its deadline passed without a response.
+    DeadlineExceeded,
+    /// Its response came after the latency objective.
+    ObjectiveMissed,
 }
 
-impl Cause {
-    /// For people; these words stand in logs and on the page `failed-requests.md`.
-    pub fn words(self) -> &'static str {
+impl FailureReason {
+    /// Returns the words for the log, which the page `failed-requests.md` lists.
+    pub fn label(self) -> &'static str {
         match self {
-            Cause::GivenUp(RejectReason::UnknownClassOrPlan) => "class or plan unknown",
-            Cause::GivenUp(RejectReason::DeadlineTooShort) => "came with too little time",
-            Cause::GivenUp(RejectReason::NoHost) => "no host takes it",
-            Cause::GivenUp(RejectReason::TooManyCustomers) => "too many customers at once",
-            Cause::GivenUp(RejectReason::QuotaExceeded) => "beyond its quota",
-            Cause::GivenUp(RejectReason::QueueTooLong) => "too many wait before it",
-            Cause::GivenUp(RejectReason::QueuedTooLong) => "waited too long",
-            Cause::GivenUp(RejectReason::NotIdempotent) => "may not run again",
-            Cause::GivenUp(RejectReason::TooLateForRetry) => "too late for a further attempt",
-            Cause::GivenUp(RejectReason::RetriesExhausted) => "no further attempt left",
-            Cause::GivenUp(RejectReason::LoadShed) => "refused by the plan for lost hosts",
-            Cause::Left => "client left",
-            Cause::Overdue => "client's time over",
-            Cause::Slow => "answered too late",
+            FailureReason::Rejected(reason) => reject_label(reason),
+            FailureReason::ClientDisconnected => "client left",
+            FailureReason::DeadlineExceeded => "client's time over",
+            FailureReason::ObjectiveMissed => "answered too late",
         }
     }
 }
 
-/// How an attempt ended, as far as it explains a loss.
+fn reject_label(reason: RejectReason) -> &'static str {
+    match reason {
+        RejectReason::UnknownClassOrPlan => "class or plan unknown",
+        RejectReason::DeadlineTooShort => "came with too little time",
+        RejectReason::NoHost => "no host takes it",
+        RejectReason::TooManyCustomers => "too many customers at once",
+        RejectReason::QuotaExceeded => "beyond its quota",
+        RejectReason::QueueTooLong => "too many wait before it",
+        RejectReason::QueuedTooLong => "waited too long",
+        RejectReason::NotIdempotent => "may not run again",
+        RejectReason::TooLateForRetry => "too late for a further attempt",
+        RejectReason::RetriesExhausted => "no further attempt left",
+        RejectReason::LoadShed => "refused by the plan for lost hosts",
+    }
+}
+
+/// The connection of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Tried {
-    /// Where it went.
+pub(crate) enum AttemptConnection {
+    /// The attempt never had a connection.
+    None,
+    /// The attempt was the first on its connection.
+    New,
+    /// The connection had been idle for this long.
+    Reused(Span),
+}
+
+/// The end of an attempt that brought no response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct FailedAttempt {
     pub host: HostId,
-    /// How it ended.
     pub outcome: Outcome,
-    /// After how long.
-    pub took: Span,
-    /// How long its connection had stood idle; zero: a new one; `None`: it never had one.
-    pub stood: Option<Span>,
+    pub elapsed: Span,
+    pub connection: AttemptConnection,
 }
 
-impl Tried {
-    /// For people.
-    pub fn words(&self) -> &'static str {
-        let kept = self.stood.is_some_and(|stood| stood > 0);
+impl FailedAttempt {
+    /// Returns the words for the log.
+    pub fn label(&self) -> &'static str {
+        let is_reused = matches!(self.connection, AttemptConnection::Reused(_));
         match self.outcome {
             Outcome::Ok => "answered",
             Outcome::Error => "error",
             Outcome::Rejected => "turned away",
             Outcome::Timeout => "no answer",
             Outcome::ConnectFailed => "no connection",
-            Outcome::ConnectionReset if kept && self.took < AT_ONCE => "dead connection",
+            Outcome::ConnectionReset if is_reused && self.elapsed < STALE_CONNECTION => "dead connection",
             Outcome::ConnectionReset => "reset",
             Outcome::Cancelled => "withdrawn",
             Outcome::NotSent => "not sent",
@@ -82,140 +96,141 @@
     }
 }
 
-/// Attempts in one line: where, on what connection, how it ended and after how long.
-pub(crate) fn line<'a>(tried: &[Tried], name: impl Fn(HostId) -> &'a str) -> String {
+/// Returns attempts in one line: for each its host, its connection, how it ended and after how long.
+pub(crate) fn describe<'a>(attempts: &[FailedAttempt], host_name: impl Fn(HostId) -> &'a str) -> String {
     let mut text = String::new();
-    for one in tried {
-        let gap = if text.is_empty() { "" } else { "; " };
-        let on = match one.stood {
-            None => "no connection".to_owned(),
-            Some(0) => "new connection".to_owned(),
-            Some(stood) => format!("connection idle for {} ms", stood / MS),
+    for attempt in attempts {
+        let separator = if text.is_empty() { "" } else { "; " };
+        let connection = match attempt.connection {
+            AttemptConnection::None => "no connection".to_owned(),
+            AttemptConnection::New => "new connection".to_owned(),
+            AttemptConnection::Reused(idle) => format!("connection idle for {} ms", idle / MS),
         };
-        let _ = write!(text, "{gap}{}: {on}, {} after {} ms", name(one.host), one.words(), one.took / MS);
+        let host = host_name(attempt.host);
+        let (label, elapsed_ms) = (attempt.label(), attempt.elapsed / MS);
+        let _ = write!(text, "{separator}{host}: {connection}, {label} after {elapsed_ms} ms");
     }
     text
 }
 
-/// What was lost in this period.
+/// A reason, and the label of the last attempt (empty if there was none).
+type ReasonKey = (FailureReason, &'static str);
+
+/// Requests that were counted for one reason.
+#[derive(Clone, Copy, Debug, Default)]
+struct Tally {
+    requests: u64,
+    weight: f64,
+}
+
+/// The statistics of the current period.
 #[derive(Debug)]
-pub(crate) struct Losses {
-    begun: Time,
-    asked: u64,
-    worth: f64,
-    by: BTreeMap<(Cause, &'static str), (u64, f64)>,
-    lines: f64,
-    filled: Time,
-    left_out: u64,
+pub(crate) struct FailureStats {
+    started_at: Time,
+    /// All requests of the period.
+    total: Tally,
+    failures: BTreeMap<ReasonKey, Tally>,
+    lines: LineLimiter,
 }
 
-impl Losses {
-    /// From now on.
-    pub fn new(now: Time) -> Losses {
-        let by = BTreeMap::new();
-        Losses { begun: now, asked: 0, worth: 0.0, by, lines: LINES, filled: now, left_out: 0 }
-    }
+/// A token bucket that limits the lines about single requests.
+#[derive(Debug)]
+struct LineLimiter {
+    available: f64,
+    refilled_at: Time,
+    /// Lines that were suppressed since the last one.
+    suppressed: u64,
+}
 
-    /// A request has come in that is worth so much.
-    pub fn asked(&mut self, worth: f64) {
-        self.asked += 1;
-        self.worth += worth;
+impl LineLimiter {
+    fn new(now: Time) -> LineLimiter {
+        LineLimiter { available: LINE_BURST, refilled_at: now, suppressed: 0 }
     }
 
-    /// One is lost, after its last attempt ended like this. `Some`: a line may be written of it, and so many were not
-    /// since the last one.
-    pub fn lost(&mut self, now: Time, cause: Cause, last: Option<&Tried>, worth: f64) -> Option<u64> {
-        let (count, sum) = self.by.entry((cause, last.map_or("", Tried::words))).or_default();
-        (*count, *sum) = (*count + 1, *sum + worth);
-        let span = now.saturating_sub(std::mem::replace(&mut self.filled, now)) as f64 / SECOND as f64;
-        self.lines = (self.lines + span * LINES_A_SECOND).min(LINES);
-        if self.lines < 1.0 {
-            self.left_out += 1;
+    /// Returns the number of lines suppressed before this one if it may be written.
+    fn admit(&mut self, now: Time) -> Option<u64> {
+        let elapsed = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
+        self.refilled_at = now;
+        self.available = (self.available + elapsed * LINES_PER_SECOND).min(LINE_BURST);
+        if self.available < 1.0 {
+            self.suppressed += 1;
             return None;
         }
-        self.lines -= 1.0;
-        Some(std::mem::take(&mut self.left_out))
-    }
-
-    /// Whether a period is over.
-    pub fn is_due(&self, now: Time) -> bool {
-        now >= self.begun + PERIOD
+        self.available -= 1.0;
+        Some(std::mem::take(&mut self.suppressed))
     }
+}
 
-    /// What was lost in the period, the greatest part first, and a new one begins. `None`: nothing was.
-    pub fn summary(&mut self, now: Time) -> Option<String> {
-        let over =
-            std::mem::replace(self, Losses { lines: self.lines, filled: self.filled, ..Losses::new(now) });
-        self.left_out = over.left_out;
-        let mut parts: Vec<_> = over.by.into_iter().collect();
-        parts.sort_by(|(_, (_, a)), (_, (_, b))| b.total_cmp(a));
-        let (count, worth) =
-            parts.iter().fold((0, 0.0), |(n, w), (_, (count, worth))| (n + count, w + worth));
-        let share = |part: f64| 100.0 * part / over.worth.max(part).max(f64::MIN_POSITIVE);
-        let mut text = format!("{:.1} % of the worth, {count} of {} requests", share(worth), over.asked);
-        for ((cause, last), (count, worth)) in parts.iter().take(NAMED) {
-            let after = if last.is_empty() { String::new() } else { format!(" after {last}") };
-            let _ = write!(text, "; {:.1} % {}{after} ({count})", share(*worth), cause.words());
+impl FailureStats {
+    /// Starts a period.
+    pub fn new(now: Time) -> FailureStats {
+        FailureStats {
+            started_at: now,
+            total: Tally::default(),
+            failures: BTreeMap::new(),
+            lines: LineLimiter::new(now),
         }
-        let rest: f64 = parts.iter().skip(NAMED).map(|(_, (_, worth))| worth).sum();
-        if rest > 0.0 {
-            let _ = write!(text, "; {:.1} % for other reasons", share(rest));
-        }
-        (count > 0).then_some(text)
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    /// Counts a request of this priority weight that has arrived.
+    pub fn count_request(&mut self, weight: f64) {
+        self.total.requests += 1;
+        self.total.weight += weight;
+    }
 
-    fn tried(outcome: Outcome, took: Span, stood: Option<Span>) -> Tried {
-        Tried { host: HostId(1), outcome, took, stood }
+    /// Counts a request that missed its objective; `last` is its last attempt. Returns the number of lines suppressed
+    /// before if a line may be written about it.
+    pub fn count_failure(
+        &mut self,
+        now: Time,
+        reason: FailureReason,
+        last: Option<&FailedAttempt>,
+        weight: f64,
+    ) -> Option<u64> {
+        let key = (reason, last.map_or("", FailedAttempt::label));
+        let tally = self.failures.entry(key).or_default();
+        tally.requests += 1;
+        tally.weight += weight;
+        self.lines.admit(now)
     }
 
-    #[test]
-    fn a_line_names_each_attempt_with_its_connection() {
-        let all = [
-            tried(Outcome::ConnectionReset, 3 * MS, Some(1_200 * MS)),
-            tried(Outcome::ConnectionReset, 80 * MS, Some(0)),
-            tried(Outcome::ConnectFailed, 20 * MS, None),
-        ];
-        assert_eq!(
-            line(&all, |_| "s-1"),
-            "s-1: connection idle for 1200 ms, dead connection after 3 ms; s-1: new connection, reset after 80 ms; \
-             s-1: no connection, no connection after 20 ms"
-        );
+    /// Returns whether the period is over.
+    pub fn needs_summary(&self, now: Time) -> bool {
+        now >= self.started_at + SUMMARY_PERIOD
     }
 
-    #[test]
-    fn a_summary_adds_up_and_names_the_greatest_part_first() {
-        let mut losses = Losses::new(0);
-        (0..100).for_each(|_| losses.asked(2.0));
-        let dead = tried(Outcome::ConnectionReset, MS, Some(MS));
-        for (cause, last, worth) in [
-            (Cause::GivenUp(RejectReason::QuotaExceeded), None, 2.0),
-            (Cause::GivenUp(RejectReason::NotIdempotent), Some(&dead), 2.0),
-            (Cause::GivenUp(RejectReason::NotIdempotent), Some(&dead), 2.0),
-        ] {
-            assert_eq!(losses.lost(1, cause, last, worth), Some(0));
-        }
-        assert!(!losses.is_due(PERIOD - 1) && losses.is_due(PERIOD));
-        let text = losses.summary(PERIOD).unwrap();
-        assert_eq!(
-            text,
-            "3.0 % of the worth, 3 of 100 requests; 2.0 % may not run again after dead connection (2); \
-             1.0 % beyond its quota (1)"
-        );
-        assert_eq!(losses.summary(2 * PERIOD), None);
+    /// Ends the period and starts the next one. Returns the failures of the period in one line, the greatest weight
+    /// first; `None` if there were none.
+    pub fn summary(&mut self, now: Time) -> Option<String> {
+        let total = std::mem::take(&mut self.total);
+        let failures = std::mem::take(&mut self.failures);
+        self.started_at = now;
+        let mut failures: Vec<(ReasonKey, Tally)> = failures.into_iter().collect();
+        failures.sort_by(|(_, a), (_, b)| b.weight.total_cmp(&a.weight));
+        let failed = failures.iter().fold(Tally::default(), |sum, (_, tally)| Tally {
+            requests: sum.requests + tally.requests,
+            weight: sum.weight + tally.weight,
+        });
+        (failed.requests > 0).then(|| summary_line(&total, &failed, &failures))
     }
+}
 
-    #[test]
-    fn lines_are_bounded_and_tell_how_many_were_left_out() {
-        let mut losses = Losses::new(0);
-        let mut lost = |now| losses.lost(now, Cause::Slow, None, 1.0);
-        let lines = (0..1_000).filter_map(|_| lost(MS)).count();
-        assert_eq!(lines, LINES as usize);
-        assert_eq!(lost(SECOND), Some(900));
-        assert_eq!(losses.by[&(Cause::Slow, "")].0, 1_001, "all are counted");
+fn summary_line(total: &Tally, failed: &Tally, failures: &[(ReasonKey, Tally)]) -> String {
+    let percent = |weight: f64| 100.0 * weight / total.weight.max(weight).max(f64::MIN_POSITIVE);
+    let (requests, all_requests) = (failed.requests, total.requests);
+    let mut text =
+        format!("{:.1} % of the worth, {requests} of {all_requests} requests", percent(failed.weight));
+    for ((reason, last_attempt), tally) in failures.iter().take(MAX_NAMED) {
+        let after = if last_attempt.is_empty() { String::new() } else { format!(" after {last_attempt}") };
+        let share = percent(tally.weight);
+        let _ = write!(text, "; {share:.1} % {}{after} ({})", reason.label(), tally.requests);
+    }
+    let others: f64 = failures.iter().skip(MAX_NAMED).map(|(_, tally)| tally.weight).sum();
+    if others > 0.0 {
+        let _ = write!(text, "; {:.1} % for other reasons", percent(others));
     }
+    text
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/telemetry/failure_stats/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+
+fn attempt(outcome: Outcome, elapsed: Span, connection: AttemptConnection) -> FailedAttempt {
+    FailedAttempt { host: HostId(1), outcome, elapsed, connection }
+}
+
+#[test]
+fn a_line_names_each_attempt_with_its_connection() {
+    let attempts = [
+        attempt(Outcome::ConnectionReset, 3 * MS, AttemptConnection::Reused(1_200 * MS)),
+        attempt(Outcome::ConnectionReset, 80 * MS, AttemptConnection::New),
+        attempt(Outcome::ConnectFailed, 20 * MS, AttemptConnection::None),
+    ];
+    assert_eq!(
+        describe(&attempts, |_| "s-1"),
+        "s-1: connection idle for 1200 ms, dead connection after 3 ms; s-1: new connection, reset after 80 ms; \
+         s-1: no connection, no connection after 20 ms"
+    );
+}
+
+#[test]
+fn a_summary_adds_up_and_names_the_greatest_part_first() {
+    let mut stats = FailureStats::new(0);
+    (0..100).for_each(|_| stats.count_request(2.0));
+    let stale = attempt(Outcome::ConnectionReset, MS, AttemptConnection::Reused(MS));
+    for (reason, last, weight) in [
+        (FailureReason::Rejected(RejectReason::QuotaExceeded), None, 2.0),
+        (FailureReason::Rejected(RejectReason::NotIdempotent), Some(&stale), 2.0),
+        (FailureReason::Rejected(RejectReason::NotIdempotent), Some(&stale), 2.0),
+    ] {
+        assert_eq!(stats.count_failure(1, reason, last, weight), Some(0));
+    }
+    assert!(!stats.needs_summary(SUMMARY_PERIOD - 1) && stats.needs_summary(SUMMARY_PERIOD));
+    let text = stats.summary(SUMMARY_PERIOD).unwrap();
+    assert_eq!(
+        text,
+        "3.0 % of the worth, 3 of 100 requests; 2.0 % may not run again after dead connection (2); \
+         1.0 % beyond its quota (1)"
+    );
+    assert_eq!(stats.summary(2 * SUMMARY_PERIOD), None);
+}
+
+#[test]
+fn lines_are_limited_and_tell_how_many_were_suppressed() {
+    let mut stats = FailureStats::new(0);
+    let mut fail = |now| stats.count_failure(now, FailureReason::ObjectiveMissed, None, 1.0);
+    let lines = (0..1_000).filter_map(|_| fail(MS)).count();
+    assert_eq!(lines, LINE_BURST as usize);
+    assert_eq!(fail(SECOND), Some(900));
+    assert_eq!(stats.failures[&(FailureReason::ObjectiveMissed, "")].requests, 1_001, "all are counted");
+}
--- a/crates/gateway/src/telemetry/in_flight.rs
+++ b/crates/gateway/src/telemetry/in_flight.rs
@@ -1,40 +1,40 @@
-//! How many requests have no final answer yet: for the gateway a number, for whoever stops it something to wait for.
+//! Counts the requests that have no final answer yet, so that a shutdown can wait for them.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// Requests without an answer.
+/// The number of requests without a final answer; clones share it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Unanswered(Arc<Inner>);
+pub(crate) struct InFlightGauge(Arc<Shared>);
 
 #[derive(Debug, Default)]
-struct Inner {
+struct Shared {
     count: AtomicUsize,
-    none: Notify,
+    is_zero: Notify,
 }
 
-impl Unanswered {
-    /// One more.
-    pub fn taken(&self) {
+impl InFlightGauge {
+    /// Counts a request that has been accepted.
+    pub fn increment(&self) {
         self.0.count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// One less.
-    pub fn answered(&self) {
+    /// Counts a request that has its final answer.
+    pub fn decrement(&self) {
         if self.0.count.fetch_sub(1, Ordering::Relaxed) == 1 {
-            self.0.none.notify_waiters();
+            self.0.is_zero.notify_waiters();
         }
     }
 
-    /// Until there is none.
-    pub async fn until_none(&self) {
+    /// Waits until no request is without an answer.
+    pub async fn wait_until_zero(&self) {
         loop {
-            let none = self.0.none.notified();
+            let is_zero = self.0.is_zero.notified();
             if self.0.count.load(Ordering::Relaxed) == 0 {
                 return;
             }
-            none.await;
+            is_zero.await;
         }
     }
 }
--- a/crates/gateway/src/telemetry/mod.rs
+++ b/crates/gateway/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What the gateway measures and logs of itself.
+//! What the gateway measures of itself, and the rate at which it logs.
 
 pub(crate) mod debounced_state;
 pub(crate) mod event_loop_delay;
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -1,42 +1,44 @@
-//! What falls due in a gateway, each at its own time. What is over is taken out again, so that nobody is woken for it.
+//! The timers of the gateway's event loop. A timer that is no longer needed is cancelled, so that it wakes nobody.
 
 use policy::api::Time;
 use std::collections::BTreeSet;
 
-/// Things that fall due, the earliest first; of one moment in their own order, so that all is the same each time.
+/// A queue of timers, the earliest first. Timers of the same time expire in the order of their own type, so that the
+/// order is the same each time.
 #[derive(Debug)]
-pub(crate) struct Timers<T>(BTreeSet<(Time, T)>);
+pub(crate) struct TimerQueue<T>(BTreeSet<(Time, T)>);
 
-impl<T: Copy + Ord> Timers<T> {
-    pub fn new() -> Timers<T> {
-        Timers(BTreeSet::new())
+impl<T: Copy + Ord> TimerQueue<T> {
+    /// Creates an empty queue.
+    pub fn new() -> TimerQueue<T> {
+        TimerQueue(BTreeSet::new())
     }
 
-    /// This falls due then.
-    pub fn set(&mut self, at: Time, what: T) {
-        self.0.insert((at, what));
+    /// Sets a timer that expires at `at`.
+    pub fn set(&mut self, at: Time, timer: T) {
+        self.0.insert((at, timer));
     }
 
-    /// It does not any more.
-    pub fn cancel(&mut self, at: Time, what: T) {
-        self.0.remove(&(at, what));
+    /// Cancels the timer that was set for `at`, if it has not expired.
+    pub fn cancel(&mut self, at: Time, timer: T) {
+        self.0.remove(&(at, timer));
     }
 
-    /// When the first of all falls due.
+    /// Returns when the earliest timer expires.
     pub fn next(&self) -> Option<Time> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// The first that is due by now.
-    pub fn take(&mut self, now: Time) -> Option<T> {
+    /// Removes the earliest timer if it has expired.
+    pub fn pop_expired(&mut self, now: Time) -> Option<T> {
         if self.next()? > now {
             return None;
         }
-        self.0.pop_first().map(|(_, what)| what)
+        self.0.pop_first().map(|(_, timer)| timer)
     }
 
-    /// Only those that `keep` says.
+    /// Keeps only the timers for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&T) -> bool) {
-        self.0.retain(|(_, what)| keep(what));
+        self.0.retain(|(_, timer)| keep(timer));
     }
 }
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
 use crate::client::call;
 use crate::config::{sample, Config};
+use crate::messages::HostEvent;
+use bytes::Bytes;
 use policy::api::RequestId;
+use resp::Frame;
 use runtime::SystemEnv;
 use serde_json::json;
 use tokio::io::AsyncReadExt;
@@ -9,7 +12,7 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 
 /// One host in service, and what its connections tell.
-async fn one_host() -> (Hosts<SystemEnv>, Config, TcpListener, UnboundedReceiver<Input>) {
+async fn one_host() -> (Upstream<SystemEnv>, Config, TcpListener, UnboundedReceiver<TrafficEvent>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let host = json!({"instanceId": "s-0", "hostPort": listener.local_addr().unwrap().to_string(), "zone": "a",
         "machineType": "m", "cell": 1, "lifecycle": "in_service", "weight": 1.0, "startedAtMs": 0});
@@ -20,11 +23,11 @@
         "settings": sample("unsafe", 8_000_000_000, 9_000_000_000),
     });
     let config = Config::parse(document.to_string().as_bytes()).unwrap();
-    let site = Arc::new(config.site.clone());
-    let routing = Routing::new(site.clone(), &config.operators).unwrap();
+    let site = Arc::new(config.platform.clone());
+    let routing = RequestRouter::new(site.clone(), &config.operators).unwrap();
     let (gateway, events) = mpsc::unbounded_channel();
-    let mut hosts = Hosts::new(SystemEnv::start(), site, gateway, 16);
-    hosts.update(&config.known, HostListKind::Full, &routing);
+    let mut hosts = Upstream::new(SystemEnv::start(), site, gateway, 16);
+    hosts.update(&config.cached_endpoints, HostListKind::Full, &routing);
     (hosts, config, listener, events)
 }
 
@@ -38,16 +41,21 @@
         let words = words.iter().chain([&list, &list]).map(|word| Frame::Bulk(Bytes::from(word.clone())));
         let words: Vec<Frame> = words.collect();
         let key = (RequestId(2), 0);
-        let (_, call) = call::parse(&config.site, key.0, &words).unwrap();
+        let (_, call) = call::parse(&config.platform, key.0, &words).unwrap();
         let (client, answers) = mpsc::unbounded_channel();
-        let host_id = hosts.entries()[0].id;
-        let (until, call) = (Time::MAX, Arc::new(call));
-        hosts.start(key, Order { host_id, until, write_by: until, call, once: true, client });
+        let host_id = hosts.ready_entries()[0].id;
+        let (deadline, call) = (Time::MAX, Arc::new(call));
+        hosts.start(
+            key,
+            ForwardOrder { host_id, deadline, write_by: deadline, call, is_idempotent: false, client },
+        );
         let kept = (!is_gone).then_some(answers);
         let mut host = listener.accept().await.unwrap().0;
-        let Some(Input::Host(up @ HostEvent::Up(_))) = events.recv().await else { panic!("it comes up") };
+        let Some(TrafficEvent::Host(up @ HostEvent::Connected(_))) = events.recv().await else {
+            panic!("it comes up")
+        };
         hosts.on_event(up);
-        let ended = hosts.finished().map(|finished| finished.ended.outcome);
+        let ended = hosts.next_finished().map(|finished| finished.ended.outcome);
         assert_eq!(ended, is_gone.then_some(Outcome::NotSent));
         drop((hosts, kept));
         let mut got = Vec::new();
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -17,7 +17,7 @@
 #[test]
 fn the_example_is_taken_without_a_remark() {
     let config = Config::parse(example().to_string().as_bytes()).unwrap();
-    assert_eq!(config.unknown, Vec::<String>::new());
+    assert_eq!(config.unknown_keys, Vec::<String>::new());
 }
 
 #[test]
@@ -63,7 +63,7 @@
     newer["limits"]["files"] = json!(10);
     newer["settings"]["rules"]["quiet-hours"] = json!(true);
     let config = Config::parse(newer.to_string().as_bytes()).unwrap();
-    assert_eq!(config.unknown, ["rack", "limits.files", "settings.rules.quiet-hours"]);
+    assert_eq!(config.unknown_keys, ["rack", "limits.files", "settings.rules.quiet-hours"]);
 }
 
 #[test]
