--- a/crates/gateway/src/gateway/decisions.rs
+++ b/crates/gateway/src/gateway/decisions.rs
@@ -23,7 +23,7 @@
     }
 
     /// Starts to count local grants from zero.
-    fn reset_local_grants(&mut self) {}
+    fn clear_local_grants(&mut self) {}
 }
 
 impl DecisionModule for Policy {
@@ -39,8 +39,8 @@
         Policy::counter_report(self, now)
     }
 
-    fn reset_local_grants(&mut self) {
-        Policy::forget_lent(self);
+    fn clear_local_grants(&mut self) {
+        Policy::clear_local_grants(self);
     }
 }
 
--- a/crates/gateway/src/gateway/logging.rs
+++ b/crates/gateway/src/gateway/logging.rs
@@ -66,7 +66,7 @@
         let report = self.module.counter_report(now);
         self.counter_log.update(now, &report).iter().for_each(LogLine::log);
         if self.counter_log.is_healthy(&report) {
-            self.module.reset_local_grants();
+            self.module.clear_local_grants();
         }
     }
 }
--- a/crates/gateway/src/request_routing.rs
+++ b/crates/gateway/src/request_routing.rs
@@ -5,7 +5,7 @@
 use policy::api::{Plan, Request, Route, RouteLimit};
 use routing::{
     effective_quotas, Destination, EffectiveQuota, GrantedQuota, HostAttributes, PlatformNames, PoolMask,
-    RoutingError, RoutingTable,
+    RequestAttributes, RoutingError, RoutingTable,
 };
 use site_failover::{FailoverPlan, PlanError, SiteSet};
 use std::collections::BTreeMap;
@@ -143,7 +143,9 @@
     /// Selects the route of a request that is restricted to these sites. Its pools stay in use until
     /// [`RequestRouter::release`].
     pub fn select(&mut self, request: &Request, sites: SiteSet) -> Route {
-        let destination = self.table.lookup(request.class, request.plan, request.customer.0);
+        let attributes =
+            RequestAttributes { class: request.class, plan: request.plan, customer: request.customer.0 };
+        let destination = self.table.lookup(attributes);
         let route = self.route_to(&destination);
         let route = if sites == SiteSet::ALL { route } else { self.restrict(route, sites) };
         self.for_each_pool(&route, |requests| *requests = requests.wrapping_add(1));
--- /dev/null
+++ b/crates/routing/tests/routing/main.rs
@@ -0,0 +1,9 @@
+//! Pools, routes and quotas, queried as a gateway does.
+
+mod brute_force;
+mod common;
+mod errors;
+mod order;
+mod pools;
+mod quota;
+mod reload;
