--- a/crates/gateway/src/client/budget.rs
+++ b/crates/gateway/src/client/budget.rs
@@ -36,6 +36,7 @@
 }
 
 impl HeldPermits {
+    /// Starts without permits of this semaphore.
     pub fn new(semaphore: Arc<Semaphore>) -> HeldPermits {
         HeldPermits { semaphore, permits: None }
     }
@@ -64,14 +65,14 @@
         true
     }
 
-    /// Returns the permits beyond this number.
+    /// Gives the permits beyond this number back to the semaphore.
     pub fn shrink_to(&mut self, count: usize) {
         if let Some(permits) = &mut self.permits {
             drop(permits.split(permits.num_permits().saturating_sub(count)));
         }
     }
 
-    /// Returns all permits.
+    /// Gives all permits back to the semaphore.
     pub fn release(&mut self) {
         self.permits = None;
     }
--- a/crates/gateway/src/client/connection/input.rs
+++ b/crates/gateway/src/client/connection/input.rs
@@ -18,7 +18,7 @@
 const MAX_READ_AHEAD: usize = 128 * 1024;
 /// Maximum number of commands of one connection without a written reply, rejected ones included. A client that sends more
 /// is disconnected.
-pub(super) const MAX_UNANSWERED: usize = 1024;
+pub(super) const MAX_OUTSTANDING: usize = 1024;
 /// The first command, and the rest of an incomplete one, have to arrive within this time.
 pub(super) const COMMAND_TIMEOUT: Span = 2_000 * MS;
 /// Bytes of commands that a connection may hold without permits of the common budget.
@@ -57,7 +57,7 @@
             }
         }
         while self.input_state == InputState::Commands
-            && self.unanswered() < MAX_PIPELINE
+            && self.outstanding() < MAX_PIPELINE
             && !self.input.is_empty()
         {
             match resp::decode(&mut self.input) {
@@ -88,13 +88,13 @@
     /// little of the common budget is left for others.
     fn is_too_far_ahead(&self) -> bool {
         let is_too_much = self.byte_permits.exceeds_fair_share() || self.input.len() > MAX_READ_AHEAD;
-        self.unanswered() >= MAX_PIPELINE && is_too_much
+        self.outstanding() >= MAX_PIPELINE && is_too_much
     }
 
     /// Rejects each command that has arrived completely; what remains may fit.
     fn reject_complete_commands(&mut self) {
         while self.input_state == InputState::Commands && !self.input.is_empty() {
-            if self.unanswered() >= MAX_UNANSWERED {
+            if self.outstanding() >= MAX_OUTSTANDING {
                 return self.abandon_client();
             }
             match resp::decode(&mut self.input) {
@@ -175,7 +175,7 @@
     /// Holds a permit for one more command, which may get a response of the maximum length that stays in memory until the
     /// client has read it. Returns false if there is none.
     fn reserve_command(&mut self) -> bool {
-        if self.command_permits.count() > self.unanswered() {
+        if self.command_permits.count() > self.outstanding() {
             return true;
         }
         !self.command_permits.exceeds_fair_share() && self.command_permits.extend(1)
--- a/crates/gateway/src/client/connection/mod.rs
+++ b/crates/gateway/src/client/connection/mod.rs
@@ -31,10 +31,21 @@
     Evicted,
 }
 
+/// What a connection does next.
+enum Progress {
+    /// It can do more without waiting.
+    Repeat,
+    Close(CloseReason),
+    /// It waits for events, in this phase of the process.
+    Wait(LifecyclePhase),
+}
+
 /// The state of a connection.
 struct Connection<E> {
     context: Context<E>,
     slot: Arc<ConnectionSlot>,
+    /// The activity that the slot shows.
+    published: Activity,
     input: BytesMut,
     input_state: InputState,
     /// By when the first command, or the rest of one, has to arrive.
@@ -91,6 +102,7 @@
         let (answers, inbox) = mpsc::unbounded_channel();
         let connection = Connection {
             slot,
+            published: Activity::New,
             input: BytesMut::new(),
             input_state: InputState::Commands,
             command_deadline: Some(context.env.now() + COMMAND_TIMEOUT),
@@ -119,28 +131,16 @@
         let env = self.context.env.clone();
         let slot = self.slot.clone();
         let mut phases = self.context.phase.clone();
-        let mut published = Activity::New;
         // Kept over all iterations: to register and deregister with each request costs more than the request.
         let mut evicted = pin!(slot.evict.notified());
         let mut phase_changed = pin!(next_phase(phases.clone()));
         loop {
-            self.flush_ready();
-            // Mostly all of it is written at once, and there is room for further commands.
-            if !self.output.is_empty() && self.write_now(writer).await? {
-                continue;
-            }
-            let phase = *phases.borrow_and_update();
-            if self.should_close(phase, writer) {
-                return Ok(CloseReason::Answered);
-            }
-            let activity = self.activity();
-            if activity != published {
-                slot.set(activity, env.now());
-                published = activity;
-            }
-            if self.yields_slot(activity, writer) {
-                return Ok(CloseReason::Evicted);
-            }
+            let phase = match self.advance(writer, &mut phases).await? {
+                Progress::Repeat => continue,
+                Progress::Close(reason) => return Ok(reason),
+                Progress::Wait(phase) => phase,
+            };
+            let activity = self.published;
             let is_writing = !self.output.is_empty();
             let is_reading = self.input_state != InputState::Ended;
             let command_deadline = self.command_deadline;
@@ -162,13 +162,10 @@
                     }
                 }
                 () = evicted.as_mut() => {
-                    if activity != Activity::Busy && writer.has_no_unread_input() {
+                    if self.on_eviction(activity, writer) {
                         return Ok(CloseReason::Evicted);
                     }
-                    self.context.contention.eviction_refused.notify_one();
                     evicted.set(slot.evict.notified());
-                    // Published again, this connection is the latest to become idle, and another one is evicted first.
-                    published = Activity::Busy;
                 }
                 changed = phase_changed.as_mut(), if phase < LifecyclePhase::Rejecting => {
                     phase_changed.set(next_phase(changed.ok_or(RespError::Closed)?));
@@ -177,6 +174,29 @@
         }
     }
 
+    /// Does what can be done without waiting: writes replies, takes commands, and decides whether to close.
+    async fn advance<W: Writer>(
+        &mut self,
+        writer: &mut W,
+        phases: &mut watch::Receiver<LifecyclePhase>,
+    ) -> io::Result<Progress> {
+        self.flush_ready();
+        // Mostly all of it is written at once, and there is room for further commands.
+        if !self.output.is_empty() && self.write_now(writer).await? {
+            return Ok(Progress::Repeat);
+        }
+        let phase = *phases.borrow_and_update();
+        if self.should_close(phase, writer) {
+            return Ok(Progress::Close(CloseReason::Answered));
+        }
+        let activity = self.activity();
+        self.publish(activity);
+        if self.yields_slot(activity, writer) {
+            return Ok(Progress::Close(CloseReason::Evicted));
+        }
+        Ok(Progress::Wait(phase))
+    }
+
     /// Returns whether all commands are answered, with nothing left to write.
     fn is_answered(&self) -> bool {
         self.pending.is_empty() && self.output.is_empty()
@@ -207,6 +227,25 @@
         }
     }
 
+    /// Shows the activity to the listener, if it has changed.
+    fn publish(&mut self, activity: Activity) {
+        if activity != self.published {
+            self.slot.set(activity, self.context.env.now());
+            self.published = activity;
+        }
+    }
+
+    /// Takes in that the listener wants the slot. Returns whether the connection closes.
+    fn on_eviction<W: Writer>(&mut self, activity: Activity, writer: &W) -> bool {
+        if activity != Activity::Busy && writer.has_no_unread_input() {
+            return true;
+        }
+        self.context.contention.eviction_refused.notify_one();
+        // Published again, this connection is the latest to become idle, and another one is evicted first.
+        self.published = Activity::Busy;
+        false
+    }
+
     /// Returns whether the connection closes because it is idle and its slot is wanted.
     fn yields_slot<W: Writer>(&self, activity: Activity, writer: &W) -> bool {
         let contention = &self.context.contention;
@@ -274,7 +313,7 @@
             while let Some(reply) = self.pending.pop_ready() {
                 self.output.push(reply);
             }
-            self.command_permits.shrink_to(self.unanswered());
+            self.command_permits.shrink_to(self.outstanding());
             self.take_commands();
             if !self.pending.is_first_ready() {
                 return;
@@ -283,7 +322,7 @@
     }
 
     /// Returns the number of commands whose replies have not been written completely.
-    fn unanswered(&self) -> usize {
+    fn outstanding(&self) -> usize {
         self.pending.len() + self.output.replies()
     }
 
--- a/crates/gateway/src/client/connection/tests.rs
+++ b/crates/gateway/src/client/connection/tests.rs
@@ -1,4 +1,4 @@
-use super::input::{MAX_PIPELINE, MAX_UNANSWERED};
+use super::input::{MAX_OUTSTANDING, MAX_PIPELINE};
 use super::*;
 use crate::client::linger::{MAX_DISCARDED, MAX_LINGERING};
 use crate::client::listener::{accept, listen, ConnectionLimits};
@@ -352,7 +352,7 @@
 async fn a_client_that_sends_without_an_end_is_given_up() {
     let ping = b"*1\r\n$4\r\nPING\r\n";
     for (what, flood) in
-        [("nonsense", vec![b'x'; 2 * MAX_DISCARDED]), ("commands", ping.repeat(16 * MAX_UNANSWERED))]
+        [("nonsense", vec![b'x'; 2 * MAX_DISCARDED]), ("commands", ping.repeat(16 * MAX_OUTSTANDING))]
     {
         let mut served = Served::start().await;
         let (mut from, mut to) = served.client.split();
--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -38,6 +38,7 @@
 }
 
 impl<E> Context<E> {
+    /// Creates the context of all connections of a gateway.
     pub fn new(
         env: E,
         platform: Arc<PlatformSettings>,
--- a/crates/gateway/src/client/replies.rs
+++ b/crates/gateway/src/client/replies.rs
@@ -27,6 +27,7 @@
 }
 
 impl Reply {
+    /// Returns an error line with this text.
     pub fn error(text: impl fmt::Display) -> Reply {
         Reply::Line(format!("-ERR {text}\r\n").into())
     }
@@ -66,10 +67,12 @@
 }
 
 impl PendingReplies {
+    /// Returns the number of commands.
     pub fn len(&self) -> usize {
         self.replies.len()
     }
 
+    /// Returns whether there is no command.
     pub fn is_empty(&self) -> bool {
         self.replies.is_empty()
     }
@@ -84,7 +87,7 @@
         self.first + self.replies.len() as u64
     }
 
-    /// Appends a command.
+    /// Appends the latest command.
     pub fn push(&mut self, reply: PendingReply) {
         if let PendingReply::InFlight { bytes, .. } = reply {
             self.in_flight_bytes += bytes;
@@ -162,7 +165,7 @@
         self.reply_ends.len()
     }
 
-    /// Encodes a reply.
+    /// Encodes a reply at the end of the output.
     pub fn push(&mut self, reply: Reply) {
         match reply {
             Reply::Line(line) => self.append(line),
--- a/crates/gateway/src/client/slots.rs
+++ b/crates/gateway/src/client/slots.rs
@@ -56,6 +56,7 @@
         slot
     }
 
+    /// Publishes the activity to the listener.
     pub fn set(&self, activity: Activity, since: Time) {
         self.state.store((activity as u64) << TIME_BITS | since, Ordering::Relaxed);
     }
@@ -103,6 +104,7 @@
         self.is_slot_wanted.swap(false, Ordering::Relaxed)
     }
 
+    /// Sets whether a slot is wanted.
     pub fn set_wanted(&self, is_wanted: bool) {
         self.is_slot_wanted.store(is_wanted, Ordering::Relaxed);
     }
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -70,8 +70,8 @@
     #[serde(default = "default_seed")]
     seed: String,
     limits: Limits,
-    #[serde(default)]
-    known: EndpointList,
+    #[serde(default, rename = "known")]
+    cached_endpoints: EndpointList,
     settings: Value,
 }
 
@@ -85,7 +85,7 @@
     "0".into()
 }
 
-/// A checked configuration.
+/// A configuration that has been checked.
 #[derive(Debug)]
 pub struct Config {
     /// Name of the gateway.
@@ -140,7 +140,7 @@
             counter: document.counter,
             sockets: document.limits.sockets,
             memory_bytes: document.limits.memory_mb.saturating_mul(1 << 20),
-            cached_endpoints: document.known,
+            cached_endpoints: document.cached_endpoints,
             platform,
             operators: Operators::default(),
             unknown_keys,
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -29,6 +29,7 @@
     const WRITTEN: u8 = 1;
     const ABANDONED: u8 = 2;
 
+    /// The progress of a call that is queued.
     pub fn new() -> CallProgress {
         CallProgress(Arc::new(AtomicU8::new(CallProgress::QUEUED)))
     }
@@ -83,6 +84,7 @@
 }
 
 impl<E: Env> ConnectionTask<E> {
+    /// Creates the task of a connection that is not open yet.
     pub fn new(env: E, id: u64, gateway: UnboundedSender<TrafficEvent>, reply_timeout: Span) -> Self {
         let in_flight = VecDeque::new();
         ConnectionTask { env, id, gateway, reply_timeout, in_flight, output: BytesMut::new() }
@@ -135,7 +137,7 @@
             if !accepts_calls && !awaits_reply {
                 return Ok(());
             }
-            let silent_at = last_alive + self.allowed_silence(awaits_reply, has_partial_reply);
+            let silent_at = last_alive + self.allowed_silence(&input);
             let silent = self.env.sleep_until(silent_at);
             tokio::select! {
                 biased;
@@ -159,10 +161,10 @@
         }
     }
 
-    fn allowed_silence(&self, awaits_reply: bool, has_partial_reply: bool) -> Span {
-        if has_partial_reply {
+    fn allowed_silence(&self, input: &BytesMut) -> Span {
+        if !input.is_empty() {
             self.reply_timeout / PARTIAL_REPLY_DIVISOR
-        } else if awaits_reply {
+        } else if !self.in_flight.is_empty() {
             self.reply_timeout
         } else {
             IDLE_TIMEOUT
--- a/crates/gateway/src/crash_points.rs
+++ b/crates/gateway/src/crash_points.rs
@@ -1,9 +1,9 @@
 //! Points at which a test build can be made to crash, to show that no rule is broken by it.
 //!
 //! Only the feature `crash-points`, which no release has (`.ci/run` checks that), arms them; without it a point is an
-//! empty inline function. `FENNELBEAM_CRASH=point:n` kills the process when the point is reached for the n-th time, from
-//! 1. The process sends itself SIGKILL rather than aborting: nothing can catch it, no buffer is flushed, no task ends in
-//! order, and no core is dumped. From outside it looks like `kill -9` at the worst time.
+//! empty inline function. `FENNELBEAM_CRASH=point:n` kills the process when the point is reached for the n-th time, counted
+//! from one. The process sends itself SIGKILL rather than aborting: nothing can catch it, no buffer is flushed, no task
+//! ends in order, and no core is dumped. From outside it looks like `kill -9` at the worst time.
 
 /// A point in the processing of a request, or in the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
         CrashPoint::Stopping,
     ];
 
-    /// As the switch names it.
+    /// Returns the name of the point in `FENNELBEAM_CRASH`.
     pub fn name(self) -> &'static str {
         match self {
             CrashPoint::Accepted => "accepted",
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// One host.
+/// One host of the list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Endpoint {
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -49,7 +49,7 @@
 }
 
 impl JsonStream {
-    /// Appends received bytes.
+    /// Appends bytes that have been received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
--- a/crates/gateway/src/site_control.rs
+++ b/crates/gateway/src/site_control.rs
@@ -81,13 +81,13 @@
         if self.is_idle() {
             return SiteSet::ALL;
         }
-        if self.is_known(request.class, request.plan) {
+        if self.has_class_and_plan(request.class, request.plan) {
             self.controller.on_request_received(request.class, request.plan);
         }
         self.controller.allowed_sites(now, RequestId(client_id), is_idempotent)
     }
 
-    fn is_known(&self, class: usize, plan: usize) -> bool {
+    fn has_class_and_plan(&self, class: usize, plan: usize) -> bool {
         class < self.classes && plan < self.plans
     }
 
@@ -98,7 +98,7 @@
 
     /// Takes in that a request was rejected or failed.
     pub fn on_rejected(&mut self, class: usize, plan: usize, reason: RejectReason) {
-        if !self.is_idle() && self.is_known(class, plan) {
+        if !self.is_idle() && self.has_class_and_plan(class, plan) {
             self.controller.on_request_rejected(reason);
         }
     }
--- a/crates/gateway/src/telemetry/failure_stats.rs
+++ b/crates/gateway/src/telemetry/failure_stats.rs
@@ -162,7 +162,7 @@
 }
 
 impl FailureStats {
-    /// Starts a period.
+    /// Starts the first period.
     pub fn new(now: Time) -> FailureStats {
         FailureStats {
             started_at: now,
--- a/crates/gateway/src/upstream/connection/mod.rs
+++ b/crates/gateway/src/upstream/connection/mod.rs
@@ -193,9 +193,9 @@
                     self.take_response(&mut reader, &mut input).await?;
                     idle_since = self.env.now();
                 }
-                rest = unwritten.recv() => {
-                    let (writer, command) = rest.ok_or(RespError::Closed)?;
-                    self.write_rest(&mut reader, &mut input, writer, command).await?;
+                unwritten = unwritten.recv() => {
+                    let (writer, command) = unwritten.ok_or(RespError::Closed)?;
+                    self.write_remaining(&mut reader, &mut input, writer, command).await?;
                 }
                 () = idle_timer.as_mut() => {
                     let awaits_response = self.shared.awaits_response.load(Ordering::Relaxed);
@@ -255,7 +255,7 @@
     }
 
     /// Writes the rest of a request.
-    async fn write_rest<R>(
+    async fn write_remaining<R>(
         &self,
         reader: &mut R,
         input: &mut BytesMut,
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -35,22 +35,27 @@
             .ok_or(WireError::Truncated { part: "record", at: start })
     }
 
+    /// Reads a single byte.
     pub fn u8(&self, at: usize) -> Result<u8, WireError> {
         Ok(self.bytes::<1>(at)?[0])
     }
 
+    /// Reads a little-endian number of 16 bits.
     pub fn u16(&self, at: usize) -> Result<u16, WireError> {
         Ok(u16::from_le_bytes(self.bytes(at)?))
     }
 
+    /// Reads a little-endian number of 32 bits.
     pub fn u32(&self, at: usize) -> Result<u32, WireError> {
         Ok(u32::from_le_bytes(self.bytes(at)?))
     }
 
+    /// Reads a little-endian number of 64 bits.
     pub fn u64(&self, at: usize) -> Result<u64, WireError> {
         Ok(u64::from_le_bytes(self.bytes(at)?))
     }
 
+    /// Reads a little-endian floating-point number of 32 bits.
     pub fn f32(&self, at: usize) -> Result<f64, WireError> {
         Ok(f64::from(f32::from_le_bytes(self.bytes(at)?)))
     }
@@ -61,6 +66,7 @@
         Ok(HostId(u64::from_le_bytes([a, b, c, d, e, f, 0, 0])))
     }
 
+    /// Reads how an attempt or a call ended.
     pub fn outcome(&self, at: usize) -> Result<Outcome, WireError> {
         Ok(match self.u16(at)? {
             10 => Outcome::Ok,
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -68,7 +68,7 @@
         self.count += 1;
     }
 
-    /// Returns the frame.
+    /// Returns the complete frame.
     pub fn into_frame(self) -> Vec<u8> {
         let size = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(size);
