--- a/crates/gateway/src/client/connection/mod.rs
+++ b/crates/gateway/src/client/connection/mod.rs
@@ -118,16 +118,12 @@
     }
 
     /// Runs until the client disconnects (an error), or the connection is to close with all commands answered.
-    async fn run<R, W>(
+    async fn run(
         &mut self,
-        reader: &mut R,
-        writer: &mut W,
+        reader: &mut (impl AsyncRead + Unpin + Send),
+        writer: &mut impl Writer,
         mut inbox: UnboundedReceiver<NumberedAnswer>,
-    ) -> Result<CloseReason, RespError>
-    where
-        R: AsyncRead + Unpin + Send,
-        W: Writer,
-    {
+    ) -> Result<CloseReason, RespError> {
         let env = self.context.env.clone();
         let slot = self.slot.clone();
         let mut phases = self.context.phase.clone();
@@ -141,15 +137,16 @@
                 Progress::Wait(phase) => phase,
             };
             let activity = self.published;
-            let is_writing = !self.output.is_empty();
             let is_reading = self.input_state != InputState::Ended;
             let command_deadline = self.command_deadline;
-            let write_deadline = if is_writing { self.output.write_deadline(env.now()) } else { 0 };
+            let write_deadline = self.output.write_deadline(env.now());
             tokio::select! {
                 biased;
                 Some((command, answer)) = inbox.recv() => self.take_answers(command, answer, &mut inbox),
-                wrote = env.timeout_at(write_deadline, writer.write_buf(&mut self.output.bytes)), if is_writing => {
-                    wrote.map_err(|_| RespError::Closed)??;
+                written = env.timeout_at(write_deadline.unwrap_or(0), writer.write_buf(&mut self.output.bytes)),
+                    if write_deadline.is_some() =>
+                {
+                    written.map_err(|_| RespError::Closed)??;
                     self.output.on_written();
                 }
                 read = resp::fill(reader, &mut self.input), if is_reading => {
--- a/crates/gateway/src/client/replies.rs
+++ b/crates/gateway/src/client/replies.rs
@@ -202,9 +202,9 @@
         has_completed_reply
     }
 
-    /// Returns by when the client has to read of the output.
-    pub fn write_deadline(&mut self, now: Time) -> Time {
-        self.deadlines.earliest(now)
+    /// Returns by when the client has to read of the output; `None` if there is nothing to write.
+    pub fn write_deadline(&mut self, now: Time) -> Option<Time> {
+        (!self.is_empty()).then(|| self.deadlines.earliest(now))
     }
 }
 
