--- a/crates/api-gateway/tests/deployments.rs
+++ b/crates/api-gateway/tests/deployments.rs
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_reload_to_another_deployment_moves_addresses_and_says_what_it_leaves_for_a_start() {
-    const LEFT: &str = "taken only by a start: ";
+    const LEFT: &str = "take effect only at a start keys=";
     let nowhere = NOWHERE.parse().unwrap();
     let (host, agents) = (Host::start(), [(); 2].map(|()| Discovery::start()));
     let [one, other] = deployments();
@@ -194,7 +194,7 @@
     // The addresses alone: nothing is left to say.
     program.reload_text(&document(&program, &one, agents[1].addr, nowhere).to_string());
     agents[1].asked();
-    program.until_logged(1, "configuration read again");
+    program.until_logged(1, "configuration reloaded");
     // Another deployment.
     let mut whole = document(&program, &other, agents[0].addr, nowhere);
     whole["limits"]["memory_mb"] = 32.into();
@@ -208,7 +208,7 @@
     program.until_logged(2, LEFT);
     // Back to the first one: again nothing is left to say.
     program.reload_text(&program.document().to_string());
-    program.until_logged(4, "configuration read again");
+    program.until_logged(4, "configuration reloaded");
     assert!(is_one(&program));
     program.terminate();
     let mut program = program;
@@ -253,8 +253,11 @@
     ]) {
         std::fs::write(&file, &operators).unwrap();
         program.reload_text(&text);
-        program.until_logged(n, "configuration kept as it was: ");
-        let line = lines_with(&program, "configuration kept as it was: ").pop().unwrap();
+        program.until_logged(n, "configuration reload failed, the current one stays in effect error=");
+        let line =
+            lines_with(&program, "configuration reload failed, the current one stays in effect error=")
+                .pop()
+                .unwrap();
         assert!(line.contains(named) && (line.contains(".json") || line.contains("site.fb:")), "{line}");
         assert_eq!(answer(&program, "CALL.GET", 1, "c=look,t=gold,d=9000"), "served");
     }
@@ -263,7 +266,7 @@
     std::fs::write(&file, route("book")).unwrap();
     program.reload_text(&moved.to_string());
     agents[1].asked();
-    program.until_logged(1, "configuration read again");
+    program.until_logged(1, "configuration reloaded");
 }
 
 /// Answers with this to each command, and counts them.
@@ -346,15 +349,15 @@
     agent.tell((4..7).map(unreadable).collect(), 0);
     agent.tell(vec![json!("no list")], 3);
     agent.tell(vec![list(7, true, &entries[..1])], 1);
-    program.until_logged(1, "discovery at");
+    program.until_logged(1, "discovery is unreachable");
     for customer in 10_000..10_010 {
         assert_eq!(answer(&program, "CALL.GET", customer, "c=read,t=team,d=8500"), "served");
     }
     for (peer, told) in [
-        (host, "host s-1 at ADDR said what no host says: malformed answer"),
-        (counter, "counter at ADDR said what no counter says: malformed answer"),
-        (agent.addr, "discovery at ADDR: not a list of hosts"),
-        (agent.addr, "discovery: entries that cannot be read whole: 1"),
+        (host, "host violated the protocol host=s-1 address=ADDR error=malformed answer"),
+        (counter, "counter violated the protocol address=ADDR error=malformed answer"),
+        (agent.addr, "the latest list stays in effect address=ADDR error=not a list of hosts"),
+        (agent.addr, "endpoint list has invalid entries entries=1"),
     ] {
         let lines = lines_with(&program, &told.replace("ADDR", &peer.to_string()));
         // The second line comes 10 s after the first at the earliest.
--- a/crates/api-gateway/tests/example.rs
+++ b/crates/api-gateway/tests/example.rs
@@ -53,8 +53,8 @@
 
     fn address(&mut self) -> SocketAddr {
         let mut lines = self.log.by_ref().map(Result::unwrap);
-        let line = lines.find(|line| line.contains("listens on ")).expect("it ended before it listened");
-        line.rsplit_once(' ').unwrap().1.parse().unwrap()
+        let line = lines.find(|line| line.contains("listening name=")).expect("it ended before it listened");
+        line.rsplit_once("address=").unwrap().1.parse().unwrap()
     }
 
     fn terminate(&mut self) -> ExitStatus {
@@ -170,10 +170,10 @@
     document["discovery"] = NOWHERE.into();
     let mut serving = Serving::start(&document, &["--log-format", "json"]);
     let lines = serving.log.by_ref().map(|line| serde_json::from_str::<Value>(&line.unwrap()).unwrap());
-    let mut lines = lines.filter(|line| line["message"].as_str().unwrap().contains("listens on"));
+    let mut lines = lines.filter(|line| line["message"] == "listening");
     let line = lines.next().expect("it ended before it listened");
     let fields: Vec<&String> = line.as_object().unwrap().keys().collect();
-    assert_eq!(fields, ["level", "message", "target", "timestamp"]);
+    assert_eq!(fields, ["address", "level", "message", "name", "target", "timestamp"]);
     let page = include_str!("../../../docs/logging.md");
     assert!(fields.iter().all(|field| page.contains(&format!("| `{field}` |"))));
     assert_eq!(line["level"], "INFO");
--- a/crates/api-gateway/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -316,7 +316,7 @@
         traffic
           rate 40 requests/s
         at 1 s: reload gateway 2
-        when gateway 2 logs \"configuration read again\": stop gateway 2 for 300 ms
+        when gateway 2 logs \"configuration reloaded\": stop gateway 2 for 300 ms
         when call 40 from the clients to gateway 1: links gateway 1 to all hosts cut answers for 300 ms",
     );
     let played = judged_of(|| play_with(&scenario, Run::default()));
--- a/crates/api-gateway/tests/gateway.rs
+++ b/crates/api-gateway/tests/gateway.rs
@@ -160,11 +160,11 @@
     client.post(8, "body");
     hosts.command().close();
     assert_eq!(client.answer(), "-ERR failed");
-    gateway.until_logged(1, "lost request=");
+    gateway.until_logged(1, "request missed its latency objective request=");
     let log = gateway.log();
-    let line = log.iter().find(|line| line.contains("lost request=")).unwrap();
-    for part in ["0000000000000008", "reason=\"may not run again\"", "s-0: connection idle for ", "after_ms="]
-    {
+    let line =
+        log.iter().find(|line| line.contains("request missed its latency objective request=")).unwrap();
+    for part in ["0000000000000008", "reason=\"not idempotent\"", "s-0: connection idle for ", "after_ms="] {
         assert!(line.contains(part), "{part}: {line}");
     }
 }
--- a/crates/api-gateway/tests/operators.rs
+++ b/crates/api-gateway/tests/operators.rs
@@ -96,7 +96,7 @@
     // Only the included file changes.
     files.write("pools.fb", &POOLS.replace("s-0", "s-2"));
     gateway.hang_up();
-    gateway.until_logged(1, "operators' files in force: 2 routes");
+    gateway.until_logged(1, "operators' files are in effect routes=2");
     for id in 20..40 {
         assert_eq!(read(&mut client, 2 * id), "host-2");
         assert_eq!(order(&mut client, 2 * id + 1), "host-1");
@@ -123,13 +123,13 @@
         files.write("site.fb", APART);
         files.write(name, text);
         gateway.hang_up();
-        gateway.until_logged(n + 1, "configuration kept as it was: ");
-        let line = gateway.log().into_iter().rfind(|line| line.contains("kept as it was")).unwrap();
+        gateway.until_logged(n + 1, "configuration reload failed, the current one stays in effect error=");
+        let line = gateway.log().into_iter().rfind(|line| line.contains("reload failed")).unwrap();
         assert!(line.contains(named), "{line}");
         assert_eq!(read(&mut client, 2 * n as u64 + 2), "host-0", "{name}: {text}");
         files.write("pools.fb", POOLS);
     }
-    assert!(!gateway.log().iter().any(|line| line.contains("in force")));
+    assert!(!gateway.log().iter().any(|line| line.contains("files are in effect")));
 }
 
 #[test]
@@ -160,7 +160,7 @@
     files.write("site.fb", &policy("300"));
     gateway.hang_up();
     gateway.until_logged(1, "site.fb:3:10: warning: ");
-    gateway.until_logged(1, "operators' files in force");
+    gateway.until_logged(1, "operators' files are in effect");
 }
 
 #[test]
@@ -191,7 +191,7 @@
     for n in 1..=1_000 {
         files.write("pools.fb", &versions[n % 2]);
         gateway.hang_up();
-        gateway.until_logged(n, "operators' files in force");
+        gateway.until_logged(n, "operators' files are in effect");
     }
     going.store(false, Ordering::Relaxed);
     let asked: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
@@ -202,5 +202,5 @@
     let wrong = served.iter().find(|(_, answer)| !["host-0", "host-1"].contains(&answer.as_str()));
     assert_eq!(wrong, None, "of {asked}");
     assert!(served.iter().any(|(is_read, answer)| *is_read && answer == "host-1"), "no reload counted");
-    assert!(!gateway.log().iter().any(|line| line.contains("kept as it was")));
+    assert!(!gateway.log().iter().any(|line| line.contains("reload failed")));
 }
--- a/crates/api-gateway/tests/pages.rs
+++ b/crates/api-gateway/tests/pages.rs
@@ -26,7 +26,7 @@
 fn each_line_that_the_log_may_say_stands_in_the_page() {
     let apart = CounterState::Partitioned { alive: 2, gateways: 3 };
     for state in [CounterState::Unused, CounterState::Complete, apart, CounterState::Unreachable] {
-        let line = format!(" counter {state}\n");
+        let line = format!(" state={state}\n");
         assert!(OPERATORS.contains(&line), "the page lacks: {line}");
     }
 }
--- a/crates/api-gateway/tests/platform.rs
+++ b/crates/api-gateway/tests/platform.rs
@@ -84,7 +84,7 @@
     peers.command().serve("one");
     assert_eq!(client.answer(), "one");
     program.reload(counter, counter);
-    program.until_logged(1, "configuration read again");
+    program.until_logged(1, "configuration reloaded");
     client.get(2);
     peers.command().serve("two");
     assert_eq!(client.answer(), "two");
--- a/crates/api-gateway/tests/signals.rs
+++ b/crates/api-gateway/tests/signals.rs
@@ -104,7 +104,7 @@
         pipe.write_all(document(old.addr).to_string().as_bytes()).unwrap();
         drop(pipe);
         let mut log = starting.log().lines().map_while(Result::ok);
-        assert!(log.any(|line| line.contains("listens on")), "{signals:?}");
+        assert!(log.any(|line| line.contains("listening name=")), "{signals:?}");
         if signals.contains(&"HUP") {
             let asked = new.asked();
             assert!(asked.path.starts_with("GET /registry/instances "), "{signals:?}: {}", asked.path);
@@ -139,7 +139,7 @@
         let write = |path| std::fs::write(path, document(old.addr).to_string()).unwrap();
         let mut starting = Starting::new(write);
         let mut log = starting.log().lines().map_while(Result::ok);
-        assert!(log.any(|line| line.contains("listens on")));
+        assert!(log.any(|line| line.contains("listening name=")));
         std::fs::write(starting.config(), document(new.addr).to_string()).unwrap();
         // It is stopped, so both wait for it to go on.
         starting.signal(&["STOP", signals[0], signals[1], "CONT"]);
--- a/crates/api-gateway/tests/sockets/mod.rs
+++ b/crates/api-gateway/tests/sockets/mod.rs
@@ -144,7 +144,8 @@
             let mut line = String::new();
             while log.read_line(&mut line).is_ok_and(|n| n > 0) {
                 kept.lock().unwrap().push(line.trim_end().to_owned());
-                if let Some((_, addr)) = line.trim_end().rsplit_once("listens on ") {
+                if line.contains("listening name=") {
+                    let (_, addr) = line.trim_end().rsplit_once("address=").unwrap();
                     let _ = told.send(addr.parse().unwrap());
                 }
                 line.clear();
--- a/crates/api-gateway/tests/stopping.rs
+++ b/crates/api-gateway/tests/stopping.rs
@@ -176,7 +176,7 @@
         has_ended.store(true, Ordering::Relaxed);
         talks.extend(coming.join().unwrap());
         drop(deaf);
-        if gateway.log().iter().any(|line| line.contains("requests unanswered")) {
+        if gateway.log().iter().any(|line| line.contains("shutdown timed out with requests in flight")) {
             return false;
         }
         let talks: Vec<Talk> = talks.into_iter().filter_map(|talk| talk.join().unwrap()).collect();
--- a/crates/cluster-model/src/file/signs.rs
+++ b/crates/cluster-model/src/file/signs.rs
@@ -73,7 +73,7 @@
         Ok(Sign::HostCall(gateway, Some(self.host()?), n))
     }
 
-    /// `2 logs "counter away"`.
+    /// `2 logs "counter is degraded"`.
     fn of_gateway(&mut self) -> Parsed<Sign> {
         let gateway = self.gateway()?;
         Ok(match self.line.one_of("sign of a gateway", &["logs", "is", "starts", "ends"])? {
--- a/crates/gateway/src/client/listener.rs
+++ b/crates/gateway/src/client/listener.rs
@@ -55,7 +55,7 @@
             }
             Err(error) => {
                 if outage.on_failure(env.now()).is_some() {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!(%error, "cannot accept connections");
                 }
                 env.sleep(ACCEPT_BACKOFF).await;
             }
--- a/crates/gateway/src/counter/log.rs
+++ b/crates/gateway/src/counter/log.rs
@@ -6,26 +6,49 @@
 use quota::bound::{max_overshoot, Failure, Quota};
 use quota::{CounterReport, CounterState, LocalGrants};
 use runtime::{Span, Time};
-use std::fmt;
 
 const SECOND: Span = 1_000_000_000;
 /// Time between the first line about a fault and the first reminder; it doubles with each further one.
 const FIRST_REMINDER: Span = 10 * SECOND;
 const MAX_REMINDER_INTERVAL: Span = 600 * SECOND;
 
-/// A line of the log.
+/// How severe a line is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Severity {
+    Info,
+    Warn,
+}
+
+/// A line of the log: a fixed message with fields.
 #[derive(Debug, PartialEq)]
-pub(crate) enum LogLine {
-    Info(String),
-    Warn(String),
+pub(crate) struct LogLine {
+    severity: Severity,
+    message: &'static str,
+    state: CounterState,
+    /// Number of counter resets since the start, in the line about one.
+    resets: Option<u32>,
+    consequences: Option<Consequences>,
 }
 
 impl LogLine {
     /// Writes the line to the log.
     pub fn log(&self) {
-        match self {
-            LogLine::Info(text) => tracing::info!("{text}"),
-            LogLine::Warn(text) => tracing::warn!("{text}"),
+        let LogLine { severity, message, state, resets, consequences } = self;
+        let consequences = consequences.as_ref();
+        let outage_s = consequences.map(|it| it.duration_s);
+        let granted_units = consequences.map(|it| it.grants.units.round() as u64);
+        let overshoot_units = consequences.map(|it| it.grants.overshoot_units.round() as u64);
+        let max_customer_overshoot = consequences.map(|it| it.grants.max_customer_overshoot.round() as u64);
+        let max_overshoot = consequences.map(|it| it.max_overshoot.as_str());
+        match severity {
+            Severity::Info => tracing::info!(
+                %state, resets, outage_s, granted_units, overshoot_units, max_customer_overshoot, max_overshoot,
+                "{message}"
+            ),
+            Severity::Warn => tracing::warn!(
+                %state, resets, outage_s, granted_units, overshoot_units, max_customer_overshoot, max_overshoot,
+                "{message}"
+            ),
         }
     }
 }
@@ -67,7 +90,7 @@
     /// Takes in the counter's state, and returns the lines to be written.
     pub fn update(&mut self, now: Time, report: &CounterReport) -> Vec<LogLine> {
         let mut lines = Vec::new();
-        lines.extend(self.reset_line(report.counter_resets));
+        lines.extend(self.reset_line(report.state, report.counter_resets));
         match self.state.sample(now, report.state) {
             Some(state) if state.is_degraded() => lines.push(self.begin_fault(now, state)),
             Some(state) => lines.push(self.end_fault(now, state, &report.local_grants)),
@@ -81,29 +104,33 @@
         self.fault.is_none() && !report.state.is_degraded()
     }
 
-    fn reset_line(&mut self, resets: u32) -> Option<LogLine> {
+    fn reset_line(&mut self, state: CounterState, resets: u32) -> Option<LogLine> {
         if resets <= self.resets {
             return None;
         }
         self.resets = resets;
-        Some(LogLine::Warn(format!(
-            "counter replaced: it has begun anew (time {resets} since the start); gateways tell it what it has forgotten"
-        )))
+        Some(LogLine {
+            severity: Severity::Warn,
+            message: "counter was reset, gateways report to it what it has lost",
+            state,
+            resets: Some(resets),
+            consequences: None,
+        })
     }
 
     fn begin_fault(&mut self, now: Time, state: CounterState) -> LogLine {
         let since = self.fault.map_or(now, |fault| fault.since);
         let reminder_interval = FIRST_REMINDER;
         self.fault = Some(CounterFault { state, since, logged_at: now, reminder_interval });
-        LogLine::Warn(format!("counter {state}"))
+        let message = "counter is degraded";
+        LogLine { severity: Severity::Warn, message, state, resets: None, consequences: None }
     }
 
     fn end_fault(&mut self, now: Time, state: CounterState, grants: &LocalGrants) -> LogLine {
-        let consequences = match self.fault.take() {
-            Some(fault) => format!("; {}", self.consequences(now, &fault, grants)),
-            None => String::new(),
-        };
-        LogLine::Info(format!("counter {state}{consequences}"))
+        let fault = self.fault.take();
+        let consequences = fault.map(|fault| self.consequences(now, &fault, grants));
+        let message = "counter state has changed";
+        LogLine { severity: Severity::Info, message, state, resets: None, consequences }
     }
 
     fn remind(&mut self, now: Time, grants: &LocalGrants) -> Option<LogLine> {
@@ -114,53 +141,40 @@
         fault.logged_at = now;
         fault.reminder_interval = (2 * fault.reminder_interval).min(MAX_REMINDER_INTERVAL);
         self.fault = Some(fault);
-        let state = if fault.state == CounterState::Unreachable { "away" } else { "apart" };
-        let consequences = self.consequences(now, &fault, grants);
-        Some(LogLine::Warn(format!("counter still {state}; {consequences}")))
+        Some(LogLine {
+            severity: Severity::Warn,
+            message: "counter is still degraded",
+            state: fault.state,
+            resets: None,
+            consequences: Some(self.consequences(now, &fault, grants)),
+        })
     }
 
     /// What a fault has led to by now.
-    fn consequences(&self, now: Time, fault: &CounterFault, grants: &LocalGrants) -> Consequences<'_> {
+    fn consequences(&self, now: Time, fault: &CounterFault, grants: &LocalGrants) -> Consequences {
         let duration = now - fault.since;
-        let max_overshoot = |quota: &Quota| {
+        let bound = |(plan, quota): &NamedQuota| {
             let failure = Failure {
                 duration_s: duration as f64 / SECOND as f64,
                 partitions: quota.set_size,
                 counter_answers: fault.state != CounterState::Unreachable,
                 counter_resets: 0,
             };
-            max_overshoot(quota, &failure, true).ceil()
+            let units = max_overshoot(quota, &failure, true).ceil();
+            format!("{units:.0} units of plan {plan}")
         };
-        let plans = self.quotas.iter();
-        let max_overshoots = plans.map(|(plan, quota)| (&**plan, max_overshoot(quota))).collect();
-        Consequences { duration_s: duration / SECOND, grants: *grants, max_overshoots }
+        let bounds: Vec<String> = self.quotas.iter().map(bound).collect();
+        Consequences { duration_s: duration / SECOND, grants: *grants, max_overshoot: bounds.join(", ") }
     }
 }
 
-/// What a fault has led to: local grants, and the bound on each plan's overshoot in units.
-struct Consequences<'a> {
+/// What a fault has led to.
+#[derive(Debug, PartialEq)]
+struct Consequences {
     duration_s: u64,
     grants: LocalGrants,
-    max_overshoots: Vec<(&'a str, f64)>,
-}
-
-impl fmt::Display for Consequences<'_> {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let LocalGrants { units, overshoot_units, max_customer_overshoot } = self.grants;
-        write!(
-            f,
-            "in {} s this gateway let in {units:.0} units on its own word, {overshoot_units:.0} of them beyond its parts \
-             of the quotas, {max_customer_overshoot:.0} of one customer",
-            self.duration_s
-        )?;
-        if self.max_overshoots.is_empty() {
-            return Ok(());
-        }
-        let bounds =
-            self.max_overshoots.iter().map(|(plan, units)| format!("{units:.0} units of plan {plan}"));
-        let bounds: Vec<String> = bounds.collect();
-        write!(f, ". No customer gets more beyond its quota than {}", bounds.join(" or "))
-    }
+    /// For each plan, the units by which a customer exceeds its quota at most over all gateways.
+    max_overshoot: String,
 }
 
 /// Returns the quotas of the plans that have one.
--- a/crates/gateway/src/counter/log/tests.rs
+++ b/crates/gateway/src/counter/log/tests.rs
@@ -1,5 +1,22 @@
 use super::*;
 
+/// Returns a line as the log's text form shows it.
+fn text_of(line: &LogLine) -> String {
+    let level = if line.severity == Severity::Warn { "WARN" } else { "INFO" };
+    let mut text = format!("{level} {} state={}", line.message, line.state);
+    if let Some(resets) = line.resets {
+        text += &format!(" resets={resets}");
+    }
+    if let Some(Consequences { duration_s, grants, max_overshoot }) = &line.consequences {
+        let LocalGrants { units, overshoot_units, max_customer_overshoot } = grants;
+        text += &format!(
+            " outage_s={duration_s} granted_units={units:.0} overshoot_units={overshoot_units:.0} \
+             max_customer_overshoot={max_customer_overshoot:.0} max_overshoot={max_overshoot:?}"
+        );
+    }
+    text
+}
+
 const UNREACHABLE: CounterState = CounterState::Unreachable;
 const COMPLETE: CounterState = CounterState::Complete;
 
@@ -40,15 +57,12 @@
     let at: Vec<u64> = lines.iter().map(|(at, _)| *at).collect();
     // Logged at 16 s. Then after 10, 20, 40 and 80 s, each at the next sample; whole at 136 s.
     assert_eq!(at, [8, 16, 28, 48, 88, 136]);
-    let last = match &lines[5].1 {
-        LogLine::Info(text) => text,
-        LogLine::Warn(text) => panic!("{text}"),
-    };
-    let words =
-        "; in 120 s this gateway let in 1360 units on its own word, 136 of them beyond its parts of the \
-                 quotas, 68 of one customer. No customer gets more beyond its quota than ";
-    assert!(last.contains(words), "{last}");
-    assert!(last.ends_with(" units of plan premium"), "{last}");
+    let last = text_of(&lines[5].1);
+    let facts =
+        "INFO counter state has changed state=complete outage_s=120 granted_units=1360 overshoot_units=136 \
+                 max_customer_overshoot=68 max_overshoot=\"";
+    assert!(last.starts_with(facts), "{last}");
+    assert!(last.ends_with(" units of plan premium\""), "{last}");
 }
 
 #[test]
@@ -77,10 +91,7 @@
     // The reminder after two minutes is like the one after 40 s.
     lines.remove(2);
     for line in lines {
-        let text = match line {
-            LogLine::Info(text) => format!("\nINFO {text}\n"),
-            LogLine::Warn(text) => format!("\nWARN {text}\n"),
-        };
+        let text = format!("\n{}\n", text_of(&line));
         assert!(page.contains(&text), "the page lacks: {text}");
     }
 }
@@ -90,9 +101,9 @@
     let mut log = log();
     let lines = lines_of(&mut log, &[UNREACHABLE; 20]);
     let stated = |line: &LogLine| {
-        let LogLine::Warn(text) = line else { panic!("{line:?}") };
-        let (_, after) = text.split_once("than ").expect("a bound");
-        after.split(' ').next().and_then(|units| units.parse::<f64>().ok()).expect("units")
+        assert_eq!(line.severity, Severity::Warn, "{line:?}");
+        let bound = &line.consequences.as_ref().expect("a bound").max_overshoot;
+        bound.split(' ').next().and_then(|units| units.parse::<f64>().ok()).expect("units")
     };
     let all: Vec<f64> = lines[1..].iter().map(|(_, line)| stated(line)).collect();
     assert!(all.len() >= 2 && all.windows(2).all(|two| two[0] < two[1]), "{all:?}");
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -18,6 +18,8 @@
 use tokio::sync::watch::{self, error::RecvError};
 
 const MS: Span = 1_000_000;
+/// Nanoseconds per second.
+const SECOND: f64 = 1e9;
 /// A watch may keep sending heartbeats and no list. One that has sent no list for this long is replaced once another one
 /// has been opened, which asks for changes since the known version and so costs the agent next to nothing.
 const RENEWAL_INTERVAL: Span = 2_500 * MS;
@@ -188,11 +190,9 @@
             let _ = self.gateway.send(ControlEvent::DiscoveryReachable(true));
         }
         if let Some(duration) = self.outage.on_recovery(self.agent.env.now()) {
-            tracing::info!(
-                "discovery at {} is back after {:.1} s",
-                self.agent.address,
-                duration as f64 / 1e9
-            );
+            let address = self.agent.address;
+            let outage_s = duration as f64 / SECOND;
+            tracing::info!(%address, outage_s, "discovery is reachable again");
         }
     }
 
@@ -202,10 +202,9 @@
         }
         if let Some(duration) = self.outage.on_failure(self.agent.env.now()) {
             let address = self.agent.address;
-            let duration = duration as f64 / 1e9;
-            tracing::warn!(
-                "discovery at {address}: {error:#}; away for {duration:.1} s, the last list stays"
-            );
+            let outage_s = duration as f64 / SECOND;
+            let error = format_args!("{error:#}");
+            tracing::warn!(%address, %error, outage_s, "discovery is unreachable, the latest list stays in effect");
         }
     }
 }
--- a/crates/gateway/src/gateway/endpoints.rs
+++ b/crates/gateway/src/gateway/endpoints.rs
@@ -113,7 +113,7 @@
     /// Applies decisions on sites. Attempts that wait for a connection to a host that is now excluded are cancelled.
     fn apply_failover(&mut self, update: FailoverUpdate) {
         for transition in &update.transitions {
-            tracing::info!("{transition}");
+            tracing::info!(%transition, "site failover");
         }
         if !update.changed_hosts.is_empty() {
             let mut entries = self.upstream.ready_entries();
--- a/crates/gateway/src/gateway/logging.rs
+++ b/crates/gateway/src/gateway/logging.rs
@@ -18,10 +18,10 @@
             Some(DelayReport::Delayed(delay)) => tracing::warn!(
                 lag_ms = delay / MS,
                 in_hand = self.requests.len(),
-                "too little of a core: requests wait before they are looked at"
+                "event loop is delayed, it gets too little CPU time"
             ),
             Some(DelayReport::Recovered(duration)) => {
-                tracing::info!(after_s = duration / SECOND, "requests wait no more");
+                tracing::info!(after_s = duration / SECOND, "event loop has recovered");
             }
         }
     }
@@ -43,7 +43,7 @@
             reason = reason.label(),
             attempts = describe(&request.failed_attempts, |host| self.upstream.name(host)),
             left_out = suppressed,
-            "lost"
+            "request missed its latency objective"
         );
     }
 
@@ -52,7 +52,7 @@
         let now = self.env.now();
         if self.failure_stats.needs_summary(now) {
             if let Some(summary) = self.failure_stats.summary(now) {
-                tracing::info!("lost in the last minute: {summary}");
+                tracing::info!(%summary, "requests that missed their latency objective in the last minute");
             }
         }
     }
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -106,7 +106,7 @@
     let budget = CommandBudget::within(&config.memory_budget());
     let context = client::Context::new(env.clone(), platform.clone(), traffic.clone(), phases, budget);
     env.spawn(client::accept(listener, sockets.clients, context));
-    tracing::info!("{} listens on {address}", config.name);
+    tracing::info!(name = %config.name, %address, "listening");
 
     let reloader = Reloader { read_config, started_with: config.document, agent, gateway: control };
     while reloader.next(&mut signals).await == Some(Signal::Reload) {}
@@ -151,7 +151,8 @@
         let signal = signals.recv().await?;
         if signal == Signal::Reload {
             if let Err(error) = self.reload().await {
-                tracing::warn!("configuration kept as it was: {error:#}");
+                let error = format_args!("{error:#}");
+                tracing::warn!(%error, "configuration reload failed, the current one stays in effect");
             }
         }
         Some(signal)
@@ -170,9 +171,9 @@
             *address = config.discovery;
             has_moved
         });
-        tracing::info!("configuration read again");
+        tracing::info!("configuration reloaded");
         if let Some(keys) = keys_that_need_a_start(&self.started_with, &config.document) {
-            tracing::warn!("changed in the configuration, and taken only by a start: {keys}");
+            tracing::warn!(%keys, "configuration changes take effect only at a start");
         }
         Ok(())
     }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -28,7 +28,7 @@
     let completed =
         env.timeout(longest_deadline + AFTER_LONGEST_DEADLINE, drain(env, phase, in_flight)).await;
     if completed.is_err() {
-        tracing::warn!("stopped with requests unanswered");
+        tracing::warn!("shutdown timed out with requests in flight");
     }
 }
 
--- a/crates/gateway/src/telemetry/failure_stats.rs
+++ b/crates/gateway/src/telemetry/failure_stats.rs
@@ -35,26 +35,26 @@
     pub fn label(self) -> &'static str {
         match self {
             FailureReason::Rejected(reason) => reject_label(reason),
-            FailureReason::ClientDisconnected => "client left",
-            FailureReason::DeadlineExceeded => "client's time over",
-            FailureReason::ObjectiveMissed => "answered too late",
+            FailureReason::ClientDisconnected => "client disconnected",
+            FailureReason::DeadlineExceeded => "deadline exceeded",
+            FailureReason::ObjectiveMissed => "response after the objective",
         }
     }
 }
 
 fn reject_label(reason: RejectReason) -> &'static str {
     match reason {
-        RejectReason::UnknownClassOrPlan => "class or plan unknown",
-        RejectReason::DeadlineTooShort => "came with too little time",
-        RejectReason::NoHost => "no host takes it",
-        RejectReason::TooManyCustomers => "too many customers at once",
-        RejectReason::QuotaExceeded => "beyond its quota",
-        RejectReason::QueueTooLong => "too many wait before it",
-        RejectReason::QueuedTooLong => "waited too long",
-        RejectReason::NotIdempotent => "may not run again",
-        RejectReason::TooLateForRetry => "too late for a further attempt",
-        RejectReason::RetriesExhausted => "no further attempt left",
-        RejectReason::LoadShed => "refused by the plan for lost hosts",
+        RejectReason::UnknownClassOrPlan => "unknown class or plan",
+        RejectReason::DeadlineTooShort => "deadline too short",
+        RejectReason::NoHost => "no host available",
+        RejectReason::TooManyCustomers => "too many customers",
+        RejectReason::QuotaExceeded => "quota exceeded",
+        RejectReason::QueueTooLong => "queue too long",
+        RejectReason::QueuedTooLong => "queued too long",
+        RejectReason::NotIdempotent => "not idempotent",
+        RejectReason::TooLateForRetry => "too late for a retry",
+        RejectReason::RetriesExhausted => "retries exhausted",
+        RejectReason::LoadShed => "load shed",
     }
 }
 
@@ -83,14 +83,14 @@
     pub fn label(&self) -> &'static str {
         let is_reused = matches!(self.connection, AttemptConnection::Reused(_));
         match self.outcome {
-            Outcome::Ok => "answered",
+            Outcome::Ok => "response",
             Outcome::Error => "error",
-            Outcome::Rejected => "turned away",
-            Outcome::Timeout => "no answer",
-            Outcome::ConnectFailed => "no connection",
-            Outcome::ConnectionReset if is_reused && self.elapsed < STALE_CONNECTION => "dead connection",
-            Outcome::ConnectionReset => "reset",
-            Outcome::Cancelled => "withdrawn",
+            Outcome::Rejected => "rejected",
+            Outcome::Timeout => "timeout",
+            Outcome::ConnectFailed => "connect failed",
+            Outcome::ConnectionReset if is_reused && self.elapsed < STALE_CONNECTION => "stale connection",
+            Outcome::ConnectionReset => "connection reset",
+            Outcome::Cancelled => "cancelled",
             Outcome::NotSent => "not sent",
         }
     }
@@ -218,8 +218,10 @@
 fn summary_line(total: &Tally, failed: &Tally, failures: &[(ReasonKey, Tally)]) -> String {
     let percent = |weight: f64| 100.0 * weight / total.weight.max(weight).max(f64::MIN_POSITIVE);
     let (requests, all_requests) = (failed.requests, total.requests);
-    let mut text =
-        format!("{:.1} % of the worth, {requests} of {all_requests} requests", percent(failed.weight));
+    let mut text = format!(
+        "{:.1} % of the priority weight, {requests} of {all_requests} requests",
+        percent(failed.weight)
+    );
     for ((reason, last_attempt), tally) in failures.iter().take(MAX_NAMED) {
         let after = if last_attempt.is_empty() { String::new() } else { format!(" after {last_attempt}") };
         let share = percent(tally.weight);
--- a/crates/gateway/src/telemetry/failure_stats/tests.rs
+++ b/crates/gateway/src/telemetry/failure_stats/tests.rs
@@ -13,8 +13,8 @@
     ];
     assert_eq!(
         describe(&attempts, |_| "s-1"),
-        "s-1: connection idle for 1200 ms, dead connection after 3 ms; s-1: new connection, reset after 80 ms; \
-         s-1: no connection, no connection after 20 ms"
+        "s-1: connection idle for 1200 ms, stale connection after 3 ms; s-1: new connection, connection reset after 80 ms; \
+         s-1: no connection, connect failed after 20 ms"
     );
 }
 
@@ -34,8 +34,8 @@
     let text = stats.summary(SUMMARY_PERIOD).unwrap();
     assert_eq!(
         text,
-        "3.0 % of the worth, 3 of 100 requests; 2.0 % may not run again after dead connection (2); \
-         1.0 % beyond its quota (1)"
+        "3.0 % of the priority weight, 3 of 100 requests; 2.0 % not idempotent after stale connection (2); \
+         1.0 % quota exceeded (1)"
     );
     assert_eq!(stats.summary(2 * SUMMARY_PERIOD), None);
 }
--- a/crates/gateway/src/upstream/events.rs
+++ b/crates/gateway/src/upstream/events.rs
@@ -90,7 +90,7 @@
         let Some(host) = self.hosts.get_mut(&host_id) else { return };
         if host.protocol_violations.on_failure(self.env.now()).is_some() {
             let address = host.address.map(|address| address.to_string()).unwrap_or_default();
-            tracing::warn!(host = host.names.id, address, %error, "host violated the protocol");
+            tracing::warn!(host = %host.names.id, %address, %error, "host violated the protocol");
         }
     }
 
--- a/crates/quota/src/counter_health/report.rs
+++ b/crates/quota/src/counter_health/report.rs
@@ -28,21 +28,16 @@
     }
 }
 
-/// Writes the state as the log shows it. The log's words predate the names of this crate: it calls a counter *whole*,
-/// *apart* or *away* that is complete, partitioned or unreachable, and gateways *heard* that are alive.
+/// Writes the state as the log shows it.
 impl fmt::Display for CounterState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CounterState::Unused => f.write_str("not used"),
-            CounterState::Complete => f.write_str("whole: all gateways are heard through it"),
-            CounterState::Partitioned { alive, gateways } => write!(
-                f,
-                "apart: {alive} of {gateways} gateways are heard through it; the others are down, or it is split. \
-                 Quotas are held to this side's part"
-            ),
-            CounterState::Unreachable => f.write_str(
-                "away: no answer. Each gateway lends its share of the quotas, and tells when it is back",
-            ),
+            CounterState::Unused => f.write_str("unused"),
+            CounterState::Complete => f.write_str("complete"),
+            CounterState::Partitioned { alive, gateways } => {
+                write!(f, "partitioned ({alive} of {gateways} gateways alive)")
+            }
+            CounterState::Unreachable => f.write_str("unreachable"),
         }
     }
 }
