--- /dev/null
+++ b/.ci/test_doc_paths.py
@@ -0,0 +1,31 @@
+#!/usr/bin/env python3
+"""The check of pages finds source files that do not exist."""
+
+import tempfile
+import unittest
+from pathlib import Path
+
+import doc_paths
+
+
+class Paths(unittest.TestCase):
+    def missing(self, page):
+        """Returns what is missing of a page, where only `quota/src/bound.rs` exists."""
+        with tempfile.TemporaryDirectory() as folder:
+            source = Path(folder) / "crates/quota/src"
+            source.mkdir(parents=True)
+            (source / "bound.rs").write_text("")
+            return doc_paths.missing_paths(Path(folder), page)
+
+    def test_a_path_that_exists(self):
+        self.assertEqual(self.missing("see `quota/src/bound.rs` and `quota/src`"), [])
+
+    def test_a_path_that_does_not_exist(self):
+        self.assertEqual(self.missing("`quota/src/bounds.rs`, `policy/src`"), ["quota/src/bounds.rs", "policy/src"])
+
+    def test_words_that_are_no_paths(self):
+        self.assertEqual(self.missing("`bound.rs`, `a/b`, quota/src/other.rs"), [])
+
+
+if __name__ == "__main__":
+    unittest.main()
