--- a/crates/policy/src/attempts/retries.rs
+++ b/crates/policy/src/attempts/retries.rs
@@ -10,7 +10,7 @@
 
 impl Policy {
     /// Returns why no other attempt of a request may be made; `None` if one may.
-    pub(crate) fn retry_obstacle(&self, now: Time, request: &InFlightRequest) -> Option<RejectReason> {
+    pub(super) fn retry_obstacle(&self, now: Time, request: &InFlightRequest) -> Option<RejectReason> {
         if !self.has_eligible_host(now, request) {
             return Some(RejectReason::NotIdempotent);
         }
--- a/crates/policy/src/concurrency/state.rs
+++ b/crates/policy/src/concurrency/state.rs
@@ -17,7 +17,7 @@
 /// Slots, reservations and queues of a gateway.
 pub(crate) struct ConcurrencyState {
     /// Indexes of the classes, the one with the highest priority weight first.
-    pub classes_by_priority: Vec<usize>,
+    classes_by_priority: Vec<usize>,
     /// Classes, by index.
     pub classes: Vec<ClassSlots>,
     /// This gateway's share of all slots.
