--- a/crates/api-gateway/src/plan/mod.rs
+++ b/crates/api-gateway/src/plan/mod.rs
@@ -46,7 +46,7 @@
 /// The plan that a file set means for a gateway with these settings.
 ///
 /// # Errors
-/// As [`Plan::compile`].
+/// As [`FailoverPlan::compile`].
 pub fn compile(operators: &Operators, site: &PlatformSettings) -> Result<FailoverPlan, PlanError> {
     FailoverPlan::compile(
         operators,
--- a/crates/fake-services/src/counter.rs
+++ b/crates/fake-services/src/counter.rs
@@ -1,5 +1,5 @@
 //! The stand-in counter: RESP2 over any [`Env`], one listener for each gateway, so that it knows by whom it
-//! is called. What it decides is in the model and in [`desk`]; here are the sockets.
+//! is called. What it decides is in the model and in `desk`; here are the sockets.
 
 mod command;
 mod desk;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,6 +16,8 @@
 //! down; `telemetry` measures what the log reports. The parts know the messages between them (`messages`) and not one
 //! another.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod client;
 mod config;
 mod counter;
--- a/crates/hedging/src/lib.rs
+++ b/crates/hedging/src/lib.rs
@@ -34,6 +34,8 @@
 //! | `loss_rate.rs` | the fraction of attempts without a response |
 //! | `hedge_delay.rs` | the decision: the value of an attempt, and the delay before a further one |
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod hedge_delay;
 mod latency_distribution;
 mod loss_rate;
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -15,6 +15,8 @@
 //! `document` reads the document as a whole, `classes` and `plans` its two lists, `reader` one JSON object key by key;
 //! `keys` lists the keys of the platform, and `error` says what can be wrong.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod classes;
 mod document;
 mod error;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -68,6 +68,8 @@
 //! | `attempts` | requests in flight, statistics of the classes, retry budget |
 //! | `timers`, `rng` | pending timers, random numbers |
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod admission;
 pub mod api;
 mod attempts;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -74,6 +74,8 @@
 //!
 //! `bound.rs` states what all of this may cost.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 pub mod bound;
 mod compact_state;
 mod counter_health;
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -20,6 +20,8 @@
 //!
 //! `error` and `frame` hold the types, `decode` and `encode` the two directions.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod decode;
 mod encode;
 mod error;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -87,6 +87,8 @@
 //! | `limits.rs` | bounds on what the files may define |
 //! | `error.rs` | [`RoutingError`] |
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod destination;
 mod error;
 mod limits;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -17,6 +17,8 @@
 //!
 //! This file holds the traits, `system` their implementation on tokio's sockets and timers.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod system;
 
 pub use system::{SystemEnv, SystemListener, SystemReader, SystemTask, SystemWriter};
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -15,6 +15,8 @@
 //! `codes` names the records, `record` reads the fields of one, `events` translates events, `reply` actions, and `adapter`
 //! goes through a frame.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod adapter;
 mod codes;
 mod error;
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -98,6 +98,8 @@
 //!    by step.
 //! 8. `transition.rs` and `status.rs` report all of it for logs and queries.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 pub mod capacity_check;
 mod controller;
 mod hashing;
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -33,6 +33,8 @@
 //! assert!(subset.is_sorted() && subset.iter().all(|index| *index < hosts.len()));
 //! ```
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 /// Minimum number of hosts in a subset, unless there are fewer. With too few hosts the requests of one gateway could
 /// not be balanced.
 ///
