--- a/crates/api-gateway/src/command.rs
+++ b/crates/api-gateway/src/command.rs
@@ -1,4 +1,6 @@
-//! The command line.
+//! The command line: subcommands, their arguments and help texts.
+//!
+//! The doc comments of subcommands and arguments are the help texts that the program prints.
 
 use crate::config::Tool;
 use crate::plan;
@@ -13,7 +15,7 @@
 #[derive(Debug, Parser)]
 #[command(name = "api-gateway", version, after_help = EXIT_CODES)]
 pub struct CommandLine {
-    /// What to do.
+    /// The subcommand; without one the program serves.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
@@ -23,7 +25,7 @@
 Signals: SIGHUP reads the configuration again (addresses of discovery and the counter, and the operators' files);
 SIGTERM answers all that was taken, then ends with 0.";
 
-/// What to do.
+/// The subcommands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve until SIGTERM
@@ -48,15 +50,15 @@
     #[command(disable_help_flag = true)]
     Rehearse {
         /// Words for `cluster-emulator`
-        #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
-        words: Vec<OsString>,
+        #[arg(id = "words", value_name = "WORDS", trailing_var_arg = true, allow_hyphen_values = true)]
+        arguments: Vec<OsString>,
     },
 }
 
-/// How to serve.
+/// The arguments of `serve`.
 #[derive(Args, Debug, Default)]
 pub struct Serve {
-    /// The files.
+    /// The files that the gateway reads.
     #[command(flatten)]
     pub files: Files,
     /// The form of the log on standard error: lines for people, or a JSON object a line
@@ -64,7 +66,7 @@
     pub log_format: LogFormat,
 }
 
-/// The form of the log.
+/// The form of the log on standard error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
     /// Lines for people.
@@ -74,7 +76,7 @@
     Json,
 }
 
-/// Which files.
+/// The files that a gateway reads.
 #[derive(Args, Debug, Default)]
 pub struct Files {
     /// The configuration file, in place of the one that ROUTER_CONFIG names
@@ -86,17 +88,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use clap::CommandFactory;
-
-    #[test]
-    fn the_command_line_is_sound() {
-        CommandLine::command().debug_assert();
-    }
-
-    #[test]
-    fn no_words_mean_to_serve_as_the_platform_does() {
-        assert!(CommandLine::parse_from(["api-gateway"]).command.is_none());
-    }
-}
+mod tests;
--- a/crates/api-gateway/src/completions.rs
+++ b/crates/api-gateway/src/completions.rs
@@ -1,4 +1,4 @@
-//! `completions`: scripts by which shells complete the words of this program.
+//! `completions`: scripts by which shells complete the program's command line.
 
 use crate::command::CommandLine;
 use anyhow::Result;
@@ -6,14 +6,14 @@
 use clap_complete::Shell;
 
 const PROGRAM: &str = "api-gateway";
-/// Name of the program within the script for bash: clap_complete 4.6 writes the labels of subcommands in two different
-/// ways where the name has a hyphen, so that none of them is found.
+/// Name of the program while the script for bash is generated: clap_complete 4.6 writes the labels of subcommands in two
+/// different forms if the name has a hyphen, so that bash finds none of them.
 const BASH_LABEL: &str = "api_gateway";
 
 /// Prints the script for a shell.
 ///
 /// # Errors
-/// It cannot be written.
+/// Standard output cannot be written.
 pub fn print(shell: Shell) -> Result<()> {
     crate::output::print(&script(shell))
 }
@@ -23,12 +23,12 @@
         return generate(shell, PROGRAM);
     }
     let script = generate(shell, BASH_LABEL);
-    // The last word of a registration is the program's name, which has to be the real one.
+    // A registration ends with the name of the program, which has to be the real one.
     script.replace(&format!(" {BASH_LABEL}\n"), &format!(" {PROGRAM}\n"))
 }
 
 fn generate(shell: Shell, program: &str) -> String {
-    // First into memory: the generator panics where it cannot write.
+    // The generator panics if its writer fails, so it writes to memory.
     let mut script = Vec::new();
     clap_complete::generate(shell, &mut CommandLine::command(), program, &mut script);
     String::from_utf8_lossy(&script).into_owned()
--- a/crates/api-gateway/src/config/check.rs
+++ b/crates/api-gateway/src/config/check.rs
@@ -1,18 +1,20 @@
-//! `config check`: all that is wrong with a file set, and with a change against the version that runs.
+//! `config check`: prints all errors and warnings of a file set, and big changes against the version in force.
 
-use super::{counted, print_json, rendered, site};
-use crate::operators::{self, Checked};
-use crate::output::{complain, path_text, print};
+use crate::operators;
+use crate::operators::platform::language_platform;
+use crate::output::{path_text, print, print_diagnostics, print_error, print_json};
+use crate::source::read_platform;
 use anyhow::{Context as _, Result};
 use clap::Args;
 use config_language::{big_changes, Diagnostic, FileSet, Severity};
+use gateway::PlatformSettings;
 use serde_json::{json, Value};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
-/// The words of `config check`.
+/// The arguments of `config check`.
 #[derive(Args, Debug)]
 #[command(after_help = EXIT_CODES)]
-pub struct Words {
+pub struct Arguments {
     /// The operators' file
     file: PathBuf,
     /// The platform's configuration, as gateways get it: names and quotas are held against its settings
@@ -33,61 +35,82 @@
 Exit status: 0 the file can be used, perhaps with warnings; 1 it has errors, or big changes without --accept;
 2 wrong usage.";
 
-/// What a check came to.
+/// Whether the checked file can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Verdict {
+    /// It can, perhaps with warnings.
     Usable,
-    /// Figures changed by so much that someone has to say it is meant.
+    /// It could, but for this number of big changes, which someone has to accept.
     BigChanges(usize),
+    /// It has errors.
     Unusable,
 }
 
-/// Checks; whether the file can be used.
+/// Result of a check.
+struct CheckResult {
+    /// The file set, if it has no errors.
+    set: Option<FileSet>,
+    /// Errors, warnings and big changes.
+    diagnostics: Vec<Diagnostic>,
+    verdict: Verdict,
+}
+
+/// Prints the result of a check, and returns whether the file can be used.
 ///
 /// # Errors
-/// The platform's configuration, or the file that runs, cannot be used.
-pub fn run(words: &Words) -> Result<bool> {
-    let site = site(words.settings.as_deref())?;
-    // Without the platform: what runs may name what the platform no longer has.
-    let old = words.against.as_ref().map(|path| {
-        operators::load(path, None).with_context(|| format!("cannot compare with {}", path_text(path)))
-    });
-    let old = old.transpose()?;
-    let Checked { set, mut diagnostics } = operators::check(&words.file, site.as_ref());
-    let platform = site.as_ref().map(operators::platform);
-    let big = match (&old, &set) {
-        (Some(old), Some(set)) => big_changes(old, set, platform.as_ref()),
+/// The platform's configuration or the file in force cannot be used, or standard output not be written.
+pub fn run(arguments: &Arguments) -> Result<bool> {
+    let result = check(arguments)?;
+    if arguments.json {
+        print_json(&json_document(arguments, &result))?;
+    } else {
+        print_text(arguments, &result)?;
+    }
+    Ok(result.verdict == Verdict::Usable)
+}
+
+fn check(arguments: &Arguments) -> Result<CheckResult> {
+    let platform = arguments.settings.as_deref().map(read_platform).transpose()?;
+    let in_force = arguments.against.as_deref().map(load_in_force).transpose()?;
+    let checked = operators::check(&arguments.file, platform.as_ref());
+    let changes = match (&in_force, &checked.set) {
+        (Some(in_force), Some(set)) => find_big_changes(in_force, set, platform.as_ref()),
         _ => Vec::new(),
     };
-    let verdict = match (&set, big.len()) {
-        (None, _) => Verdict::Unusable,
-        (Some(_), 1..) if !words.accept => Verdict::BigChanges(big.len()),
-        _ => Verdict::Usable,
+    let verdict = match checked.set {
+        None => Verdict::Unusable,
+        Some(_) if changes.is_empty() || arguments.accept => Verdict::Usable,
+        Some(_) => Verdict::BigChanges(changes.len()),
     };
-    diagnostics.extend(big);
-    if words.json {
-        print_json(&document(words, set.as_ref(), &diagnostics, verdict))?;
-    } else {
-        say(words, set.as_ref(), &diagnostics, verdict)?;
-    }
-    Ok(verdict == Verdict::Usable)
+    let mut diagnostics = checked.diagnostics;
+    diagnostics.extend(changes);
+    Ok(CheckResult { set: checked.set, diagnostics, verdict })
 }
 
-/// Messages and the summary. The latter is a result where the file can be used, and else one more message.
-fn say(words: &Words, set: Option<&FileSet>, diagnostics: &[Diagnostic], verdict: Verdict) -> Result<()> {
-    complain(&rendered(diagnostics));
-    let line = format!("{}: {}\n", path_text(&words.file), summary(words, set, diagnostics, verdict));
-    if verdict == Verdict::Usable {
+/// Loads the file in force. It is not checked against the platform, which may no longer have the names in it.
+fn load_in_force(path: &Path) -> Result<FileSet> {
+    operators::load(path, None).with_context(|| format!("cannot compare with {}", path_text(path)))
+}
+
+fn find_big_changes(old: &FileSet, new: &FileSet, platform: Option<&PlatformSettings>) -> Vec<Diagnostic> {
+    big_changes(old, new, platform.map(language_platform).as_ref())
+}
+
+/// Prints the diagnostics and a summary. The summary is a result if the file can be used, otherwise one more message.
+fn print_text(arguments: &Arguments, result: &CheckResult) -> Result<()> {
+    print_diagnostics(&result.diagnostics);
+    let line = format!("{}: {}\n", path_text(&arguments.file), summary(arguments, result));
+    if result.verdict == Verdict::Usable {
         return print(&line);
     }
-    complain(&line);
+    print_error(&line);
     Ok(())
 }
 
-fn summary(words: &Words, set: Option<&FileSet>, diagnostics: &[Diagnostic], verdict: Verdict) -> String {
-    let (errors, warnings) = severities(diagnostics);
-    let mut parts = match verdict {
-        Verdict::Usable => set.map(contents).unwrap_or_default(),
+fn summary(arguments: &Arguments, result: &CheckResult) -> String {
+    let (errors, warnings) = count_severities(&result.diagnostics);
+    let mut parts = match result.verdict {
+        Verdict::Usable => result.set.as_ref().map(block_counts).unwrap_or_default(),
         Verdict::BigChanges(count) => {
             vec![format!("{}, which --accept lets through", counted(count, "big change", "big changes"))]
         }
@@ -96,60 +119,70 @@
     if warnings > 0 {
         parts.push(counted(warnings, "warning", "warnings"));
     }
-    if words.settings.is_none() {
+    if arguments.settings.is_none() {
         parts.push("not held against the platform's settings".into());
     }
-    let begin = match verdict {
+    let verdict = match result.verdict {
         Verdict::Usable => "can be used",
         Verdict::BigChanges(_) => "is not accepted",
         Verdict::Unusable => "cannot be used",
     };
-    format!("{begin}: {}", parts.join(", "))
+    format!("{verdict}: {}", parts.join(", "))
 }
 
-fn contents(set: &FileSet) -> Vec<String> {
+/// Returns the number of files and of each kind of block. The blocks of a failover plan are left out if there are none.
+fn block_counts(set: &FileSet) -> Vec<String> {
     let operators = &set.operators;
-    let plan = [
+    let failover_blocks = [
         (operators.sites.len(), "site", "sites"),
         (operators.takeovers.len(), "takeover", "takeovers"),
         (operators.sheds.len(), "shed", "sheds"),
     ];
-    let plan = plan.iter().filter(|(count, ..)| *count > 0);
     let mut parts = vec![
         counted(set.files.len(), "file", "files"),
         counted(operators.pools.len(), "pool", "pools"),
         counted(operators.routes.len(), "route", "routes"),
         counted(operators.policies.len(), "quota policy", "quota policies"),
     ];
-    parts.extend(plan.map(|(count, one, many)| counted(*count, one, many)));
+    for (count, singular, plural) in failover_blocks {
+        if count > 0 {
+            parts.push(counted(count, singular, plural));
+        }
+    }
     parts
 }
 
-/// Errors and warnings.
-fn severities(diagnostics: &[Diagnostic]) -> (usize, usize) {
+/// Returns a count with its noun in the singular or plural: "1 pool", "2 pools".
+fn counted(count: usize, singular: &str, plural: &str) -> String {
+    let noun = if count == 1 { singular } else { plural };
+    format!("{count} {noun}")
+}
+
+/// Returns the number of errors and of warnings.
+fn count_severities(diagnostics: &[Diagnostic]) -> (usize, usize) {
     let errors = diagnostics.iter().filter(|diagnostic| diagnostic.severity == Severity::Error).count();
     (errors, diagnostics.len() - errors)
 }
 
-fn document(words: &Words, set: Option<&FileSet>, diagnostics: &[Diagnostic], verdict: Verdict) -> Value {
-    let (errors, warnings) = severities(diagnostics);
-    let files = set.map(|set| set.files.iter().map(|file| path_text(file)).collect::<Vec<_>>());
+fn json_document(arguments: &Arguments, result: &CheckResult) -> Value {
+    let (errors, warnings) = count_severities(&result.diagnostics);
+    let paths = |set: &FileSet| set.files.iter().map(|file| path_text(file)).collect::<Vec<_>>();
     json!({
-        "file": path_text(&words.file),
-        "verdict": match verdict {
+        "file": path_text(&arguments.file),
+        "verdict": match result.verdict {
             Verdict::Usable => "usable",
             Verdict::BigChanges(_) => "big-changes",
             Verdict::Unusable => "unusable",
         },
         "errors": errors,
         "warnings": warnings,
-        "files": files,
-        "settings": words.settings.is_some(),
-        "diagnostics": diagnostics.iter().map(diagnostic).collect::<Vec<_>>(),
+        "files": result.set.as_ref().map(paths),
+        "settings": arguments.settings.is_some(),
+        "diagnostics": result.diagnostics.iter().map(json_diagnostic).collect::<Vec<_>>(),
     })
 }
 
-fn diagnostic(diagnostic: &Diagnostic) -> Value {
+fn json_diagnostic(diagnostic: &Diagnostic) -> Value {
     let spot = diagnostic.place.spot;
     json!({
         "severity": diagnostic.severity.word(),
--- a/crates/api-gateway/src/config/diff.rs
+++ b/crates/api-gateway/src/config/diff.rs
@@ -1,17 +1,16 @@
-//! `config diff`: what differs between two file sets, in terms of what they mean.
+//! `config diff`: compares two file sets by the blocks that they define.
 
-use super::{print_json, rendered};
 use crate::operators;
-use crate::output::{complain, print};
+use crate::output::{print, print_diagnostics, print_json};
 use anyhow::{Context as _, Result};
 use clap::Args;
 use config_language::{diff, Diagnostic, FileSet, Severity};
 use std::path::{Path, PathBuf};
 
-/// The words of `config diff`.
+/// The arguments of `config diff`.
 #[derive(Args, Debug)]
 #[command(after_help = EXIT_CODES)]
-pub struct Words {
+pub struct Arguments {
     /// The operators' file as it was
     old: PathBuf,
     /// The operators' file as it is to be
@@ -29,28 +28,32 @@
 Exit status: 0 compared, whatever differs; 1 a file has errors, or with --exit-code something differs;
 2 wrong usage.";
 
-/// Compares; whether all is well, as the exit status tells it.
+/// Prints the changes between two file sets, and returns whether the exit status is 0.
 ///
 /// # Errors
-/// The result cannot be written.
-pub fn run(words: &Words) -> Result<bool> {
-    let (old, new) = (load(&words.old), load(&words.new));
-    let (Some(old), Some(new)) = (old, new) else { return Ok(false) };
+/// Standard output cannot be written.
+pub fn run(arguments: &Arguments) -> Result<bool> {
+    // Both are read before either is missed, so that the errors of both are printed.
+    let old = load(&arguments.old);
+    let new = load(&arguments.new);
+    let Some((old, new)) = old.zip(new) else { return Ok(false) };
     let changes = diff(&old, &new);
-    if words.json {
+    if arguments.json {
         print_json(&serde_json::to_value(&changes).context("cannot write the result")?)?;
     } else {
-        print(&changes.iter().map(|change| format!("{}\n", change.text)).collect::<String>())?;
+        let lines: String = changes.iter().map(|change| format!("{}\n", change.text)).collect();
+        print(&lines)?;
     }
-    Ok(changes.is_empty() || !words.exit_code)
+    Ok(changes.is_empty() || !arguments.exit_code)
 }
 
-/// Reads a file set, and says what is wrong with it if it cannot be used. Warnings are for `config check`.
+/// Reads a file set, and prints its errors if it has any. Warnings are left to `config check`.
 fn load(path: &Path) -> Option<FileSet> {
     let checked = operators::check(path, None);
     if checked.set.is_none() {
-        let errors = checked.diagnostics.into_iter().filter(|d| d.severity == Severity::Error);
-        complain(&rendered(&errors.collect::<Vec<Diagnostic>>()));
+        let is_error = |diagnostic: &Diagnostic| diagnostic.severity == Severity::Error;
+        let errors: Vec<Diagnostic> = checked.diagnostics.into_iter().filter(is_error).collect();
+        print_diagnostics(&errors);
     }
     checked.set
 }
--- a/crates/api-gateway/src/config/replace.rs
+++ b/crates/api-gateway/src/config/replace.rs
@@ -1,4 +1,5 @@
-//! Replaces a file at once, so that a gateway that reads it meanwhile never meets half of it.
+//! Replaces the content of a file atomically, so that a gateway that reads it meanwhile gets the old or the new text,
+//! never a part.
 
 use crate::output::path_text;
 use anyhow::{bail, Context as _, Result};
@@ -7,33 +8,32 @@
 use std::os::unix::fs::{fchown, MetadataExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// Files beside it that processes which were killed may have left over.
-const MOST_LEFT: usize = 100;
+/// Number of names tried for the temporary file. Killed processes may have left files with the first ones.
+const MAX_TEMPORARY_NAMES: usize = 100;
 
-/// Replaces what a file holds. Its permissions and group stay; behind a symbolic link it is the file that is
-/// replaced.
+/// Replaces the content of a file. Its permissions and group stay. Of a symbolic link, the target is replaced.
 ///
 /// # Errors
-/// What kept it from that, such as a folder in which nothing may be created. The file is as it was then.
+/// The file cannot be replaced, for instance because its folder is not writable. Then its content is unchanged.
 pub fn replace(file: &Path, text: &[u8]) -> Result<()> {
     let target = file.canonicalize()?;
-    // A rename asks nobody whether the file may be written.
-    let as_it_was = OpenOptions::new().write(true).open(&target)?.metadata()?;
+    // A rename needs no write permission for the file itself, so it is checked here.
+    let original = OpenOptions::new().write(true).open(&target)?.metadata()?;
     let folder = target.parent().context("it is in no folder")?;
-    let (path, beside) = create_in(folder)?;
-    let done = write(&beside, text, &as_it_was).and_then(|()| Ok(std::fs::rename(&path, &target)?));
-    if done.is_err() {
-        // It is of no use any more, and the first failure is the one to tell.
+    let (path, temporary) = create_temporary(folder)?;
+    let result = write(&temporary, text, &original).and_then(|()| Ok(std::fs::rename(&path, &target)?));
+    if result.is_err() {
+        // The first error is returned, whether or not the temporary file can be removed.
         let _ = std::fs::remove_file(&path);
     }
-    done
+    result
 }
 
-/// A new file in the folder of the one that it will replace, since a rename stays within a file system.
-fn create_in(folder: &Path) -> Result<(PathBuf, File)> {
-    for number in 0..MOST_LEFT {
+/// Creates a temporary file in the folder of the one that it will replace, since a rename cannot cross file systems.
+fn create_temporary(folder: &Path) -> Result<(PathBuf, File)> {
+    for number in 0..MAX_TEMPORARY_NAMES {
         let path = folder.join(format!(".fennelbeam-fmt.{number}.tmp"));
-        // Nobody else reads it before it has the permissions of the other.
+        // Only the owner may read it until it has the permissions of the original.
         match OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path) {
             Ok(file) => return Ok((path, file)),
             Err(error) if error.kind() == ErrorKind::AlreadyExists => {}
@@ -45,18 +45,19 @@
     bail!("{} is full of .fennelbeam-fmt.*.tmp that were left over", path_text(folder))
 }
 
-fn write(mut beside: &File, text: &[u8], as_it_was: &Metadata) -> Result<()> {
-    beside.write_all(text)?;
-    let own = beside.metadata()?;
-    if own.gid() != as_it_was.gid() {
-        fchown(beside, None, Some(as_it_was.gid())).context("its group cannot be kept")?;
+/// Writes the text to the temporary file, and gives it the group, owner and permissions of the original.
+fn write(mut temporary: &File, text: &[u8], original: &Metadata) -> Result<()> {
+    temporary.write_all(text)?;
+    let created = temporary.metadata()?;
+    if created.gid() != original.gid() {
+        fchown(temporary, None, Some(original.gid())).context("its group cannot be kept")?;
     }
-    if own.uid() != as_it_was.uid() {
-        // Only root may give files away. With their group, those who share the file can go on.
-        let _ = fchown(beside, Some(as_it_was.uid()), None);
+    if created.uid() != original.uid() {
+        // Only root can change the owner. With the group kept, the users of the group keep their access.
+        let _ = fchown(temporary, Some(original.uid()), None);
     }
-    // After the owner, since a change of that takes permissions away.
-    beside.set_permissions(as_it_was.permissions())?;
-    beside.sync_all()?;
+    // After the change of owner, which clears some permission bits.
+    temporary.set_permissions(original.permissions())?;
+    temporary.sync_all()?;
     Ok(())
 }
--- a/crates/api-gateway/src/descriptors.rs
+++ b/crates/api-gateway/src/descriptors.rs
@@ -1,25 +1,29 @@
-//! How many descriptors the process may hold: what its configuration grants, and what the system does.
+//! The number of descriptors that the process may hold: the lower of what the configuration and the system grant.
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
-/// Raises the system's soft limit to what the configuration grants, as far as the hard one lets it, and gives
-/// the number that counts: the lower of the two. Beyond it the system turns connections away unseen, and what
-/// waits in the listener's backlog is lost.
-pub fn granted(configured: usize) -> usize {
+/// Raises the system's soft limit to the configured number, as far as the hard limit permits, and returns the number
+/// that is in force: the lower of the two. A gateway that held more connections would lose those that the system rejects
+/// or leaves in the listener's backlog.
+pub fn raise_limit(configured: usize) -> usize {
     let wanted = configured as u64;
     let limit = getrlimit(Resource::Nofile);
-    let within = |most: Option<u64>| most.is_none_or(|most| most >= wanted);
-    if within(limit.current) {
+    if permits(limit.current, wanted) {
         return configured;
     }
-    let current = if within(limit.maximum) { Some(wanted) } else { limit.maximum };
-    // Refused, the old limit stays, and is what is found next.
+    let current = if permits(limit.maximum, wanted) { Some(wanted) } else { limit.maximum };
+    // If the system refuses, the old limit stays in force and is read below.
     let _ = setrlimit(Resource::Nofile, Rlimit { current, ..limit });
-    let found = getrlimit(Resource::Nofile).current.unwrap_or(wanted).min(wanted);
-    if found < wanted {
+    let granted = getrlimit(Resource::Nofile).current.unwrap_or(wanted).min(wanted);
+    if granted < wanted {
         tracing::warn!(
-            "limits.sockets is {configured}, but the system grants {found} descriptors: that counts"
+            "limits.sockets is {configured}, but the system grants {granted} descriptors: that counts"
         );
     }
-    found as usize
+    granted as usize
+}
+
+/// Returns whether a limit, if there is one, is at least the wanted number.
+fn permits(limit: Option<u64>, wanted: u64) -> bool {
+    limit.is_none_or(|limit| limit >= wanted)
 }
--- a/crates/api-gateway/src/output.rs
+++ b/crates/api-gateway/src/output.rs
@@ -1,32 +1,49 @@
-//! Standard output and standard error, of which a reader may go away at any time.
+//! Writes to standard output and standard error, whose reader may close them at any time, and makes foreign text safe
+//! for one line.
 
 use anyhow::{Context as _, Result};
+use config_language::Diagnostic;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
 
-/// Writes results. A reader that has enough and goes away, such as `head`, is no failure.
+/// Writes results to standard output. A reader that closes it early, such as `head`, is no error.
 ///
 /// # Errors
-/// What else keeps the text from being written, such as a full disk.
+/// The text cannot be written for another reason, such as a full disk.
 pub fn print(text: &str) -> Result<()> {
-    let mut out = std::io::stdout().lock();
-    match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
+    let mut stdout = std::io::stdout().lock();
+    match stdout.write_all(text.as_bytes()).and_then(|()| stdout.flush()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(error).context("cannot write the result"),
         _ => Ok(()),
     }
 }
 
-/// Writes messages. Where nobody takes them there is nobody left to tell, and the exit status still says it.
-pub fn complain(text: &str) {
+/// Writes a JSON value and a line end to standard output.
+///
+/// # Errors
+/// As [`print`].
+pub fn print_json(value: &serde_json::Value) -> Result<()> {
+    let text = serde_json::to_string_pretty(value).context("cannot write the result")?;
+    print(&format!("{text}\n"))
+}
+
+/// Writes messages to standard error. A failure is ignored, since the exit status reports the error too.
+pub fn print_error(text: &str) {
     let _ = std::io::stderr().lock().write_all(text.as_bytes());
 }
 
-/// A path as one line of text, whatever the file is called.
+/// Writes diagnostics to standard error, each with the line of the file that it refers to.
+pub fn print_diagnostics(diagnostics: &[Diagnostic]) {
+    let rendered: Vec<String> = diagnostics.iter().map(Diagnostic::rendered).collect();
+    print_error(&rendered.join("\n"));
+}
+
+/// Returns a path as one line of text, with control characters replaced.
 pub fn path_text(path: &Path) -> String {
     one_line(&path.to_string_lossy())
 }
 
-/// A text of others as one line.
+/// Returns a text with its control characters, such as line ends, replaced by question marks.
 pub fn one_line(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { '?' } else { c }).collect()
 }
