--- a/crates/gateway/src/client/call.rs
+++ b/crates/gateway/src/client/call.rs
@@ -1,6 +1,5 @@
 //! A client's call: parsed from its command, and forwarded to a host with a deadline of its own.
 
-use crate::upstream::connection::Command;
 use bytes::{Buf, Bytes, BytesMut};
 use platform_settings::PlatformSettings;
 use policy::api::{CustomerId, Idempotency, Request, RequestId, Span};
@@ -19,6 +18,9 @@
 /// Identifiers of customers are below this.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 
+/// A command as it is written to a host: its bytes, and a body that is not copied.
+pub(crate) type Command = bytes::buf::Chain<bytes::buf::Chain<BytesMut, Bytes>, Bytes>;
+
 /// Why a command is not a valid call.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CallError {
--- a/crates/gateway/src/client/connection/mod.rs
+++ b/crates/gateway/src/client/connection/mod.rs
@@ -118,6 +118,9 @@
     }
 
     /// Runs until the client disconnects (an error), or the connection is to close with all commands answered.
+    ///
+    /// Waiting for evictions and phases is kept over all iterations: to register and deregister it with each request
+    /// costs more than the request.
     async fn run(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin + Send),
@@ -127,7 +130,6 @@
         let env = self.context.env.clone();
         let slot = self.slot.clone();
         let mut phases = self.context.phase.clone();
-        // Kept over all iterations: to register and deregister with each request costs more than the request.
         let mut evicted = pin!(slot.evict.notified());
         let mut phase_changed = pin!(next_phase(phases.clone()));
         loop {
@@ -137,7 +139,6 @@
                 Progress::Wait(phase) => phase,
             };
             let activity = self.published;
-            let is_reading = self.input_state != InputState::Ended;
             let command_deadline = self.command_deadline;
             let write_deadline = self.output.write_deadline(env.now());
             tokio::select! {
@@ -149,7 +150,7 @@
                     written.map_err(|_| RespError::Closed)??;
                     self.output.on_written();
                 }
-                read = resp::fill(reader, &mut self.input), if is_reading => {
+                read = resp::fill(reader, &mut self.input), if self.input_state != InputState::Ended => {
                     read?;
                     self.take_input();
                 }
--- a/crates/gateway/src/upstream/connection/mod.rs
+++ b/crates/gateway/src/upstream/connection/mod.rs
@@ -1,9 +1,10 @@
 //! One connection to a host. The gateway's event loop writes a request itself, since on an idle connection all of it can be
 //! written at once; the connection's task reads responses, and writes the rest of a request that could not.
 
+use crate::client::call::Command;
 use crate::crash_points::{self, CrashPoint};
 use crate::messages::{ConnectionId, HostEvent, TrafficEvent};
-use bytes::{Buf, Bytes, BytesMut};
+use bytes::{Buf, BytesMut};
 use resp::{Frame, RespError};
 use runtime::{Env, Sleep, Span, Stream, Time, Writer};
 use std::future::Future;
@@ -27,8 +28,6 @@
 /// request that it has rejected reach it after all.
 const EARLY_RESPONSE: RespError = RespError::Malformed("answer before the end of its request");
 
-/// A command as it is written: its bytes, and a body that is not copied.
-pub(crate) type Command = bytes::buf::Chain<bytes::buf::Chain<BytesMut, Bytes>, Bytes>;
 type WriterOf<E> = <<E as Env>::Stream as Stream>::Writer;
 
 /// What the event loop and the task of a connection share.
--- a/crates/gateway/src/upstream/connection/tests.rs
+++ b/crates/gateway/src/upstream/connection/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use bytes::Bytes;
 use runtime::SystemEnv;
 use std::io::Write;
 use std::time::Duration;
