--- a/crates/api-gateway/src/main.rs
+++ b/crates/api-gateway/src/main.rs
@@ -14,6 +14,8 @@
 //! `output.rs` writes to standard output and standard error, and `loss_summary.rs` puts the results of capacity checks
 //! into words.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
+
 mod check;
 mod clock;
 mod command;
--- a/crates/api-gateway/src/output.rs
+++ b/crates/api-gateway/src/output.rs
@@ -21,7 +21,7 @@
 /// Writes a JSON value and a line end to standard output.
 ///
 /// # Errors
-/// As [`print`].
+/// As [`print()`].
 pub fn print_json(value: &serde_json::Value) -> Result<()> {
     let text = serde_json::to_string_pretty(value).context("cannot write the result")?;
     print(&format!("{text}\n"))
