--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -1,4 +1,4 @@
-//! Actions that the decision module asks a gateway to carry out.
+//! Actions that a gateway executes for the decision module.
 
 use super::ids::{CounterKey, HostId, RequestId};
 use super::time::{Span, Time};
@@ -6,31 +6,31 @@
 /// Why a request gets a final answer without a successful response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// Its class or its plan does not exist.
+    /// The request's class or plan does not exist.
     UnknownClassOrPlan,
-    /// It arrived with too little time left for a response.
+    /// The remaining deadline was too short for a response on arrival.
     DeadlineTooShort,
-    /// No host that it may be forwarded to accepts requests.
+    /// No eligible host accepts requests.
     NoHost,
-    /// More customers have requests in flight than fit into memory.
+    /// There is no memory for another customer: too many customers have requests in flight.
     TooManyCustomers,
-    /// It exceeds its customer's quota, or too many of the customer's requests are in flight.
+    /// The request exceeds its customer's quota or concurrency limit.
     QuotaExceeded,
-    /// More requests are queued before it than can be forwarded in its time.
+    /// Too many requests are queued ahead of it to be forwarded before its deadline.
     QueueTooLong,
-    /// It was queued for a concurrency slot or for a host until it was too late.
+    /// The request waited too long for a concurrency slot or a host.
     QueuedTooLong,
-    /// An attempt may have been executed, and it is not idempotent where it could be forwarded to.
+    /// An attempt may have been executed, and no host is available where a duplicate would be harmless.
     NotIdempotent,
-    /// A retry would come too late.
+    /// A retry would miss the latency objective.
     TooLateForRetry,
-    /// It had all its attempts, or the retry budget is exhausted.
+    /// The maximum number of attempts was made, or the retry budget is exhausted.
     RetriesExhausted,
-    /// The operators' plan for lost sites sheds it, to keep capacity for other requests.
+    /// The load is shed by the operators' plan for lost sites, to keep capacity for other requests.
     LoadShed,
 }
 
-/// What the decision module wants done.
+/// An action that the gateway executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt; the attempts of a request are numbered from 0 in this order.
@@ -39,10 +39,10 @@
         id: RequestId,
         /// The host.
         host: HostId,
-        /// When to give the attempt up.
+        /// When the attempt times out.
         deadline: Time,
-        /// When the last byte of the request has to be written at the latest; after that none of it may be
-        /// sent, and the attempt ends as [`NotSent`](super::Outcome::NotSent).
+        /// Latest time at which the last byte of the request may be written; if it cannot be written by then,
+        /// no part of the request may be sent, and the attempt ends as [`NotSent`](super::Outcome::NotSent).
         write_by: Time,
     },
     /// Cancel an attempt.
@@ -52,36 +52,36 @@
         /// Index of the attempt.
         attempt: u32,
     },
-    /// Final answer: rejected without effect; a retry is harmless.
+    /// Final answer: rejected; the client can safely retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before a retry (`Retry-After`).
         retry_after: Option<Span>,
         /// Why the request is rejected.
         reason: RejectReason,
     },
-    /// Final answer: failed; the request may have been executed.
+    /// Final answer: failed; the request may have been executed, so a retry is not safe.
     Fail {
         /// The request.
         id: RequestId,
         /// Why the request failed.
         reason: RejectReason,
     },
-    /// Report [`TimerExpired`](super::Event::TimerExpired) later.
+    /// Report [`TimerExpired`](super::Event::TimerExpired) after a delay.
     SetTimer {
-        /// Time until then.
+        /// The delay.
         after: Span,
         /// Token to report.
         token: u32,
     },
-    /// Add to a number of the counter service.
+    /// Add to an entry of the counter service.
     AddToCounter {
-        /// The number.
+        /// Key of the entry.
         key: CounterKey,
         /// Amount to add.
         amount: f64,
-        /// How long the counter keeps a new number.
+        /// Time to live of the entry if this call creates it.
         time_to_live: Span,
     },
     /// Subscribe to the endpoint list.
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -17,9 +17,9 @@
     Rejected,
     /// No response in time; the request may have been executed.
     Timeout,
-    /// No connection could be made; the request was not executed.
+    /// The connection could not be established; the request was not executed.
     ConnectFailed,
-    /// The connection broke; the request may have been executed.
+    /// The connection was reset; the request may have been executed.
     ConnectionReset,
     /// The attempt was cancelled; the request may have been executed.
     Cancelled,
@@ -27,14 +27,14 @@
     NotSent,
 }
 
-/// A host's load report. A value that the report does not carry is `None`.
+/// A host's load report. A value missing from the report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Requests in flight.
     pub in_flight: Option<f64>,
     /// Requests queued.
     pub queued: Option<f64>,
-    /// Utilisation of the cores, 0 to 1.
+    /// CPU utilisation, 0 to 1.
     pub utilisation: Option<f64>,
     /// Recent service time, in milliseconds.
     pub latency_ms: Option<f64>,
@@ -45,8 +45,8 @@
 }
 
 impl LoadReport {
-    /// Sets one value by the name that the platform's settings give it. Unknown names are skipped; a value
-    /// that is negative or not finite counts as missing.
+    /// Sets one value by its name in the platform's settings. Unknown names are ignored; a value that is
+    /// negative or not finite counts as missing.
     pub fn set(&mut self, name: &str, value: f64) {
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
         match name {
@@ -74,9 +74,9 @@
     pub outcome: Outcome,
     /// Time since the attempt was forwarded.
     pub elapsed: Span,
-    /// Whether the request needs no response any more.
+    /// Whether the request already has its final answer or its client has disconnected.
     pub is_request_closed: bool,
-    /// The customer's metered use as a fraction of its limit.
+    /// The customer's metered usage as a fraction of its limit.
     pub quota_used: Option<f64>,
     /// Units that the request actually cost.
     pub actual_units: Option<f64>,
@@ -84,19 +84,19 @@
     pub report: Option<LoadReport>,
 }
 
-/// What a gateway reports to the decision module.
+/// An event reported by the gateway.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list, or a change of it, has arrived.
+    /// An endpoint list or an update to it was received.
     HostList {
         /// How the entries relate to the current list.
         kind: HostListKind,
         /// The entries.
         entries: Vec<HostEntry>,
     },
-    /// A request has arrived.
+    /// A request was received.
     Request(Request),
-    /// A streamed response has begun.
+    /// A streaming response has started.
     ResponseStarted {
         /// The request.
         id: RequestId,
@@ -105,7 +105,7 @@
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnded),
-    /// The client has disconnected; the request needs no response.
+    /// The client has disconnected; no response can be delivered.
     ClientDisconnected {
         /// The request.
         id: RequestId,
@@ -126,26 +126,26 @@
     },
     /// A call to the counter service has ended.
     CounterReplied {
-        /// The number that was added to.
+        /// Key of the entry that was added to.
         key: CounterKey,
         /// How the call ended.
         outcome: Outcome,
-        /// The number after the call.
+        /// Value of the entry after the call.
         total: f64,
-        /// Time that the call took.
+        /// Duration of the call.
         elapsed: Span,
     },
-    /// The plans have changed; they are in the order of the settings. Units available to customers stay, up
-    /// to the new size of their token buckets.
+    /// The plans have changed; they are in the order of the settings. Customers keep their available units,
+    /// up to the new size of their token buckets.
     PlansChanged(Vec<Plan>),
     /// Load shedding: the fraction of requests to admit from now on, 0 to 1, for each class and plan. The
-    /// cell of a class and a plan is `class * plans + plan`; a missing cell admits all.
+    /// index for a class and a plan is `class * plans + plan`; a missing element admits all requests.
     AdmissionFractionsChanged(Vec<f64>),
-    /// Another gateway has sent bytes.
+    /// A message from another gateway was received.
     PeerMessage {
         /// Index of the other gateway.
         from: u32,
-        /// The bytes.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/policy/src/api/host.rs
+++ b/crates/policy/src/api/host.rs
@@ -9,7 +9,7 @@
     /// The host accepts requests.
     #[default]
     Ready,
-    /// The host finishes what is in flight and accepts nothing new.
+    /// The host completes the requests in flight and accepts no new ones.
     Draining,
     /// The host was removed.
     Gone,
@@ -24,26 +24,26 @@
     pub zone: u32,
     /// Index of the host's machine type.
     pub machine_type: u32,
-    /// Cell of the host: the hosts that share the idempotency keys they have seen.
+    /// Cell of the host: hosts of one cell share their records of received idempotency keys.
     pub cell: u32,
     /// State of the host.
     pub state: HostState,
     /// Relative size of the host, without a unit.
     pub size: f64,
-    /// Latest start of the host's process; zero for one long past.
+    /// When the host's process last started; zero if it started long ago.
     pub started_at: Time,
-    /// Pools that the host belongs to, one bit each.
+    /// Bit mask of the pools that the host belongs to.
     pub pools: u64,
 }
 
 /// How a received endpoint list relates to the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostListKind {
-    /// Only entries that changed.
+    /// Only the entries that have changed.
     Delta,
     /// All entries.
     Full,
-    /// All entries as they were known before a restart.
+    /// All entries, from the list that was cached before a restart of the gateway.
     Cached,
     /// No entries: a poll or the subscription failed.
     Failed,
--- a/crates/policy/src/api/ids.rs
+++ b/crates/policy/src/api/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers that the gateway and the decision module share.
+//! Identifiers shared by the gateway and the decision module.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident),*) => {$(
@@ -11,10 +11,11 @@
 ids!(
     /// Identifies one request of a client at this gateway; a client's retry is a new request.
     RequestId,
-    /// Identifies one machine of the back end; it keeps its identifier when its process restarts.
+    /// Identifies one machine of the back end; the identifier stays the same when the host's process
+    /// restarts.
     HostId,
-    /// Identifies a customer, whose quota holds over all gateways together.
+    /// Identifies a customer, whose quota is shared by all gateways.
     CustomerId,
-    /// Names a number that the shared counter service keeps.
+    /// Key of an entry of the shared counter service.
     CounterKey
 );
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -1,7 +1,6 @@
-//! The interface of the decision module: the events that a gateway reports and the actions that it carries
-//! out.
+//! The interface of the decision module: the events that a gateway reports and the actions that it executes.
 //!
-//! Everything here is plain data. A gateway reads its [`Settings`] once, then reports each [`Event`] with the
+//! All types are plain data. A gateway reads its [`Settings`] once, then reports each [`Event`] with the
 //! current [`Time`] and executes the returned [`Action`]s in order.
 
 mod action;
--- a/crates/policy/src/api/request.rs
+++ b/crates/policy/src/api/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and where they may be forwarded to.
+//! Client requests, and the hosts that they may be forwarded to.
 
 use super::ids::{CustomerId, RequestId};
 use super::time::{Span, Time};
@@ -6,24 +6,24 @@
 /// The hosts that a request may be forwarded to. The default allows all hosts without a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Route {
-    /// Pools, one bit each: a host has to be in one of them. Zero allows any host.
+    /// Bit mask of pools: a host has to be in at least one of them. Zero allows any host.
     pub pools: u64,
-    /// Pools that take over while no host of `pools` accepts requests; zero for none.
+    /// Bit mask of fallback pools, used while no host of `pools` accepts requests; zero for none.
     pub fallback: u64,
-    /// Concurrency limit of the route, beside those of its pools.
+    /// Concurrency limit of the route, in addition to those of its pools.
     pub limit: Option<RouteLimit>,
 }
 
-/// A concurrency limit on the attempts of a route.
+/// A limit on the concurrent attempts of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteLimit {
-    /// Number of the route, the same for as long as attempts of it are in flight.
+    /// Number of the route; it must not change while attempts of the route are in flight.
     pub route: u32,
     /// Maximum number of attempts in flight from this gateway.
     pub max_in_flight: u32,
 }
 
-/// A request of a client.
+/// A client request, with the class, customer and route that the gateway has assigned to it.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Identifier of the request.
@@ -34,9 +34,9 @@
     pub plan: usize,
     /// The customer.
     pub customer: CustomerId,
-    /// Remaining deadline: time from the arrival until the client gives the request up.
+    /// Remaining deadline: time from arrival until the client times out.
     pub remaining: Span,
-    /// Units that the request costs; an estimate where the response tells the actual units.
+    /// Units that the request costs; an estimate if the response reports the actual units.
     pub units: f64,
     /// Number of gateways that serve this customer.
     pub set_size: u32,
@@ -44,8 +44,8 @@
     pub first_gateway: u32,
     /// Whether the request retries an earlier one.
     pub is_retry: bool,
-    /// The hosts that it may be forwarded to, for as long as it is in flight.
+    /// The hosts that the request may be forwarded to, fixed while it is in flight.
     pub route: Route,
-    /// When it arrived, which may be a while ago; zero for now.
+    /// When the request arrived, possibly earlier than it is reported; zero means now.
     pub arrived_at: Time,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,19 +1,19 @@
-//! The decisions of an API gateway in front of a common back end, with customers' quotas that hold over all
+//! Decision logic of an API gateway in front of a shared back end, with customer quotas enforced across all
 //! gateways.
 //!
 //! # Contract
 //!
-//! A gateway owns one [`policy::Policy`], reports what happens as [`api::Event`]s with the current time, and
-//! carries out the returned [`api::Action`]s in order. This module alone decides which host gets an attempt,
+//! A gateway owns one [`policy::Policy`], passes each [`api::Event`] to it with the current time, and
+//! executes the returned [`api::Action`]s in order. This crate alone decides which host receives an attempt,
 //! whether a request is retried or hedged, and whether it is rejected. It does no I/O, reads no clock and has
-//! no global state. Its random numbers come from the given seed: the same events give the same actions.
+//! no global state. Random numbers are derived from the given seed: the same events produce the same actions.
 //!
-//! - Each request gets one final answer while its client is connected: a response, [`api::Action::Reject`] or
-//!   [`api::Action::Fail`].
-//! - A request that may have been executed is forwarded again only where that is idempotent.
-//! - A host that the endpoint list does not name as ready gets no new attempt.
-//! - No event looks at all customers, requests or hosts, except changes of plans and of the endpoint list.
-//!   The settings bound the memory that customers take.
+//! - Each request receives exactly one final answer while its client is connected: a response,
+//!   [`api::Action::Reject`] or [`api::Action::Fail`].
+//! - A request that may have been executed is forwarded again only to hosts where a duplicate is harmless.
+//! - A host that is not listed as ready in the endpoint list receives no new attempt.
+//! - No event iterates over all customers, requests or hosts, except changes of plans and of the endpoint
+//!   list. The settings limit the memory used for customers.
 //!
 //! # Example
 //!
@@ -35,29 +35,29 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Forward { host: HostId(1), .. })));
 //! ```
 //!
-//! # The way of a request
+//! # Request flow
 //!
 //! 1. `policy.rs`: [`policy::Policy::handle`] dispatches the event [`api::Event::Request`].
-//! 2. `admission/arrival.rs` registers the request. It is rejected at once if it has too little time left, no
-//!    host can take it, or its load is shed.
-//! 3. `admission/waiting.rs` decides on its units: `admission/leased_units.rs` takes them from the accounts
-//!    of its customer (`quota/account.rs`), or `admission/windowed.rs` admits a fraction of the requests. If
-//!    units are short, a call leases more from the counter (`quota/counter_replies.rs`), and the request
-//!    waits.
-//! 4. `concurrency/dispatch.rs` queues the admitted request, and assigns a free slot to it by the reservation
-//!    and priority of its class (`concurrency/state.rs`).
+//! 2. `admission/arrival.rs` registers the request. It is rejected immediately if its remaining deadline is
+//!    too short, no host can serve it, or its load is shed.
+//! 3. `admission/waiting.rs` checks the customer's quota: `admission/leased_units.rs` takes units from the
+//!    customer's accounts (`quota/account.rs`), or `admission/windowed.rs` admits a fraction of the requests.
+//!    If there are too few units, a call leases more from the counter (`quota/counter_replies.rs`), and the
+//!    request waits.
+//! 4. `concurrency/dispatch.rs` queues the admitted request, and assigns a free slot to it according to the
+//!    reservation and priority of its class (`concurrency/state.rs`).
 //! 5. `balancing/selection.rs` chooses the host, and `attempts/forwarding.rs` forwards the request to it.
-//! 6. `attempts/completion.rs` takes in the end of the attempt; `balancing/outliers.rs`,
-//!    `concurrency/host_limit.rs` and `attempts/class_statistics.rs` learn from it.
+//! 6. `attempts/completion.rs` handles the end of the attempt; `balancing/outliers.rs`,
+//!    `concurrency/host_limit.rs` and `attempts/class_statistics.rs` update their statistics.
 //! 7. The request is closed after a response. Otherwise, or if the attempt is overdue, `attempts/retries.rs`
-//!    decides on another attempt, which continues at step 4; without one the request is given up.
+//!    decides whether to make another attempt, which continues at step 4; if none is made, the request is
+//!    rejected or fails.
 //!
-//! With each event, expired timers (`timers.rs`) run after the event itself, and freed slots and units are
-//! assigned at the end.
+//! After each event, expired timers (`timers.rs`) run, and then freed slots and units are assigned.
 //!
 //! # State
 //!
-//! Each part of the state belongs to one module, which changes it in methods of [`policy::Policy`]:
+//! Each part of the state is owned by one module, which modifies it in methods of [`policy::Policy`]:
 //!
 //! | module | state |
 //! |---|---|
--- a/crates/policy/src/rng/tests.rs
+++ b/crates/policy/src/rng/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
 #[test]
-fn the_first_numbers_of_a_seed_stay_as_they_were() {
-    // Drawn once with `SmallRng` of rand 0.9 on a 64-bit machine, whose decisions these continue.
+fn a_seed_always_gives_the_same_first_numbers() {
+    // Generated with `SmallRng` of rand 0.9 on a 64-bit machine, so that decisions stay the same as with that
+    // generator.
     let first = |seed| {
         let mut rng = Rng::seeded(seed);
         [rng.unit().to_bits(), rng.unit().to_bits(), rng.unit().to_bits()]
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -1,6 +1,7 @@
-//! Timers of a gateway, grouped into steps of time.
+//! Timers of a gateway, grouped into time steps.
 //!
-//! Timers of one step cost one wake-up of the gateway, and no pending timer is looked at before it expires.
+//! All timers of one step need a single wake-up of the gateway, and no pending timer is examined before it
+//! expires.
 
 use crate::api::{HostId, RequestId, Span, Time};
 use std::collections::BTreeMap;
@@ -8,45 +9,45 @@
 #[cfg(test)]
 mod tests;
 
-/// Expiry times are rounded up to a multiple of this: short against any latency objective, long against the
-/// time that one event takes.
+/// Granularity of expiry times, which are rounded up: short compared with any latency objective, long
+/// compared with the processing time of one event.
 pub(crate) const TIMER_STEP: Span = 20_000_000;
 
-/// Time between two adjustments of reservations and concurrency limits.
+/// Interval between adjustments of reservations and concurrency limits.
 pub(crate) const CONTROL_PERIOD: Span = 1_000_000_000;
 
 /// The timers that the decision module sets.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
-    /// The control period of the class reservations has ended.
+    /// The control period has ended: reservations and concurrency limits are adjusted.
     ControlPeriod,
     /// The endpoint list has to be polled.
     PollHosts,
-    /// A request has waited for units long enough, or its token bucket may have filled.
+    /// A request has reached its maximum wait for units, or its token bucket may have refilled.
     UnitsWait(RequestId),
-    /// A request that is queued for a slot may be too late for its objective.
+    /// A request queued for a slot may have become too late for its latency objective.
     QueueTimeout(RequestId),
-    /// Requests without a host may find one.
+    /// A host may have become available for requests that had none.
     RetryDispatch,
-    /// An attempt, given by its index, may be overdue.
+    /// An attempt, identified by its index, may be overdue.
     AttemptOverdue(RequestId, u32),
     /// A host may have warmed up.
     HostWarmUp(HostId),
     /// The state of a host may be removed.
     HostRemoval(HostId),
-    /// The state of customers may be removed.
+    /// The state of idle customers may be removed.
     CustomerExpiry,
-    /// A heartbeat to the other gateways is due on the counter.
+    /// The next heartbeat to the other gateways has to be sent through the counter.
     Heartbeat,
     /// Units have to be reconciled with the counter.
     Reconciliation,
 }
 
-/// Pending timers in the order of their steps; those of one step in the order in which they were scheduled.
+/// Pending timers ordered by step; timers of one step are in the order of scheduling.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<T> {
     steps: BTreeMap<u64, Vec<T>>,
-    /// The wake-up that the gateway was last asked for.
+    /// The wake-up time last requested from the gateway.
     armed_for: Option<Time>,
 }
 
@@ -57,12 +58,12 @@
 }
 
 impl<T> TimerQueue<T> {
-    /// Schedules a timer that expires at this time, or up to a step later.
+    /// Schedules a timer that expires at `at`, rounded up to the next step.
     pub fn schedule(&mut self, at: Time, timer: T) {
         self.steps.entry(at.div_ceil(TIMER_STEP)).or_default().push(timer);
     }
 
-    /// Removes and returns the timers of the earliest step that has expired; none if no step has.
+    /// Removes and returns the timers of the earliest expired step; empty if no step has expired.
     #[must_use]
     pub fn pop_expired(&mut self, now: Time) -> Vec<T> {
         match self.steps.first_entry() {
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Notes that the gateway has woken the module up.
+    /// Records that the gateway has reported a wake-up.
     pub fn on_wake_up(&mut self, now: Time) {
         self.armed_for = self.armed_for.filter(|at| *at > now);
     }
 
-    /// Returns the time until the next wake-up if the gateway has yet to be asked for it.
+    /// Returns the time until the next wake-up, or `None` if it has already been requested from the gateway.
     #[must_use]
     pub fn arm(&mut self, now: Time) -> Option<Span> {
         let next = self.steps.first_key_value().map(|(step, _)| step * TIMER_STEP)?;
