--- a/crates/policy/src/concurrency/adaptive_share/tests.rs
+++ b/crates/policy/src/concurrency/adaptive_share/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Returns a share after periods of seven responses each, all with this latency ratio.
+/// Returns a share after a number of control periods, each with seven responses of the given latency ratio.
 fn share_after(gateways: u32, periods: u32, latency_ratio: f64) -> AdaptiveShare {
     let mut share = AdaptiveShare::new(gateways);
     run_periods(&mut share, periods, latency_ratio);
--- a/crates/policy/src/concurrency/class_queue.rs
+++ b/crates/policy/src/concurrency/class_queue.rs
@@ -1,7 +1,7 @@
-//! The requests of one class that are queued for a concurrency slot.
+//! Queue of the requests of one class that wait for a concurrency slot.
 //!
-//! Each route has a queue of its own, so that a pool without free slots delays no other pool. Sequence
-//! numbers keep the order over all routes.
+//! Each route has a separate queue, so that a pool without free slots does not delay other pools. Sequence
+//! numbers preserve the order across routes.
 
 use crate::api::{RequestId, Route};
 use std::collections::{BTreeMap, VecDeque};
@@ -9,15 +9,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Route queues from which on an empty one is removed, so that those of usual routes are not made again for
-/// each request.
+/// Number of route queues above which empty ones are removed. Up to this number they are kept, so that
+/// frequent routes do not allocate a queue for each request.
 const MAX_EMPTY_QUEUES: usize = 16;
 
 /// Queued requests of one route, with their sequence numbers in the class.
 #[derive(Default)]
 struct RouteQueue {
     requests: VecDeque<(i64, RequestId)>,
-    /// No host was found for the first request, so there is none for the others until hosts change.
+    /// No host was found for the first request, so there is none for the others either until hosts change.
     is_blocked: bool,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Requests of a class that are queued for a slot, in their order.
+/// Requests of a class that are queued for a slot, in order.
 #[derive(Default)]
 pub(crate) struct ClassQueue {
     routes: BTreeMap<Route, RouteQueue>,
@@ -52,7 +52,7 @@
         self.routes.entry(route).or_default().requests.push_front((self.first_sequence, id));
     }
 
-    /// Removes and returns the request that is first in order among those whose route has a free slot.
+    /// Removes and returns the first request whose route has a free slot and is not blocked.
     pub fn pop(&mut self, has_free_slot: impl Fn(&Route) -> bool) -> Option<RequestId> {
         let ready = self.routes.iter().filter(|(route, queue)| queue.is_ready() && has_free_slot(route));
         let first = ready.min_by_key(|(_, queue)| queue.requests.front().map(|(sequence, _)| *sequence));
@@ -66,7 +66,7 @@
         Some(id)
     }
 
-    /// Returns whether a request is queued whose route has a free slot.
+    /// Returns whether a request is queued whose route has a free slot and is not blocked.
     pub fn any_ready(&self, has_free_slot: impl Fn(&Route) -> bool) -> bool {
         self.len > 0 && self.routes.iter().any(|(route, queue)| queue.is_ready() && has_free_slot(route))
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Considers the requests of all routes again, because hosts have changed.
+    /// Unblocks all routes, because hosts have changed.
     pub fn unblock(&mut self) {
         if self.blocked_routes == 0 {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Returns whether a route is blocked.
+    /// Returns whether any route is blocked.
     pub fn is_blocked(&self) -> bool {
         self.blocked_routes > 0
     }
--- a/crates/policy/src/concurrency/class_queue/tests.rs
+++ b/crates/policy/src/concurrency/class_queue/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn requests_leave_in_their_order_over_all_routes() {
+fn requests_are_dequeued_in_order_across_routes() {
     let mut queue = ClassQueue::default();
     for (id, pools) in [(1, 4), (2, 1), (3, 4), (4, 2)] {
         queue.push_back(route(pools), RequestId(id));
--- a/crates/policy/src/concurrency/fuzzy.rs
+++ b/crates/policy/src/concurrency/fuzzy.rs
@@ -1,12 +1,14 @@
-//! The fuzzy delay controller of Wei et al.: Table 1 of the paper, with corners and step sizes of our own.
+//! The fuzzy delay controller of Wei et al.: Table 1 of the paper, with breakpoints and step sizes of our
+//! own.
 
-/// Corners of the five triangular input terms, finer near zero as the paper asks, as fractions of the clamp.
-const CORNERS: [f64; 5] = [-1.0, -0.4, 0.0, 0.4, 1.0];
+/// Breakpoints of the five triangular membership functions, as fractions of the clamp; finer near zero, as
+/// the paper requires.
+const BREAKPOINTS: [f64; 5] = [-1.0, -0.4, 0.0, 0.4, 1.0];
 
-/// Output terms NH NB NM NS Z PS PM PB PH. The step that they scale is [`MAX_STEP_FRACTION`] of all slots.
+/// Output terms NH NB NM NS Z PS PM PB PH. They scale a step of [`MAX_STEP_FRACTION`] of all slots.
 const OUTPUTS: [f64; 9] = [-1.0, -0.6, -0.35, -0.15, 0.0, 0.15, 0.35, 0.6, 1.0];
 
-/// The largest change of a reservation in one period, as a fraction of all slots.
+/// Maximum change of a reservation per control period, as a fraction of all slots.
 pub(super) const MAX_STEP_FRACTION: f64 = 0.25;
 
 /// Table 1 of the paper, rows E and columns dE from NB to PB, as indexes into [`OUTPUTS`].
@@ -18,14 +20,14 @@
     let x = if x.is_finite() { x.clamp(-1.0, 1.0) } else { 0.0 };
     let slope = |from: f64, to: f64| if from == to { 1.0 } else { ((x - from) / (to - from)).max(0.0) };
     std::array::from_fn(|i| {
-        let left = CORNERS[i.saturating_sub(1)];
-        let right = CORNERS[(i + 1).min(4)];
-        slope(left, CORNERS[i]).min(slope(right, CORNERS[i])).min(1.0)
+        let left = BREAKPOINTS[i.saturating_sub(1)];
+        let right = BREAKPOINTS[(i + 1).min(4)];
+        slope(left, BREAKPOINTS[i]).min(slope(right, BREAKPOINTS[i])).min(1.0)
     })
 }
 
-/// Returns the output of the 25 rules, from -1 to 1, for an error and its change, each as a fraction of its
-/// clamp.
+/// Returns the controller output of the 25 rules, from -1 to 1, for an error and its change, each as a
+/// fraction of its clamp.
 #[must_use]
 pub fn controller_output(error: f64, change: f64) -> f64 {
     let rows = membership(error);
--- a/crates/policy/src/concurrency/mod.rs
+++ b/crates/policy/src/concurrency/mod.rs
@@ -1,14 +1,14 @@
-//! Concurrency slots: how many attempts may be in flight, and whose request gets the next slot.
+//! Concurrency slots: how many attempts may be in flight, and which request gets the next slot.
 //!
-//! - [`host_limit`] learns the slots of a host from its responses, relative to [`unloaded_latency`].
-//! - [`slot_budget`] holds this gateway's share of them; [`adaptive_share`] lets one of many gateways exceed
-//!   an even share while responses take no longer than the [`baseline_latency`].
-//! - [`class_slots`] holds the reservation of a class and its queue ([`class_queue`]). All classes but the
-//!   one of the lowest priority have a reservation, which the table in [`fuzzy`] moves each period. The
-//!   lowest class uses what is left, and a free slot goes first to a class below its reservation, by
-//!   priority.
-//! - [`control`] and [`dispatch`] are the decisions: the end of a control period, and the assignment of
-//!   slots.
+//! - [`host_limit`] adapts the slots of a host to the latency of its responses, relative to the
+//!   [`unloaded_latency`].
+//! - [`slot_budget`] computes this gateway's share of the slots; [`adaptive_share`] lets one of many gateways
+//!   exceed its even share while latencies are near the [`baseline_latency`].
+//! - [`class_slots`] stores the reservation of a class and its queue ([`class_queue`]). All classes except
+//!   the one of the lowest priority have a reservation, which the controller in [`fuzzy`] adjusts in each
+//!   control period. A free slot is assigned first to classes below their reservation, by priority; the
+//!   lowest class uses the remaining slots.
+//! - [`control`] adjusts limits and reservations at the end of a control period; [`dispatch`] assigns slots.
 //!
 //! State: [`state::ConcurrencyState`] with the slots of the gateway and of each class;
 //! [`host_limit::ConcurrencyLimit`] of each host, in the host's record.
--- a/crates/policy/src/concurrency/running_mean.rs
+++ b/crates/policy/src/concurrency/running_mean.rs
@@ -1,12 +1,12 @@
-//! A running mean with its variance, which shows whether a difference is due to chance.
+//! A running mean with variance, for a test whether a difference of means is significant.
 
-/// Values from which on a mean counts as significant.
+/// Minimum number of values of a significant mean.
 pub(super) const SIGNIFICANT_COUNT: f64 = 12.0;
-/// Values over which the mean is taken at the most; older ones fade.
+/// Maximum number of values that the mean covers; older ones decay.
 const MAX_COUNT: f64 = 8192.0;
-/// Standard errors of a difference that rule out chance.
-pub(super) const CONFIDENCE: f64 = 2.5;
-/// Uncertainty of a difference at the least.
+/// Half-width of the confidence interval of a difference, in standard errors.
+pub(super) const CONFIDENCE_STANDARD_ERRORS: f64 = 2.5;
+/// Constant part of the uncertainty of a difference.
 const MIN_UNCERTAINTY: f64 = 0.01;
 
 /// Mean and variance of recent values (Welford's method, with a bounded count).
@@ -18,7 +18,7 @@
 }
 
 impl RunningMean {
-    /// Takes in a value.
+    /// Updates the mean and the variance with a value.
     pub fn add(&mut self, value: f64) {
         self.count = (self.count + 1.0).min(MAX_COUNT);
         let difference = value - self.value;
@@ -26,13 +26,14 @@
         self.variance += (difference * (value - self.value) - self.variance) / self.count;
     }
 
-    /// Returns the mean once enough values have been taken in.
+    /// Returns the mean if it covers enough values.
     pub fn if_significant(&self) -> Option<RunningMean> {
         Some(*self).filter(|mean| mean.count >= SIGNIFICANT_COUNT)
     }
 
-    /// Returns how far the difference from another mean may be off by chance.
+    /// Returns the half-width of the confidence interval of the difference from another mean.
     pub fn uncertainty(&self, other: &RunningMean) -> f64 {
-        CONFIDENCE * libm::sqrt(self.variance / self.count + other.variance / other.count) + MIN_UNCERTAINTY
+        CONFIDENCE_STANDARD_ERRORS * libm::sqrt(self.variance / self.count + other.variance / other.count)
+            + MIN_UNCERTAINTY
     }
 }
--- a/crates/policy/src/concurrency/unloaded_latency.rs
+++ b/crates/policy/src/concurrency/unloaded_latency.rs
@@ -8,14 +8,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Mean latency of a class on unloaded hosts, as a logarithm of seconds.
+/// Mean of the logarithm of a class's latency on unloaded hosts, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UnloadedLatency(RunningMean);
 
 impl UnloadedLatency {
-    /// Takes in a response and returns the logarithm of its latency against the unloaded latency. Until
-    /// unloaded hosts have responded often enough, all responses count as unloaded. `utilisation` is the
-    /// fraction of this gateway's share of the host's slots that was in use.
+    /// Records a response, and returns the logarithm of the ratio of its latency to the unloaded latency.
+    /// Until there are enough responses of unloaded hosts, all responses count as unloaded. `utilisation` is
+    /// the fraction of this gateway's share of the host's slots that was in use when the attempt was sent.
     pub fn record_response(&mut self, elapsed: Span, utilisation: f64) -> f64 {
         let log_seconds = libm::log(as_seconds(elapsed).max(1e-6));
         if utilisation <= UNLOADED_UTILISATION || self.0.if_significant().is_none() {
