--- a/crates/cluster-model/tests/settings.rs
+++ b/crates/cluster-model/tests/settings.rs
@@ -38,7 +38,7 @@
     assert_eq!((site.settings.max_attempts, site.settings.may_hedge), (3, false));
     assert_eq!(site.settings.max_retry_after, Some(800 * MS));
     assert_eq!((site.settings.has_counter, site.settings.counter_timeout), (true, 60 * MS));
-    assert_eq!((site.settings.cold_capacity, site.settings.warm_up), (0.3, 12 * SECOND));
+    assert_eq!((site.settings.initial_capacity, site.settings.warm_up), (0.3, 12 * SECOND));
     assert_eq!(
         (site.idle_timeout, site.connect_timeout, site.max_request_units),
         (9 * SECOND, 250 * MS, 9.0)
--- a/crates/platform-settings/src/document.rs
+++ b/crates/platform-settings/src/document.rs
@@ -106,7 +106,7 @@
             counter_timeout: if has_counter { domain.positive_span("counter-timeout")? } else { 0 },
             must_subscribe: document.one_of("discovery", &["automatic", "subscribe"])? == 1,
             must_poll_within: rules.span("must-ask-in")?,
-            cold_capacity: rules.fraction("cold-share")?,
+            initial_capacity: rules.fraction("cold-share")?,
             warm_up: rules.span("cold")?,
             customer_bytes: 0,
         })
--- a/crates/policy/src/admission/arrival.rs
+++ b/crates/policy/src/admission/arrival.rs
@@ -1,4 +1,4 @@
-//! The arrival of a request: it is registered, and rejected at once where waiting is of no use.
+//! Arrival of a request: it is registered, and rejected immediately where waiting would be useless.
 
 use crate::api::{Action, RejectReason, Request, Span, Time};
 use crate::attempts::request::InFlightRequest;
@@ -8,21 +8,21 @@
 use crate::timers::TIMER_STEP;
 use ::quota::GatewaySet;
 
-/// Usual latencies that a request has to have left on arrival.
-const MIN_LATENCIES: f64 = 0.6;
+/// Minimum remaining time of an arriving request, as a multiple of the typical latency.
+const MIN_LATENCY_MULTIPLE: f64 = 0.6;
 /// The same while the hosts are overloaded.
-const MIN_LATENCIES_OVERLOADED: f64 = 2.4;
-/// Fraction of the objective that suffices in any case.
-const SUFFICIENT_OBJECTIVE: f64 = 0.5;
-/// Timer steps that a request has to have left: one for its timer, one for its response.
-const MIN_STEPS: Span = 2;
-/// Fraction of the demand that a customer's quota covers at the least, for the estimate of its demand.
+const MIN_LATENCY_MULTIPLE_WHEN_OVERLOADED: f64 = 2.4;
+/// Remaining fraction of the latency objective that is always sufficient.
+const SUFFICIENT_OBJECTIVE_FRACTION: f64 = 0.5;
+/// Minimum remaining time of an arriving request, in timer steps: one for its timer, one for its response.
+const MIN_TIMER_STEPS: Span = 2;
+/// Minimum fraction of the demand covered by a customer's quota, for the estimate of its demand.
 const MIN_TYPICAL_FRACTION: f64 = 0.05;
-/// Waiting requests of a customer that are considered; those behind them wait as well.
+/// Maximum number of a customer's waiting requests that one check examines; those behind them keep waiting.
 pub(super) const MAX_CONSIDERED_WAITING: usize = 8;
 
 impl Policy {
-    /// Takes in a request.
+    /// Registers a request, and rejects it, admits it or lets it wait for units.
     pub(crate) fn on_request(&mut self, now: Time, mut request: Request) {
         let id = request.id;
         let is_known_class = request.class < self.settings.classes.len();
@@ -36,15 +36,15 @@
         self.requests.insert(id, in_flight);
         self.retry_budget.deposit();
         if let Some(reason) = self.immediate_rejection(now, &request, objective_at) {
-            return self.give_up(id, reason);
+            return self.reject_or_fail(id, reason);
         }
         let Some(waiting) = self.add_to_customer(now, &request) else {
-            return self.give_up(id, RejectReason::TooManyCustomers);
+            return self.reject_or_fail(id, RejectReason::TooManyCustomers);
         };
         self.check_waiting(now, request.customer);
         if waiting > MAX_CONSIDERED_WAITING {
-            // The request is considered all the same: it may have a higher priority than those before it, or
-            // cost less.
+            // The request is still checked: it may have a higher priority or a lower cost than those ahead of
+            // it.
             self.check_waiting_request(now, id);
         }
         if !self.customers.is_review_scheduled {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the record of a request. Its time runs from its arrival, however late it is reported.
+    /// Returns the record of a request. Its deadline counts from its arrival, even if it is reported later.
     fn in_flight_request(&self, now: Time, request: &Request) -> InFlightRequest {
         let arrived_at = if request.arrived_at == 0 { now } else { request.arrived_at.min(now) };
         let deadline = arrived_at.saturating_add(request.remaining);
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Returns why a request is rejected at once: it has too little time for a response, no host can take it,
-    /// or its load is shed.
+    /// Returns the reason to reject a request immediately: its remaining deadline is too short, no host can
+    /// serve it, or its load is shed.
     fn immediate_rejection(
         &mut self,
         now: Time,
         request: &Request,
         objective_at: Time,
     ) -> Option<RejectReason> {
-        // The random number is drawn in any case, so that the reasons do not change later decisions.
+        // The random number is always drawn, so that later decisions do not depend on the other reasons.
         let is_shed = self.is_shed(request);
-        if self.is_too_short(now, request.class, objective_at) {
+        if self.is_deadline_too_short(now, request.class, objective_at) {
             return Some(RejectReason::DeadlineTooShort);
         }
         if self.pools.is_unservable(&request.route, !self.hosts.is_empty()) {
@@ -88,27 +88,30 @@
         is_shed.then_some(RejectReason::LoadShed)
     }
 
-    /// Draws whether a request is shed, by the fraction of its class and plan that is admitted.
+    /// Decides at random whether a request is shed, according to the admitted fraction of its class and plan.
     fn is_shed(&mut self, request: &Request) -> bool {
-        let cell = request.class * self.settings.plans.len() + request.plan;
-        let admitted = self.admission.fractions.get(cell).copied().unwrap_or(1.0);
+        let index = request.class * self.settings.plans.len() + request.plan;
+        let admitted = self.admission.fractions.get(index).copied().unwrap_or(1.0);
         admitted < 1.0 && self.rng.unit() >= admitted
     }
 
-    /// Returns whether a request has too little time left for a response within its objective.
-    fn is_too_short(&self, now: Time, class: usize, objective_at: Time) -> bool {
-        let latencies =
-            if self.concurrency.budget.is_overloaded() { MIN_LATENCIES_OVERLOADED } else { MIN_LATENCIES };
+    /// Returns whether the remaining time is too short for a response within the latency objective.
+    fn is_deadline_too_short(&self, now: Time, class: usize, objective_at: Time) -> bool {
+        let latency_multiple = if self.concurrency.budget.is_overloaded() {
+            MIN_LATENCY_MULTIPLE_WHEN_OVERLOADED
+        } else {
+            MIN_LATENCY_MULTIPLE
+        };
         let objective = as_seconds(self.settings.classes[class].latency_objective);
-        let needed = latencies * self.class_statistics[class].usual_latency;
-        let needed = needed.min(SUFFICIENT_OBJECTIVE * objective);
-        objective_at <= now + MIN_STEPS * TIMER_STEP || seconds_between(now, objective_at) < needed
+        let needed = latency_multiple * self.class_statistics[class].typical_latency;
+        let needed = needed.min(SUFFICIENT_OBJECTIVE_FRACTION * objective);
+        objective_at <= now + MIN_TIMER_STEPS * TIMER_STEP || seconds_between(now, objective_at) < needed
     }
 
-    /// Adds a request to those of its customer that wait for units, and returns their number; `None` if there
-    /// is no memory for the customer.
+    /// Appends a request to its customer's waiting requests, and returns their number; `None` if there is no
+    /// memory for the customer.
     fn add_to_customer(&mut self, now: Time, request: &Request) -> Option<usize> {
-        let set = GatewaySet {
+        let gateway_set = GatewaySet {
             first_gateway: request.first_gateway,
             set_size: request.set_size,
             gateway_index: self.settings.gateway_index,
@@ -116,16 +119,16 @@
         };
         let rng = &mut self.rng;
         let new_customer = |context: &GatewayContext| {
-            Customer::new(now, context, request.plan, set, || request.units * rng.unit())
+            Customer::new(now, context, request.plan, gateway_set, || request.units * rng.unit())
         };
         let customer = self.customers.get_or_insert(now, request.customer, new_customer)?;
         let in_flight = self.requests.get_mut(&request.id)?;
         customer.in_flight += 1;
         in_flight.is_counted_by_customer = true;
         let typical_fraction = self.admission.typical_fractions[request.plan].max(MIN_TYPICAL_FRACTION);
-        let usual_demand = 1.0 / typical_fraction;
+        let typical_ratio = 1.0 / typical_fraction;
         for account in &mut customer.accounts {
-            account.record_demand(now, request.units, usual_demand, self.started_at);
+            account.record_demand(now, request.units, typical_ratio, self.started_at);
         }
         customer.waiting.push_back(request.id);
         Some(customer.waiting.len())
--- a/crates/policy/src/admission/leased_units.rs
+++ b/crates/policy/src/admission/leased_units.rs
@@ -1,40 +1,40 @@
-//! Admission on leased units: a request takes its units from all token buckets of its customer, or none.
+//! Admission on leased units: a request takes its units from all token buckets of its customer, or from none.
 
 use super::waiting::UnitsCheck;
 use crate::api::{CustomerId, RequestId, Time};
 use crate::policy::Policy;
-use crate::quota::counter_keys::{CounterNumber, EPOCH};
+use crate::quota::counter_keys::{CounterEntry, EPOCH};
 use crate::quota::customer::Customer;
 use ::quota::CounterHealth;
 use smallvec::SmallVec;
 
 /// Seconds of recent demand that a lease covers.
-const LEASE_HORIZON: f64 = 1.5;
+const LEASE_HORIZON_SECONDS: f64 = 1.5;
 /// Fraction of a token bucket that is reserved for the class of the highest priority.
 const RESERVED_FRACTION: f64 = 0.15;
 
-/// A call to start.
+/// A counter call to be made.
 struct LeaseCall {
     /// Index of the account.
     account: usize,
     amount: f64,
 }
 
-/// The units that a request needs, and what they are taken from.
+/// The units that a request needs, and the customer whose accounts supply them.
 struct UnitsRequest<'a> {
     now: Time,
     epoch: u64,
     units: f64,
-    /// Fraction of the token buckets that the request may not touch.
+    /// Fraction of the token buckets that is reserved for requests of higher priority.
     reserved_fraction: f64,
     is_counter_down: bool,
     customer: &'a mut Customer,
-    /// Calls to start, whatever becomes of the request.
+    /// Counter calls to be made, whether or not the request is admitted.
     calls: SmallVec<[LeaseCall; 2]>,
 }
 
 impl UnitsRequest<'_> {
-    /// Refills the token buckets. Without the counter they grant units locally.
+    /// Refills the token buckets. While the counter is down, they switch to local grants.
     fn refill(&mut self, health: &CounterHealth) {
         for account in &mut self.customer.accounts {
             if self.is_counter_down && !account.is_granting_locally() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Checks whether the counter replies again, for accounts that grant units locally. Nothing waits for the
+    /// Probes whether the counter replies again, for accounts with local grants. No request waits for the
     /// reply.
     fn probe_counter(&mut self, health: &CounterHealth) {
         if self.is_counter_down || health.must_defer_calls(self.now) {
@@ -52,14 +52,14 @@
         }
         for (index, account) in self.customer.accounts.iter_mut().enumerate() {
             if account.is_granting_locally() && account.may_call(self.now) {
-                let amount = account.start_lease(health, self.epoch, 0.0, LEASE_HORIZON);
+                let amount = account.start_lease(health, self.epoch, 0.0, LEASE_HORIZON_SECONDS);
                 self.calls.push(LeaseCall { account: index, amount });
             }
         }
     }
 
-    /// Takes the units from all accounts, if all have them.
-    fn take(&mut self, health: &mut CounterHealth) -> bool {
+    /// Takes the units from all accounts, if each has enough.
+    fn try_take(&mut self, health: &mut CounterHealth) -> bool {
         let accounts = &mut self.customer.accounts;
         let has_units = accounts.iter().all(|account| account.can_spend(self.units, self.reserved_fraction));
         if has_units {
@@ -70,7 +70,7 @@
         has_units
     }
 
-    /// Leases units for the accounts that are short of them. Returns whether the request should wait.
+    /// Leases units for the accounts that have too few. Returns whether the request should wait for them.
     fn lease_missing(&mut self, health: &CounterHealth) -> bool {
         let (now, units, reserved) = (self.now, self.units, self.reserved_fraction);
         let accounts = &mut self.customer.accounts;
@@ -85,7 +85,7 @@
             if self.is_counter_down || !account.may_call(now) || !account.can_lease(units, reserved) {
                 return false;
             }
-            let amount = account.start_lease(health, self.epoch, units, LEASE_HORIZON);
+            let amount = account.start_lease(health, self.epoch, units, LEASE_HORIZON_SECONDS);
             self.calls.push(LeaseCall { account: index, amount });
         }
         true
@@ -93,7 +93,7 @@
 }
 
 impl Policy {
-    /// Takes a request's units from all accounts of its customer, and starts calls for units that are short.
+    /// Takes a request's units from all accounts of its customer, and makes calls to lease missing units.
     pub(super) fn take_leased_units(
         &mut self,
         now: Time,
@@ -102,7 +102,7 @@
     ) -> UnitsCheck {
         let Some(request) = self.requests.get(&id) else { return UnitsCheck::Unavailable };
         let Some(customer) = self.customers.get_mut(customer_id) else { return UnitsCheck::Unavailable };
-        // The last units of a token bucket are for the class of the highest priority.
+        // The last units of a token bucket are reserved for the class of the highest priority.
         let is_top_class = self.concurrency.is_top_class(request.class);
         let epoch = now / EPOCH;
         let mut units_request = UnitsRequest {
@@ -116,7 +116,7 @@
         };
         units_request.refill(&self.counter.health);
         units_request.probe_counter(&self.counter.health);
-        let check = if units_request.take(&mut self.counter.health) {
+        let check = if units_request.try_take(&mut self.counter.health) {
             UnitsCheck::Taken
         } else if units_request.lease_missing(&self.counter.health) {
             UnitsCheck::Wait
@@ -132,7 +132,7 @@
             self.counter.health.record_lease(now, customer.accounts[call.account].gateway_set());
         }
         for LeaseCall { account, amount } in calls {
-            self.call_counter(now, CounterNumber::Leased { customer: customer_id, account, epoch }, amount);
+            self.call_counter(now, CounterEntry::Leased { customer: customer_id, account, epoch }, amount);
         }
         check
     }
--- a/crates/policy/src/admission/state.rs
+++ b/crates/policy/src/admission/state.rs
@@ -1,27 +1,27 @@
-//! What admission has learnt, and the customers that are considered again.
+//! Statistics of admission, and the customers whose waiting requests are checked again.
 
 use crate::api::{CustomerId, Settings};
 
-/// Fraction of the demand that a quota covers, assumed of a plan's first customers.
+/// Fraction of the demand covered by the quota, assumed for the first customers of a plan.
 const INITIAL_TYPICAL_FRACTION: f64 = 0.7;
-/// Fraction of the top class in the demand, assumed at the start.
+/// Initial fraction of the top class in the demand.
 const INITIAL_TOP_CLASS_FRACTION: f64 = 0.5;
-/// Weight of one unit of demand in that fraction, and the units of a request that count at the most.
-const TOP_CLASS_STEP: f64 = 0.01;
-const MAX_UNITS: f64 = 10.0;
-/// Bounds of that fraction where it is used.
+/// EWMA weight of one unit of demand in that fraction, and the maximum number of units counted per request.
+const TOP_CLASS_EWMA_WEIGHT: f64 = 0.01;
+const MAX_WEIGHTED_UNITS: f64 = 10.0;
+/// Bounds applied to that fraction when it is read.
 const MIN_TOP_CLASS_FRACTION: f64 = 0.01;
 const MAX_TOP_CLASS_FRACTION: f64 = 0.99;
 
 /// The state of admission.
 pub(crate) struct AdmissionState {
-    /// Fractions of requests to admit, by class and plan; a missing cell admits all.
+    /// Fractions of requests to admit, by class and plan; a missing element admits all.
     pub fractions: Vec<f64>,
-    /// For each plan, the fraction of the demand that the quota of a new customer typically covers.
+    /// For each plan, the fraction of a new customer's demand that the quota typically covers.
     pub typical_fractions: Vec<f64>,
-    /// Customers whose waiting requests may be admitted now, since another request was closed.
+    /// Customers whose waiting requests may be admitted now because another of their requests was closed.
     pub customers_to_check: Vec<CustomerId>,
-    /// Fraction of the class of the highest priority in the units requested under windowed admission.
+    /// Smoothed fraction of the top class in the units requested under windowed admission.
     top_class_fraction: f64,
 }
 
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Takes in a request under windowed admission.
+    /// Records a request under windowed admission.
     pub fn record_windowed_demand(&mut self, units: f64, is_top_class: bool) {
-        let step = TOP_CLASS_STEP * units.min(MAX_UNITS);
-        self.top_class_fraction += step * (f64::from(u8::from(is_top_class)) - self.top_class_fraction);
+        let weight = TOP_CLASS_EWMA_WEIGHT * units.min(MAX_WEIGHTED_UNITS);
+        self.top_class_fraction += weight * (f64::from(u8::from(is_top_class)) - self.top_class_fraction);
     }
 
     /// Returns the fraction of the class of the highest priority in the units requested.
--- a/crates/policy/src/attempts/class_statistics.rs
+++ b/crates/policy/src/attempts/class_statistics.rs
@@ -1,4 +1,4 @@
-//! What the attempts of a class have shown: its latencies, its failures and how often no response comes.
+//! Statistics of the attempts of a class: latencies, failures, and how often responses are lost.
 
 use crate::api::{AttemptEnded, Outcome, Span};
 use crate::balancing::host::Host;
@@ -10,87 +10,90 @@
 
 /// Ratio of the mean to the geometric mean of exponentially distributed times, e^γ with Euler's constant γ.
 const MEAN_PER_GEOMETRIC_MEAN: f64 = 1.78;
-/// Weight of one more response in the usual latency.
-const LATENCY_STEP: f64 = 0.05;
-/// Weight of one more attempt in the fraction of failures.
-const FAILURE_STEP: f64 = 0.05;
-/// Shortest latency that is distinguished from zero, in seconds.
-const MIN_LATENCY: f64 = 1e-6;
+/// EWMA weight of a response in the logarithm of the typical latency.
+const LATENCY_EWMA_WEIGHT: f64 = 0.05;
+/// EWMA weight of an attempt in the failure fraction.
+const FAILURE_EWMA_WEIGHT: f64 = 0.05;
+/// Lower bound of latencies, in seconds, so that logarithms and ratios stay finite.
+const MIN_LATENCY_SECONDS: f64 = 1e-6;
 
-/// Fraction of attempts without a response that is assumed for a new class.
+/// Prior of the loss rate (fraction of attempts without a response) of a new class.
 const PRIOR_LOSS: f64 = 0.005;
-/// Attempts of a class that this assumption weighs.
+/// Weight of this prior, in attempts of the class.
 const PRIOR_ATTEMPTS_OF_CLASS: f64 = 50.0;
-/// Attempts at a host that the fraction of the class weighs.
+/// Weight of the class's loss rate as prior of a host's, in attempts at the host.
 const PRIOR_ATTEMPTS_OF_HOST: f64 = 60.0;
-/// Fraction of overdue attempts without a response that is assumed for a new class.
+/// Prior of the loss rate of overdue attempts of a new class.
 const PRIOR_OVERDUE_LOSS: f64 = 0.0;
-/// Overdue attempts that this assumption weighs.
+/// Weight of this prior, in overdue attempts.
 const PRIOR_OVERDUE_ATTEMPTS: f64 = 6.0;
 
 /// Statistics of the attempts of one class.
 #[derive(Default)]
 pub(crate) struct ClassStatistics {
-    /// Usual latency in seconds, from a geometric mean, which rare long responses hardly move.
-    pub usual_latency: f64,
+    /// Typical latency in seconds: a smoothed geometric mean, scaled to the mean of exponentially distributed
+    /// times. Rare long responses have little influence on it.
+    pub typical_latency: f64,
     baseline: BaselineLatency,
     unloaded: UnloadedLatency,
-    /// Distribution of response times, in seconds at a host of usual speed.
+    /// Distribution of response times, in seconds, normalised to a host of typical speed.
     pub response_times: LatencyDistribution,
     /// Fraction of attempts without a response.
     loss_rate: LossRate,
-    /// The same of overdue attempts.
+    /// Fraction of overdue attempts without a response.
     overdue_loss_rate: LossRate,
     /// Fraction of recent attempts that failed.
     pub failure_fraction: f64,
 }
 
-/// What is expected of an attempt at a host.
+/// Expected behaviour of an attempt at a host.
 pub(crate) struct Expectation {
-    /// Latency as a multiple of the usual one, at least 1.
+    /// Latency as a multiple of the typical latency, at least 1.
     pub latency_ratio: f64,
-    /// Probability that no response comes.
+    /// Probability that the response is lost.
     pub loss_probability: f64,
 }
 
-/// The latency of a response against those of its class.
+/// Latency of a response, relative to those of its class.
 pub(crate) struct LatencyComparison {
     /// Multiple of the baseline latency.
     pub baseline_ratio: f64,
-    /// Multiple of the usual latency.
-    pub usual_ratio: f64,
-    /// Natural logarithm of the multiple of the latency at unloaded hosts.
+    /// Multiple of the typical latency.
+    pub typical_ratio: f64,
+    /// Natural logarithm of the ratio to the latency at unloaded hosts.
     pub log_unloaded_ratio: f64,
 }
 
 impl ClassStatistics {
-    /// Returns what is expected of an attempt at a host.
+    /// Returns the expected latency and loss probability of an attempt at a host.
     pub fn expectation(&self, host: Option<&Host>) -> Expectation {
-        let usual_loss = self.loss_rate.estimate(PRIOR_LOSS, PRIOR_ATTEMPTS_OF_CLASS);
+        let class_loss_probability = self.loss_rate.estimate(PRIOR_LOSS, PRIOR_ATTEMPTS_OF_CLASS);
         let Some(host) = host else {
-            return Expectation { latency_ratio: 1.0, loss_probability: usual_loss };
+            return Expectation { latency_ratio: 1.0, loss_probability: class_loss_probability };
         };
         Expectation {
             latency_ratio: (1.0 + host.excess_latency).max(1.0),
-            loss_probability: host.loss_rate.estimate(usual_loss, PRIOR_ATTEMPTS_OF_HOST),
+            loss_probability: host.loss_rate.estimate(class_loss_probability, PRIOR_ATTEMPTS_OF_HOST),
         }
     }
 
-    /// Takes in the result of an attempt.
+    /// Records whether an attempt failed.
     pub fn record_result(&mut self, has_failed: bool) {
-        self.failure_fraction += FAILURE_STEP * (f64::from(u8::from(has_failed)) - self.failure_fraction);
+        self.failure_fraction +=
+            FAILURE_EWMA_WEIGHT * (f64::from(u8::from(has_failed)) - self.failure_fraction);
     }
 
-    /// Takes in the end of an attempt: what it shows about responses that never come.
+    /// Records the end of an attempt in the response times and loss rates.
     pub fn record_end(&mut self, host: &mut Host, end: &AttemptEnded, is_overdue: bool) {
         let seconds = as_seconds(end.elapsed) / (1.0 + host.excess_latency).max(1.0);
         let loss = match end.outcome {
             Outcome::Ok => 0.0,
             Outcome::Timeout => 1.0,
-            // A connection that breaks after a long silence counts as silent; a response that was corrupt or
-            // cut off came in time.
+            // A reset of an overdue attempt counts as a lost response; a corrupt or truncated response
+            // arrived in time and does not.
             Outcome::ConnectionReset => f64::from(u8::from(is_overdue)),
-            // An attempt that was cancelled after another's response counts as others like it turned out.
+            // The outcome of an overdue attempt that was cancelled is unknown; it counts with the average
+            // loss rate of overdue attempts.
             Outcome::Cancelled if is_overdue => {
                 self.overdue_loss_rate.estimate(PRIOR_OVERDUE_LOSS, PRIOR_OVERDUE_ATTEMPTS)
             }
@@ -108,17 +111,17 @@
         host.loss_rate.record(loss);
     }
 
-    /// Takes in the latency of a response, and returns it against those of the class. `utilisation` is the
-    /// fraction of this gateway's share of the host's slots that was in use.
+    /// Records the latency of a response, and returns it relative to those of the class. `utilisation` is the
+    /// fraction of this gateway's share of the host's slots that was in use when the attempt was sent.
     pub fn record_latency(&mut self, elapsed: Span, utilisation: f64) -> LatencyComparison {
-        let mean = MEAN_PER_GEOMETRIC_MEAN * as_seconds(elapsed).max(MIN_LATENCY);
-        if self.usual_latency == 0.0 {
-            self.usual_latency = as_seconds(elapsed).max(MIN_LATENCY);
+        let mean = MEAN_PER_GEOMETRIC_MEAN * as_seconds(elapsed).max(MIN_LATENCY_SECONDS);
+        if self.typical_latency == 0.0 {
+            self.typical_latency = as_seconds(elapsed).max(MIN_LATENCY_SECONDS);
         }
-        self.usual_latency *= pow(mean / self.usual_latency, LATENCY_STEP);
+        self.typical_latency *= pow(mean / self.typical_latency, LATENCY_EWMA_WEIGHT);
         LatencyComparison {
-            baseline_ratio: mean / self.baseline.update(self.usual_latency),
-            usual_ratio: mean / self.usual_latency,
+            baseline_ratio: mean / self.baseline.update(self.typical_latency),
+            typical_ratio: mean / self.typical_latency,
             log_unloaded_ratio: self.unloaded.record_response(elapsed, utilisation),
         }
     }
--- a/crates/policy/src/attempts/completion.rs
+++ b/crates/policy/src/attempts/completion.rs
@@ -1,4 +1,4 @@
-//! The end of attempts, and the final answer of a request.
+//! Completion of attempts, and the final answer to a request.
 
 use super::request::{AttemptState, RequestState};
 use crate::api::{
@@ -7,18 +7,18 @@
 use crate::balancing::host::AttemptResult;
 use crate::policy::Policy;
 
-/// What an attempt was that has ended.
+/// Properties of an attempt that has ended.
 struct EndedAttempt {
     class: usize,
     sent_at: Time,
     utilisation: f64,
     is_overdue: bool,
-    /// The attempt was cancelled though this module did not ask for it.
-    is_cancelled_unasked: bool,
+    /// The gateway cancelled the attempt without a [`Action::Cancel`].
+    is_cancelled_unrequested: bool,
 }
 
 impl Policy {
-    /// Takes in the end of an attempt.
+    /// Handles the end of an attempt.
     pub(crate) fn on_attempt_ended(&mut self, now: Time, end: AttemptEnded) {
         self.on_host_report(now, end.host, end.outcome, end.report);
         let Some(ended) = self.end_attempt(&end) else { return };
@@ -28,10 +28,10 @@
             self.settle_actual_units(&end);
             self.record_response(&end, ended.class, ended.sent_at, ended.utilisation);
         }
-        self.conclude_or_retry(now, &end, &ended);
+        self.close_or_retry(now, &end, &ended);
     }
 
-    /// Ends an attempt of a request and releases its slot; `None` if no such attempt is in flight.
+    /// Ends an attempt of a request and releases its slot; `None` if there is no such attempt in flight.
     fn end_attempt(&mut self, end: &AttemptEnded) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&end.id)?;
         let attempt = request.attempts.get_mut(end.attempt as usize)?;
@@ -44,7 +44,7 @@
             sent_at: attempt.sent_at,
             utilisation: attempt.utilisation,
             is_overdue: attempt.is_overdue,
-            is_cancelled_unasked: end.outcome == Outcome::Cancelled && !attempt.is_cancelled,
+            is_cancelled_unrequested: end.outcome == Outcome::Cancelled && !attempt.is_cancelled,
         };
         let occupied_pools = attempt.occupied_pools.take();
         self.pools.end_attempt(&request.route);
@@ -54,7 +54,7 @@
         Some(ended)
     }
 
-    /// Takes in what the outcome of an attempt shows about its host and its class.
+    /// Records the outcome of an attempt in the statistics of its host and its class.
     fn record_outcome(&mut self, now: Time, end: &AttemptEnded, ended: &EndedAttempt) {
         let result = match end.outcome {
             Outcome::Ok => Some(AttemptResult::Served),
@@ -70,26 +70,26 @@
         }
     }
 
-    /// Replaces the estimated units of a request by the actual ones, once, in the customer's quota. A ceiling
-    /// keeps the estimate.
+    /// Corrects the customer's quota once from the estimated to the actual units of a request. A ceiling is
+    /// charged by the estimate.
     fn settle_actual_units(&mut self, end: &AttemptEnded) {
         let Some(request) = self.requests.get_mut(&end.id) else { return };
         let mut units = request.units;
         if let Some(actual) = end.actual_units.filter(|units| units.is_finite()) {
-            if request.holds_units {
-                request.holds_units = false;
+            if request.has_reserved_units {
+                request.has_reserved_units = false;
                 units = actual;
             }
         }
         let unspent = request.units - units;
         let Some(customer) = self.customers.get_mut(request.customer) else { return };
         if let Some(account) = customer.accounts.first_mut() {
-            account.give_back(if account.is_ceiling() { 0.0 } else { unspent });
+            account.refund(if account.is_ceiling() { 0.0 } else { unspent });
         }
     }
 
-    /// Closes a request after a response, otherwise retries it or gives it up.
-    fn conclude_or_retry(&mut self, now: Time, end: &AttemptEnded, ended: &EndedAttempt) {
+    /// Closes a request after a response; otherwise retries, rejects or fails it.
+    fn close_or_retry(&mut self, now: Time, end: &AttemptEnded, ended: &EndedAttempt) {
         let Some(request) = self.requests.get(&end.id) else { return };
         let is_closed = end.is_request_closed || request.state == RequestState::Closed;
         if is_closed || end.outcome == Outcome::Ok {
@@ -98,14 +98,14 @@
         if request.has_attempt_in_flight() || request.state != RequestState::Forwarded {
             return;
         }
-        let unasked = ended.is_cancelled_unasked.then_some(RejectReason::NotIdempotent);
-        match self.retry_obstacle(now, request).or(unasked) {
+        let cancellation_reason = ended.is_cancelled_unrequested.then_some(RejectReason::NotIdempotent);
+        match self.retry_denial(now, request).or(cancellation_reason) {
             None => self.retry(now, end.id),
-            Some(reason) => self.give_up(end.id, reason),
+            Some(reason) => self.reject_or_fail(end.id, reason),
         }
     }
 
-    /// Changes the state of a request, and ends its wait for a slot if it was queued.
+    /// Sets the state of a request, and ends its wait for a slot if it was queued.
     fn set_state(&mut self, id: RequestId, state: RequestState) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let before = std::mem::replace(&mut request.state, state);
@@ -115,14 +115,15 @@
         }
     }
 
-    /// Notes that the response of a request has begun to stream.
+    /// Records that the response to a request has started to stream.
     pub(crate) fn on_response_started(&mut self, id: RequestId) {
         self.set_state(id, RequestState::Streaming);
     }
 
-    /// Gives a request its final answer without a success: a rejection where a retry is harmless, otherwise a
-    /// failure. An attempt in flight may still respond; then the request waits for that.
-    pub(crate) fn give_up(&mut self, id: RequestId, reason: RejectReason) {
+    /// Sends the final answer to an unsuccessful request: a rejection if the client can safely retry,
+    /// otherwise a failure. While an attempt is in flight, no answer is sent, since the attempt may still
+    /// succeed.
+    pub(crate) fn reject_or_fail(&mut self, id: RequestId, reason: RejectReason) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.state == RequestState::Closed {
             return;
@@ -134,10 +135,10 @@
             self.settings.classes[request.class].idempotency,
             Idempotency::Idempotent | Idempotency::WithKey(DedupScope::All, _)
         );
-        let is_harmless = is_repeatable || request.first_possibly_executed().is_none();
-        // A retry soon after meets the same quota and the same queue, so it is kept away as long as possible.
+        let is_safe_to_retry = is_repeatable || request.first_possibly_executed().is_none();
+        // An early retry would meet the same quota and queue, so the longest permitted delay is requested.
         let retry_after = self.settings.max_retry_after;
-        self.actions.push(if is_harmless {
+        self.actions.push(if is_safe_to_retry {
             Action::Reject { id, retry_after, reason }
         } else {
             Action::Fail { id, reason }
@@ -145,7 +146,7 @@
         self.close(id);
     }
 
-    /// Closes a request, cancels its attempts in flight, and removes it once there are none.
+    /// Closes a request, cancels its attempts in flight, and removes it if there are none.
     pub(crate) fn close(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let before = request.state;
@@ -154,7 +155,7 @@
         let attempts = request.attempts.len() as u32;
         self.set_state(id, RequestState::Closed);
         if let Some(customer) = customer {
-            self.close_at_customer(id, customer, before);
+            self.remove_from_customer(id, customer, before);
         }
         if before != RequestState::Streaming {
             (0..attempts).for_each(|index| self.cancel_attempt(id, index));
@@ -164,21 +165,20 @@
         }
     }
 
-    /// Takes a closed request out of its customer's open requests or of those that wait for units.
-    fn close_at_customer(&mut self, id: RequestId, customer_id: CustomerId, before: RequestState) {
+    /// Removes a closed request from its customer's admitted or waiting requests.
+    fn remove_from_customer(&mut self, id: RequestId, customer_id: CustomerId, before: RequestState) {
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         match before {
             RequestState::Closed => {}
             RequestState::AwaitingUnits => customer.waiting.retain(|waiting| *waiting != id),
             RequestState::Queued { .. } | RequestState::Forwarded | RequestState::Streaming => {
-                customer.open = customer.open.saturating_sub(1);
+                customer.admitted = customer.admitted.saturating_sub(1);
                 self.admission.customers_to_check.push(customer_id);
             }
         }
     }
 
-    /// Removes a request. Its units are spent when an attempt has reached a host; otherwise they are given
-    /// back.
+    /// Removes a request. Its units are refunded unless an attempt has reached a host.
     fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         if !request.is_counted_by_customer {
@@ -186,9 +186,9 @@
         }
         let Some(customer) = self.customers.get_mut(request.customer) else { return };
         customer.in_flight -= 1;
-        if request.holds_units && !request.has_reached_host() {
+        if request.has_reserved_units && !request.has_reached_host() {
             for account in &mut customer.accounts {
-                account.give_back(request.units);
+                account.refund(request.units);
             }
         }
     }
--- a/crates/policy/src/attempts/forwarding.rs
+++ b/crates/policy/src/attempts/forwarding.rs
@@ -1,4 +1,4 @@
-//! The start of an attempt, and attempts that are overdue: they count as failed before they end.
+//! Start of attempts, and overdue attempts, which count as failed before they end.
 
 use super::request::{Attempt, InFlightRequest, RequestState};
 use crate::api::{Action, HostId, Idempotency, RequestId, Span, Time};
@@ -8,14 +8,14 @@
 use crate::time::{as_seconds, MILLISECOND, NANOS_PER_SECOND};
 use crate::timers::Timer;
 
-/// Usual latencies without a response after which an attempt is overdue: e^-8 of exponentially distributed
-/// responses take longer.
-const OVERDUE_LATENCIES: f64 = 8.0;
-/// Price of another attempt, in responses, while all slots are free.
-const ATTEMPT_PRICE: f64 = 0.03;
-/// What is added to that price as the slots fill up.
-const LOAD_PRICE: f64 = 0.3;
-/// Time after the computed moment at which an attempt is overdue, so that the timer finds it so.
+/// Multiple of the typical latency after which an attempt is overdue: of exponentially distributed response
+/// times, a fraction of e^-8 is longer.
+const OVERDUE_LATENCY_MULTIPLE: f64 = 8.0;
+/// Cost of another attempt while all slots are free, as a fraction of the value of a response.
+const ATTEMPT_COST: f64 = 0.03;
+/// Additional cost of another attempt while all slots are in use, as a fraction of the value of a response.
+const LOAD_COST: f64 = 0.3;
+/// Margin added to the computed overdue time.
 const OVERDUE_MARGIN: Span = MILLISECOND / 1000;
 
 impl Policy {
@@ -26,8 +26,8 @@
         let RequestState::Queued { since } = request.state else { return };
         let class = request.class;
         let class_settings = &self.settings.classes[class];
-        let earns_after_objective = class_settings.late_fraction > 0.0 || class_settings.streaming;
-        let deadline = if earns_after_objective { request.deadline } else { request.objective_at };
+        let has_value_after_objective = class_settings.late_fraction > 0.0 || class_settings.streaming;
+        let deadline = if has_value_after_objective { request.deadline } else { request.objective_at };
         let write_by = request.write_by(class_settings.idempotency);
         request.state = RequestState::Forwarded;
         host.start_attempt();
@@ -52,39 +52,41 @@
         self.actions.push(Action::Forward { id, host: host_id, deadline, write_by });
     }
 
-    /// Returns when an attempt that is sent at a moment is overdue. Where another attempt may run beside it,
-    /// that is when another pays by the probabilities of a response from either; an attempt costs more the
-    /// fewer slots are free. Otherwise another attempt has to wait until a response is very unlikely.
+    /// Returns when an attempt sent at `sent_at` becomes overdue. If the request may be hedged, that is the
+    /// delay after which a further attempt is worth its cost, given the probabilities of a response from
+    /// either attempt; the cost rises as fewer slots are free. Otherwise it is the time after which a
+    /// response is very unlikely.
     fn overdue_at(&self, request: &InFlightRequest, host: HostId, sent_at: Time) -> Time {
         let class = &self.settings.classes[request.class];
         let statistics = &self.class_statistics[request.class];
         let expectation = statistics.expectation(self.hosts.get(host));
-        let usual = if statistics.usual_latency > 0.0 {
-            OVERDUE_LATENCIES * statistics.usual_latency
+        let typical = if statistics.typical_latency > 0.0 {
+            OVERDUE_LATENCY_MULTIPLE * statistics.typical_latency
         } else {
             as_seconds(class.latency_objective)
         };
-        let may_run_beside = class.idempotency == Idempotency::Idempotent && self.settings.may_hedge;
-        let seconds = if may_run_beside {
-            let left = request.time_left(sent_at, expectation.latency_ratio, class.late_fraction);
-            let price = self.attempt_price();
-            usual.min(statistics.response_times.hedge_delay(left, expectation.loss_probability, price))
+        let may_hedge_now = class.idempotency == Idempotency::Idempotent && self.settings.may_hedge;
+        let seconds = if may_hedge_now {
+            let remaining = request.remaining_time(sent_at, expectation.latency_ratio, class.late_fraction);
+            let cost = self.attempt_cost();
+            typical.min(statistics.response_times.hedge_delay(remaining, expectation.loss_probability, cost))
         } else {
-            usual
+            typical
         };
         let wait = seconds * expectation.latency_ratio * NANOS_PER_SECOND;
         sent_at.saturating_add((wait as Span).min(class.latency_objective)).saturating_add(OVERDUE_MARGIN)
     }
 
-    /// Returns the price of another attempt, in responses, by the load of this gateway's slots.
-    fn attempt_price(&self) -> f64 {
+    /// Returns the cost of another attempt under the current load of this gateway's slots, as a fraction of
+    /// the value of a response.
+    fn attempt_cost(&self) -> f64 {
         let demand = self.concurrency.in_use() + self.concurrency.waiting();
         let load = demand / self.concurrency.budget.slots().max(1.0);
-        ATTEMPT_PRICE + LOAD_PRICE * (load * load).min(1.0)
+        ATTEMPT_COST + LOAD_COST * (load * load).min(1.0)
     }
 
-    /// Counts an attempt as failed if it is overdue; its host as a whole, if the host has responded to
-    /// nothing since it was sent.
+    /// Counts an attempt as failed if it is overdue: as a failure of the host for all classes if the host has
+    /// not responded to any request since the attempt was sent, otherwise for the class only.
     pub(crate) fn on_attempt_overdue(&mut self, now: Time, id: RequestId, index: u32) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(attempt) = request.attempts.get(index as usize) else { return };
@@ -96,8 +98,9 @@
         if now < overdue_at {
             return self.timers.schedule(overdue_at, Timer::AttemptOverdue(id, index));
         }
-        let is_host_silent = self.hosts.get(host_id).is_none_or(|host| host.last_response_at < sent_at);
-        let result = if is_host_silent { AttemptResult::HostFailed } else { AttemptResult::ClassFailed };
+        let is_host_unresponsive = self.hosts.get(host_id).is_none_or(|host| host.last_response_at < sent_at);
+        let result =
+            if is_host_unresponsive { AttemptResult::HostFailed } else { AttemptResult::ClassFailed };
         self.record_result(now, id, host_id, result);
         self.replace_overdue_attempt(now, id, index);
     }
--- a/crates/policy/src/attempts/mod.rs
+++ b/crates/policy/src/attempts/mod.rs
@@ -1,9 +1,10 @@
 //! Requests in flight and their attempts: forwarding, retries, hedged requests and the final answer.
 //!
 //! - [`request`] holds a request in flight, its state and its attempts.
-//! - [`forwarding`] starts attempts and counts overdue ones as failed; [`retries`] decides on another
-//!   attempt, within the [`retry_budget`]; [`completion`] takes in the end of attempts and closes requests.
-//! - [`class_statistics`] learns the latencies and failures of each class.
+//! - [`forwarding`] starts attempts and counts overdue ones as failed; [`retries`] decides on retries and
+//!   hedged requests, within the [`retry_budget`]; [`completion`] handles the end of attempts and closes
+//!   requests.
+//! - [`class_statistics`] keeps the latency and failure statistics of each class.
 //!
 //! State: the requests in flight by identifier, [`class_statistics::ClassStatistics`] of each class,
 //! [`retry_budget::RetryBudget`].
--- a/crates/policy/src/attempts/request.rs
+++ b/crates/policy/src/attempts/request.rs
@@ -7,18 +7,20 @@
 use hedging::RemainingTime;
 use smallvec::SmallVec;
 
-/// Time that the last bytes of a repeated request have to reach its host, at the least.
+/// Minimum time reserved for the last bytes of a repeated request to reach its host.
 const MIN_TRANSFER_TIME: Span = 100 * MILLISECOND;
-/// The same as a fraction of the deduplication window: one part in this many.
-const TRANSFER_PARTS: Span = 10;
-/// Fraction of the objective that a first attempt may take at the most, and a retry as well.
+/// The time reserved for them is at least the deduplication window divided by this.
+const TRANSFER_TIME_DIVISOR: Span = 10;
+/// Maximum time reserved for a first attempt or a retry, as a fraction of the latency objective.
 const MAX_ATTEMPT_FRACTION: f64 = 0.6;
-/// Fraction of the objective that is kept for a first attempt, however short its usual latency.
+/// Minimum time reserved for a first attempt, as a fraction of the latency objective, however short the
+/// typical latency.
 const MIN_FIRST_ATTEMPT_FRACTION: f64 = 0.5;
-/// Usual latencies that are kept for a first attempt.
-const FIRST_ATTEMPT_LATENCIES: f64 = 1.3;
-/// Usual latencies that are kept for a retry, which is made while it may well be in time.
-const RETRY_LATENCIES: f64 = 0.6;
+/// Time reserved for a first attempt, as a multiple of the typical latency.
+const FIRST_ATTEMPT_LATENCY_MULTIPLE: f64 = 1.3;
+/// Time reserved for a retry, as a multiple of the typical latency: a retry is made while it may still meet
+/// the objective.
+const RETRY_LATENCY_MULTIPLE: f64 = 0.6;
 
 /// The state of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -28,14 +30,14 @@
     AwaitingUnits,
     /// The request waits for a concurrency slot or for a host.
     Queued {
-        /// When the wait began.
+        /// Start of the wait.
         since: Time,
     },
-    /// An attempt was forwarded.
+    /// At least one attempt was forwarded, and no other is queued.
     Forwarded,
-    /// The response streams: no other attempt may be made.
+    /// The response is streaming; no further attempt may be made.
     Streaming,
-    /// The request has had its final answer, or its client has disconnected.
+    /// The request has received its final answer, or its client has disconnected.
     Closed,
 }
 
@@ -45,9 +47,9 @@
     /// The attempt is in flight.
     #[default]
     InFlight,
-    /// The attempt has ended without reaching its host.
+    /// The attempt has ended without reaching the host.
     NotDelivered,
-    /// The attempt reached its host, which did not execute it.
+    /// The host has rejected the attempt without executing it.
     NotExecuted,
     /// The attempt has ended and may have been executed.
     MayHaveBeenExecuted,
@@ -72,17 +74,18 @@
 #[derive(Default)]
 pub(crate) struct Attempt {
     pub host: HostId,
-    /// Where the host was at the time of sending: a host may restart elsewhere.
+    /// Location of the host when the attempt was sent: a host may restart elsewhere.
     pub location: Location,
     pub sent_at: Time,
     pub state: AttemptState,
-    /// The pools whose slots the attempt occupies; an overdue attempt occupies none.
+    /// The pools whose slots the attempt occupies; `None` once an overdue attempt has released its slot.
     pub occupied_pools: Option<u64>,
-    /// The gateway was asked to cancel the attempt.
+    /// The gateway was instructed to cancel the attempt.
     pub is_cancelled: bool,
-    /// The attempt took so long that it counted as failed.
+    /// The attempt is overdue and was counted as failed.
     pub is_overdue: bool,
-    /// Fraction of this gateway's share of the host's slots in use at the time of sending, with this attempt.
+    /// Fraction of this gateway's share of the host's slots in use when the attempt was sent, including this
+    /// attempt.
     pub utilisation: f64,
 }
 
@@ -101,69 +104,69 @@
     }
 }
 
-/// A request for which the client waits or attempts are in flight.
+/// A request that has no final answer yet or has attempts in flight.
 #[derive(Default)]
 pub(crate) struct InFlightRequest {
     pub class: usize,
     pub route: Route,
     pub customer: CustomerId,
-    /// Units that the request costs, as estimated.
+    /// Estimated cost of the request, in units.
     pub units: f64,
     pub arrived_at: Time,
-    /// When its latency objective ends, and its deadline if that is earlier.
+    /// The end of its latency objective, or its deadline if that is earlier.
     pub objective_at: Time,
     pub deadline: Time,
     pub state: RequestState,
     /// The customer's record counts the request.
     pub is_counted_by_customer: bool,
-    /// Units were taken from the customer's token buckets, and are spent by the first attempt.
-    pub holds_units: bool,
+    /// Units were taken from the customer's token buckets; they are spent once an attempt has reached a host.
+    pub has_reserved_units: bool,
     /// A timer is set for the end of the wait for units.
     pub is_units_timer_set: bool,
-    /// The request was considered for a report of the demand to the counter, whose reply it may wait for.
-    pub is_demand_considered: bool,
+    /// It was decided whether the request reports the demand to the counter, for whose reply it may wait.
+    pub is_demand_report_decided: bool,
     pub attempts: SmallVec<[Attempt; 1]>,
 }
 
 impl InFlightRequest {
-    /// Returns when an attempt has to start at the latest for a response within the objective, where the
-    /// class usually takes `usual_latency` seconds.
-    pub fn start_by(&self, usual_latency: f64) -> Time {
+    /// Returns the latest start of an attempt for a response within the latency objective, for a class with a
+    /// typical latency of `typical_latency` seconds.
+    pub fn start_by(&self, typical_latency: f64) -> Time {
         let objective = (self.objective_at - self.arrived_at) as f64;
-        let (least, latencies) = if self.attempts.is_empty() {
-            (MIN_FIRST_ATTEMPT_FRACTION * objective, FIRST_ATTEMPT_LATENCIES)
+        let (minimum, latency_multiple) = if self.attempts.is_empty() {
+            (MIN_FIRST_ATTEMPT_FRACTION * objective, FIRST_ATTEMPT_LATENCY_MULTIPLE)
         } else {
-            (0.0, RETRY_LATENCIES)
+            (0.0, RETRY_LATENCY_MULTIPLE)
         };
-        let expected = latencies * usual_latency * NANOS_PER_SECOND;
-        let needed = expected.clamp(least, MAX_ATTEMPT_FRACTION * objective) as Time;
+        let expected = latency_multiple * typical_latency * NANOS_PER_SECOND;
+        let needed = expected.clamp(minimum, MAX_ATTEMPT_FRACTION * objective) as Time;
         self.objective_at - needed.max(2 * TIMER_STEP).min(self.objective_at)
     }
 
-    /// Returns the time that a response has left, in seconds at a host of usual speed, for an attempt at a
-    /// host that takes `latency_ratio` times as long. `late_fraction`: what a response after the objective
-    /// earns.
-    pub fn time_left(&self, now: Time, latency_ratio: f64, late_fraction: f64) -> RemainingTime {
-        let until = |at: Time| (at as f64 - now as f64) / NANOS_PER_SECOND / latency_ratio;
+    /// Returns the time remaining for a response, in seconds normalised to a host of typical speed, for an
+    /// attempt at a host whose latency is `latency_ratio` times as long. `late_fraction`: value of a response
+    /// after the objective, as a fraction of the full value.
+    pub fn remaining_time(&self, now: Time, latency_ratio: f64, late_fraction: f64) -> RemainingTime {
+        let seconds_until = |at: Time| (at as f64 - now as f64) / NANOS_PER_SECOND / latency_ratio;
         RemainingTime {
-            until_objective: until(self.objective_at),
-            until_deadline: until(self.deadline),
+            until_objective: seconds_until(self.objective_at),
+            until_deadline: seconds_until(self.deadline),
             late_fraction,
         }
     }
 
-    /// Returns the first attempt that may have been executed, or is in flight.
+    /// Returns the first attempt that is in flight or may have been executed.
     pub fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_been_executed())
     }
 
-    /// Returns when the last byte of another attempt has to be written. Hosts drop duplicates of an
-    /// idempotency key for a window that begins with the first attempt that may have been executed, and the
-    /// bytes take a moment to arrive.
+    /// Returns the latest time at which the last byte of another attempt may be written. Hosts drop
+    /// duplicates of an idempotency key within a window that starts with the first attempt that may have been
+    /// executed, and the bytes need time to arrive.
     pub fn write_by(&self, idempotency: Idempotency) -> Time {
         let Idempotency::WithKey(_, window) = idempotency else { return Time::MAX };
         let Some(first) = self.first_possibly_executed() else { return Time::MAX };
-        let transfer_time = MIN_TRANSFER_TIME.max(window / TRANSFER_PARTS);
+        let transfer_time = MIN_TRANSFER_TIME.max(window / TRANSFER_TIME_DIVISOR);
         first.sent_at.saturating_add(window.saturating_sub(transfer_time))
     }
 
@@ -172,7 +175,7 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Returns whether an attempt has ended that reached its host.
+    /// Returns whether an attempt that reached its host has ended.
     pub fn has_reached_host(&self) -> bool {
         self.attempts.iter().any(Attempt::has_reached_host)
     }
--- a/crates/policy/src/attempts/retries.rs
+++ b/crates/policy/src/attempts/retries.rs
@@ -1,48 +1,47 @@
-//! Retries and hedged requests: when another attempt is made, and which one is cancelled.
+//! Retries and hedged requests: when another attempt is made, and which attempts are cancelled.
 
 use super::request::{InFlightRequest, RequestState};
 use crate::api::{Action, Idempotency, RejectReason, RequestId, Time};
 use crate::policy::Policy;
 
-/// Fraction of failed attempts of a class above which its hosts are overloaded, rather than single ones
-/// faulty.
-const OVERLOAD_FAILURES: f64 = 0.3;
+/// Failure fraction of a class above which its hosts count as overloaded, rather than single hosts as faulty.
+const OVERLOAD_FAILURE_FRACTION: f64 = 0.3;
 
 impl Policy {
-    /// Returns why no other attempt of a request may be made; `None` if one may.
-    pub(super) fn retry_obstacle(&self, now: Time, request: &InFlightRequest) -> Option<RejectReason> {
+    /// Returns the reason why no further attempt of a request may be made; `None` if one may.
+    pub(super) fn retry_denial(&self, now: Time, request: &InFlightRequest) -> Option<RejectReason> {
         if !self.has_eligible_host(now, request) {
             return Some(RejectReason::NotIdempotent);
         }
-        if now >= request.start_by(self.class_statistics[request.class].usual_latency) {
+        if now >= request.start_by(self.class_statistics[request.class].typical_latency) {
             return Some(RejectReason::TooLateForRetry);
         }
         let has_attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts.max(1);
-        if !has_attempts_left || !self.retry_budget.has_retry() {
+        if !has_attempts_left || !self.retry_budget.can_withdraw() {
             return Some(RejectReason::RetriesExhausted);
         }
         None
     }
 
-    /// Releases the slot of an overdue attempt, and hedges or replaces it if that is possible. Where the
-    /// class fails at all hosts, the attempt keeps its slot, since more attempts would only add to the
+    /// Releases the slot of an overdue attempt, and hedges or replaces the attempt if possible. If the class
+    /// is failing at many hosts, the attempt keeps its slot, since further attempts would add to the
     /// overload.
     pub(super) fn replace_overdue_attempt(&mut self, now: Time, id: RequestId, index: u32) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempts.get_mut(index as usize) else { return };
         attempt.is_overdue = true;
         let class = request.class;
-        if self.class_statistics[class].failure_fraction > OVERLOAD_FAILURES {
+        if self.class_statistics[class].failure_fraction > OVERLOAD_FAILURE_FRACTION {
             return;
         }
         if let Some(pools) = attempt.occupied_pools.take() {
             self.release_slot(class, pools);
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let may_repeat = request.state == RequestState::Forwarded
+        let may_retry = request.state == RequestState::Forwarded
             && self.settings.classes[class].idempotency == Idempotency::Idempotent
-            && self.retry_obstacle(now, request).is_none();
-        if !may_repeat {
+            && self.retry_denial(now, request).is_none();
+        if !may_retry {
             return;
         }
         if self.settings.may_hedge {
--- a/crates/policy/src/attempts/retry_budget.rs
+++ b/crates/policy/src/attempts/retry_budget.rs
@@ -1,14 +1,13 @@
-//! The retry budget: retries are a bounded fraction of the requests, so that they do not multiply an
-//! overload.
+//! The retry budget: limits retries to a fraction of the requests, so that they do not amplify an overload.
 
-/// Retries that each request adds to the budget.
+/// Number of retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// Retries that the budget holds at the most.
+/// Maximum number of retries in the budget.
 const MAX_RETRIES: f64 = 10.0;
-/// Retries in the budget at the start.
+/// Number of retries in the budget at the start.
 const INITIAL_RETRIES: f64 = 3.0;
 
-/// Retries that may be made now.
+/// A token bucket of retries, refilled by requests.
 pub(crate) struct RetryBudget {
     retries: f64,
 }
@@ -19,17 +18,17 @@
         RetryBudget { retries: INITIAL_RETRIES }
     }
 
-    /// Adds the share of one request.
+    /// Adds the contribution of one request.
     pub fn deposit(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
     /// Returns whether a retry may be made.
-    pub fn has_retry(&self) -> bool {
+    pub fn can_withdraw(&self) -> bool {
         self.retries >= 1.0
     }
 
-    /// Takes one retry out.
+    /// Removes one retry from the budget.
     pub fn withdraw(&mut self) {
         self.retries -= 1.0;
     }
--- a/crates/policy/src/balancing/endpoint_list.rs
+++ b/crates/policy/src/balancing/endpoint_list.rs
@@ -1,5 +1,4 @@
-//! Changes of the endpoint list, the warm-up of hosts that have restarted, and the removal of hosts that are
-//! gone.
+//! Updates of the endpoint list, the end of a restarted host's warm-up, and the removal of gone hosts' state.
 
 use super::slow_start::max_attempts_on_credit;
 use crate::api::{Action, HostEntry, HostId, HostListKind, HostState, Span, Time};
@@ -7,11 +6,11 @@
 use crate::quota::counter_keys::EPOCH;
 use crate::timers::Timer;
 
-/// Time after which the state of a host that accepts no requests and sends no responses is removed.
+/// Retention time of the state of a host that accepts no requests and sends no responses.
 const HOST_RETENTION: Span = EPOCH;
 
 impl Policy {
-    /// Takes in an endpoint list or a change of it.
+    /// Applies an endpoint list or an update to it.
     pub(crate) fn on_host_list(&mut self, now: Time, kind: HostListKind, entries: Vec<HostEntry>) {
         self.hosts.count_warm_time(now);
         match kind {
@@ -37,7 +36,7 @@
         self.concurrency.unblock();
     }
 
-    /// Updates a host from its entry, and returns whether its process has restarted and warms up.
+    /// Updates a host from its entry, and returns whether its process has restarted and is warming up.
     fn update_host(&mut self, now: Time, entry: HostEntry) -> bool {
         let id = entry.id;
         let warm_at = entry.started_at.saturating_add(self.settings.warm_up);
@@ -56,7 +55,7 @@
         let max_on_credit = max_attempts_on_credit(&self.settings, self.hosts.subset_count());
         for id in restarted {
             let Some(host) = self.hosts.get_mut(*id) else { continue };
-            host.restore_credit(host.tokens / host.traffic_part + max_on_credit, max_on_credit);
+            host.restore_credit(host.tokens / host.traffic_fraction + max_on_credit, max_on_credit);
         }
     }
 
@@ -69,14 +68,14 @@
             return;
         }
         host.warming_since = None;
-        if host.is_ready() && host.traffic_part >= 1.0 {
+        if host.is_ready() && host.traffic_fraction >= 1.0 {
             self.hosts.record_warmed_up(now);
         }
         self.concurrency.unblock();
     }
 
-    /// Removes a host that accepts no requests and has sent no responses for a while, so that the state stays
-    /// bounded.
+    /// Removes a host that accepts no requests and has sent no responses for [`HOST_RETENTION`], so that the
+    /// state stays bounded.
     pub(crate) fn on_host_removal(&mut self, now: Time, id: HostId) {
         let Some(host) = self.hosts.get_mut(id) else { return };
         host.is_removal_scheduled = !host.is_ready();
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Subscribes to the endpoint list, if that is due.
+    /// Subscribes to the endpoint list if the poll time has been reached.
     pub(crate) fn poll_hosts(&mut self, now: Time) {
         if now >= self.hosts.next_poll_at {
             self.schedule_host_poll(now + self.settings.must_poll_within / 2);
--- a/crates/policy/src/balancing/host.rs
+++ b/crates/policy/src/balancing/host.rs
@@ -7,14 +7,15 @@
 use hedging::LossRate;
 use libm::exp;
 
-/// Seconds over which a host's failures and successes fade.
-const FAILURE_MEMORY: f64 = 10.0;
-/// Fraction of failures below which a class counts as free of failures.
+/// Time constant in which a host's failure scores decay exponentially, in seconds.
+const FAILURE_DECAY_SECONDS: f64 = 10.0;
+/// Failure fraction below which a class counts as free of failures.
 const NEGLIGIBLE_FAILURES: f64 = 1e-4;
-/// Fraction of a warm host's responses, scaled by its capacity so far, that a host gets while it warms up.
+/// Fraction of a warm host's response rate, scaled by its current capacity, that a host gets while it warms
+/// up.
 const SLOW_START_FRACTION: f64 = 0.8;
-/// Weight of one more result in the failure score.
-const FAILURE_STEP: f64 = 0.7;
+/// EWMA weight of a result in the failure score.
+const FAILURE_EWMA_WEIGHT: f64 = 0.7;
 
 /// A load report of a host.
 #[derive(Clone, Copy, Debug)]
@@ -23,21 +24,21 @@
     pub load: f64,
 }
 
-/// Results of attempts, from -1 (all succeeded) to 1 (all failed), as of a moment.
+/// Smoothed results of attempts, from -1 (all succeeded) to 1 (all failed), at a point in time.
 #[derive(Clone, Copy, Debug)]
 struct FailureScore {
     value: f64,
     at: Time,
 }
 
-/// What an attempt showed about its host.
+/// Result of an attempt, as evidence about its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptResult {
     /// The host served the request.
     Served,
     /// The host failed for the class of the request.
     ClassFailed,
-    /// The host failed as a whole.
+    /// The host failed for requests of all classes.
     HostFailed,
 }
 
@@ -48,38 +49,40 @@
     pub entry: HostEntry,
     /// Attempts in flight from this gateway.
     pub in_flight: u32,
-    /// 1 for a host of this gateway's subset; otherwise this gateway's part against one that has it in its
-    /// subset.
-    pub traffic_part: f64,
-    /// The concurrency limit for all gateways.
+    /// 1 for a host in this gateway's subset; otherwise this gateway's traffic to the host, as a fraction of
+    /// that of a gateway that has the host in its subset.
+    pub traffic_fraction: f64,
+    /// The host's concurrency limit, for all gateways together.
     pub limit: ConcurrencyLimit,
-    /// The limit is adjusted at the end of the control period.
+    /// The limit is in the list to be adjusted at the end of the control period.
     pub is_limit_adjustment_scheduled: bool,
     /// The host accepts no requests, and a timer for its removal is set.
     pub is_removal_scheduled: bool,
-    /// Smoothed logarithm of the host's latency against the usual latency of the class.
+    /// Smoothed logarithm of the ratio of the host's latency to the typical latency of the class.
     log_latency_ratio: f64,
-    /// By how much the host's latency exceeds the usual latency, as a fraction of it; negative if shorter.
+    /// Excess of the host's latency over the typical latency, as a fraction of the typical latency; negative
+    /// if the host is faster.
     pub excess_latency: f64,
-    /// When the host last responded to anything.
+    /// When the host last responded to an attempt or a health check.
     pub last_response_at: Time,
-    /// Until when the host is presumed to accept no connection.
+    /// End of the time for which the host is presumed unreachable.
     pub unreachable_until: Time,
     /// The last load report.
     pub reported_load: Option<ReportedLoad>,
-    /// When the host began to warm up; `None` for a warm host.
+    /// Start of the warm-up; `None` for a warm host.
     pub warming_since: Option<Time>,
-    /// Capacity at the least while the host warms up, as a fraction of a warm host's.
+    /// Minimum capacity while the host warms up, as a fraction of a warm host's capacity.
     pub warm_up_capacity: f64,
-    /// Attempts that the host may get now while it warms up, refilled up to `refilled_at`.
+    /// Slow-start tokens: number of attempts that the host may get now while it warms up, refilled up to
+    /// `refilled_at`.
     pub tokens: f64,
-    /// Attempts beyond these that the host may get while too few hosts are warm.
+    /// Additional attempts that the host may get while too few hosts are warm.
     pub credit: f64,
     /// When the tokens were last refilled or the host was last listed.
     pub refilled_at: Time,
-    /// The fraction of attempts to which the host never responds.
+    /// Fraction of attempts to which the host never responds.
     pub loss_rate: LossRate,
-    /// Scores for each class, and last for the host as a whole.
+    /// Failure scores: one for each class, followed by one for the whole host.
     failure_scores: Vec<FailureScore>,
 }
 
@@ -107,8 +110,8 @@
         f64::from(self.in_flight * gateways.max(1)) / self.limit.slots()
     }
 
-    /// Resets the state of a host whose process has started again. `initial_tokens` is drawn from 0 to 1, so
-    /// that the first attempts of all gateways are spread out.
+    /// Resets the state of a host whose process has restarted. `initial_tokens` is a random number between 0
+    /// and 1, so that the first attempts of all gateways are spread over time.
     pub fn restart(&mut self, now: Time, started_at: Time, initial_tokens: f64, settings: &Settings) {
         self.warming_since = Some(started_at);
         self.tokens = initial_tokens;
@@ -117,29 +120,30 @@
         self.log_latency_ratio = 0.0;
         self.excess_latency = 0.0;
         self.reported_load = None;
-        self.warm_up_capacity = settings.cold_capacity;
+        self.warm_up_capacity = settings.initial_capacity;
         self.limit = ConcurrencyLimit::default();
         self.failure_scores.clear();
     }
 
-    /// Restores credit for a number of attempts, up to `max_on_credit` (at least one) less the attempts in
+    /// Restores credit for a number of attempts, up to `max_on_credit` (at least one) minus the attempts in
     /// flight.
     pub fn restore_credit(&mut self, attempts: f64, max_on_credit: f64) {
-        let attempts = attempts * self.traffic_part;
-        let max_on_credit = max_on_credit * self.traffic_part;
+        let attempts = attempts * self.traffic_fraction;
+        let max_on_credit = max_on_credit * self.traffic_fraction;
         let available = (max_on_credit.max(1.0) - f64::from(self.in_flight)).max(0.0);
         self.credit = (self.credit + attempts).min(available);
     }
 
-    /// Refills the tokens and the credit of a host that warms up, by its capacity so far.
+    /// Refills the tokens and the credit of a host that is warming up, at a rate proportional to its current
+    /// capacity.
     pub fn refill(&mut self, now: Time, budget: SlowStartBudget, settings: &Settings) {
         let Some(since) = self.warming_since else { return };
         let progress =
             (seconds_between(since, now) * NANOS_PER_SECOND / settings.warm_up.max(1) as f64).min(1.0);
-        self.warm_up_capacity = settings.cold_capacity + (1.0 - settings.cold_capacity) * progress;
+        self.warm_up_capacity = settings.initial_capacity + (1.0 - settings.initial_capacity) * progress;
         let elapsed = seconds_between(self.refilled_at, now);
         let rate =
-            SLOW_START_FRACTION * budget.responses_per_second * self.traffic_part * self.warm_up_capacity;
+            SLOW_START_FRACTION * budget.responses_per_second * self.traffic_fraction * self.warm_up_capacity;
         self.tokens = (self.tokens + rate * elapsed).min(1.0);
         self.restore_credit(elapsed * budget.credit_per_second, budget.max_on_credit);
         self.refilled_at = now;
@@ -155,14 +159,14 @@
         self.credit >= 1.0
     }
 
-    /// Notes that an attempt is forwarded to the host.
+    /// Records that an attempt is forwarded to the host.
     pub fn start_attempt(&mut self) {
         self.in_flight += 1;
         self.tokens = (self.tokens - 1.0).max(0.0);
         self.credit = (self.credit - 1.0).max(0.0);
     }
 
-    /// Notes that an attempt at the host has ended.
+    /// Records that an attempt at the host has ended.
     pub fn end_attempt(&mut self, is_served: bool, max_on_credit: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if is_served {
@@ -170,13 +174,13 @@
         }
     }
 
-    /// Takes in the latency of a response as a multiple of the usual latency of its class.
+    /// Records the latency of a response as a multiple of the typical latency of its class.
     pub fn record_latency_ratio(&mut self, ratio: f64) {
         self.log_latency_ratio += 0.1 * (libm::log(ratio.clamp(0.1, 10.0)) - self.log_latency_ratio);
         self.excess_latency = exp(self.log_latency_ratio) - 1.0;
     }
 
-    /// Takes in the result of an attempt of a class, where there are `classes` of them.
+    /// Records the result of an attempt of a class; `classes` is the number of classes.
     pub fn record_result(&mut self, now: Time, class: usize, classes: usize, result: AttemptResult) {
         self.failure_scores.resize(classes + 1, FailureScore { value: 0.0, at: now });
         self.update_score(now, class, result);
@@ -186,40 +190,43 @@
     }
 
     fn update_score(&mut self, now: Time, index: usize, result: AttemptResult) {
-        let before = self.recent_score(index, now);
+        let before = self.decayed_score(index, now);
         let (from, target) = match result {
             AttemptResult::Served => (before, -1.0),
             AttemptResult::ClassFailed | AttemptResult::HostFailed => (before.max(0.0), 1.0),
         };
-        self.failure_scores[index] = FailureScore { value: from + FAILURE_STEP * (target - from), at: now };
+        self.failure_scores[index] =
+            FailureScore { value: from + FAILURE_EWMA_WEIGHT * (target - from), at: now };
     }
 
-    /// Returns the faded score at an index: a class, or the number of classes for the host as a whole.
-    fn recent_score(&self, index: usize, now: Time) -> f64 {
-        let fade = |score: &FailureScore| score.value * exp(-seconds_between(score.at, now) / FAILURE_MEMORY);
-        self.failure_scores.get(index).map_or(0.0, fade)
+    /// Returns the decayed score at an index: that of a class, or the number of classes for the whole host.
+    fn decayed_score(&self, index: usize, now: Time) -> f64 {
+        let decayed =
+            |score: &FailureScore| score.value * exp(-seconds_between(score.at, now) / FAILURE_DECAY_SECONDS);
+        self.failure_scores.get(index).map_or(0.0, decayed)
     }
 
-    /// Returns how far the host has failed at an index, from 0 to 1.
+    /// Returns the failure level at an index, from 0 to 1; zero if successes prevail.
     pub fn failure_level(&self, index: usize, now: Time) -> f64 {
         if self.failure_scores.get(index).is_some_and(|score| score.value > 0.0) {
-            self.recent_score(index, now)
+            self.decayed_score(index, now)
         } else {
             0.0
         }
     }
 
-    /// Returns the expected failure at an index, from 0 to 1, where `usual` is the class's fraction of
-    /// failures at all hosts: less at a host that has served it.
-    pub fn expected_failure(&self, index: usize, usual: f64, now: Time) -> f64 {
-        if usual < NEGLIGIBLE_FAILURES {
+    /// Returns the expected failure probability at an index, from 0 to 1. `class_failure_fraction` is the
+    /// class's failure fraction over all hosts; the expectation is lower for a host that has served the
+    /// class.
+    pub fn expected_failure(&self, index: usize, class_failure_fraction: f64, now: Time) -> f64 {
+        if class_failure_fraction < NEGLIGIBLE_FAILURES {
             return self.failure_level(index, now);
         }
-        let own = self.recent_score(index, now);
-        if own < 0.0 {
-            usual * (1.0 + own)
+        let own_score = self.decayed_score(index, now);
+        if own_score < 0.0 {
+            class_failure_fraction * (1.0 + own_score)
         } else {
-            own.max(usual)
+            own_score.max(class_failure_fraction)
         }
     }
 }
--- a/crates/policy/src/balancing/host_set.rs
+++ b/crates/policy/src/balancing/host_set.rs
@@ -1,5 +1,5 @@
-//! All hosts, and lists of those that accept requests: by pool and by cell, so that a selection looks at
-//! eligible hosts only.
+//! All hosts, and lists of the ready ones by pool and by cell, so that a selection examines eligible hosts
+//! only.
 
 use super::host::{Host, ReportedLoad};
 use super::pools::pools_in;
@@ -9,7 +9,7 @@
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, HashMap};
 
-/// Zone and cell of a host.
+/// Location of a host: its zone and cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Location {
     pub zone: u32,
@@ -23,10 +23,10 @@
     }
 }
 
-/// The hosts that a request may be forwarded to, before their state is considered.
+/// The hosts that a request may be forwarded to, regardless of their state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Eligible {
-    /// Hosts of these pools; zero stands for all hosts.
+    /// Hosts of these pools; zero means all hosts.
     Pools(u64),
     /// Hosts of a zone.
     Zone(u32),
@@ -34,30 +34,30 @@
     Cell(Location),
 }
 
-/// Weight of one more load report in the usual load.
-const LOAD_STEP: f64 = 0.05;
+/// EWMA weight of a load report in the mean load.
+const LOAD_EWMA_WEIGHT: f64 = 0.05;
 
 /// Hosts by identifier, and lists of those that accept requests.
 #[derive(Default)]
 pub(crate) struct HostSet {
-    /// Identifiers come from discovery, not from clients, so that the hash needs no secret.
+    /// Identifiers come from discovery, not from clients, so the hash needs no secret seed.
     by_id: HashMap<HostId, Host, rustc_hash::FxBuildHasher>,
     /// All hosts that accept requests, ordered by identifier.
     ready: Vec<HostId>,
     ready_by_pool: BTreeMap<usize, Vec<HostId>>,
     ready_by_location: BTreeMap<Location, Vec<HostId>>,
-    /// The hosts that this gateway forwards to by preference, see [`::subset`].
+    /// The hosts that this gateway prefers, see [`::subset`].
     subset: Vec<HostId>,
-    /// Number of subsets in which all hosts occur once.
+    /// Number of disjoint subsets that together contain all hosts.
     subset_count: f64,
-    /// Number of hosts of the subset that are warm.
+    /// Number of warm hosts in the subset.
     warm_in_subset: usize,
     warm_rate: WarmHostRate,
-    /// Smoothed load that hosts report, in requests.
-    usual_reported_load: f64,
-    /// When the endpoint list is polled next.
+    /// Smoothed load reported by hosts, in requests.
+    mean_reported_load: f64,
+    /// Time of the next poll of the endpoint list.
     pub(super) next_poll_at: Time,
-    /// Buffer for the candidates of a selection, kept so that a request allocates none.
+    /// Buffer for the candidates of a selection, reused to avoid an allocation per request.
     pub(super) candidates: Vec<HostId>,
 }
 
@@ -77,12 +77,12 @@
         self.by_id.get(&id)
     }
 
-    /// Returns a host by its identifier, to be changed.
+    /// Returns a mutable reference to a host by its identifier.
     pub fn get_mut(&mut self, id: HostId) -> Option<&mut Host> {
         self.by_id.get_mut(&id)
     }
 
-    /// Returns the host with this identifier, which may be new.
+    /// Returns the host with this identifier, and inserts it if it is unknown.
     pub fn get_or_insert(&mut self, id: HostId) -> &mut Host {
         self.by_id.entry(id).or_default()
     }
@@ -97,12 +97,12 @@
         self.by_id.values().map(|host| (&host.entry, host.limit.slots()))
     }
 
-    /// Iterates over all hosts, to be changed.
+    /// Iterates mutably over all hosts.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Host> {
         self.by_id.values_mut()
     }
 
-    /// Returns the slots of all hosts that accept requests, for all gateways.
+    /// Returns the total slots of all hosts that accept requests, for all gateways together.
     pub fn slots(&self) -> f64 {
         let slots = self.by_id.values().filter(|host| host.is_ready()).map(|host| host.limit.slots());
         slots.sum::<f64>().max(MIN_SLOTS)
@@ -113,7 +113,7 @@
         &self.subset
     }
 
-    /// Returns whether this gateway's subset is all hosts that accept requests.
+    /// Returns whether this gateway's subset contains all hosts that accept requests.
     pub fn is_subset_complete(&self) -> bool {
         self.subset.len() == self.ready.len()
     }
@@ -123,22 +123,22 @@
         self.subset.len() <= self.warm_in_subset
     }
 
-    /// Returns the number of subsets in which all hosts occur once.
+    /// Returns the number of disjoint subsets that together contain all hosts.
     pub fn subset_count(&self) -> f64 {
         self.subset_count.max(1.0)
     }
 
-    /// Begins to count the time for which hosts are warm.
+    /// Starts to measure the time for which hosts are warm.
     pub fn start(&mut self, now: Time) {
         self.warm_rate.start(now);
     }
 
-    /// Counts the time for which hosts of the subset were warm, up to now.
+    /// Adds the time up to now for which hosts of the subset were warm.
     pub fn count_warm_time(&mut self, now: Time) {
         self.warm_rate.count_until(now, self.warm_in_subset);
     }
 
-    /// Notes that a host of the subset has warmed up.
+    /// Records that a host of the subset has warmed up.
     pub fn record_warmed_up(&mut self, now: Time) {
         self.count_warm_time(now);
         self.warm_in_subset += 1;
@@ -149,34 +149,34 @@
         self.warm_rate.record_response();
     }
 
-    /// Fades the response rate of warm hosts at the end of a control period.
+    /// Decays the response rate of warm hosts at the end of a control period.
     pub fn end_warm_rate_period(&mut self, now: Time) {
         self.count_warm_time(now);
         self.warm_rate.decay();
     }
 
-    /// Returns what a host that warms up may get now.
+    /// Returns the current budget of a host that is warming up.
     pub fn slow_start_budget(&self, now: Time, settings: &Settings) -> SlowStartBudget {
         let responses_per_second = self.warm_rate.per_host(now, self.warm_in_subset);
         SlowStartBudget::new(settings, responses_per_second, self.subset_count())
     }
 
-    /// Returns the usual load that hosts report, in requests.
-    pub fn usual_reported_load(&self) -> f64 {
-        self.usual_reported_load
+    /// Returns the mean load reported by hosts, in requests.
+    pub fn mean_reported_load(&self) -> f64 {
+        self.mean_reported_load
     }
 
-    /// Takes in the load report of a host.
+    /// Records the load report of a host.
     pub fn record_load(&mut self, now: Time, id: HostId, report: &LoadReport) {
         let Some(host) = self.by_id.get_mut(&id) else { return };
         let requests = report.queued.or(report.in_flight).unwrap_or(0.0);
         let load = requests + report.utilisation.unwrap_or(0.0);
-        self.usual_reported_load += LOAD_STEP * (load - self.usual_reported_load);
+        self.mean_reported_load += LOAD_EWMA_WEIGHT * (load - self.mean_reported_load);
         host.reported_load = Some(ReportedLoad { at: now, load });
     }
 
     /// Rebuilds the lists after the endpoint list has changed. Returns the hosts that no longer accept
-    /// requests and whose removal has yet to be scheduled.
+    /// requests and whose removal is not scheduled yet.
     pub fn rebuild(&mut self, gateway_index: u32, gateways: u32) -> Vec<HostId> {
         self.rebuild_ready_lists();
         self.rebuild_subset(gateway_index as usize, gateways.max(1) as usize);
@@ -203,12 +203,12 @@
         self.subset_count = ::subset::subset_count(ids.len(), gateways) as f64;
         let subset = ::subset::subset_of_gateway(&ids, gateway_index, gateways);
         self.subset = subset.into_iter().map(|index| self.ready[index]).collect();
-        let part_outside = 1.0 / self.subset_count();
+        let fraction_outside = 1.0 / self.subset_count();
         for host in self.by_id.values_mut() {
-            host.traffic_part = part_outside;
+            host.traffic_fraction = fraction_outside;
         }
         for id in &self.subset {
-            self.by_id.entry(*id).and_modify(|host| host.traffic_part = 1.0);
+            self.by_id.entry(*id).and_modify(|host| host.traffic_fraction = 1.0);
         }
         let is_warm = |id: &&HostId| self.by_id.get(id).is_some_and(|host| !host.is_warming_up());
         self.warm_in_subset = self.subset.iter().filter(is_warm).count();
@@ -224,7 +224,7 @@
         removals
     }
 
-    /// Returns the lists that hold the eligible hosts; a host may occur in several.
+    /// Returns the lists of ready hosts that contain the eligible ones; a host may be in several lists.
     pub fn lists(&self, eligible: Eligible) -> SmallVec<[&[HostId]; 4]> {
         match eligible {
             Eligible::Pools(0) => std::iter::once(self.ready.as_slice()).collect(),
--- a/crates/policy/src/balancing/mod.rs
+++ b/crates/policy/src/balancing/mod.rs
@@ -1,11 +1,12 @@
 //! Load balancing: the hosts, and the choice of one for each attempt.
 //!
-//! - [`host_set`] holds all hosts ([`host`]) and this gateway's subset of them; [`endpoint_list`] keeps them
-//!   in line with discovery.
+//! - [`host_set`] stores all hosts ([`host`]) and this gateway's subset of them; [`endpoint_list`] applies
+//!   updates from discovery.
 //! - [`selection`] chooses the host with the least expected wait, among those that the request's [`pools`]
 //!   and its idempotency allow.
-//! - [`outliers`] learns from responses, failures and load reports how slow and how faulty a host is.
-//! - [`slow_start`] bounds what hosts get while they warm up.
+//! - [`outliers`] derives the latency and the failure rate of each host from responses, failures and load
+//!   reports.
+//! - [`slow_start`] limits the attempts at hosts that are warming up.
 //!
 //! State: [`host_set::HostSet`] with a [`host::Host`] for each host, and [`pools::Pools`].
 
--- a/crates/policy/src/balancing/outliers.rs
+++ b/crates/policy/src/balancing/outliers.rs
@@ -1,4 +1,4 @@
-//! What responses, failures and load reports show about hosts.
+//! Outlier statistics of hosts, from responses, failures and load reports.
 
 use super::host::AttemptResult;
 use super::slow_start::max_attempts_on_credit;
@@ -7,10 +7,10 @@
 use crate::time::MILLISECOND;
 
 /// Time for which a host is avoided after a connection to it failed.
-const UNREACHABLE_TIME: Span = 2_000 * MILLISECOND;
+const UNREACHABLE_DURATION: Span = 2_000 * MILLISECOND;
 
 impl Policy {
-    /// Takes in the result of an attempt for its host and its class.
+    /// Records the result of an attempt in the statistics of its host and its class.
     pub(crate) fn record_result(&mut self, now: Time, id: RequestId, host: HostId, result: AttemptResult) {
         let Some(request) = self.requests.get(&id) else { return };
         self.class_statistics[request.class].record_result(result != AttemptResult::Served);
@@ -18,7 +18,7 @@
         host.record_result(now, request.class, self.settings.classes.len(), result);
     }
 
-    /// Takes in the latency of a response: how slow its host is against others, and how loaded.
+    /// Records the latency of a response, as evidence of its host's relative speed and load.
     pub(crate) fn record_response(
         &mut self,
         end: &AttemptEnded,
@@ -30,12 +30,12 @@
         let budget = &mut self.concurrency.budget;
         budget.record_response(latency.baseline_ratio);
         let Some(host) = self.hosts.get_mut(end.host) else { return };
-        host.record_latency_ratio(latency.usual_ratio);
+        host.record_latency_ratio(latency.typical_ratio);
         host.limit.record_response(sent_at, utilisation, latency.log_unloaded_ratio);
         host.schedule_limit_adjustment(&mut budget.hosts_to_adjust);
     }
 
-    /// Takes in the end of an attempt at its host.
+    /// Records the end of an attempt in the state of its host.
     pub(crate) fn record_end_at_host(&mut self, end: &AttemptEnded) {
         let max_on_credit = max_attempts_on_credit(&self.settings, self.hosts.subset_count());
         let Some(host) = self.hosts.get_mut(end.host) else { return };
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes in how a host responded to an attempt or a health check, and its load report.
+    /// Records a host's reaction to an attempt or a health check, and its load report.
     pub(crate) fn on_host_report(
         &mut self,
         now: Time,
@@ -71,7 +71,7 @@
             host.last_response_at = now;
         }
         if outcome == Outcome::ConnectFailed {
-            host.unreachable_until = now + UNREACHABLE_TIME;
+            host.unreachable_until = now + UNREACHABLE_DURATION;
         }
     }
 }
--- a/crates/policy/src/balancing/slow_start.rs
+++ b/crates/policy/src/balancing/slow_start.rs
@@ -1,33 +1,34 @@
 //! Slow start: the rate of attempts that hosts get while they warm up.
 //!
-//! A host is not sent more than warm hosts were observed to answer, scaled by its capacity so far. Where too
-//! few hosts are warm, hosts that warm up also get attempts on credit: a response restores the credit at
-//! once, for a host can repeat what it has done; otherwise time restores it.
+//! The rate of attempts at a host that is warming up is limited to the observed response rate of warm hosts,
+//! scaled by the host's current capacity. While too few hosts are warm, hosts that are warming up also get
+//! attempts on credit: a response restores the credit immediately, since it shows that the host can serve
+//! another attempt; otherwise the credit is restored over time.
 
 use crate::api::{Settings, Span, Time};
 use crate::time::{as_seconds, seconds_between};
 use crate::timers::TIMER_STEP;
 
-/// Attempts on credit that may be in flight at a host that has not responded yet, from all gateways. One core
-/// that warms up executes one; a host fails at three times as much.
+/// Maximum number of attempts on credit in flight at a host that has not responded yet, from all gateways
+/// together. One core that is warming up can execute one attempt; three times as many make a host fail.
 const MAX_ATTEMPTS_ON_CREDIT: f64 = 2.0;
-/// Factor by which the response rate of warm hosts fades in a control period.
+/// Factor by which the response rate of warm hosts decays in a control period.
 const DECAY_PER_PERIOD: f64 = 0.7;
 
-/// What a host that warms up may get from this gateway.
+/// Limits on the attempts of this gateway at a host that is warming up.
 #[derive(Clone, Copy)]
 pub(crate) struct SlowStartBudget {
-    /// Responses per second of a warm host to this gateway.
+    /// Response rate of a warm host to this gateway, per second.
     pub responses_per_second: f64,
-    /// Attempts per second for which time restores the credit.
+    /// Rate at which credit is restored over time, in attempts per second.
     pub credit_per_second: f64,
-    /// This gateway's part of the attempts on credit that may be in flight at a host.
+    /// This gateway's share of the attempts on credit that may be in flight at a host.
     pub max_on_credit: f64,
 }
 
 impl SlowStartBudget {
-    /// Returns the budget for this response rate of a warm host. The credit is restored within the longest
-    /// latency objective of any class.
+    /// Returns the budget for the given response rate of a warm host. Credit is fully restored within the
+    /// longest latency objective of all classes.
     pub fn new(settings: &Settings, responses_per_second: f64, subsets: f64) -> SlowStartBudget {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let longest_objective: Span = objectives.max().unwrap_or(0).max(TIMER_STEP);
@@ -40,23 +41,24 @@
     }
 }
 
-/// Returns this gateway's part of the attempts on credit that may be in flight at a host that warms up, from
-/// all gateways that forward to it. `subsets`: the number of host subsets in which all hosts occur once.
+/// Returns this gateway's share of the attempts on credit that may be in flight at a host that is warming up,
+/// from all gateways that forward to it. `subsets`: the number of disjoint subsets that together contain all
+/// hosts.
 pub(super) fn max_attempts_on_credit(settings: &Settings, subsets: f64) -> f64 {
     MAX_ATTEMPTS_ON_CREDIT * subsets / settings.gateways.max(1) as f64
 }
 
-/// Responses of warm hosts and the time for which hosts were warm, both fading by the control period.
+/// Responses of warm hosts and the time for which hosts were warm, both decaying in each control period.
 #[derive(Default)]
 pub(crate) struct WarmHostRate {
     responses: f64,
-    /// Seconds that hosts were warm and accepted requests, added up over the hosts.
+    /// Sum over all hosts of the time for which they were warm and accepted requests, in seconds.
     host_seconds: f64,
     counted_until: Time,
 }
 
 impl WarmHostRate {
-    /// Begins to count from now on.
+    /// Sets the time from which warm hosts are counted.
     pub fn start(&mut self, now: Time) {
         self.counted_until = now;
     }
@@ -66,20 +68,20 @@
         self.responses += 1.0;
     }
 
-    /// Counts the time up to now, in which this number of hosts was warm.
+    /// Adds the time up to now, in which `warm_hosts` hosts were warm.
     pub fn count_until(&mut self, now: Time, warm_hosts: usize) {
         let elapsed = seconds_between(self.counted_until, now);
         self.counted_until = now;
         self.host_seconds += warm_hosts as f64 * elapsed;
     }
 
-    /// Fades what was counted, at the end of a control period.
+    /// Decays both sums at the end of a control period.
     pub fn decay(&mut self) {
         self.responses *= DECAY_PER_PERIOD;
         self.host_seconds *= DECAY_PER_PERIOD;
     }
 
-    /// Returns the responses per second of one warm host.
+    /// Returns the response rate of one warm host, per second.
     pub fn per_host(&self, now: Time, warm_hosts: usize) -> f64 {
         let host_seconds = self.host_seconds + warm_hosts as f64 * seconds_between(self.counted_until, now);
         self.responses / host_seconds.max(as_seconds(TIMER_STEP))
--- a/crates/policy/src/concurrency/state.rs
+++ b/crates/policy/src/concurrency/state.rs
@@ -1,13 +1,13 @@
-//! The concurrency slots of a gateway and of its classes, and the requests that wait for one.
+//! Concurrency slots of a gateway and of its classes, and the requests that wait for a slot.
 
 use super::class_slots::{ClassSlots, ControlInput};
 use super::slot_budget::SlotBudget;
 use crate::api::{Class, RequestId, Route, Settings};
 
-/// Fraction of the slots that belongs to the class of the lowest priority, so that it never starves.
+/// Fraction of the slots guaranteed to the class of the lowest priority, to prevent starvation.
 const LOWEST_CLASS_FRACTION: f64 = 0.15;
 
-/// A request whose next attempt found no host.
+/// A request without a host for its next attempt.
 struct UnplacedRequest {
     class: usize,
     route: Route,
@@ -16,20 +16,20 @@
 
 /// Slots, reservations and queues of a gateway.
 pub(crate) struct ConcurrencyState {
-    /// Indexes of the classes, the one with the highest priority weight first.
+    /// Indexes of the classes, in descending order of priority weight.
     classes_by_priority: Vec<usize>,
     /// Classes, by index.
     pub classes: Vec<ClassSlots>,
     /// This gateway's share of all slots.
     pub budget: SlotBudget,
-    /// Requests that were attempted before and have no host for another attempt.
+    /// Requests that may have been executed and have no host for another attempt.
     unplaced: Vec<UnplacedRequest>,
-    /// A timer is set to retry requests without a host.
-    pub is_retry_scheduled: bool,
+    /// A timer is set to retry the dispatch.
+    pub is_dispatch_scheduled: bool,
 }
 
 impl ConcurrencyState {
-    /// Returns the state of a gateway that knows no hosts.
+    /// Returns the state of a gateway without hosts.
     pub fn new(settings: &Settings) -> ConcurrencyState {
         let weight = |class: &usize| settings.classes[*class].priority_weight;
         let mut classes_by_priority: Vec<usize> = (0..settings.classes.len()).collect();
@@ -39,7 +39,7 @@
             classes: settings.classes.iter().map(|_| ClassSlots::default()).collect(),
             budget: SlotBudget::new(settings.gateways),
             unplaced: Vec::new(),
-            is_retry_scheduled: false,
+            is_dispatch_scheduled: false,
         }
     }
 
@@ -58,7 +58,7 @@
         self.classes.iter().map(ClassSlots::waiting).sum::<f64>()
     }
 
-    /// Returns the number of requests that wait in classes of higher priority and in this one.
+    /// Returns the number of requests that wait in this class and in classes of higher priority.
     pub fn waiting_up_to(&self, class: usize) -> f64 {
         let higher = self.classes_by_priority.iter().take_while(|other| **other != class);
         higher.chain([&class]).map(|class| self.classes[*class].waiting()).sum::<f64>()
@@ -74,8 +74,8 @@
         self.classes.iter().any(|class| class.queue.any_ready(&has_free_slot))
     }
 
-    /// Returns the class that gets the next free slot: one below its reservation, then the lowest class below
-    /// its fraction, then any, each by priority.
+    /// Returns the class that gets the next free slot: first a class below its reservation, then the lowest
+    /// class if it is below its guaranteed fraction, then any class, each by priority.
     pub fn next_class(&self, has_free_slot: impl Fn(&Route) -> bool) -> Option<usize> {
         let is_ready = |class: usize| self.classes[class].queue.any_ready(&has_free_slot);
         let is_below = |class: usize, slots: f64| (self.classes[class].in_use as f64) < slots;
@@ -92,26 +92,26 @@
         self.classes_by_priority.iter().copied().find(|class| is_ready(*class))
     }
 
-    /// Moves the reservation of each class but the lowest, at the end of a control period.
-    pub fn move_reservations(&mut self, classes: &[Class], uptime: f64) {
+    /// Adjusts the reservations of all classes except the lowest at the end of a control period.
+    pub fn adjust_reservations(&mut self, classes: &[Class], uptime: f64) {
         let slots = self.budget.slots();
         let mut available = slots * (1.0 - LOWEST_CLASS_FRACTION);
         let Some((_, reserving)) = self.classes_by_priority.split_last() else { return };
         for &class in reserving {
             let latency_objective = classes[class].latency_objective;
             let input = ControlInput { latency_objective, uptime, slots, available };
-            available -= self.classes[class].move_reservation(&input);
+            available -= self.classes[class].adjust_reservation(&input);
         }
     }
 
-    /// Sets a request aside until hosts change, without holding up others of its route.
-    pub fn set_aside(&mut self, class: usize, route: Route, id: RequestId) {
+    /// Stores a request without a host until hosts change, without blocking other requests of its route.
+    pub fn add_unplaced(&mut self, class: usize, route: Route, id: RequestId) {
         self.unplaced.push(UnplacedRequest { class, route, id });
     }
 
-    /// Returns the number of requests that are set aside.
+    /// Returns the number of requests stored by [`ConcurrencyState::add_unplaced`].
     #[cfg(test)]
-    pub fn unplaced(&self) -> usize {
+    pub fn unplaced_count(&self) -> usize {
         self.unplaced.len()
     }
 
@@ -120,7 +120,7 @@
         !self.unplaced.is_empty() || self.classes.iter().any(|class| class.queue.is_blocked())
     }
 
-    /// Considers all requests that found no host again.
+    /// Queues all requests without a host again, and unblocks all routes.
     pub fn unblock(&mut self) {
         for UnplacedRequest { class, route, id } in std::mem::take(&mut self.unplaced).into_iter().rev() {
             self.classes[class].queue.push_front(route, id);
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,7 +1,7 @@
-//! The decisions of one gateway: events in, actions out.
+//! The decision state machine of one gateway: consumes events and returns actions.
 //!
-//! This file only dispatches. [`Policy`] holds the state of all modules; each module changes its own part in
-//! methods of [`Policy`] that stand in that module, since most decisions concern several parts.
+//! This file only dispatches. [`Policy`] holds the state of all modules; each module modifies its own part in
+//! methods of [`Policy`] defined in that module, since most decisions involve several parts.
 
 use crate::admission::state::AdmissionState;
 use crate::api::{Action, Event, RequestId, Settings, Time};
@@ -20,19 +20,19 @@
 use ::quota::CounterReport;
 use std::collections::HashMap;
 
-/// Requests in flight by identifier. Gateways number requests themselves, so that the hash needs no secret.
+/// Requests in flight by identifier. The gateway assigns the identifiers, so the hash needs no secret seed.
 type RequestMap = HashMap<RequestId, InFlightRequest, rustc_hash::FxBuildHasher>;
 
-/// The decisions of one gateway.
+/// The decision state machine of one gateway.
 pub struct Policy {
     pub(crate) settings: Settings,
     /// Time of the first event; zero before it.
     pub(crate) started_at: Time,
     pub(crate) rng: Rng,
     pub(crate) timers: TimerQueue<Timer>,
-    /// Actions of the present event.
+    /// Actions returned for the current event.
     pub(crate) actions: Vec<Action>,
-    /// Records looked at since the start.
+    /// Number of records examined since the start.
     pub(crate) work: u64,
     pub(crate) admission: AdmissionState,
     pub(crate) customers: Customers,
@@ -47,7 +47,7 @@
 }
 
 impl Policy {
-    /// Returns the policy of a gateway that has just started and knows only its settings.
+    /// Returns the policy of a gateway that has just started, with no hosts or customers.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         let context = GatewayContext::new(&settings);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes in one event and appends the actions that it leads to.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if self.started_at == 0 {
             self.start(now);
@@ -84,7 +84,7 @@
         actions.append(&mut self.actions);
     }
 
-    /// Begins to count time and sets the first timers.
+    /// Initialises all time measurements and sets the first timers.
     fn start(&mut self, now: Time) {
         self.started_at = now;
         self.hosts.start(now);
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Admits waiting requests of customers with closed ones, and forwards queued requests to free slots,
-    /// until neither frees any more.
+    /// Admits waiting requests of customers whose other requests were closed, and assigns free slots to
+    /// queued requests, until neither step frees further capacity.
     fn assign_freed_capacity(&mut self, now: Time) {
         loop {
             self.check_customers(now);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the state of the shared counter as seen from this gateway, and the units that were granted
+    /// Returns the state of the shared counter as observed by this gateway, and the units granted locally
     /// without it.
     #[must_use]
     pub fn counter_report(&self, now: Time) -> CounterReport {
@@ -170,25 +170,26 @@
         }
     }
 
-    /// Starts the count of units that were granted without the counter anew.
+    /// Resets the count of locally granted units to zero.
     pub fn clear_local_grants(&mut self) {
         self.counter.health.clear_local_grants();
     }
 
-    /// Returns the number of records held: requests, customers, hosts and calls in flight.
+    /// Returns the number of records in memory: requests, customers, hosts and counter calls in flight.
     #[must_use]
-    pub fn size(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.requests.len() + self.customers.len() + self.hosts.len() + self.counter.pending_calls.len()
     }
 
-    /// Returns the memory that the known customers take, in bytes, by the stated cost of each form.
+    /// Returns the memory used for customers, in bytes, computed from the constant cost of the full and the
+    /// compact form.
     #[must_use]
     pub fn customer_bytes(&self) -> usize {
         self.customers.bytes()
     }
 
-    /// Returns the number of records looked at since the start: the cost of events in units that are the same
-    /// on each machine.
+    /// Returns the number of records examined since the start, a machine-independent measure of the cost of
+    /// events.
     #[must_use]
     pub fn work(&self) -> u64 {
         self.work
--- a/crates/policy/src/quota/counter_client.rs
+++ b/crates/policy/src/quota/counter_client.rs
@@ -1,6 +1,6 @@
-//! What this gateway knows of the counter service, and its calls in flight.
+//! The client of the counter service: its health, and the calls in flight.
 
-use super::counter_keys::CounterNumber;
+use super::counter_keys::CounterEntry;
 use super::reconciliation::ReconciliationQueue;
 use crate::api::{CounterKey, Outcome, Settings, Span, Time};
 use ::quota::CounterHealth;
@@ -9,31 +9,31 @@
 /// Bounds of the probability that a request under windowed admission calls the counter.
 const MIN_CALL_PROBABILITY: f64 = 0.05;
 const MAX_CALL_PROBABILITY: f64 = 1.0;
-/// That probability at the start.
+/// Initial value of that probability.
 const INITIAL_CALL_PROBABILITY: f64 = 0.3;
-/// Factor on it after a reply that took a small part of the timeout.
-const INCREASE: f64 = 1.1;
-/// Factor on it after a slow reply or an error.
-const DECREASE: f64 = 0.9;
-/// Factor on it after a timeout.
-const DECREASE_ON_TIMEOUT: f64 = 0.75;
-/// Fraction of the timeout from which on a reply shows that the counter has no spare capacity.
-const SLOW_REPLY: f64 = 0.4;
+/// Factor on that probability after a quick reply.
+const INCREASE_FACTOR: f64 = 1.1;
+/// Factor on that probability after a slow reply or an error.
+const DECREASE_FACTOR: f64 = 0.9;
+/// Factor on that probability after a timeout.
+const DECREASE_FACTOR_ON_TIMEOUT: f64 = 0.75;
+/// Latency of a reply, as a fraction of the timeout, at and above which the counter has no spare capacity.
+const SLOW_REPLY_FRACTION: f64 = 0.4;
 
-/// The counter service as seen from this gateway.
+/// State of this gateway's client of the counter service.
 pub(crate) struct CounterClient {
-    /// Whether the counter is reachable, and which gateways reach it.
+    /// Reachability of the counter from this gateway and from the others.
     pub health: CounterHealth,
-    /// The numbers of calls in flight.
-    pub pending_calls: HashMap<CounterKey, CounterNumber, rustc_hash::FxBuildHasher>,
-    /// Units that have yet to be added to the counter.
+    /// Entries that calls in flight add to, by key.
+    pub pending_calls: HashMap<CounterKey, CounterEntry, rustc_hash::FxBuildHasher>,
+    /// Customers with units that have not been added to the counter yet.
     pub reconciliation: ReconciliationQueue,
     /// Probability that a request under windowed admission calls the counter.
     pub call_probability: f64,
-    /// There is a counter, and a plan with a limit.
+    /// A counter service is configured, and a plan has a limit.
     pub is_used: bool,
-    /// There is a counter.
-    exists: bool,
+    /// A counter service is configured.
+    is_configured: bool,
     timeout: Span,
 }
 
@@ -47,25 +47,26 @@
             reconciliation: ReconciliationQueue::default(),
             call_probability: INITIAL_CALL_PROBABILITY,
             is_used: settings.has_counter && has_limits,
-            exists: settings.has_counter,
+            is_configured: settings.has_counter,
             timeout: settings.counter_timeout,
         }
     }
 
-    /// Returns whether there is no counter, or several calls in a row failed and the next one is not due.
+    /// Returns whether there is no counter, or several consecutive calls failed and the backoff has not
+    /// expired.
     pub fn is_down(&self, now: Time) -> bool {
-        !self.exists || self.health.is_backing_off(now)
+        !self.is_configured || self.health.is_backing_off(now)
     }
 
-    /// Takes in the end of a call. The probability of calls follows the capacity that the counter shows.
+    /// Records the end of a call, and adapts the call probability to the capacity of the counter.
     pub fn record_reply(&mut self, now: Time, outcome: Outcome, is_success: bool, elapsed: Span) {
-        let is_quick = is_success && (elapsed as f64) < SLOW_REPLY * self.timeout as f64;
+        let is_quick = is_success && (elapsed as f64) < SLOW_REPLY_FRACTION * self.timeout as f64;
         let factor = if is_quick {
-            INCREASE
+            INCREASE_FACTOR
         } else if outcome == Outcome::Timeout {
-            DECREASE_ON_TIMEOUT
+            DECREASE_FACTOR_ON_TIMEOUT
         } else {
-            DECREASE
+            DECREASE_FACTOR
         };
         let probability = self.call_probability * factor;
         self.call_probability = probability.clamp(MIN_CALL_PROBABILITY, MAX_CALL_PROBABILITY);
--- a/crates/policy/src/quota/counter_replies.rs
+++ b/crates/policy/src/quota/counter_replies.rs
@@ -1,32 +1,32 @@
 //! Calls to the counter service and their replies.
 
-use super::counter_keys::{CounterNumber, EPOCH};
+use super::counter_keys::{CounterEntry, EPOCH};
 use crate::api::{Action, CounterKey, CustomerId, Outcome, Span, Time};
 use crate::policy::Policy;
 use ::quota::CounterEpoch;
 
-/// Weight of one more customer in the typical fraction of the demand that a quota covers.
-const TYPICAL_FRACTION_STEP: f64 = 0.05;
+/// EWMA weight of a customer in the typical fraction of the demand that the quota covers.
+const TYPICAL_FRACTION_EWMA_WEIGHT: f64 = 0.05;
 
-/// The end of a call to the counter.
+/// The result of a call to the counter.
 struct Reply {
     outcome: Outcome,
-    /// The counter has replied with a number.
+    /// The counter has replied with a finite value.
     is_success: bool,
-    /// The number after the call.
+    /// Value of the entry after the call.
     total: f64,
 }
 
 impl Policy {
-    /// Calls the counter: adds an amount to a number.
-    pub(crate) fn call_counter(&mut self, now: Time, number: CounterNumber, amount: f64) {
+    /// Calls the counter to add an amount to an entry.
+    pub(crate) fn call_counter(&mut self, now: Time, number: CounterEntry, amount: f64) {
         let key = number.key();
         self.counter.pending_calls.insert(key, number);
         self.counter.health.record_call(now);
         self.actions.push(Action::AddToCounter { key, amount, time_to_live: number.time_to_live() });
     }
 
-    /// Takes in the end of a call to the counter.
+    /// Handles the end of a call to the counter.
     pub(crate) fn on_counter_reply(
         &mut self,
         now: Time,
@@ -39,14 +39,14 @@
         let reply = Reply { outcome, is_success: outcome == Outcome::Ok && total.is_finite(), total };
         self.counter.record_reply(now, outcome, reply.is_success, elapsed);
         match number {
-            CounterNumber::Heartbeat { group, epoch } => self.on_heartbeats(now, group, epoch, &reply),
-            CounterNumber::Leased { customer, account, epoch } => {
+            CounterEntry::Heartbeat { group, epoch } => self.on_heartbeats(now, group, epoch, &reply),
+            CounterEntry::Leased { customer, account, epoch } => {
                 self.on_leased_total(now, customer, account, epoch, &reply);
             }
-            CounterNumber::Reconciled { customer, epoch } => {
+            CounterEntry::Reconciled { customer, epoch } => {
                 self.on_reconciled_total(now, customer, epoch, &reply);
             }
-            CounterNumber::Demand { customer, window } => {
+            CounterEntry::Demand { customer, window } => {
                 self.on_window_total(now, customer, window, &reply);
             }
         }
@@ -68,7 +68,7 @@
     ) {
         let Some(customer) = self.customers.get_mut(customer_id) else { return };
         let mut shows_reset = false;
-        // The customer's plan may have lost this limit since.
+        // The customer's plan may no longer have this limit.
         if let Some(account) = customer.accounts.get_mut(index) {
             let health = &self.counter.health;
             if reply.is_success {
@@ -110,7 +110,7 @@
                 let covered = account.record_window_total(now, window, reply.total);
                 if is_first_total {
                     let typical = &mut self.admission.typical_fractions[plan];
-                    *typical += TYPICAL_FRACTION_STEP * (covered - *typical);
+                    *typical += TYPICAL_FRACTION_EWMA_WEIGHT * (covered - *typical);
                 }
             } else {
                 account.on_call_failed(now, &self.counter.health, reply.outcome == Outcome::Timeout);
@@ -120,7 +120,7 @@
         self.check_waiting(now, customer_id);
     }
 
-    /// Begins to check all customers, because the counter was reset.
+    /// Starts a scan over all customers for lost units, because the counter was reset.
     fn start_recheck(&mut self, now: Time) {
         self.counter.reconciliation.start_recheck(now, &mut self.timers);
     }
--- a/crates/policy/src/quota/counter_upkeep.rs
+++ b/crates/policy/src/quota/counter_upkeep.rs
@@ -1,20 +1,20 @@
-//! Calls to the counter that no request waits for: heartbeats, reconciliation, and the check of all customers
-//! after a reset of the counter.
+//! Background calls to the counter: heartbeats, reconciliation, and the scan over all customers after a
+//! counter reset.
 
 use super::account::Account;
-use super::counter_keys::{CounterNumber, EPOCH};
+use super::counter_keys::{CounterEntry, EPOCH};
 use crate::api::{CustomerId, Time};
 use crate::policy::Policy;
 use crate::timers::{Timer, TIMER_STEP};
 use ::quota::HeartbeatCall;
 
-/// Slots that one step of the check after a reset looks at.
+/// Maximum number of slots examined per step of the scan after a counter reset.
 const MAX_RECHECKED: usize = 64;
-/// Calls that one step of a reconciliation or of the check makes.
+/// Maximum number of calls per step of the reconciliation or the scan.
 const MAX_CALLS: usize = 2;
 
 impl Policy {
-    /// Shows the other gateways by the counter that this gateway reaches it.
+    /// Sends heartbeats, which show the other gateways that this gateway reaches the counter.
     pub(crate) fn send_heartbeat(&mut self, now: Time) {
         if !self.counter.is_used || self.settings.gateways < 2 {
             return;
@@ -23,13 +23,13 @@
             return self.timers.schedule(now + TIMER_STEP, Timer::Heartbeat);
         }
         for HeartbeatCall { group, epoch, amount } in self.counter.health.heartbeat_calls(now) {
-            self.call_counter(now, CounterNumber::Heartbeat { group, epoch }, amount);
+            self.call_counter(now, CounterEntry::Heartbeat { group, epoch }, amount);
         }
         self.timers.schedule(now + self.counter.health.heartbeat_interval(), Timer::Heartbeat);
     }
 
-    /// Adds units to the counter that were granted locally, and continues the check after a reset: some
-    /// customers a step, until none is pending.
+    /// Adds locally granted units to the counter, and continues the scan after a counter reset: a few
+    /// customers per step, until none is pending.
     pub(crate) fn reconcile(&mut self, now: Time) {
         self.counter.reconciliation.on_timer();
         if !self.counter.is_down(now) {
@@ -52,15 +52,16 @@
         match account.and_then(Account::pending_reconciliation) {
             Some(reconciliation) => {
                 let amount = reconciliation.start_call(&self.counter.health, epoch);
-                self.call_counter(now, CounterNumber::Reconciled { customer: customer_id, epoch }, amount);
+                self.call_counter(now, CounterEntry::Reconciled { customer: customer_id, epoch }, amount);
             }
-            // The units were given back meanwhile. The customer is queued again once there are others.
+            // The units were refunded in the meantime. The customer is queued again once it has other units
+            // to reconcile.
             None => customer.is_reconciliation_pending = false,
         }
         true
     }
 
-    /// Checks what a counter that was reset has lost, some customers a step, including idle ones.
+    /// Checks customers, including idle ones, for units lost by a counter reset: a few per step.
     fn continue_recheck(&mut self, now: Time) {
         let epoch = now / EPOCH;
         let mut next = self.counter.reconciliation.next_recheck();
@@ -80,7 +81,7 @@
             for (account, amount) in rechecks {
                 self.call_counter(
                     now,
-                    CounterNumber::Leased { customer: customer_id, account, epoch },
+                    CounterEntry::Leased { customer: customer_id, account, epoch },
                     amount,
                 );
             }
--- a/crates/policy/src/quota/customer.rs
+++ b/crates/policy/src/quota/customer.rs
@@ -1,4 +1,4 @@
-//! A customer: its accounts and its open requests, and the compact form that is kept of an idle one.
+//! A customer, with its accounts and its open requests, and the compact form of an idle customer.
 
 use super::account::Account;
 use crate::api::{Plan, RequestId, Settings, Time};
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 use std::collections::VecDeque;
 
-/// What is the same for all customers of a gateway.
+/// State shared by all customers of a gateway.
 pub(crate) struct GatewayContext {
     pub plans: Vec<Plan>,
     pub gateway_index: u32,
@@ -17,7 +17,7 @@
 }
 
 impl GatewayContext {
-    /// Returns the context by the settings; the epoch of the start is not known yet.
+    /// Returns the context from the settings; the start epoch is set later.
     pub fn new(settings: &Settings) -> GatewayContext {
         GatewayContext {
             plans: settings.plans.clone(),
@@ -34,17 +34,17 @@
 pub(crate) struct Customer {
     /// Index of its plan.
     pub plan: usize,
-    /// An account for each limit of its plan: the quota first, then the ceiling.
+    /// One account for each limit of the plan: the quota first, then the ceiling.
     pub accounts: SmallVec<[Account; 1]>,
     /// Requests that wait for units.
     pub waiting: VecDeque<RequestId>,
-    /// Requests that were admitted and are open.
-    pub open: u32,
-    /// Requests that are not closed, or have attempts in flight.
+    /// Number of admitted requests that are not closed.
+    pub admitted: u32,
+    /// Number of requests that are not closed or have attempts in flight.
     pub in_flight: u32,
     /// The customer is queued for reconciliation with the counter.
     pub is_reconciliation_pending: bool,
-    set: GatewaySet,
+    gateway_set: GatewaySet,
     has_no_counter: bool,
     /// Epoch in which the gateway started.
     start_epoch: u64,
@@ -56,12 +56,12 @@
     plan: u16,
     first_gateway: u16,
     set_size: u16,
-    /// The state of its quota; `None` if its plan has no limit.
+    /// The state of the quota; `None` if the plan has no limit.
     account: Option<CompactState>,
 }
 
 impl CompactCustomer {
-    /// Returns whether the customer's number on the counter holds units of this gateway in an epoch.
+    /// Returns whether this gateway has added units to the customer's counter entry in an epoch.
     pub fn has_added(&self, epoch: u64) -> bool {
         self.account.is_some_and(|account| account.has_added_in(epoch))
     }
@@ -75,7 +75,7 @@
     is_ceiling: bool,
 }
 
-/// Returns the limits that a plan has.
+/// Returns the limits of a plan.
 fn limits(plan: &Plan) -> impl Iterator<Item = Limit> {
     let quota = Limit { rate: plan.rate, burst: plan.burst, is_ceiling: false };
     let ceiling = Limit { rate: plan.ceiling_rate, burst: plan.ceiling_burst, is_ceiling: true };
@@ -83,18 +83,18 @@
 }
 
 impl Customer {
-    /// Returns a customer that makes its first request now. `initial_demand` is drawn for each account from 0
-    /// to the units of that request, so that not all gateways begin alike.
+    /// Returns a new customer at its first request. `initial_demand` returns a random number between 0 and
+    /// the units of that request for each account, so that gateways do not all start with the same state.
     pub fn new(
         now: Time,
         context: &GatewayContext,
         plan: usize,
-        set: GatewaySet,
+        gateway_set: GatewaySet,
         mut initial_demand: impl FnMut() -> f64,
     ) -> Customer {
         let mut customer = Customer {
             plan,
-            set,
+            gateway_set,
             has_no_counter: !context.has_counter,
             start_epoch: context.start_epoch,
             ..Customer::default()
@@ -103,22 +103,23 @@
         customer
     }
 
-    /// Returns the full form of a compact customer. If its plan has other limits by now, it is as a new one.
+    /// Returns the full form of a compact customer. If the limits of its plan have changed in kind, it starts
+    /// as a new customer.
     pub fn expand(now: Time, context: &GatewayContext, compact: CompactCustomer) -> Customer {
-        let set = GatewaySet {
+        let gateway_set = GatewaySet {
             first_gateway: compact.first_gateway.into(),
             set_size: compact.set_size.into(),
             gateway_index: context.gateway_index,
             gateways: context.gateways,
         };
-        let mut customer = Customer::new(now, context, compact.plan.into(), set, || 0.0);
+        let mut customer = Customer::new(now, context, compact.plan.into(), gateway_set, || 0.0);
         if let ([account], Some(state)) = (&mut customer.accounts[..], compact.account) {
             account.expand(&state);
         }
         customer
     }
 
-    /// Returns the compact form, if the customer is idle and has no state that the compact form cannot hold.
+    /// Returns the compact form, if the customer is idle and its state fits into the compact form.
     pub fn compact(&self) -> Option<CompactCustomer> {
         let account = match &self.accounts[..] {
             [] => None,
@@ -126,15 +127,16 @@
             _ => return None,
         };
         let plan = u16::try_from(self.plan).ok()?;
-        let first_gateway = u16::try_from(self.set.first_gateway).ok()?;
-        let set_size = u16::try_from(self.set.set_size).ok()?;
+        let first_gateway = u16::try_from(self.gateway_set.first_gateway).ok()?;
+        let set_size = u16::try_from(self.gateway_set.set_size).ok()?;
         if self.is_busy() {
             return None;
         }
         Some(CompactCustomer { plan, first_gateway, set_size, account })
     }
 
-    /// Returns whether a ceiling has yet to refill: a customer that is removed would get these units twice.
+    /// Returns whether a ceiling has not fully refilled; if the customer were removed, it would get the used
+    /// units a second time.
     pub fn has_ceiling_to_refill(&self, now: Time) -> bool {
         self.accounts.iter().any(|account| account.is_ceiling() && !account.is_full_by(now))
     }
@@ -143,14 +145,14 @@
     pub fn is_busy(&self) -> bool {
         let is_calling = self.accounts.iter().any(Account::is_calling);
         self.in_flight > 0
-            || self.open > 0
+            || self.admitted > 0
             || self.is_reconciliation_pending
             || is_calling
             || !self.waiting.is_empty()
     }
 
-    /// Starts calls that check after a reset of the counter what it has lost. Yields the index of the account
-    /// and the amount of each call.
+    /// After a counter reset, starts calls that check for lost units. Yields the account index and the amount
+    /// of each call.
     pub fn start_rechecks(&mut self, epoch: u64) -> impl Iterator<Item = (usize, f64)> + '_ {
         let accounts = self.accounts.iter_mut().enumerate();
         accounts.filter_map(move |(index, account)| Some((index, account.start_recheck(epoch)?)))
@@ -169,7 +171,7 @@
                 burst: limit.burst,
                 is_ceiling: limit.is_ceiling,
                 has_no_counter: self.has_no_counter,
-                gateway_set: self.set,
+                gateway_set: self.gateway_set,
             };
             let mut account = Account::new(now, config, self.start_epoch, may_be_windowed);
             let demand = initial_demand();
@@ -181,8 +183,8 @@
         limits(plan).map(new_account).collect()
     }
 
-    /// Changes the limits of the customer's plan. Available units stay; a limit that the plan did not have
-    /// begins with a full token bucket.
+    /// Changes the limits of the customer's plan. Available units are kept; if the plan has more or fewer
+    /// limits than before, all accounts start with a full token bucket.
     pub fn change_plan(&mut self, now: Time, health: &CounterHealth, plan: &Plan) {
         if limits(plan).count() != self.accounts.len() {
             self.accounts = self.new_accounts(now, plan, &mut || 0.0);
--- a/crates/policy/src/quota/customer_upkeep.rs
+++ b/crates/policy/src/quota/customer_upkeep.rs
@@ -5,7 +5,7 @@
 use crate::timers::{Timer, TIMER_STEP};
 
 impl Policy {
-    /// Changes the plans in service, for the customers that are known as well.
+    /// Replaces the plans, also for known customers.
     pub(crate) fn on_plans_changed(&mut self, now: Time, plans: Vec<Plan>) {
         self.customers.context.plans.clone_from(&plans);
         self.settings.plans = plans;
--- a/crates/policy/src/quota/customers/mod.rs
+++ b/crates/policy/src/quota/customers/mod.rs
@@ -1,9 +1,9 @@
-//! All customers that this gateway knows, within a bound on memory.
+//! All customers known to this gateway, within a memory limit.
 //!
-//! Customers are found by identifier, kept in a compact form ([`super::customer::CompactCustomer`]) while
-//! they are idle and memory is short, and removed when they have made no request for long ([`review`]). A
-//! customer with requests or calls in flight, with units to reconcile, or with a ceiling that has yet to
-//! refill, is neither compacted nor removed.
+//! Customers are indexed by identifier, compacted ([`super::customer::CompactCustomer`]) while they are idle
+//! and memory is scarce, and removed after a time without requests ([`review`]). A customer with requests or
+//! calls in flight, with units to reconcile, or with a ceiling that has not refilled, is neither compacted
+//! nor removed.
 
 mod record;
 mod review;
@@ -18,11 +18,11 @@
 use record::{max_compact_bytes, CustomerForm, CustomerRecord, ReviewQueue, Tick, COMPACT_BYTES, FULL_BYTES};
 use std::hash::BuildHasher;
 
-/// Parts of the index: each grows on its own, so that no growth takes long.
+/// Number of index partitions. Each grows separately, so that no resize causes a latency spike.
 const INDEX_PARTS: usize = 512;
 
-/// Returns how many customers a gateway can know within this memory, in bytes: if all are in full form, and
-/// if as many as possible are in compact form.
+/// Returns the maximum number of customers within this memory, in bytes: if all are in full form, and if as
+/// many as possible are in compact form.
 #[must_use]
 pub fn customers_within(bytes: usize) -> (usize, usize) {
     let full = bytes / (COMPACT_BYTES + FULL_BYTES);
@@ -34,28 +34,29 @@
     pub context: GatewayContext,
     /// A timer is set for the next review of customers.
     pub is_review_scheduled: bool,
-    /// Clients choose the identifiers of customers, so the hash is seeded with a secret of this gateway.
+    /// Clients choose the identifiers, so the hash uses a secret seed of this gateway against collision
+    /// attacks.
     hashing: FixedState,
     index: Vec<HashTable<u32>>,
     records: Slab<CustomerRecord>,
     review_queues: [SlotQueue; ReviewQueue::COUNT],
     count: usize,
     full_count: usize,
-    /// When the first customer was added.
+    /// When the first customer was added; the origin of all [`Tick`]s.
     first_added_at: Time,
     max_bytes: usize,
 }
 
-/// A customer that a scan over all slots found, and where the scan continues.
+/// Result of one step of a scan over all slots.
 pub(crate) struct ScannedSlot<'a> {
-    /// The customer in the slot, if the scan is concerned with it.
+    /// The customer in the slot, if it is relevant to the scan.
     pub customer: Option<(CustomerId, &'a mut Customer)>,
     /// The next slot; `None` after the last one.
     pub next: Option<usize>,
 }
 
 impl Customers {
-    /// Returns an empty set of customers that takes at most this memory, in bytes; zero means no bound.
+    /// Returns an empty set of customers with a memory limit of `max_bytes`; zero means no limit.
     pub fn new(seed: u64, max_bytes: usize, context: GatewayContext) -> Customers {
         Customers {
             context,
@@ -76,7 +77,7 @@
         self.count
     }
 
-    /// Returns the memory that the customers take in their present forms, in bytes.
+    /// Returns the memory used for the customers in their current forms, in bytes.
     pub fn bytes(&self) -> usize {
         self.count * COMPACT_BYTES + self.full_count * FULL_BYTES
     }
@@ -85,7 +86,7 @@
         self.hashing.hash_one(id)
     }
 
-    /// Returns the part of the index for a hash, by bits that the part itself does not use.
+    /// Returns the index partition for a hash, selected by bits that the hash table itself does not use.
     fn index_part(hash: u64) -> usize {
         (hash >> 24) as usize % INDEX_PARTS
     }
@@ -96,7 +97,8 @@
         self.index[Self::index_part(hash)].find(hash, is_same).copied()
     }
 
-    /// Returns a customer in full form, as each is that has requests in flight or units to reconcile.
+    /// Returns a customer if it is in full form, as all customers with requests in flight or units to
+    /// reconcile are.
     pub fn get(&self, id: CustomerId) -> Option<&Customer> {
         match &self.records.get(self.find(id)?)?.form {
             CustomerForm::Full(customer) => Some(customer),
@@ -104,20 +106,20 @@
         }
     }
 
-    /// Returns a customer in full form, to be changed.
+    /// Returns a mutable reference to a customer if it is in full form.
     pub fn get_mut(&mut self, id: CustomerId) -> Option<&mut Customer> {
         let slot = self.find(id)?;
-        self.full_in(slot)
+        self.full_customer_in(slot)
     }
 
-    fn full_in(&mut self, slot: u32) -> Option<&mut Customer> {
+    fn full_customer_in(&mut self, slot: u32) -> Option<&mut Customer> {
         match &mut self.records.get_mut(slot)?.form {
             CustomerForm::Full(customer) => Some(customer),
             CustomerForm::Compact(_) | CustomerForm::Vacant => None,
         }
     }
 
-    /// Returns the customer that makes a request now, in full form; a new one is made by `new`. `None` if
+    /// Returns the customer of a request in full form; an unknown customer is created by `new`. `None` if
     /// there is no memory for it.
     pub fn get_or_insert(
         &mut self,
@@ -152,7 +154,7 @@
             id,
             last_request_at: 0,
             form: CustomerForm::Full(Box::new(new(&self.context))),
-            reviewed: Tick::of(self.first_added_at, now),
+            reviewed_at: Tick::of(self.first_added_at, now),
             is_returning: false,
         });
         let hash = self.hash(id);
@@ -165,10 +167,12 @@
         Some(slot)
     }
 
-    /// Returns the customer in a slot in full form; `None` if there is no memory for that.
+    /// Expands the customer in a slot and returns it; `None` if there is no memory for the full form.
     fn expand(&mut self, now: Time, slot: u32) -> Option<&mut Customer> {
-        let CustomerForm::Compact(compact) = self.records.get(slot)?.form else { return self.full_in(slot) };
-        // The customer stands in a review queue itself, and counts as busy while memory is made available.
+        let CustomerForm::Compact(compact) = self.records.get(slot)?.form else {
+            return self.full_customer_in(slot);
+        };
+        // The customer is in a review queue itself, so it is marked as busy while memory is freed.
         let mut expanded = Customer::expand(now, &self.context, compact);
         expanded.in_flight = 1;
         self.records.get_mut(slot)?.form = CustomerForm::Full(Box::new(expanded));
@@ -177,7 +181,7 @@
             self.records.get_mut(slot)?.form = CustomerForm::Compact(compact);
             self.full_count -= 1;
         }
-        let expanded = self.full_in(slot)?;
+        let expanded = self.full_customer_in(slot)?;
         expanded.in_flight = 0;
         Some(expanded)
     }
@@ -195,14 +199,14 @@
             id,
             last_request_at: 0,
             form: CustomerForm::Vacant,
-            reviewed: Tick::default(),
+            reviewed_at: Tick::default(),
             is_returning: false,
         };
         self.records.remove(slot, vacant);
     }
 
-    /// Returns the customer in a slot, for a scan over all customers that have units on the counter in this
-    /// epoch. A compact customer is returned only if it has such units and there is memory for its full form.
+    /// Returns the customer in a slot, for a scan over all customers with units on the counter in this epoch.
+    /// A compact customer is returned only if it has such units and there is memory for its full form.
     pub fn scan(&mut self, now: Time, slot: usize, epoch: u64) -> ScannedSlot<'_> {
         let next = Some(slot + 1).filter(|next| *next < self.records.len());
         let concerned = self.records.get(slot as u32).and_then(|record| match &record.form {
@@ -214,8 +218,8 @@
         ScannedSlot { customer, next }
     }
 
-    /// Iterates over all customers in full form, for a change that concerns all. Compact ones take it in when
-    /// they are expanded.
+    /// Iterates mutably over all customers in full form, for a change to all customers. It is applied to
+    /// compact ones when they are expanded.
     pub fn iter_full_mut(&mut self) -> impl Iterator<Item = &mut Customer> {
         self.records.iter_mut().filter_map(|record| match &mut record.form {
             CustomerForm::Full(customer) => Some(customer.as_mut()),
--- a/crates/policy/src/quota/customers/record.rs
+++ b/crates/policy/src/quota/customers/record.rs
@@ -1,4 +1,4 @@
-//! The record of one customer, and the queue that it stands in until it is reviewed.
+//! The record of one customer, and the queues of customers to be reviewed.
 
 use crate::api::{CustomerId, Span, Time};
 use crate::quota::counter_keys::EPOCH;
@@ -7,25 +7,25 @@
 
 /// Time without a request after which a customer is removed.
 pub(super) const CUSTOMER_RETENTION: Span = EPOCH;
-/// Time between two reviews of a customer that has made several requests.
+/// Interval between reviews of a customer that has made several requests.
 pub(super) const REVIEW_INTERVAL: Span = CUSTOMER_RETENTION / 2;
 
-/// Memory that the index takes for a customer, in bytes, about.
+/// Approximate memory per customer in the index, in bytes.
 const INDEX_BYTES: usize = 12;
-/// Memory beside a full customer, in bytes: overhead of the allocator, and what is known of one that has made
-/// several requests.
+/// Additional memory per full customer, in bytes: allocator overhead, and the state allocated after several
+/// requests.
 const FULL_OVERHEAD_BYTES: usize = 320;
-/// Memory that a customer takes in its compact form, in bytes.
+/// Memory per customer in compact form, in bytes.
 pub(crate) const COMPACT_BYTES: usize = Slab::<CustomerRecord>::slot_bytes() + INDEX_BYTES;
-/// Memory that a customer takes in its full form beyond that of the compact form, in bytes.
+/// Additional memory per customer in full form, in bytes.
 pub(crate) const FULL_BYTES: usize = size_of::<Customer>() + FULL_OVERHEAD_BYTES;
 
-/// Parts of the memory that compact forms may take while full ones are needed.
+/// Number of memory parts available to compact customers while memory for full ones is needed.
 const COMPACT_PARTS: usize = 5;
-/// Parts that the memory is divided into.
+/// Number of equal parts that the memory is divided into.
 const MEMORY_PARTS: usize = 6;
 
-/// Returns the part of the memory that compact forms may take while full ones are needed, in bytes.
+/// Returns the memory available to compact customers while memory for full ones is needed, in bytes.
 pub(super) fn max_compact_bytes(max_bytes: usize) -> usize {
     max_bytes / MEMORY_PARTS * COMPACT_PARTS
 }
@@ -38,22 +38,22 @@
     Compact(CompactCustomer),
 }
 
-/// A moment of the gateway's uptime, in [`TICK`]s: eighteen years of them.
+/// A point in time of the gateway's uptime, in [`TICK`]s; 32 bits last for eighteen years.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Tick(u32);
 
-/// An eighth of a second, in nanoseconds.
+/// Resolution of a [`Tick`]: 2^27 ns, about an eighth of a second.
 pub(super) const TICK: Span = 1 << 27;
 
 impl Tick {
-    /// Returns the tick of a moment, rounded up.
-    pub fn of(first: Time, now: Time) -> Tick {
-        Tick(now.saturating_sub(first).div_ceil(TICK) as u32)
+    /// Returns the tick of `now`, rounded up.
+    pub fn of(origin: Time, now: Time) -> Tick {
+        Tick(now.saturating_sub(origin).div_ceil(TICK) as u32)
     }
 
-    /// Returns the moment of a tick.
-    pub fn time(self, first: Time) -> Time {
-        first + Time::from(self.0) * TICK
+    /// Returns the time of a tick.
+    pub fn time(self, origin: Time) -> Time {
+        origin + Time::from(self.0) * TICK
     }
 }
 
@@ -63,13 +63,13 @@
     /// When the customer last made a request.
     pub last_request_at: Time,
     pub form: CustomerForm,
-    /// When the customer was reviewed last, or added.
-    pub reviewed: Tick,
+    /// When the customer was last reviewed, or added.
+    pub reviewed_at: Tick,
     /// The customer has made several requests, or was busy when it was reviewed.
     pub is_returning: bool,
 }
 
-/// The queue that a customer stands in until its next review. Its form may have changed since it was queued.
+/// The queue of a customer until its next review. The customer's form may have changed since it was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReviewQueue {
     /// In full form, with one request.
@@ -93,12 +93,12 @@
         ReviewQueue::ReturningCompact,
     ];
 
-    /// Returns whether its customers had made one request when they were queued.
+    /// Returns whether customers in this queue had made a single request when they were queued.
     pub fn is_single(self) -> bool {
         matches!(self, ReviewQueue::SingleFull | ReviewQueue::SingleCompact)
     }
 
-    /// Returns the time after which a customer is reviewed again.
+    /// Returns the time after which a customer in this queue is reviewed again.
     pub fn review_after(self) -> Span {
         if self.is_single() {
             CUSTOMER_RETENTION
--- a/crates/policy/src/quota/customers/review.rs
+++ b/crates/policy/src/quota/customers/review.rs
@@ -1,9 +1,9 @@
-//! Removal and compaction of idle customers, after a time or to free memory.
+//! Removal and compaction of idle customers, after a retention time or to free memory.
 //!
-//! Where a customer needs more memory than is left, customers are reviewed in this order, each time those
-//! first that have been idle for longest: of those with one request, full ones become compact, and compact
-//! ones are removed; of those with several, full ones that have made no request since the last review become
-//! compact, and compact ones are removed.
+//! If a customer needs more memory than is available, customers are reviewed in this order, in each group
+//! those first that were reviewed the longest time ago: of customers with a single request, full ones are
+//! compacted, then compact ones are removed; of customers with several requests, full ones without a request
+//! since their last review are compacted, then compact ones are removed.
 
 use super::record::{
     max_compact_bytes, CustomerForm, CustomerRecord, ReviewQueue, Tick, COMPACT_BYTES, CUSTOMER_RETENTION,
@@ -12,37 +12,37 @@
 use crate::api::Time;
 use crate::quota::customer::CompactCustomer;
 
-/// Customers that one review removes at the most.
+/// Maximum number of customers per review.
 pub(super) const MAX_REVIEWED: u64 = 128;
-/// Customers that are reviewed for each queue to free memory for one.
+/// Maximum number of customers reviewed per queue to free memory for one customer.
 const MAX_REVIEWED_FOR_MEMORY: usize = 16;
-/// The result of a review of customers that have been idle for long.
+/// Result of a review of expired customers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReviewSummary {
     /// Number of customers reviewed.
     pub reviewed: u64,
-    /// When the next review is due; `None` without customers.
+    /// Time of the next review; `None` if there are no customers.
     pub next_review_at: Option<Time>,
 }
 
-/// Why a customer is reviewed.
+/// The reason for a review.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReviewReason {
-    /// Its time has come.
+    /// The customer's review time has been reached.
     Expiry,
     /// Memory has to be freed.
     Memory,
 }
 
-/// The outcome of the review of one customer.
-enum Decision {
+/// Result of the review of one customer.
+enum ReviewOutcome {
     Keep,
     Compact(CompactCustomer),
     Remove,
 }
 
 impl Customers {
-    /// Reviews customers that have been idle for long, a bounded number.
+    /// Reviews customers whose review time has been reached, at most [`MAX_REVIEWED`].
     pub fn review_expired(&mut self, now: Time) -> ReviewSummary {
         let mut reviewed = 0;
         for queue in ReviewQueue::ORDER {
@@ -59,16 +59,16 @@
         ReviewSummary { reviewed, next_review_at: next }
     }
 
-    /// Returns when the first customer of a queue is reviewed.
+    /// Returns the review time of the first customer in a queue.
     fn next_review(&self, queue: ReviewQueue) -> Option<Time> {
         let first = self.records.front(&self.review_queues[queue as usize])?;
-        Some(first.reviewed.time(self.first_added_at) + queue.review_after())
+        Some(first.reviewed_at.time(self.first_added_at) + queue.review_after())
     }
 
-    /// Makes memory available for this number of bytes, if possible, and returns whether it is.
+    /// Frees memory until `bytes` more bytes fit, and returns whether they do.
     pub(super) fn make_memory_available(&mut self, now: Time, bytes: usize) -> bool {
-        // Compact customers leave memory to full ones, or requests of these would have to wait for one
-        // another.
+        // Compact customers may not use all memory: too few full ones would fit, and their requests would
+        // have to wait for one another.
         let has_too_many_compact = self.count * COMPACT_BYTES > max_compact_bytes(self.max_bytes);
         let first = has_too_many_compact.then_some(ReviewQueue::SingleCompact);
         for queue in first.into_iter().chain(ReviewQueue::ORDER) {
@@ -84,7 +84,7 @@
                     (true, false) => Time::MAX,
                     // The customer has made another request since it was queued.
                     (true, true) => 0,
-                    (false, _) => record.reviewed.time(self.first_added_at),
+                    (false, _) => record.reviewed_at.time(self.first_added_at),
                 };
                 self.review(now, slot, idle_since, ReviewReason::Memory);
             }
@@ -96,15 +96,15 @@
         self.bytes().saturating_add(bytes) <= self.max_bytes
     }
 
-    /// Reviews a customer that has left its queue. If it is idle and has made no request since `idle_since`,
-    /// it is removed, or compacted if that is possible and memory has to be freed. Otherwise it is queued for
-    /// another review.
+    /// Reviews a customer that was removed from its queue. If it is idle and has made no request since
+    /// `idle_since`, it is removed, or compacted if that is possible and the reason is to free memory.
+    /// Otherwise it is queued for another review.
     fn review(&mut self, now: Time, slot: u32, idle_since: Time, reason: ReviewReason) {
         let Some(record) = self.records.get_mut(slot) else { return };
-        match decide(record, now, idle_since, reason) {
-            Decision::Keep => {}
-            Decision::Remove => return self.remove(slot),
-            Decision::Compact(compact) => {
+        match review_outcome(record, now, idle_since, reason) {
+            ReviewOutcome::Keep => {}
+            ReviewOutcome::Remove => return self.remove(slot),
+            ReviewOutcome::Compact(compact) => {
                 record.form = CustomerForm::Compact(compact);
                 self.full_count -= 1;
             }
@@ -114,29 +114,35 @@
             (CustomerForm::Compact(_), true) => ReviewQueue::ReturningCompact,
             (CustomerForm::Full(_) | CustomerForm::Vacant, _) => ReviewQueue::ReturningFull,
         };
-        // A customer that was busy when it was reviewed counts as one with several requests.
+        // A customer that is busy when it is reviewed counts as one with several requests.
         record.is_returning |= queue == ReviewQueue::ReturningFull;
-        // One with a single request keeps its turn: it is removed when it was added long ago.
+        // A customer with a single request keeps its review time, so that it is removed
+        // [`CUSTOMER_RETENTION`] after it was added.
         if queue != ReviewQueue::SingleCompact {
-            record.reviewed = Tick::of(self.first_added_at, now);
+            record.reviewed_at = Tick::of(self.first_added_at, now);
         }
         self.records.push_back(&mut self.review_queues[queue as usize], slot);
     }
 }
 
-/// Decides what is done with a customer; `idle_since` as for [`Customers::review`].
-fn decide(record: &CustomerRecord, now: Time, idle_since: Time, reason: ReviewReason) -> Decision {
+/// Returns how the review of a customer ends. `idle_since`: see [`Customers::review`].
+fn review_outcome(
+    record: &CustomerRecord,
+    now: Time,
+    idle_since: Time,
+    reason: ReviewReason,
+) -> ReviewOutcome {
     let mut compact = None;
     if let CustomerForm::Full(customer) = &record.form {
         if customer.is_busy() || customer.has_ceiling_to_refill(now) {
-            return Decision::Keep;
+            return ReviewOutcome::Keep;
         }
         if reason == ReviewReason::Memory {
             compact = customer.compact();
         }
     }
     if record.last_request_at > idle_since {
-        return Decision::Keep;
+        return ReviewOutcome::Keep;
     }
-    compact.map_or(Decision::Remove, Decision::Compact)
+    compact.map_or(ReviewOutcome::Remove, ReviewOutcome::Compact)
 }
--- a/crates/policy/src/quota/mod.rs
+++ b/crates/policy/src/quota/mod.rs
@@ -1,12 +1,12 @@
-//! Customers' quotas at this gateway, which hold over all gateways together.
+//! Customer quotas at this gateway, which are shared by all gateways.
 //!
-//! - [`account`] is one limit of a customer: units are leased ahead from the shared counter, granted locally
-//!   while it is unreachable, or admitted by windows where the limit is too small for leases.
-//! - [`customer`] is a customer with its accounts, and its compact form; [`customers`] holds all of them
-//!   within a bound on memory; [`customer_upkeep`] changes plans and removes idle customers.
-//! - [`counter_client`] holds what is known of the counter service; [`counter_replies`] makes calls and takes
-//!   in replies; [`counter_upkeep`] sends heartbeats and works through the [`reconciliation`] queue.
-//! - [`counter_keys`] names the numbers that all gateways share.
+//! - [`account`] is one limit of a customer: units are leased in advance from the shared counter, granted
+//!   locally while it is unreachable, or handled by windowed admission if the limit is too small for leases.
+//! - [`customer`] is a customer with its accounts, and its compact form; [`customers`] stores all of them
+//!   within a memory limit; [`customer_upkeep`] applies changes of plans and removes idle customers.
+//! - [`counter_client`] tracks the health of the counter service; [`counter_replies`] makes calls and handles
+//!   replies; [`counter_upkeep`] sends heartbeats and processes the [`reconciliation`] queue.
+//! - [`counter_keys`] defines the keys of the entries that all gateways share.
 //!
 //! State: [`customers::Customers`] and [`counter_client::CounterClient`].
 
--- a/crates/policy/src/quota/reconciliation.rs
+++ b/crates/policy/src/quota/reconciliation.rs
@@ -1,4 +1,4 @@
-//! The customers whose units have to be reconciled with the counter.
+//! Queue of the customers whose units have to be reconciled with the counter.
 
 use super::account::Account;
 use super::customer::Customer;
@@ -6,17 +6,18 @@
 use crate::timers::{Timer, TimerQueue, TIMER_STEP};
 use std::collections::VecDeque;
 
-/// Pending reconciliations: of single customers, and a scan over all after a reset of the counter.
+/// Pending reconciliations of single customers, and the progress of a scan over all customers after a counter
+/// reset.
 #[derive(Default)]
 pub(crate) struct ReconciliationQueue {
     customers: VecDeque<CustomerId>,
-    /// The slot from which on customers are yet to be checked after a reset of the counter.
+    /// Next slot of the scan over all customers after a counter reset; `None` if no scan is in progress.
     next_recheck: Option<usize>,
     is_scheduled: bool,
 }
 
 impl ReconciliationQueue {
-    /// Queues a customer if units have yet to be added to the counter, unless it is queued already.
+    /// Queues a customer if it has units to reconcile and is not queued already.
     pub fn push(
         &mut self,
         now: Time,
@@ -32,33 +33,33 @@
         }
     }
 
-    /// Removes and returns the customer that was queued first.
+    /// Removes and returns the first customer in the queue.
     pub fn pop(&mut self) -> Option<CustomerId> {
         self.customers.pop_front()
     }
 
-    /// Returns the slot at which the scan continues, if there is one.
+    /// Returns the next slot of the scan, if one is in progress.
     pub fn next_recheck(&self) -> Option<usize> {
         self.next_recheck
     }
 
-    /// Sets the slot at which the scan continues; `None` ends it.
+    /// Sets the next slot of the scan; `None` ends it.
     pub fn set_next_recheck(&mut self, slot: Option<usize>) {
         self.next_recheck = slot;
     }
 
-    /// Begins a scan over all customers, because the counter was reset.
+    /// Starts a scan over all customers, because the counter was reset.
     pub fn start_recheck(&mut self, now: Time, timers: &mut TimerQueue<Timer>) {
         self.next_recheck = Some(0);
         self.schedule(now, timers);
     }
 
-    /// Notes that the timer has expired.
+    /// Records that the timer has expired.
     pub fn on_timer(&mut self) {
         self.is_scheduled = false;
     }
 
-    /// Sets the timer for the next reconciliation, if any is pending.
+    /// Sets the timer for the next reconciliation step, if one is needed.
     pub fn schedule(&mut self, now: Time, timers: &mut TimerQueue<Timer>) {
         let is_pending = !self.customers.is_empty() || self.next_recheck.is_some();
         if is_pending && !self.is_scheduled {
--- a/crates/policy/src/tests/steps.rs
+++ b/crates/policy/src/tests/steps.rs
@@ -1,4 +1,4 @@
-//! Random deployments, and random steps of a run.
+//! Strategies for random deployments and random steps of a run.
 
 use crate::api::{
     Class, DedupScope, HostListKind, HostState, Idempotency, Outcome, Plan, Route, RouteLimit, Settings, Span,
@@ -7,7 +7,7 @@
 
 pub(super) const MILLISECOND: Span = 1_000_000;
 
-/// A step of a run. `pick` chooses one of those that are possible.
+/// A step of a run. `pick` selects one of the possible targets.
 #[derive(Clone, Debug)]
 pub enum Step {
     Request(RequestStep),
@@ -18,12 +18,12 @@
     },
     CounterReply {
         pick: usize,
-        answer: usize,
+        reply_kind: usize,
     },
     Disconnect {
         pick: usize,
     },
-    /// The client disconnects, which is reported after what happens now.
+    /// The client disconnects, but the event is reported only after the event that is being handled.
     DisconnectUnreported {
         pick: usize,
     },
@@ -32,7 +32,7 @@
         state: HostState,
         start: Start,
     },
-    /// A full endpoint list of these hosts, one bit each.
+    /// A complete endpoint list with the hosts in this bit mask.
     FullList {
         mask: u8,
         kind: HostListKind,
@@ -42,7 +42,7 @@
     },
     Shed {
         cell: usize,
-        keep: u8,
+        admitted_thirds: u8,
     },
     HealthCheck {
         id: u64,
@@ -53,25 +53,25 @@
         token: u32,
     },
     Stale {
-        what: usize,
+        kind: usize,
     },
     Elapse {
         ms: u16,
     },
-    /// The process is stopped: nothing is reported, and all that expires comes late.
+    /// The process is paused: nothing is reported, and everything that expires is handled after the pause.
     Pause {
         ms: u16,
     },
-    /// Time advances to a moment that matters, or a nanosecond to either side of it; what expires then has
-    /// not come yet.
-    AdvanceToMoment {
+    /// Time advances to the expiry of a deadline, timer or window, or to a nanosecond before or after it,
+    /// before anything that expires at that time is handled.
+    AdvanceToInstant {
         pick: usize,
-        moment: usize,
-        off: i64,
+        kind: usize,
+        offset_ns: i64,
     },
 }
 
-/// A request; its indexes are taken modulo the number of what there is.
+/// A request; its indexes are taken modulo the number of classes and plans.
 #[derive(Clone, Debug)]
 pub struct RequestStep {
     pub class: usize,
@@ -83,7 +83,7 @@
     pub route: usize,
 }
 
-/// How a host starts.
+/// How the process of a host changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Start {
     Same,
@@ -92,16 +92,16 @@
     Moved,
 }
 
-/// A deployment, and how its gateway and its counter behave.
+/// A deployment, and the behaviour of its gateway and its counter.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub settings: Settings,
     pub hosts: u64,
-    /// Cancelled attempts end at once, as at the gateway; otherwise by a later step.
+    /// Cancelled attempts end immediately, as in the real gateway; otherwise a later step ends them.
     pub cancels_at_once: bool,
-    /// Of what expires in one instant, timers come first.
+    /// Timers are handled before attempts and calls that expire at the same time.
     pub timers_first: bool,
-    /// The counter replies with the true total.
+    /// The counter always replies with the correct total.
     pub is_counter_honest: bool,
 }
 
@@ -148,15 +148,21 @@
 
 fn plan() -> impl Strategy<Value = Plan> {
     let pick = |values: &[f64]| prop::sample::select(values.to_vec());
-    let open = prop::sample::select(vec![0, 0, 1, 6]);
-    (pick(&[0.0, 2.0, 10.0, 1_000.0]), pick(&[1.0, 20.0]), open, pick(&[0.0, 0.0, 3.0]), any::<bool>())
-        .prop_map(|(rate, burst, open, ceiling_rate, earns)| Plan {
+    let max_concurrent = prop::sample::select(vec![0, 0, 1, 6]);
+    (
+        pick(&[0.0, 2.0, 10.0, 1_000.0]),
+        pick(&[1.0, 20.0]),
+        max_concurrent,
+        pick(&[0.0, 0.0, 3.0]),
+        any::<bool>(),
+    )
+        .prop_map(|(rate, burst, max_concurrent, ceiling_rate, may_exceed_quota)| Plan {
             rate,
             burst,
-            max_concurrent: open,
+            max_concurrent,
             weight_factor: 1.0,
-            over_quota_weight: if earns { 0.3 } else { 0.0 },
-            over_quota_cost: if earns { 0.0 } else { 0.6 },
+            over_quota_weight: if may_exceed_quota { 0.3 } else { 0.0 },
+            over_quota_cost: if may_exceed_quota { 0.0 } else { 0.6 },
             ceiling_rate,
             ceiling_burst: 8.0,
             ..Plan::default()
@@ -167,26 +173,26 @@
     let classes = prop::collection::vec(class(), 1..4);
     let plans = prop::collection::vec(plan(), 1..3);
     let sizes = (prop::sample::select(vec![1_u32, 3, 40]), 0..5_u32, 1..7_u64);
-    let cold = prop::sample::select(vec![0, 2_000 * MILLISECOND]);
-    let room = prop::sample::select(vec![0, 4_000, 1 << 20]);
+    let warm_up = prop::sample::select(vec![0, 2_000 * MILLISECOND]);
+    let customer_bytes = prop::sample::select(vec![0, 4_000, 1 << 20]);
     let flags = any::<[bool; 8]>();
-    (classes, plans, sizes, cold, room, flags).prop_map(|(classes, plans, sizes, cold, customer_bytes, flags)| {
-        let [may_cancel, may_duplicate, counter, must_subscribe, advises, cancels_at_once, timers_first, is_counter_honest] = flags;
+    (classes, plans, sizes, warm_up, customer_bytes, flags).prop_map(|(classes, plans, sizes, warm_up, customer_bytes, flags)| {
+        let [may_cancel, may_hedge, has_counter, must_subscribe, sends_retry_after, cancels_at_once, timers_first, is_counter_honest] = flags;
         let (gateways, max_attempts, hosts) = sizes;
         let settings = Settings {
             gateways,
             classes,
             plans,
             may_cancel,
-            may_hedge: may_duplicate,
+            may_hedge,
             max_attempts,
-            has_counter: counter,
+            has_counter,
             counter_timeout: 30 * MILLISECOND,
             must_subscribe,
             must_poll_within: 1_000 * MILLISECOND,
-            max_retry_after: advises.then_some(1_000 * MILLISECOND),
-            cold_capacity: 0.2,
-            warm_up: cold,
+            max_retry_after: sends_retry_after.then_some(1_000 * MILLISECOND),
+            initial_capacity: 0.2,
+            warm_up,
             customer_bytes,
             ..Settings::default()
         };
@@ -223,24 +229,24 @@
 }
 
 pub fn step() -> impl Strategy<Value = Step> {
-    let any_of = any::<usize>;
+    let any_index = any::<usize>;
     let remaining = prop_oneof![4 => 1..4_000_u16, 1 => 80..160_u16];
     let request = (0..3_usize, 0..2_usize, 0..4_u64, 0..9_u8, remaining, 0..60_u8, 0..8_usize);
     prop_oneof![
         10 => request.prop_map(|(class, plan, customer, units, remaining_ms, ago_ms, route)| {
             Step::Request(RequestStep { class, plan, customer, units, remaining_ms, ago_ms, route })
         }),
-        10 => (any_of(), outcome(), 0..9_u8).prop_map(|(pick, outcome, units)| Step::AttemptEnd { pick, outcome, units }),
-        10 => (any_of(), any_of()).prop_map(|(pick, answer)| Step::CounterReply { pick, answer }),
-        2 => any_of().prop_map(|pick| Step::Disconnect { pick }),
-        1 => any_of().prop_map(|pick| Step::DisconnectUnreported { pick }),
+        10 => (any_index(), outcome(), 0..9_u8).prop_map(|(pick, outcome, units)| Step::AttemptEnd { pick, outcome, units }),
+        10 => (any_index(), any_index()).prop_map(|(pick, reply_kind)| Step::CounterReply { pick, reply_kind }),
+        2 => any_index().prop_map(|pick| Step::Disconnect { pick }),
+        1 => any_index().prop_map(|pick| Step::DisconnectUnreported { pick }),
         4 => host_step(),
-        1 => any_of().prop_map(|change| Step::Plans { change }),
-        1 => (0..6_usize, 0..4_u8).prop_map(|(cell, keep)| Step::Shed { cell, keep }),
+        1 => any_index().prop_map(|change| Step::Plans { change }),
+        1 => (0..6_usize, 0..4_u8).prop_map(|(cell, admitted_thirds)| Step::Shed { cell, admitted_thirds }),
         1 => any::<u32>().prop_map(|token| Step::Timer { token }),
-        1 => any_of().prop_map(|what| Step::Stale { what }),
+        1 => any_index().prop_map(|kind| Step::Stale { kind }),
         7 => (1..300_u16).prop_map(|ms| Step::Elapse { ms }),
         1 => (1..6_000_u16).prop_map(|ms| Step::Pause { ms }),
-        4 => (any_of(), any_of(), -1..2_i64).prop_map(|(pick, moment, off)| Step::AdvanceToMoment { pick, moment, off }),
+        4 => (any_index(), any_index(), -1..2_i64).prop_map(|(pick, kind, offset_ns)| Step::AdvanceToInstant { pick, kind, offset_ns }),
     ]
 }
--- a/crates/policy/src/tests/world/audit.rs
+++ b/crates/policy/src/tests/world/audit.rs
@@ -1,24 +1,24 @@
-//! The state of the module agrees with the requests, hosts and calls that there are, after each event and at
-//! the end of a run.
+//! Checks that the module's state matches the requests, hosts and calls of the test gateway, after each event
+//! and at the end of a run.
 
 use super::*;
 use crate::attempts::request::RequestState;
 use crate::tests::steps::ROUTES;
 use std::collections::BTreeSet;
 
-impl World {
-    /// Compares the module's state with what there is.
-    pub(super) fn audit(&self) {
+impl TestGateway {
+    /// Compares the module's state with that of the test gateway.
+    pub(super) fn check_state(&self) {
         let known: BTreeSet<RequestId> = self.policy.requests.keys().copied().collect();
         assert!(known.iter().eq(self.tracked.keys()), "requests in flight: {known:?}");
-        self.audit_slots();
-        self.audit_hosts();
-        self.audit_customers();
+        self.check_slots();
+        self.check_hosts();
+        self.check_customers();
         assert!(self.policy.counter.pending_calls.len() <= self.calls.len());
-        assert!(!self.timers.is_empty(), "the module is woken up again");
+        assert!(!self.timers.is_empty(), "no wake-up is scheduled");
     }
 
-    fn audit_slots(&self) {
+    fn check_slots(&self) {
         let policy = &self.policy;
         for (class, class_slots) in policy.concurrency.classes.iter().enumerate() {
             let of_class = || policy.requests.values().filter(|request| request.class == class);
@@ -28,12 +28,12 @@
             assert_eq!(
                 (class_slots.in_use, class_slots.waiting()),
                 (slots, queued as f64),
-                "slots in use, and requests that wait for one"
+                "slots in use, and requests that wait for a slot"
             );
         }
     }
 
-    fn audit_hosts(&self) {
+    fn check_hosts(&self) {
         for (id, entry) in &self.hosts {
             let attempts = self.tracked.values().flat_map(TrackedRequest::in_flight);
             let in_flight = attempts.filter(|attempt| attempt.host == *id).count();
@@ -44,7 +44,7 @@
         }
     }
 
-    fn audit_customers(&self) {
+    fn check_customers(&self) {
         for id in 0..4 {
             let customer = CustomerId(id);
             let requests_in = |is_in_state: fn(RequestState) -> bool| -> BTreeSet<RequestId> {
@@ -56,26 +56,27 @@
                 requests.map(|(id, _)| *id).collect()
             };
             let Some(record) = self.policy.customers.get(customer) else {
-                assert!(requests_in(|_| true).is_empty(), "a customer with requests in flight is known");
+                assert!(requests_in(|_| true).is_empty(), "a customer with requests in flight is unknown");
                 continue;
             };
-            let is_open = |state| !matches!(state, RequestState::AwaitingUnits | RequestState::Closed);
-            let open = requests_in(is_open).len();
+            let is_admitted = |state| !matches!(state, RequestState::AwaitingUnits | RequestState::Closed);
+            let admitted = requests_in(is_admitted).len();
             let in_flight = requests_in(|_| true).len();
-            assert_eq!((record.in_flight as usize, record.open as usize), (in_flight, open));
+            assert_eq!((record.in_flight as usize, record.admitted as usize), (in_flight, admitted));
             let waiting: BTreeSet<RequestId> = record.waiting.iter().copied().collect();
-            assert_eq!(waiting.len(), record.waiting.len(), "each waits once");
+            assert_eq!(waiting.len(), record.waiting.len(), "a request is in the waiting list twice");
             let awaiting_units = requests_in(|state| state == RequestState::AwaitingUnits);
             assert_eq!(waiting, awaiting_units, "requests that wait for units");
         }
     }
 
-    /// Lets everything end, and checks that the module keeps no more than at the start.
+    /// Runs until all requests and calls have ended, and checks that the module has no more state than at the
+    /// start.
     pub fn finish(&mut self) {
         let end = self.now + 10_000 * MILLISECOND;
-        self.pass(end);
-        assert!(self.tracked.is_empty(), "each request has had its final answer");
-        // The counter replies, and there are no requests.
+        self.advance_to(end);
+        assert!(self.tracked.is_empty(), "requests have no final answer at the end of the run");
+        // The counter replies to all calls, and no further requests arrive.
         while self.now < end + 140_000 * MILLISECOND {
             let Some(next) = self.next_expiry() else { break };
             self.now = self.now.max(next.min(self.now + 1_000 * MILLISECOND));
@@ -87,11 +88,11 @@
         let ready = self.hosts.values().filter(|entry| entry.state == HostState::Ready).count();
         let policy = &self.policy;
         let calls = policy.counter.pending_calls.len();
-        assert_eq!((policy.requests.len(), calls, policy.concurrency.unplaced()), (0, 0, 0));
+        assert_eq!((policy.requests.len(), calls, policy.concurrency.unplaced_count()), (0, 0, 0));
         assert_eq!(
             (policy.customers.len(), policy.hosts.len()),
             (0, ready),
-            "customers and hosts are removed"
+            "customers and gone hosts are removed"
         );
         assert_eq!(policy.concurrency.in_use(), 0.0);
         let has_host = |pools| {
--- a/crates/policy/src/tests/world/ceilings.rs
+++ b/crates/policy/src/tests/world/ceilings.rs
@@ -1,11 +1,11 @@
-//! Ceilings as the operators count them.
+//! Check of hard ceilings by an independent token bucket, as the operators count them.
 
 use super::*;
 use crate::attempts::request::{InFlightRequest, RequestState};
 
-impl World {
+impl TestGateway {
     /// Charges admitted requests to the ceiling, and refunds those that ended without an attempt that reached
-    /// a host. The slack of the ceiling covers that an attempt follows a little later.
+    /// a host. The slack of the ceiling allows for the delay between admission and the attempt.
     pub(super) fn charge_admitted(&mut self, actions: &[Action]) {
         for action in actions {
             if let Action::Reject { id, .. } | Action::Fail { id, .. } = action {
@@ -13,14 +13,14 @@
             }
         }
         let is_admitted = |(_, request): &(&RequestId, &InFlightRequest)| {
-            request.holds_units
+            request.has_reserved_units
                 && !matches!(request.state, RequestState::AwaitingUnits | RequestState::Closed)
         };
         let admitted: Vec<RequestId> =
             self.policy.requests.iter().filter(is_admitted).map(|(id, _)| *id).collect();
         for id in admitted {
             let Some(request) = self.tracked.get_mut(&id) else { continue };
-            if request.needs_no_answer() || request.charged_at.is_some() {
+            if request.is_complete() || request.charged_at.is_some() {
                 continue;
             }
             request.charged_at = Some(self.now);
@@ -35,13 +35,15 @@
             return;
         }
         let Some(charged_at) = request.charged_at.take() else { return };
-        // The units that were missing meanwhile may have been refilled beyond the size of the bucket.
+        // While the units were charged, the bucket may have refilled units that would otherwise have exceeded
+        // its size.
         let overflow = (self.now - charged_at) as f64 / 1e9;
         self.ceilings.entry(request.request.customer).and_modify(|ceiling| ceiling.overflow += overflow);
         self.charge(id, -1.0);
     }
 
-    /// Takes a request's units from the ceiling this many times (-1 to refund them), and checks the ceiling.
+    /// Subtracts `times` times a request's units from the ceiling (-1 to refund them), and checks the
+    /// ceiling.
     fn charge(&mut self, id: RequestId, times: f64) {
         let Request { plan, customer, units, .. } = self.tracked[&id].request;
         let plan = &self.deployment.settings.plans[plan];
@@ -53,7 +55,7 @@
             ceiling.level = (ceiling.level + filled).min(plan.ceiling_burst) - times * units;
             ceiling.at = self.now;
             let slack = plan.ceiling_slack + plan.ceiling_rate * ceiling.overflow;
-            assert!(ceiling.level > -slack - 1e-3, "the ceiling holds: {}", ceiling.level);
+            assert!(ceiling.level > -slack - 1e-3, "the ceiling is exceeded: {}", ceiling.level);
         }
     }
 }
--- a/crates/policy/src/tests/world/clock.rs
+++ b/crates/policy/src/tests/world/clock.rs
@@ -1,11 +1,11 @@
-//! The passing of time: timers, deadlines of attempts and timeouts of calls expire in their order.
+//! Simulated time: timers, deadlines of attempts and timeouts of calls expire in order.
 
 use super::*;
 use crate::timers::TIMER_STEP;
 
-impl World {
-    /// Advances time, with everything that expires until then in its order.
-    pub(super) fn pass(&mut self, until: Time) {
+impl TestGateway {
+    /// Advances time, and handles everything that expires until then in order.
+    pub(super) fn advance_to(&mut self, until: Time) {
         while let Some(next) = self.next_expiry().filter(|next| *next <= until) {
             self.now = self.now.max(next);
             self.expire();
@@ -20,7 +20,7 @@
         self.timers.iter().copied().chain(ends).chain(calls).min()
     }
 
-    /// Expires timers, attempts and calls, and checks that no request waits beyond its deadline.
+    /// Expires timers, attempts and calls, and checks that no request is incomplete after its deadline.
     pub(super) fn expire(&mut self) {
         let now = self.now;
         for timers in [self.deployment.timers_first, !self.deployment.timers_first] {
@@ -41,40 +41,40 @@
         }
         let is_overdue = |request: &TrackedRequest| {
             let answer_by = request.deadline.max(self.resumed_at + TIMER_STEP) + ANSWER_TOLERANCE;
-            !request.needs_no_answer() && answer_by < now
+            !request.is_complete() && answer_by < now
         };
         let overdue = self.tracked.iter().find(|(_, request)| is_overdue(request));
-        assert!(overdue.is_none(), "{:?} has no final answer in time", overdue.map(|(id, _)| id));
+        assert!(overdue.is_none(), "{:?} has no final answer after its deadline", overdue.map(|(id, _)| id));
     }
 
-    /// Advances time to a moment at which two events may coincide.
-    pub(super) fn advance_to_moment(&mut self, pick: usize, moment: usize, off: i64) {
-        let moments: Vec<Time> = match moment % 6 {
+    /// Advances time to an instant at which two events may coincide.
+    pub(super) fn advance_to_instant(&mut self, pick: usize, kind: usize, offset_ns: i64) {
+        let instants: Vec<Time> = match kind % 6 {
             0 => self
                 .tracked
                 .values()
                 .flat_map(TrackedRequest::in_flight)
                 .map(|attempt| attempt.deadline)
                 .collect(),
-            1 => self.unanswered().map(|request| request.deadline).collect(),
-            2 => self.unanswered().filter_map(|request| self.window_end(request)).collect(),
+            1 => self.incomplete_requests().map(|request| request.deadline).collect(),
+            2 => self.incomplete_requests().filter_map(|request| self.window_end(request)).collect(),
             3 => self.hosts.values().map(|host| host.started_at + self.deployment.settings.warm_up).collect(),
             4 => self.timers.clone(),
             _ => self.calls.iter().map(|call| call.deadline).collect(),
         };
-        let ahead: Vec<Time> = moments.into_iter().filter(|at| *at > self.now + 1).collect();
+        let ahead: Vec<Time> = instants.into_iter().filter(|at| *at > self.now + 1).collect();
         if let Some(at) = ahead.get(pick % ahead.len().max(1)) {
-            let at = at.saturating_add_signed(off);
-            self.pass(at - 1);
+            let at = at.saturating_add_signed(offset_ns);
+            self.advance_to(at - 1);
             self.now = at;
         }
     }
 
-    fn unanswered(&self) -> impl Iterator<Item = &TrackedRequest> {
-        self.tracked.values().filter(|request| !request.needs_no_answer())
+    fn incomplete_requests(&self) -> impl Iterator<Item = &TrackedRequest> {
+        self.tracked.values().filter(|request| !request.is_complete())
     }
 
-    /// Returns until when another attempt of a request may be written.
+    /// Returns the end of the time in which another attempt of a request may be written.
     fn window_end(&self, request: &TrackedRequest) -> Option<Time> {
         let first = request.first_possibly_executed()?;
         match self.deployment.settings.classes[request.request.class].idempotency {
--- a/crates/policy/src/tests/world/counter.rs
+++ b/crates/policy/src/tests/world/counter.rs
@@ -1,8 +1,8 @@
-//! Replies of the counter, right and wrong ones.
+//! Correct and incorrect replies of the counter.
 
 use super::*;
 
-impl World {
+impl TestGateway {
     /// Reports the end of a call.
     pub(super) fn end_call(&mut self, at: usize, outcome: Outcome, total: f64) {
         let CounterCall { key, deadline, .. } = self.calls.remove(at);
@@ -11,18 +11,18 @@
         self.report(Event::CounterReplied { key, outcome, total, elapsed });
     }
 
-    /// Ends a call in one of the ways in which a counter may reply.
-    pub(super) fn reply_to_call(&mut self, at: usize, answer: usize) {
+    /// Ends a call with the outcome and the total selected by `reply_kind`.
+    pub(super) fn reply_to_call(&mut self, at: usize, reply_kind: usize) {
         let CounterCall { key, amount, .. } = self.calls[at];
         let total = self.totals.entry(key).or_default();
-        let falsehood = if self.deployment.is_counter_honest { 0 } else { answer / 10 % 8 };
-        match falsehood {
+        let corruption = if self.deployment.is_counter_honest { 0 } else { reply_kind / 10 % 8 };
+        match corruption {
             1 => *total = 0.0,
             2 => *total += 30.0,
             3 => *total *= 0.5,
             _ => {}
         }
-        let outcome = match answer % 10 {
+        let outcome = match reply_kind % 10 {
             0 => Outcome::Timeout,
             1 => Outcome::Rejected,
             2 => Outcome::ConnectFailed,
@@ -31,11 +31,11 @@
         };
         let is_added = match outcome {
             Outcome::Ok => true,
-            Outcome::Timeout => answer % 20 == 0,
+            Outcome::Timeout => reply_kind % 20 == 0,
             _ => false,
         };
         *total += if is_added { amount } else { 0.0 };
-        let reported = match falsehood {
+        let reported = match corruption {
             4 => f64::NAN,
             5 => -3.0,
             6 => 1e12,
--- a/crates/policy/src/tests/world/forwarding.rs
+++ b/crates/policy/src/tests/world/forwarding.rs
@@ -1,19 +1,22 @@
-//! Actions on attempts and final answers: each is checked against the rules before it is carried out.
+//! Actions on attempts and final answers: each is checked against the invariants before it is executed.
 
 use super::*;
 
-impl World {
-    /// Checks an attempt against the rules, and starts it.
+impl TestGateway {
+    /// Checks an attempt against the invariants, and starts it.
     pub(super) fn forward(&mut self, id: RequestId, host: HostId, deadline: Time, write_by: Time) {
-        let entry = self.hosts.get(&host).expect("a listed host");
-        assert_eq!(entry.state, HostState::Ready, "a draining host gets no attempt");
+        let entry = self.hosts.get(&host).expect("a known host");
+        assert_eq!(entry.state, HostState::Ready, "attempt at a host that is not ready");
         let location = Location::of(entry);
         let settings = &self.deployment.settings;
         let request = self.tracked.get(&id).expect("a tracked request");
-        assert!(!request.needs_no_answer(), "no attempt after the final answer");
-        assert!(settings.may_hedge || request.in_flight().count() == 0, "no hedged request");
-        assert!(request.attempts.len() < settings.max_attempts.max(1) as usize, "not too many attempts");
-        assert!(self.now < deadline && deadline <= request.deadline, "no attempt beyond the deadline");
+        assert!(!request.is_complete(), "attempt after the final answer");
+        assert!(
+            settings.may_hedge || request.in_flight().count() == 0,
+            "hedged request where hedging is disabled"
+        );
+        assert!(request.attempts.len() < settings.max_attempts.max(1) as usize, "too many attempts");
+        assert!(self.now < deadline && deadline <= request.deadline, "attempt beyond the deadline");
         assert!(self.now < write_by);
         self.check_route(request, entry);
         self.check_repetition(request, location, write_by);
@@ -42,7 +45,7 @@
         let route = request.request.route;
         assert!(
             in_pools(route.pools) || route.fallback != 0 && in_pools(route.fallback),
-            "a host of its pools"
+            "the host is not in the pools of the route"
         );
         if let Some(limit) = route.limit {
             let is_of_route = |request: &&TrackedRequest| {
@@ -50,75 +53,84 @@
             };
             let requests = self.tracked.values().filter(is_of_route);
             let in_flight: usize = requests.map(|request| request.in_flight().count()).sum();
-            assert!(in_flight < limit.max_in_flight as usize, "the limit of its route");
+            assert!(
+                in_flight < limit.max_in_flight as usize,
+                "the concurrency limit of the route is exceeded"
+            );
         }
     }
 
-    /// Checks that a request that may have been executed is repeated only where that is idempotent.
+    /// Checks that a request that may have been executed is retried only where a duplicate is harmless.
     fn check_repetition(&self, request: &TrackedRequest, location: Location, write_by: Time) {
         if let Some(first) = request.first_possibly_executed() {
             match self.deployment.settings.classes[request.request.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NotIdempotent => {
-                    panic!("a request that is not idempotent may be executed twice")
+                    panic!("a non-idempotent request may be executed twice")
                 }
                 Idempotency::WithKey(scope, window) => {
-                    assert!(write_by < first.sent_at + window, "all bytes are written within the window");
+                    assert!(
+                        write_by < first.sent_at + window,
+                        "bytes may be written after the deduplication window"
+                    );
                     let is_deduplicated = match scope {
                         DedupScope::All => true,
                         DedupScope::Zone => first.location.zone == location.zone,
                         DedupScope::Cell => first.location == location,
                     };
-                    assert!(is_deduplicated, "only where duplicates are dropped");
+                    assert!(is_deduplicated, "retry at a host that does not drop duplicates");
                 }
             }
         }
     }
 
-    /// Cancels an attempt, unless its end is about to be reported.
+    /// Cancels an attempt, unless its end is queued to be reported.
     pub(super) fn cancel(&mut self, id: RequestId, attempt: usize) {
-        assert!(self.deployment.settings.may_cancel, "attempts may be cancelled");
+        assert!(self.deployment.settings.may_cancel, "cancellation where it is not supported");
         let is_end = |event: &Event| matches!(event, Event::AttemptEnded(end) if (end.id, end.attempt as usize) == (id, attempt));
         if self.events.iter().any(is_end) {
             return;
         }
         let request = self.tracked.get_mut(&id);
         let sent = request.and_then(|request| request.attempts.get_mut(attempt)).expect("a sent attempt");
-        assert!(sent.outcome.is_none() && !sent.is_cancelled, "in flight, and not cancelled before");
+        assert!(
+            sent.outcome.is_none() && !sent.is_cancelled,
+            "cancellation of an ended or cancelled attempt"
+        );
         sent.is_cancelled = true;
         if self.deployment.cancels_at_once {
             self.end(id, attempt as u32, Outcome::Cancelled, 0);
         }
     }
 
-    /// Takes in the final answer of a request without a success.
+    /// Handles the final answer to an unsuccessful request.
     pub(super) fn answer(&mut self, id: RequestId, is_rejected: bool) {
         let request = self.tracked.get_mut(&id).expect("a tracked request");
-        assert!(!request.needs_no_answer(), "one final answer");
-        assert_eq!(request.in_flight().count(), 0, "an attempt in flight may still respond");
+        assert!(!request.is_complete(), "second final answer");
+        assert_eq!(request.in_flight().count(), 0, "final answer while an attempt is in flight");
         let idempotency = self.deployment.settings.classes[request.request.class].idempotency;
         let is_repeatable =
             matches!(idempotency, Idempotency::Idempotent | Idempotency::WithKey(DedupScope::All, _));
         let may_have_been_executed = request.first_possibly_executed().is_some();
         assert!(
             !is_rejected || is_repeatable || !may_have_been_executed,
-            "a rejection says that a retry is harmless"
+            "rejection of a request that is not safe to retry"
         );
-        assert!(is_rejected || may_have_been_executed, "a request that was not executed is rejected");
+        assert!(is_rejected || may_have_been_executed, "failure of a request that was not executed");
         request.client = Client::Answered;
     }
 
-    /// Ends an attempt, and queues the event behind those that are not reported yet.
+    /// Ends an attempt, and appends the event to those that are not reported yet.
     pub(super) fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, units: u8) {
         let Some(request) = self.tracked.get_mut(&id) else { return };
         let sent = &mut request.attempts[attempt as usize];
         sent.outcome = Some(outcome);
         let host = sent.host;
         let elapsed = self.now - sent.sent_at;
-        if outcome == Outcome::Ok && !request.needs_no_answer() {
+        if outcome == Outcome::Ok && !request.is_complete() {
             request.client = Client::Answered;
         }
-        let is_request_closed = request.needs_no_answer();
+        let is_request_closed = request.is_complete();
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
--- a/crates/policy/src/tests/world/mod.rs
+++ b/crates/policy/src/tests/world/mod.rs
@@ -1,6 +1,5 @@
-//! One decision module under random legal events, and a gateway in its smallest form that carries out the
-//! actions. After each event the rules are checked, and the state of the module is compared with what there
-//! is.
+//! A minimal gateway that reports random legal events to a decision module and executes its actions. After
+//! each event the invariants are checked, and the state of the module is compared with that of the gateway.
 
 mod audit;
 mod ceilings;
@@ -13,16 +12,16 @@
 use crate::api::*;
 use crate::balancing::host_set::Location;
 use crate::policy::Policy;
-use crate::quota::counter_keys::CounterNumber;
+use crate::quota::counter_keys::CounterEntry;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request has its final answer this long after its deadline at the latest: timers are rounded up.
+/// Maximum delay of a final answer after the deadline of the request, since timers are rounded up.
 const ANSWER_TOLERANCE: Span = 8 * MILLISECOND;
 
-/// An attempt that the module has started.
+/// An attempt started by the module.
 struct SentAttempt {
     host: HostId,
-    /// Where the host was at the time of sending.
+    /// Location of the host when the attempt was sent.
     location: Location,
     sent_at: Time,
     deadline: Time,
@@ -44,24 +43,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Client {
     Waiting,
-    /// The client has disconnected, which is not reported yet.
+    /// The client has disconnected, but this is not reported yet.
     Disconnecting,
     Disconnected,
     Answered,
 }
 
-/// A request that is not answered or has attempts in flight.
+/// A request that has no final answer or has attempts in flight.
 struct TrackedRequest {
     request: Request,
     deadline: Time,
     client: Client,
-    /// When its units were charged to its customer's ceiling.
+    /// When the request's units were charged to its customer's ceiling.
     charged_at: Option<Time>,
     attempts: Vec<SentAttempt>,
 }
 
 impl TrackedRequest {
-    fn needs_no_answer(&self) -> bool {
+    fn is_complete(&self) -> bool {
         matches!(self.client, Client::Disconnected | Client::Answered)
     }
 
@@ -81,16 +80,16 @@
     deadline: Time,
 }
 
-/// A ceiling as the operators count it.
+/// Token bucket of a hard ceiling, as the operators count it.
 struct Ceiling {
     level: f64,
-    /// Seconds for which units were held that were refunded.
+    /// Total time in seconds for which refunded units had been charged.
     overflow: f64,
     at: Time,
 }
 
-/// The module, its gateway, and everything around them.
-pub struct World {
+/// The module, a gateway that executes its actions, and the simulated hosts, clients and counter.
+pub struct TestGateway {
     deployment: Deployment,
     policy: Policy,
     now: Time,
@@ -105,13 +104,13 @@
     events: VecDeque<Event>,
     ceilings: BTreeMap<CustomerId, Ceiling>,
     has_irregular_plans: bool,
-    /// Attempts of the run, and those of them that were not the first of their request.
+    /// Number of attempts in the run, and number of those that were retries or hedged requests.
     pub attempts: u64,
     pub retries: u64,
 }
 
-impl World {
-    pub fn new(deployment: Deployment, seed: u64) -> World {
+impl TestGateway {
+    pub fn new(deployment: Deployment, seed: u64) -> TestGateway {
         let policy = Policy::new(deployment.settings.clone(), seed);
         let host = |id: u64| HostEntry {
             id: HostId(id),
@@ -122,7 +121,7 @@
             ..HostEntry::default()
         };
         let entries: Vec<HostEntry> = (1..=deployment.hosts).map(host).collect();
-        let mut world = World {
+        let mut gateway = TestGateway {
             policy,
             now: 1_000_000 * MILLISECOND,
             resumed_at: 0,
@@ -139,16 +138,16 @@
             retries: 0,
             deployment,
         };
-        world.report(Event::HostList { kind: HostListKind::Cached, entries });
-        world
+        gateway.report(Event::HostList { kind: HostListKind::Cached, entries });
+        gateway
     }
 
-    /// Reports an event and carries out the actions, one event after the other, as the gateway does.
+    /// Reports an event and executes the actions, one event at a time, as the real gateway does.
     fn report(&mut self, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             if let Event::ClientDisconnected { id } = event {
-                let request = self.tracked.get_mut(&id).filter(|request| !request.needs_no_answer());
+                let request = self.tracked.get_mut(&id).filter(|request| !request.is_complete());
                 if let Some(request) = request {
                     request.client = Client::Disconnected;
                     self.refund(id);
@@ -159,8 +158,8 @@
             self.charge_admitted(&actions);
             actions.into_iter().for_each(|action| self.carry_out(action));
         }
-        self.drop_answered();
-        self.audit();
+        self.remove_completed();
+        self.check_state();
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -171,16 +170,16 @@
             Action::Fail { id, .. } => self.answer(id, false),
             Action::AddToCounter { key, amount, .. } => {
                 assert!(self.deployment.settings.has_counter && amount.is_finite() && amount.abs() < 1e9);
-                // Heartbeats continue while the reply to the one before is late: their total is read, not
-                // added up.
+                // Heartbeats continue while the reply to the previous one is outstanding, since their total
+                // is not accumulated.
                 let is_heartbeat = matches!(
                     self.policy.counter.pending_calls.get(&key),
-                    Some(CounterNumber::Heartbeat { .. })
+                    Some(CounterEntry::Heartbeat { .. })
                 );
                 let is_first = self.calls.iter().all(|call| call.key != key);
                 assert!(
                     is_heartbeat || is_first || self.has_irregular_plans,
-                    "one call for a number is in flight at a time"
+                    "more than one call in flight for a counter entry"
                 );
                 let deadline = self.now + self.deployment.settings.counter_timeout;
                 self.calls.push(CounterCall { key, amount, deadline });
@@ -197,13 +196,13 @@
         }
     }
 
-    fn drop_answered(&mut self) {
-        self.tracked.retain(|_, request| !request.needs_no_answer() || request.in_flight().count() > 0);
+    fn remove_completed(&mut self) {
+        self.tracked.retain(|_, request| !request.is_complete() || request.in_flight().count() > 0);
     }
 
     fn waiting_request(&self, pick: usize) -> Option<RequestId> {
-        let unanswered = self.tracked.iter().filter(|(_, request)| !request.needs_no_answer());
-        let waiting: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
+        let incomplete = self.tracked.iter().filter(|(_, request)| !request.is_complete());
+        let waiting: Vec<RequestId> = incomplete.map(|(id, _)| *id).collect();
         waiting.get(pick % waiting.len().max(1)).copied()
     }
 
--- a/crates/policy/src/tests/world/run.rs
+++ b/crates/policy/src/tests/world/run.rs
@@ -1,9 +1,9 @@
-//! The steps of a run.
+//! Execution of the steps of a run.
 
 use super::*;
 use crate::tests::steps::{RequestStep, Start, Step, ROUTES};
 
-impl World {
+impl TestGateway {
     pub fn step(&mut self, step: Step) {
         match step {
             Step::Request(request) => self.request(&request),
@@ -14,8 +14,8 @@
                     self.report_last();
                 }
             }
-            Step::CounterReply { pick, answer } if !self.calls.is_empty() => {
-                self.reply_to_call(pick % self.calls.len(), answer)
+            Step::CounterReply { pick, reply_kind } if !self.calls.is_empty() => {
+                self.reply_to_call(pick % self.calls.len(), reply_kind)
             }
             Step::Disconnect { pick } => {
                 if let Some(id) = self.waiting_request(pick) {
@@ -33,23 +33,29 @@
             }
             Step::FullList { mask, kind } => self.list(mask, kind),
             Step::Plans { change } => self.plans(change),
-            Step::Shed { cell, keep } => {
+            Step::Shed { cell, admitted_thirds } => {
                 let mut fractions = vec![1.0; cell];
-                fractions.push(f64::from(keep) / 3.0);
-                self.report(Event::AdmissionFractionsChanged(if keep == 3 { Vec::new() } else { fractions }));
+                fractions.push(f64::from(admitted_thirds) / 3.0);
+                self.report(Event::AdmissionFractionsChanged(if admitted_thirds == 3 {
+                    Vec::new()
+                } else {
+                    fractions
+                }));
             }
             Step::HealthCheck { id, outcome, queue } => {
                 let report = LoadReport { queued: Some(f64::from(queue)), ..LoadReport::default() };
                 self.report(Event::HealthCheckEnded { host: HostId(id), outcome, report: Some(report) });
             }
             Step::Timer { token } => self.report(Event::TimerExpired { token }),
-            Step::Stale { what } => self.report_stale(what),
-            Step::Elapse { ms } => self.pass(self.now + u64::from(ms) * MILLISECOND),
+            Step::Stale { kind } => self.report_stale(kind),
+            Step::Elapse { ms } => self.advance_to(self.now + u64::from(ms) * MILLISECOND),
             Step::Pause { ms } => {
                 self.now += u64::from(ms) * MILLISECOND;
                 self.resumed_at = self.now;
             }
-            Step::AdvanceToMoment { pick, moment, off } => self.advance_to_moment(pick, moment, off),
+            Step::AdvanceToInstant { pick, kind, offset_ns } => {
+                self.advance_to_instant(pick, kind, offset_ns)
+            }
             Step::CounterReply { .. } => {}
         }
     }
@@ -104,7 +110,7 @@
         self.report(Event::HostList { kind, entries });
     }
 
-    /// Changes a plan: a tighter quota, a wider one, or other limits.
+    /// Changes a plan: to a lower quota, a higher one, or other limits.
     fn plans(&mut self, change: usize) {
         let plans = &mut self.deployment.settings.plans;
         let at = change % plans.len();
@@ -114,7 +120,7 @@
             1 => plan.burst = (0.5 * plan.burst).max(0.5),
             2 => plan.max_concurrent = 1,
             3 => plan.rate = 1_000.0,
-            // No configuration of the operators does this, but the module has to cope with it.
+            // Operators never configure this, but the module must handle it.
             _ => {
                 plan.rate = 0.0;
                 self.has_irregular_plans = true;
@@ -125,15 +131,15 @@
         self.report(Event::PlansChanged(plans));
     }
 
-    /// Reports an event that is repeated, too late, or about something unknown.
-    fn report_stale(&mut self, what: usize) {
-        let id = RequestId(1 + what as u64 % self.last_request.max(1));
-        let host = HostId(1 + what as u64 % 9);
+    /// Reports an event that is duplicated, stale, or refers to an unknown request, host or key.
+    fn report_stale(&mut self, kind: usize) {
+        let id = RequestId(1 + kind as u64 % self.last_request.max(1));
+        let host = HostId(1 + kind as u64 % 9);
         let is_known = self.tracked.contains_key(&id);
-        match what / 16 % 5 {
+        match kind / 16 % 5 {
             0 if !is_known => self.report(Event::ClientDisconnected { id }),
             1 => {
-                let key = CounterKey(what as u64);
+                let key = CounterKey(kind as u64);
                 self.report(Event::CounterReplied {
                     key,
                     outcome: Outcome::Ok,
@@ -141,9 +147,9 @@
                     elapsed: MILLISECOND,
                 });
             }
-            // The end of an attempt that has ended before, or that was never made.
+            // The end of an attempt that has already ended, or that was never made.
             2 | 3 => self.report_stale_attempt(id, host),
-            // The reply to a call that was answered before.
+            // The reply to a call that has already received one.
             _ => {
                 let is_in_flight = |key: &CounterKey| self.calls.iter().any(|call| call.key == *key);
                 if let Some(key) = self.totals.keys().find(|key| !is_in_flight(key)).copied() {
@@ -171,7 +177,7 @@
             host,
             outcome: Outcome::Ok,
             elapsed: MILLISECOND,
-            is_request_closed: tracked.is_none_or(TrackedRequest::needs_no_answer),
+            is_request_closed: tracked.is_none_or(TrackedRequest::is_complete),
             quota_used: None,
             actual_units: Some(3.0),
             report: None,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -38,7 +38,7 @@
         max_attempts: 4,
         has_counter: true,
         counter_timeout: 30 * MS,
-        cold_capacity: 0.2,
+        initial_capacity: 0.2,
         warm_up: 10_000 * MS,
         ..Settings::default()
     }
--- a/crates/policy/tests/common/site.rs
+++ b/crates/policy/tests/common/site.rs
@@ -224,7 +224,7 @@
             max_attempts: 4,
             has_counter: true,
             counter_timeout: TIMEOUT,
-            cold_capacity: 0.2,
+            initial_capacity: 0.2,
             warm_up: 10_000 * MS,
             ..Settings::default()
         }
--- a/crates/policy/tests/common/slow_start.rs
+++ b/crates/policy/tests/common/slow_start.rs
@@ -134,7 +134,7 @@
         may_cancel: true,
         may_hedge: true,
         max_attempts: 4,
-        cold_capacity: COLD_CAPACITY,
+        initial_capacity: COLD_CAPACITY,
         warm_up: WARM_UP,
         ..Settings::default()
     }
--- a/crates/policy/tests/crossing_events.rs
+++ b/crates/policy/tests/crossing_events.rs
@@ -69,7 +69,7 @@
 #[test]
 fn a_client_that_disconnects_while_its_request_waits_for_units_leaves_no_state() {
     let mut one = One::new(|_| {}, 30);
-    let before = one.g.policy.size();
+    let before = one.g.policy.record_count();
     // The last units are reserved for the other class: in the end one request waits for the token bucket to
     // fill.
     let waits = (1..40).find(|id| {
@@ -79,7 +79,7 @@
     });
     one.on(Event::ClientDisconnected { id: RequestId(waits.expect("one waits")) });
     one.pass(150);
-    assert_eq!(one.g.policy.size(), before, "its customer is kept for good");
+    assert_eq!(one.g.policy.record_count(), before, "its customer is kept for good");
 }
 
 #[test]
--- a/crates/policy/tests/final_answers.rs
+++ b/crates/policy/tests/final_answers.rs
@@ -171,7 +171,7 @@
             3 => s.classes.iter_mut().for_each(|c| c.latency_objective = 0),
             4 => s.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (u64::MAX, u64::MAX)),
             5 => s.has_counter = false,
-            6 => (s.warm_up, s.cold_capacity, s.max_attempts, s.gateways) = (0, 0.0, 0, 0),
+            6 => (s.warm_up, s.initial_capacity, s.max_attempts, s.gateways) = (0, 0.0, 0, 0),
             _ => (s.plans[0].max_concurrent, s.plans[0].rate, s.plans[0].ceiling_rate) = (1, 0.0, 1e9),
         }
         let classes = s.classes.len();
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -54,7 +54,7 @@
         }
     }
     once.pass(1_000 * MS);
-    let known = once.policy.size();
+    let known = once.policy.record_count();
     let once = held_by(once) - nobody;
     assert!(known >= many && many > 7 * few, "{known} of {many} are known, in full there is room for {few}");
     assert!(granted / many <= 150 && often <= 1_100, "{} bytes, and {often} in full", granted / many);
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -204,11 +204,15 @@
             }
             g.pass(100 * MS);
         }
-        most = most.max(g.policy.size());
+        most = most.max(g.policy.record_count());
     }
     assert!(most < 1_500, "4,000 customers and 800 hosts came and went: {most} records at the most");
     g.pass(120_000 * MS);
-    assert!(g.policy.size() <= 20, "only the hosts of the last list are left: {}", g.policy.size());
+    assert!(
+        g.policy.record_count() <= 20,
+        "only the hosts of the last list are left: {}",
+        g.policy.record_count()
+    );
 }
 
 #[test]
