--- a/crates/policy/src/admission/windowed.rs
+++ b/crates/policy/src/admission/windowed.rs
@@ -22,7 +22,7 @@
         has_wait_expired: bool,
     ) -> UnitsCheck {
         let is_counter_down = self.counter.is_down(now);
-        let draw = self.rng.unit();
+        let random = self.rng.unit();
         let Some(request) = self.requests.get_mut(&id) else { return UnitsCheck::Unavailable };
         let Some(customer) = self.customers.get_mut(request.customer) else {
             return UnitsCheck::Unavailable;
@@ -38,11 +38,11 @@
         } else {
             self.counter.call_probability
         };
-        if is_first_check && draw < call_probability && !is_counter_down && !is_calling {
+        if is_first_check && random < call_probability && !is_counter_down && !is_calling {
             // The amount is scaled up to represent the requests that make no call.
             let (window, amount) = account.start_demand_report(now, units / call_probability);
-            let number = CounterEntry::Demand { customer: request.customer, window };
-            self.call_counter(now, number, amount);
+            let entry = CounterEntry::Demand { customer: request.customer, window };
+            self.call_counter(now, entry, amount);
             return UnitsCheck::Wait;
         }
         if !is_first_check && is_calling && !has_wait_expired {
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -103,6 +103,6 @@
     pub initial_capacity: f64,
     /// Duration of the warm-up after a host's start.
     pub warm_up: Span,
-    /// Maximum memory for customers' state, in bytes; zero means no bound.
+    /// Maximum memory for customers' state, in bytes; zero means no limit.
     pub customer_bytes: u64,
 }
--- a/crates/policy/src/attempts/mod.rs
+++ b/crates/policy/src/attempts/mod.rs
@@ -1,6 +1,6 @@
 //! Requests in flight and their attempts: forwarding, retries, hedged requests and the final answer.
 //!
-//! - [`request`] holds a request in flight, its state and its attempts.
+//! - [`request`] defines a request in flight, its state and its attempts.
 //! - [`forwarding`] starts attempts and counts overdue ones as failed; [`retries`] decides on retries and
 //!   hedged requests, within the [`retry_budget`]; [`completion`] handles the end of attempts and closes
 //!   requests.
--- a/crates/policy/src/balancing/mod.rs
+++ b/crates/policy/src/balancing/mod.rs
@@ -1,8 +1,8 @@
-//! Load balancing: the hosts, and the choice of one for each attempt.
+//! Load balancing: the hosts, and the selection of one for each attempt.
 //!
 //! - [`host_set`] stores all hosts ([`host`]) and this gateway's subset of them; [`endpoint_list`] applies
 //!   updates from discovery.
-//! - [`selection`] chooses the host with the least expected wait, among those that the request's [`pools`]
+//! - [`selection`] chooses the host with the lowest expected wait, among those that the request's [`pools`]
 //!   and its idempotency allow.
 //! - [`outliers`] derives the latency and the failure rate of each host from responses, failures and load
 //!   reports.
--- a/crates/policy/src/balancing/outliers.rs
+++ b/crates/policy/src/balancing/outliers.rs
@@ -6,7 +6,7 @@
 use crate::policy::Policy;
 use crate::time::MILLISECOND;
 
-/// Time for which a host is avoided after a connection to it failed.
+/// Time for which a host is presumed unreachable after a failed connection.
 const UNREACHABLE_DURATION: Span = 2_000 * MILLISECOND;
 
 impl Policy {
--- a/crates/policy/src/balancing/selection.rs
+++ b/crates/policy/src/balancing/selection.rs
@@ -101,7 +101,7 @@
     pub(crate) fn select_host(&mut self, now: Time, id: RequestId) -> Option<HostId> {
         let eligible = self.eligible_hosts(now, self.requests.get(&id)?)?;
         let mut candidates = std::mem::take(&mut self.hosts.candidates);
-        let is_complete = self.draw_candidates(eligible, &mut candidates);
+        let is_complete = self.select_candidates(eligible, &mut candidates);
         let mut best = self.least_cost_host(now, id, &candidates);
         if best.is_none() && !is_complete {
             candidates.clear();
@@ -117,7 +117,7 @@
     /// Fills `candidates` with eligible hosts: all of them if there are at most
     /// [`MAX_EXHAUSTIVE_CANDIDATES`], otherwise a random sample. Requests for any host consider this
     /// gateway's subset only. Returns whether these are all eligible hosts.
-    fn draw_candidates(&mut self, eligible: Eligible, candidates: &mut Vec<HostId>) -> bool {
+    fn select_candidates(&mut self, eligible: Eligible, candidates: &mut Vec<HostId>) -> bool {
         let lists = match eligible {
             Eligible::Pools(0) => std::iter::once(self.hosts.subset()).collect(),
             _ => self.hosts.lists(eligible),
--- a/crates/policy/src/quota/account.rs
+++ b/crates/policy/src/quota/account.rs
@@ -173,9 +173,9 @@
     /// Returns whether units can be spent now while a fraction of the token bucket stays reserved.
     pub fn can_spend(&self, units: f64, reserved_fraction: f64) -> bool {
         let available = self.bucket.unspent_lease().max(0.0) + self.bucket.available();
-        let cuts_into_reserve =
+        let uses_reserve =
             reserved_fraction > 0.0 && available - units < self.reserved_units(reserved_fraction);
-        !cuts_into_reserve && self.bucket.spendable() + ROUNDING_TOLERANCE >= units
+        !uses_reserve && self.bucket.spendable() + ROUNDING_TOLERANCE >= units
     }
 
     /// Spends units on a request.
--- a/crates/policy/src/quota/counter_replies.rs
+++ b/crates/policy/src/quota/counter_replies.rs
@@ -19,11 +19,11 @@
 
 impl Policy {
     /// Calls the counter to add an amount to an entry.
-    pub(crate) fn call_counter(&mut self, now: Time, number: CounterEntry, amount: f64) {
-        let key = number.key();
-        self.counter.pending_calls.insert(key, number);
+    pub(crate) fn call_counter(&mut self, now: Time, entry: CounterEntry, amount: f64) {
+        let key = entry.key();
+        self.counter.pending_calls.insert(key, entry);
         self.counter.health.record_call(now);
-        self.actions.push(Action::AddToCounter { key, amount, time_to_live: number.time_to_live() });
+        self.actions.push(Action::AddToCounter { key, amount, time_to_live: entry.time_to_live() });
     }
 
     /// Handles the end of a call to the counter.
@@ -35,10 +35,10 @@
         total: f64,
         elapsed: Span,
     ) {
-        let Some(number) = self.counter.pending_calls.remove(&key) else { return };
+        let Some(entry) = self.counter.pending_calls.remove(&key) else { return };
         let reply = Reply { outcome, is_success: outcome == Outcome::Ok && total.is_finite(), total };
         self.counter.record_reply(now, outcome, reply.is_success, elapsed);
-        match number {
+        match entry {
             CounterEntry::Heartbeat { group, epoch } => self.on_heartbeats(now, group, epoch, &reply),
             CounterEntry::Leased { customer, account, epoch } => {
                 self.on_leased_total(now, customer, account, epoch, &reply);
--- a/crates/policy/src/tests/world/clock.rs
+++ b/crates/policy/src/tests/world/clock.rs
@@ -32,7 +32,7 @@
             }
             let is_expired = |attempt: &SentAttempt| attempt.outcome.is_none() && attempt.deadline <= now;
             for (id, attempt) in self.attempts_where(is_expired) {
-                self.end(id, attempt, Outcome::Timeout, 0);
+                self.end_attempt(id, attempt, Outcome::Timeout, 0);
                 self.report_last();
             }
             while let Some(at) = self.calls.iter().position(|call| call.deadline <= now) {
--- a/crates/policy/src/tests/world/forwarding.rs
+++ b/crates/policy/src/tests/world/forwarding.rs
@@ -35,7 +35,7 @@
         if request.client == Client::Disconnecting {
             request.client = Client::Disconnected;
             self.events.push_back(Event::ClientDisconnected { id });
-            self.end(id, attempt, Outcome::NotSent, 0);
+            self.end_attempt(id, attempt, Outcome::NotSent, 0);
         }
     }
 
@@ -99,12 +99,12 @@
         );
         sent.is_cancelled = true;
         if self.deployment.cancels_at_once {
-            self.end(id, attempt as u32, Outcome::Cancelled, 0);
+            self.end_attempt(id, attempt as u32, Outcome::Cancelled, 0);
         }
     }
 
     /// Handles the final answer to an unsuccessful request.
-    pub(super) fn answer(&mut self, id: RequestId, is_rejected: bool) {
+    pub(super) fn on_final_answer(&mut self, id: RequestId, is_rejected: bool) {
         let request = self.tracked.get_mut(&id).expect("a tracked request");
         assert!(!request.is_complete(), "second final answer");
         assert_eq!(request.in_flight().count(), 0, "final answer while an attempt is in flight");
@@ -121,7 +121,7 @@
     }
 
     /// Ends an attempt, and appends the event to those that are not reported yet.
-    pub(super) fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, units: u8) {
+    pub(super) fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome, units: u8) {
         let Some(request) = self.tracked.get_mut(&id) else { return };
         let sent = &mut request.attempts[attempt as usize];
         sent.outcome = Some(outcome);
--- a/crates/policy/src/tests/world/mod.rs
+++ b/crates/policy/src/tests/world/mod.rs
@@ -156,18 +156,18 @@
             let mut actions = Vec::new();
             self.policy.handle(self.now, event, &mut actions);
             self.charge_admitted(&actions);
-            actions.into_iter().for_each(|action| self.carry_out(action));
+            actions.into_iter().for_each(|action| self.execute(action));
         }
         self.remove_completed();
         self.check_state();
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Forward { id, host, deadline, write_by } => self.forward(id, host, deadline, write_by),
             Action::Cancel { id, attempt } => self.cancel(id, attempt as usize),
-            Action::Reject { id, .. } => self.answer(id, true),
-            Action::Fail { id, .. } => self.answer(id, false),
+            Action::Reject { id, .. } => self.on_final_answer(id, true),
+            Action::Fail { id, .. } => self.on_final_answer(id, false),
             Action::AddToCounter { key, amount, .. } => {
                 assert!(self.deployment.settings.has_counter && amount.is_finite() && amount.abs() < 1e9);
                 // Heartbeats continue while the reply to the previous one is outstanding, since their total
--- a/crates/policy/src/tests/world/run.rs
+++ b/crates/policy/src/tests/world/run.rs
@@ -6,11 +6,11 @@
 impl TestGateway {
     pub fn step(&mut self, step: Step) {
         match step {
-            Step::Request(request) => self.request(&request),
+            Step::Request(request) => self.send_request(&request),
             Step::AttemptEnd { pick, outcome, units } => {
                 let in_flight = self.attempts_where(|attempt| attempt.outcome.is_none());
                 if let Some((id, attempt)) = in_flight.get(pick % in_flight.len().max(1)).copied() {
-                    self.end(id, attempt, outcome, units);
+                    self.end_attempt(id, attempt, outcome, units);
                     self.report_last();
                 }
             }
@@ -29,10 +29,10 @@
                 }
             }
             Step::Host { id, state, start } => {
-                self.host(HostId(1 + id % self.deployment.hosts), state, start)
+                self.change_host(HostId(1 + id % self.deployment.hosts), state, start)
             }
-            Step::FullList { mask, kind } => self.list(mask, kind),
-            Step::Plans { change } => self.plans(change),
+            Step::FullList { mask, kind } => self.report_host_list(mask, kind),
+            Step::Plans { change } => self.change_plan(change),
             Step::Shed { cell, admitted_thirds } => {
                 let mut fractions = vec![1.0; cell];
                 fractions.push(f64::from(admitted_thirds) / 3.0);
@@ -60,7 +60,7 @@
         }
     }
 
-    fn request(&mut self, step: &RequestStep) {
+    fn send_request(&mut self, step: &RequestStep) {
         self.last_request += 1;
         let id = RequestId(self.last_request);
         let settings = &self.deployment.settings;
@@ -87,7 +87,7 @@
         self.report(Event::Request(request));
     }
 
-    fn host(&mut self, id: HostId, state: HostState, start: Start) {
+    fn change_host(&mut self, id: HostId, state: HostState, start: Start) {
         let now = self.now;
         let Some(entry) = self.hosts.get_mut(&id) else { return };
         entry.state = state;
@@ -100,7 +100,7 @@
         self.report(Event::HostList { kind: HostListKind::Delta, entries });
     }
 
-    fn list(&mut self, mask: u8, kind: HostListKind) {
+    fn report_host_list(&mut self, mask: u8, kind: HostListKind) {
         let mut entries = Vec::new();
         for entry in self.hosts.values_mut().filter(|_| kind != HostListKind::Failed) {
             let is_named = mask >> (entry.id.0 % 8) & 1 == 1;
@@ -111,7 +111,7 @@
     }
 
     /// Changes a plan: to a lower quota, a higher one, or other limits.
-    fn plans(&mut self, change: usize) {
+    fn change_plan(&mut self, change: usize) {
         let plans = &mut self.deployment.settings.plans;
         let at = change % plans.len();
         let plan = &mut plans[at];
