--- a/crates/policy/tests/common/counter.rs
+++ b/crates/policy/tests/common/counter.rs
@@ -1,5 +1,5 @@
-//! A counter in memory without a limit, and the ways in which it fails. It also records what was truly added
-//! to each number over all resets.
+//! A fake counter service in memory, without a limit on its entries, and the ways in which it fails. It also
+//! records the amounts that were in fact added to each entry, including those lost by a reset.
 use super::MS;
 use policy::api::*;
 use std::collections::BTreeMap;
@@ -9,24 +9,24 @@
 pub enum Fault {
     /// No connection is made; nothing is added.
     Unreachable,
-    /// Nothing is added, and no reply comes.
+    /// Nothing is added, and the call times out.
     NoReply,
-    /// Amounts are added, and no reply comes.
+    /// Amounts are added, but the call times out.
     AddedWithoutReply,
-    /// Amounts are added at once, and replies take between these times; beyond the timeout none comes.
+    /// Amounts are added at once, and the reply takes between these times; after the timeout it is lost.
     Slow(Span, Span),
     /// All calls are rejected.
     Overloaded,
-    /// Unreachable for this time, reachable for as long, and so on.
+    /// Alternately unreachable and reachable, for this time each.
     Flapping(Span),
-    /// Each gateway reaches the partition with this number. Partitions begin alike; in the end what they
-    /// added adds up.
+    /// The counter is partitioned; the vector holds the partition that each gateway reaches. All partitions
+    /// start from the same entries, and their additions are summed when the partition ends.
     Partition(Vec<usize>),
-    /// All numbers are lost at the beginning.
+    /// All entries are lost when the fault begins.
     Reset,
 }
 
-/// A fault for some time, of one gateway or of all.
+/// A fault of the counter during a time window, for one gateway or for all.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
     pub fault: Fault,
@@ -36,19 +36,19 @@
 }
 
 impl FaultWindow {
-    fn is_on(&self, now: Time, gateway: usize) -> bool {
+    fn is_active(&self, now: Time, gateway: usize) -> bool {
         (self.from..self.until).contains(&now) && self.gateway.is_none_or(|only| only == gateway)
     }
 }
 
 #[derive(Clone, Copy, Default)]
 struct Entry {
-    shared: f64, // known to all partitions
-    local: f64,  // added by this partition since
+    shared: f64, // in all partitions
+    local: f64,  // added in this partition only
     expires: Time,
 }
 
-/// How a call ends, and after which time.
+/// The reply to a call, and the time that the call takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reply {
     pub outcome: Outcome,
@@ -57,63 +57,65 @@
 }
 
 pub struct Counter {
-    delay: Span,
+    reply_time: Span,
     timeout: Span,
     faults: Vec<FaultWindow>,
-    started: Vec<bool>, // faults that have changed the numbers
+    is_applied: Vec<bool>, // for each fault, whether it has changed the entries
     partitions: Vec<BTreeMap<CounterKey, Entry>>,
     partition_of: Vec<usize>,
-    /// What was added to each number, over all resets.
+    /// Sum of all amounts added to each entry, including those lost by a reset.
     pub added: BTreeMap<CounterKey, f64>,
-    /// What was lost of each number, and when.
-    pub forgotten: BTreeMap<CounterKey, Vec<(Time, f64)>>,
-    /// Times of all calls, including those that did not reach the counter.
+    /// Amounts of each entry that a reset lost, with the time of the reset.
+    pub lost_by_reset: BTreeMap<CounterKey, Vec<(Time, f64)>>,
+    /// Times of all calls, including failed ones.
     pub calls: Vec<Time>,
 }
 
 impl Counter {
     pub fn new(gateways: usize, timeout: Span, faults: Vec<FaultWindow>) -> Counter {
         Counter {
-            delay: MS,
+            reply_time: MS,
             timeout,
-            started: vec![false; faults.len()],
+            is_applied: vec![false; faults.len()],
             faults,
             partitions: vec![BTreeMap::new(); gateways],
             partition_of: vec![0; gateways],
             added: BTreeMap::new(),
-            forgotten: BTreeMap::new(),
+            lost_by_reset: BTreeMap::new(),
             calls: Vec::new(),
         }
     }
 
-    /// Executes a call. `draw`: a random number from 0 to 1.
-    pub fn call(&mut self, now: Time, from: usize, call: (CounterKey, f64, Span), draw: f64) -> Reply {
-        self.update(now);
+    /// Executes a call of a gateway. `draw` is a random number from 0 to 1, which determines the time of a slow
+    /// reply.
+    pub fn call(&mut self, now: Time, gateway: usize, call: (CounterKey, f64, Span), draw: f64) -> Reply {
+        self.apply_due_faults(now);
         self.calls.push(now);
-        let (name, amount, time_to_live) = call;
-        let fault = self.faults.iter().find(|t| t.is_on(now, from) && affects_replies(t, now));
+        let (key, amount, time_to_live) = call;
+        let fault =
+            self.faults.iter().find(|window| window.is_active(now, gateway) && affects_replies(window, now));
         let fault = fault.map(|fault_window| fault_window.fault.clone());
         match fault {
             Some(Fault::Unreachable | Fault::Flapping(_)) => {
-                self.failed_reply(Outcome::ConnectFailed, self.delay)
+                self.failed_reply(Outcome::ConnectFailed, self.reply_time)
             }
-            Some(Fault::Overloaded) => self.failed_reply(Outcome::Rejected, self.delay),
+            Some(Fault::Overloaded) => self.failed_reply(Outcome::Rejected, self.reply_time),
             Some(Fault::NoReply) => self.failed_reply(Outcome::Timeout, self.timeout),
             Some(Fault::AddedWithoutReply) => {
-                self.add(now, from, name, amount, time_to_live);
+                self.add(now, gateway, key, amount, time_to_live);
                 self.failed_reply(Outcome::Timeout, self.timeout)
             }
-            Some(Fault::Slow(least, most)) => {
-                let total = self.add(now, from, name, amount, time_to_live);
-                let elapsed = least + (draw * (most - least) as f64) as Span;
+            Some(Fault::Slow(min_time, max_time)) => {
+                let total = self.add(now, gateway, key, amount, time_to_live);
+                let elapsed = min_time + (draw * (max_time - min_time) as f64) as Span;
                 if elapsed >= self.timeout {
                     return self.failed_reply(Outcome::Timeout, self.timeout);
                 }
                 Reply { outcome: Outcome::Ok, total, elapsed }
             }
             _ => {
-                let total = self.add(now, from, name, amount, time_to_live);
-                Reply { outcome: Outcome::Ok, total, elapsed: self.delay }
+                let total = self.add(now, gateway, key, amount, time_to_live);
+                Reply { outcome: Outcome::Ok, total, elapsed: self.reply_time }
             }
         }
     }
@@ -122,46 +124,46 @@
         Reply { outcome, total: 0.0, elapsed }
     }
 
-    fn add(&mut self, now: Time, from: usize, name: CounterKey, amount: f64, time_to_live: Span) -> f64 {
-        *self.added.entry(name).or_default() += amount;
-        let entry = self.partitions[self.partition_of[from]].entry(name).or_default();
+    fn add(&mut self, now: Time, gateway: usize, key: CounterKey, amount: f64, time_to_live: Span) -> f64 {
+        *self.added.entry(key).or_default() += amount;
+        let entry = self.partitions[self.partition_of[gateway]].entry(key).or_default();
         if entry.expires <= now {
             *entry = Entry { expires: now + time_to_live.clamp(1, 60_000 * MS), ..Entry::default() };
         }
         entry.local += amount;
-        // A total has seven digits.
+        // The total in a reply is rounded to seven digits.
         f64::from((entry.shared + entry.local) as f32)
     }
 
-    /// Starts and ends partitions and resets that are due.
-    fn update(&mut self, now: Time) {
+    /// Applies the resets and partitions that have begun, and merges partitions that have ended.
+    fn apply_due_faults(&mut self, now: Time) {
         for n in 0..self.faults.len() {
             let fault_window = self.faults[n].clone();
             match &fault_window.fault {
-                Fault::Reset if !self.started[n] && now >= fault_window.from => {
-                    self.started[n] = true;
-                    self.forget(now);
+                Fault::Reset if !self.is_applied[n] && now >= fault_window.from => {
+                    self.is_applied[n] = true;
+                    self.reset(now);
                 }
-                Fault::Partition(partitions) if !self.started[n] && now >= fault_window.from => {
-                    self.started[n] = true;
-                    self.join(now);
+                Fault::Partition(partitions) if !self.is_applied[n] && now >= fault_window.from => {
+                    self.is_applied[n] = true;
+                    self.merge_partitions(now);
                     self.split(partitions);
                 }
                 Fault::Partition(partitions)
                     if now >= fault_window.until && self.partition_of == *partitions =>
                 {
-                    self.join(now)
+                    self.merge_partitions(now)
                 }
                 _ => {}
             }
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        let shared = self.partitions[0].iter().map(|(name, entry)| (*name, entry.shared, entry.expires));
-        let local = self.partitions.iter().flatten().map(|(name, entry)| (*name, entry.local, entry.expires));
-        for (name, amount, _) in shared.chain(local).filter(|(_, _, expires)| *expires > now) {
-            self.forgotten.entry(name).or_default().push((now, amount));
+    fn reset(&mut self, now: Time) {
+        let shared = self.partitions[0].iter().map(|(key, entry)| (*key, entry.shared, entry.expires));
+        let local = self.partitions.iter().flatten().map(|(key, entry)| (*key, entry.local, entry.expires));
+        for (key, amount, _) in shared.chain(local).filter(|(_, _, expires)| *expires > now) {
+            self.lost_by_reset.entry(key).or_default().push((now, amount));
         }
         self.partitions.iter_mut().for_each(BTreeMap::clear);
     }
@@ -170,37 +172,37 @@
         for entry in self.partitions[0].values_mut() {
             (entry.shared, entry.local) = (entry.shared + entry.local, 0.0);
         }
-        let joined = self.partitions[0].clone();
-        self.partitions.iter_mut().for_each(|partition| partition.clone_from(&joined));
+        let merged = self.partitions[0].clone();
+        self.partitions.iter_mut().for_each(|partition| partition.clone_from(&merged));
         self.partition_of = partitions.to_vec();
     }
 
-    fn join(&mut self, now: Time) {
-        let (joined, others) = self.partitions.split_at_mut(1);
-        for (name, theirs) in others.iter_mut().flat_map(std::mem::take) {
-            let ours = joined[0].entry(name).or_default();
-            if theirs.expires > now {
-                ours.shared = if ours.expires > now { ours.shared } else { theirs.shared };
-                ours.local = if ours.expires > now { ours.local + theirs.local } else { theirs.local };
-                ours.expires = ours.expires.max(theirs.expires);
+    fn merge_partitions(&mut self, now: Time) {
+        let (merged, others) = self.partitions.split_at_mut(1);
+        for (key, source) in others.iter_mut().flat_map(std::mem::take) {
+            let target = merged[0].entry(key).or_default();
+            if source.expires > now {
+                target.shared = if target.expires > now { target.shared } else { source.shared };
+                target.local = if target.expires > now { target.local + source.local } else { source.local };
+                target.expires = target.expires.max(source.expires);
             }
         }
         self.partition_of.fill(0);
     }
 
-    /// Returns the total of a number on the joined counter.
-    pub fn total(&mut self, now: Time, name: CounterKey) -> f64 {
-        self.update(now);
-        let entry = self.partitions[0].get(&name).filter(|entry| entry.expires > now);
+    /// Returns the total of an entry while the counter is not partitioned.
+    pub fn total(&mut self, now: Time, key: CounterKey) -> f64 {
+        self.apply_due_faults(now);
+        let entry = self.partitions[0].get(&key).filter(|entry| entry.expires > now);
         entry.map_or(0.0, |entry| entry.shared + entry.local)
     }
 }
 
-/// Returns whether a fault affects the replies now.
+/// Returns whether a fault affects replies at this time.
 fn affects_replies(fault_window: &FaultWindow, now: Time) -> bool {
     match fault_window.fault {
         Fault::Partition(_) | Fault::Reset => false,
-        Fault::Flapping(half) => (now - fault_window.from) / half.max(1) % 2 == 0,
+        Fault::Flapping(half_period) => (now - fault_window.from) / half_period.max(1) % 2 == 0,
         _ => true,
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway under test: settings with plain defaults, and helpers that report events.
+//! A gateway under test: default settings, and helpers that report events and read the returned actions.
 #![allow(dead_code)]
 pub mod counter;
 pub mod load;
@@ -48,7 +48,8 @@
     HostEntry { id: HostId(id), size: 1.0, ..HostEntry::default() }
 }
 
-pub struct Harness {
+/// The decision module of one gateway in virtual time, with a counter that replies to its heartbeats.
+pub struct TestGateway {
     pub policy: Policy,
     pub now: Time,
     gateways: u32,
@@ -57,61 +58,62 @@
     heartbeat_totals: BTreeMap<CounterKey, f64>,
 }
 
-/// Gateways that share a number for their heartbeats.
+/// Number of gateways whose heartbeats are added to one entry of the counter.
 const HEARTBEAT_GROUP: u32 = 4;
 
-/// Values of the counter of one member in that number.
+/// Number of values of one member's heartbeat count in that entry: the base of its digits.
 const HEARTBEAT_BASE: f64 = 56.0;
 
-impl Harness {
+impl TestGateway {
     pub fn new(settings: Settings, hosts: u64) -> Self {
-        let mut gateway = Harness::just_started(settings, hosts);
-        gateway.pass(4_000 * MS);
+        let mut gateway = TestGateway::just_started(settings, hosts);
+        gateway.advance(4_000 * MS);
         gateway
     }
-    /// Returns a gateway that has just started and has no heartbeats of the others yet.
+    /// Returns a gateway that has just started and has not received heartbeats of the others yet.
     pub fn just_started(settings: Settings, hosts: u64) -> Self {
         let gateways = settings.gateways;
         let policy = Policy::new(settings, 1);
         let (now, heartbeat_totals) = (1_000_000 * MS, BTreeMap::new());
-        let mut gateway = Harness { policy, now, gateways, others_send_heartbeats: true, heartbeat_totals };
-        gateway.list(HostListKind::Cached, (1..=hosts).map(entry).collect());
+        let mut gateway =
+            TestGateway { policy, now, gateways, others_send_heartbeats: true, heartbeat_totals };
+        gateway.report_host_list(HostListKind::Cached, (1..=hosts).map(entry).collect());
         gateway
     }
-    pub fn on(&mut self, event: Event) -> Vec<Action> {
+    pub fn report(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         self.reply_to_heartbeats(&mut actions);
         actions
     }
-    /// Replies to calls for heartbeats, to which the other gateways add as well.
+    /// Replies to calls that add heartbeats, as if the other gateways had added theirs.
     fn reply_to_heartbeats(&mut self, actions: &mut Vec<Action>) {
         let groups = self.gateways.div_ceil(HEARTBEAT_GROUP);
-        let names: Vec<CounterKey> =
+        let heartbeat_keys: Vec<CounterKey> =
             (0..groups).map(|group| counter_keys::heartbeat(group, self.now)).collect();
-        let group = |name: CounterKey| names.iter().position(|key| *key == name);
+        let group_of = |key: CounterKey| heartbeat_keys.iter().position(|candidate| *candidate == key);
         let heartbeats: Vec<(CounterKey, f64)> =
-            calls_in(actions).into_iter().filter(|(name, _)| group(*name).is_some()).collect();
-        actions.retain(
-            |action| !matches!(action, Action::AddToCounter { key: name, .. } if group(*name).is_some()),
-        );
-        for (name, amount) in heartbeats {
-            let others = if self.others_send_heartbeats { 1..HEARTBEAT_GROUP } else { 0..0 };
-            let theirs: f64 = others.map(|member| HEARTBEAT_BASE.powi(member as i32)).sum();
-            let first = if group(name) == Some(0) || !self.others_send_heartbeats { 0.0 } else { 1.0 };
-            let total = self.heartbeat_totals.entry(name).or_default();
-            *total += amount + theirs + first;
+            counter_calls_in(actions).into_iter().filter(|(key, _)| group_of(*key).is_some()).collect();
+        actions
+            .retain(|action| !matches!(action, Action::AddToCounter { key, .. } if group_of(*key).is_some()));
+        for (key, amount) in heartbeats {
+            let other_members = if self.others_send_heartbeats { 1..HEARTBEAT_GROUP } else { 0..0 };
+            let added_by_others: f64 = other_members.map(|member| HEARTBEAT_BASE.powi(member as i32)).sum();
+            let added_by_first_member =
+                if group_of(key) == Some(0) || !self.others_send_heartbeats { 0.0 } else { 1.0 };
+            let total = self.heartbeat_totals.entry(key).or_default();
+            *total += amount + added_by_others + added_by_first_member;
             let total = *total;
-            actions.extend(self.counter_replied(name, Outcome::Ok, total));
+            actions.extend(self.reply_to_call(key, Outcome::Ok, total));
         }
     }
-    pub fn list(&mut self, kind: HostListKind, entries: Vec<HostEntry>) -> Vec<Action> {
-        self.on(Event::HostList { kind, entries })
+    pub fn report_host_list(&mut self, kind: HostListKind, entries: Vec<HostEntry>) -> Vec<Action> {
+        self.report(Event::HostList { kind, entries })
     }
     pub fn request(&mut self, id: u64, class: usize, customer: u64, units: f64) -> Vec<Action> {
         let (id, customer) = (RequestId(id), CustomerId(customer));
         let remaining = 4_000 * MS;
-        self.on(Event::Request(Request {
+        self.report(Event::Request(Request {
             id,
             class,
             customer,
@@ -121,10 +123,10 @@
             ..Request::default()
         }))
     }
-    pub fn ended(&mut self, id: u64, attempt: u32, host: HostId, outcome: Outcome) -> Vec<Action> {
-        self.ended_after(50 * MS, id, attempt, host, outcome)
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, host: HostId, outcome: Outcome) -> Vec<Action> {
+        self.end_attempt_after(50 * MS, id, attempt, host, outcome)
     }
-    pub fn ended_after(
+    pub fn end_attempt_after(
         &mut self,
         elapsed: Span,
         id: u64,
@@ -132,50 +134,50 @@
         host: HostId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
+        let is_request_closed = outcome == Outcome::Ok;
         let end = AttemptEnded {
             id: RequestId(id),
             attempt,
             host,
             outcome,
             elapsed,
-            is_request_closed: closed,
+            is_request_closed,
             quota_used: None,
             actual_units: None,
             report: None,
         };
-        self.on(Event::AttemptEnded(end))
+        self.report(Event::AttemptEnded(end))
     }
-    pub fn counter_replied(&mut self, name: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
-        self.on(Event::CounterReplied { key: name, outcome, total, elapsed: 2 * MS })
+    pub fn reply_to_call(&mut self, key: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
+        self.report(Event::CounterReplied { key, outcome, total, elapsed: 2 * MS })
     }
-    /// Advances time, with a timer in each step.
-    pub fn pass(&mut self, span: Span) -> Vec<Action> {
+    /// Advances time in equal steps, and reports an expired timer after each.
+    pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while self.now + 20 * MS <= end {
             self.now += 20 * MS;
-            all.extend(self.on(Event::TimerExpired { token: 0 }));
+            all.extend(self.report(Event::TimerExpired { token: 0 }));
         }
         self.now = end;
         all
     }
 }
 
-pub fn calls_in(actions: &[Action]) -> Vec<(CounterKey, f64)> {
-    let call = |a: &Action| match a {
-        Action::AddToCounter { key: name, amount, .. } => Some((*name, *amount)),
+pub fn counter_calls_in(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+    let as_call = |a: &Action| match a {
+        Action::AddToCounter { key, amount, .. } => Some((*key, *amount)),
         _ => None,
     };
-    actions.iter().filter_map(call).collect()
+    actions.iter().filter_map(as_call).collect()
 }
 
 pub fn attempts_in(actions: &[Action]) -> Vec<(RequestId, HostId)> {
-    let send = |a: &Action| match a {
+    let as_attempt = |a: &Action| match a {
         Action::Forward { id, host, .. } => Some((*id, *host)),
         _ => None,
     };
-    actions.iter().filter_map(send).collect()
+    actions.iter().filter_map(as_attempt).collect()
 }
 
 pub fn is_rejected(actions: &[Action], id: u64) -> bool {
@@ -186,27 +188,28 @@
     actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if i.0 == id))
 }
 
-/// Random numbers for the tests: SplitMix64, stated here so that no release changes it.
-pub struct Dice(pub u64);
+/// A pseudorandom number generator, SplitMix64. It is implemented here so that no release of a crate changes
+/// the numbers.
+pub struct Prng(pub u64);
 
-impl Dice {
-    pub fn bits(&mut self) -> u64 {
+impl Prng {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let x = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         x ^ (x >> 31)
     }
-    /// Returns a number evenly distributed from 0 up to but not including 1.
-    pub fn unit(&mut self) -> f64 {
-        (self.bits() >> 11) as f64 / (1_u64 << 53) as f64
+    /// Returns a uniformly distributed number from 0 up to but not including 1.
+    pub fn uniform(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
     pub fn below(&mut self, count: u64) -> u64 {
-        self.bits() % count
+        self.next_u64() % count
     }
     pub fn chance(&mut self, probability: f64) -> bool {
-        self.unit() < probability
+        self.uniform() < probability
     }
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -libm::log(1.0 - self.unit()) * mean
+        -libm::log(1.0 - self.uniform()) * mean
     }
 }
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -1,5 +1,5 @@
-//! A single gateway in virtual time, with hosts whose cores execute one attempt each, which may be slow or
-//! lose responses.
+//! A single gateway in virtual time. Each core of a host executes one attempt at a time; hosts may be slow and
+//! may lose responses.
 use super::*;
 use policy::policy::Policy;
 use std::cmp::Reverse;
@@ -9,13 +9,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HostSpec {
     pub cores: usize,
-    /// Work of an attempt as a multiple of the usual work.
-    pub work_factor: f64,
-    /// Fraction of the attempts that get no response.
+    /// Execution time of an attempt as a multiple of the usual one.
+    pub time_factor: f64,
+    /// Fraction of attempts whose response is lost.
     pub loss_fraction: f64,
 }
 
-pub const USUAL_HOST: HostSpec = HostSpec { cores: 1, work_factor: 1.0, loss_fraction: 0.0 };
+pub const NORMAL_HOST: HostSpec = HostSpec { cores: 1, time_factor: 1.0, loss_fraction: 0.0 };
 
 /// An attempt in flight.
 struct InFlight {
@@ -28,41 +28,41 @@
     policy: Policy,
     pub now: Time,
     hosts: BTreeMap<HostId, HostSpec>,
-    /// When each core of a host is free next.
+    /// When each core of a host is next idle.
     cores: BTreeMap<HostId, Vec<Time>>,
-    /// Draws the work of an attempt.
-    work: fn(&mut Dice) -> Span,
+    /// Draws the execution time of an attempt.
+    execution_time: fn(&mut Prng) -> Span,
     in_flight: BTreeMap<(u64, u32), InFlight>,
     ends: BinaryHeap<Reverse<(Time, u64, u32, bool)>>,
     closed: std::collections::BTreeSet<u64>,
     attempts: BTreeMap<u64, u32>,
-    dice: Dice,
-    next: u64,
+    prng: Prng,
+    last_id: u64,
     pub sent: BTreeMap<HostId, u64>,
     pub served: u64,
     pub requests: u64,
-    /// Time after which an attempt without a response got another beside it.
+    /// For each attempt whose response was lost, the time after which another attempt was made beside it.
     pub detection_times: Vec<Span>,
     pub lost: u64,
-    /// Attempts made beside one that would have got a response.
+    /// Number of attempts made beside one whose response was not lost.
     pub false_alarms: u64,
 }
 
 impl World {
-    pub fn new(settings: Settings, hosts: &[HostSpec], work: fn(&mut Dice) -> Span) -> World {
+    pub fn new(settings: Settings, hosts: &[HostSpec], execution_time: fn(&mut Prng) -> Span) -> World {
         let all = || (1..).map(HostId).zip(hosts);
         let mut world = World {
             policy: Policy::new(settings, 1),
             now: 1_000_000 * MS,
             hosts: all().map(|(id, spec)| (id, *spec)).collect(),
             cores: all().map(|(id, spec)| (id, vec![0; spec.cores])).collect(),
-            work,
+            execution_time,
             in_flight: BTreeMap::new(),
             ends: BinaryHeap::new(),
             closed: Default::default(),
             attempts: BTreeMap::new(),
-            dice: Dice(1),
-            next: 0,
+            prng: Prng(1),
+            last_id: 0,
             sent: BTreeMap::new(),
             served: 0,
             requests: 0,
@@ -86,17 +86,17 @@
         self.policy.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Forward { id, host, deadline: until, .. } => self.forward(id.0, host, until),
+                Action::Forward { id, host, deadline, .. } => self.forward(id.0, host, deadline),
                 Action::Cancel { id, attempt } => self.ends.push(Reverse((self.now, id.0, attempt, false))),
                 _ => {}
             }
         }
     }
 
-    fn forward(&mut self, id: u64, host: HostId, until: Time) {
-        let number = self.attempts.entry(id).or_default();
-        let attempt = *number;
-        *number += 1;
+    fn forward(&mut self, id: u64, host: HostId, deadline: Time) {
+        let attempts_made = self.attempts.entry(id).or_default();
+        let attempt = *attempts_made;
+        *attempts_made += 1;
         for (_, in_flight) in self.in_flight.range((id, 0)..(id, attempt)) {
             if in_flight.lost {
                 self.detection_times.push(self.now - in_flight.sent);
@@ -106,25 +106,27 @@
         }
         *self.sent.entry(host).or_default() += 1;
         let spec = self.hosts[&host];
-        let lost = self.dice.unit() < spec.loss_fraction;
+        let lost = self.prng.uniform() < spec.loss_fraction;
         self.lost += u64::from(lost);
-        let work = ((self.work)(&mut self.dice) as f64 * spec.work_factor) as Span;
-        let free = self.cores.get_mut(&host).and_then(|cores| cores.iter_mut().min()).expect("a known host");
-        *free = (*free).max(self.now) + work;
-        let (end, answered) = if lost || *free > until { (until, false) } else { (*free, true) };
+        let execution_time = ((self.execution_time)(&mut self.prng) as f64 * spec.time_factor) as Span;
+        let idle_from =
+            self.cores.get_mut(&host).and_then(|cores| cores.iter_mut().min()).expect("a known host");
+        *idle_from = (*idle_from).max(self.now) + execution_time;
+        let (end, has_response) =
+            if lost || *idle_from > deadline { (deadline, false) } else { (*idle_from, true) };
         self.in_flight.insert((id, attempt), InFlight { host, sent: self.now, lost });
-        self.ends.push(Reverse((end, id, attempt, answered)));
+        self.ends.push(Reverse((end, id, attempt, has_response)));
     }
 
-    fn end(&mut self, id: u64, attempt: u32, answered: bool, at: Time) {
+    fn end(&mut self, id: u64, attempt: u32, has_response: bool, at: Time) {
         let Some(in_flight) = self.in_flight.remove(&(id, attempt)) else { return };
-        let closed = self.closed.contains(&id);
-        let outcome = match (answered, closed) {
+        let is_closed = self.closed.contains(&id);
+        let outcome = match (has_response, is_closed) {
             (true, _) => Outcome::Ok,
             (false, true) => Outcome::Cancelled,
             (false, false) => Outcome::Timeout,
         };
-        if answered && self.closed.insert(id) {
+        if has_response && self.closed.insert(id) {
             self.served += 1;
         }
         let end = AttemptEnded {
@@ -133,7 +135,7 @@
             host: in_flight.host,
             outcome,
             elapsed: at.saturating_sub(in_flight.sent),
-            is_request_closed: answered || closed,
+            is_request_closed: has_response || is_closed,
             quota_used: None,
             actual_units: None,
             report: None,
@@ -141,20 +143,20 @@
         self.report(Event::AttemptEnded(end));
     }
 
-    /// Runs for some seconds with this rate of requests, of the first class and without quotas.
+    /// Runs for this number of seconds, with this number of requests per second of the first class.
     pub fn run(&mut self, seconds: u64, rate: u64, remaining: Span) {
         for n in 0..seconds * 1_000 {
             self.now += MS;
             while self.ends.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
-                let Some(Reverse((at, id, attempt, answered))) = self.ends.pop() else { break };
-                self.end(id, attempt, answered, at);
+                let Some(Reverse((at, id, attempt, has_response))) = self.ends.pop() else { break };
+                self.end(id, attempt, has_response, at);
             }
             if n % 20 == 0 {
                 self.report(Event::TimerExpired { token: 0 });
             }
             if n * rate / 1_000 != (n + 1) * rate / 1_000 {
-                (self.next, self.requests) = (self.next + 1, self.requests + 1);
-                let (id, customer) = (RequestId(self.next), CustomerId(self.next));
+                (self.last_id, self.requests) = (self.last_id + 1, self.requests + 1);
+                let (id, customer) = (RequestId(self.last_id), CustomerId(self.last_id));
                 let request =
                     Request { id, customer, remaining, units: 1.0, set_size: 1, ..Request::default() };
                 self.report(Event::Request(request));
@@ -163,7 +165,7 @@
     }
 }
 
-/// Returns the settings of a single gateway without counter and quotas.
+/// Returns the settings of a single gateway without a counter and without quotas.
 pub fn single_gateway() -> Settings {
     let mut settings = settings();
     (settings.gateways, settings.has_counter) = (1, false);
--- a/crates/policy/tests/crossing_events.rs
+++ b/crates/policy/tests/crossing_events.rs
@@ -1,66 +1,73 @@
-//! Events that cross: in either order the decisions and the remaining state are the same.
+//! Concurrent events, which may be reported in either order: the decisions and the remaining state are the same.
 mod common;
 use common::*;
 use policy::api::*;
 use std::collections::BTreeMap;
 
-/// A single gateway, which alone adds to the counter.
-struct One {
-    g: Harness,
+/// A single gateway with a counter that no other gateway uses.
+struct SingleGateway {
+    inner: TestGateway,
     totals: BTreeMap<CounterKey, f64>,
 }
 
-impl One {
-    fn new(change: impl FnOnce(&mut Settings), hosts: u64) -> One {
+impl SingleGateway {
+    fn new(change: impl FnOnce(&mut Settings), hosts: u64) -> SingleGateway {
         let mut settings = Settings { gateways: 1, ..settings() };
         change(&mut settings);
-        One { g: Harness::new(settings, hosts), totals: BTreeMap::new() }
+        SingleGateway { inner: TestGateway::new(settings, hosts), totals: BTreeMap::new() }
     }
 
-    /// Includes the replies of the counter, and what follows from them.
-    fn on(&mut self, event: Event) -> Vec<Action> {
-        let mut all = self.g.on(event);
-        let mut next = 0;
-        while let Some((name, amount)) = calls_in(&all).get(next).copied() {
-            next += 1;
-            let total = self.totals.entry(name).or_default();
+    /// Reports an event, and then the counter's reply to each call. Returns all resulting actions.
+    fn report(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = self.inner.report(event);
+        let mut replied = 0;
+        while let Some((key, amount)) = counter_calls_in(&actions).get(replied).copied() {
+            replied += 1;
+            let total = self.totals.entry(key).or_default();
             *total += amount;
             let total = *total;
-            all.extend(self.g.counter_replied(name, Outcome::Ok, total));
+            actions.extend(self.inner.reply_to_call(key, Outcome::Ok, total));
         }
-        all
+        actions
     }
 
-    fn ask(&mut self, id: u64, customer: u64, units: f64) -> Vec<Action> {
+    fn send_request(&mut self, id: u64, customer: u64, units: f64) -> Vec<Action> {
         let (id, customer, remaining) = (RequestId(id), CustomerId(customer), 4_000 * MS);
-        self.on(Event::Request(Request { id, customer, remaining, units, set_size: 1, ..Request::default() }))
+        self.report(Event::Request(Request {
+            id,
+            customer,
+            remaining,
+            units,
+            set_size: 1,
+            ..Request::default()
+        }))
     }
 
-    fn pass(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..50 * seconds {
-            self.g.now += 20 * MS;
-            self.on(Event::TimerExpired { token: 0 });
+            self.inner.now += 20 * MS;
+            self.report(Event::TimerExpired { token: 0 });
         }
     }
 
-    fn end(
+    fn end_attempt(
         &mut self,
         (id, host): (RequestId, HostId),
         attempt: u32,
         outcome: Outcome,
         units: f64,
     ) -> Vec<Action> {
-        let (elapsed, closed, true_units) = (50 * MS, outcome == Outcome::Ok, Some(units));
-        let (used, report) = (None, None);
-        self.on(Event::AttemptEnded(AttemptEnded {
+        let (elapsed, is_request_closed, actual_units) = (50 * MS, outcome == Outcome::Ok, Some(units));
+        let (quota_used, report) = (None, None);
+        self.report(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
             host,
             outcome,
             elapsed,
-            is_request_closed: closed,
-            quota_used: used,
-            actual_units: true_units,
+            is_request_closed,
+            quota_used,
+            actual_units,
             report,
         }))
     }
@@ -68,41 +75,45 @@
 
 #[test]
 fn a_client_that_disconnects_while_its_request_waits_for_units_leaves_no_state() {
-    let mut one = One::new(|_| {}, 30);
-    let before = one.g.policy.record_count();
-    // The last units are reserved for the other class: in the end one request waits for the token bucket to
-    // fill.
-    let waits = (1..40).find(|id| {
-        let actions = one.ask(*id, 7, 2.0);
-        attempts_in(&actions).into_iter().for_each(|attempt| drop(one.end(attempt, 0, Outcome::Ok, 2.0)));
-        attempts_in(&actions).is_empty() && !is_rejected(&actions, *id) && calls_in(&actions).is_empty()
+    let mut gateway = SingleGateway::new(|_| {}, 30);
+    let before = gateway.inner.policy.record_count();
+    // The last units are reserved for the other class, so eventually a request waits until the token bucket has
+    // refilled.
+    let waiting_id = (1..40).find(|id| {
+        let actions = gateway.send_request(*id, 7, 2.0);
+        attempts_in(&actions)
+            .into_iter()
+            .for_each(|attempt| drop(gateway.end_attempt(attempt, 0, Outcome::Ok, 2.0)));
+        attempts_in(&actions).is_empty()
+            && !is_rejected(&actions, *id)
+            && counter_calls_in(&actions).is_empty()
     });
-    one.on(Event::ClientDisconnected { id: RequestId(waits.expect("one waits")) });
-    one.pass(150);
-    assert_eq!(one.g.policy.record_count(), before, "its customer is kept for good");
+    gateway.report(Event::ClientDisconnected { id: RequestId(waiting_id.expect("a waiting request")) });
+    gateway.advance(150);
+    assert_eq!(gateway.inner.policy.record_count(), before, "the state of its customer is never removed");
 }
 
 #[test]
 fn actual_units_are_settled_once_even_if_two_attempts_respond() {
-    // Returns the units that a customer can still get after a request that was estimated at one unit and cost
-    // six.
-    let left_after = |second: Outcome| {
-        let mut one = One::new(|s| (s.may_hedge, s.may_cancel) = (true, false), 4);
+    // Returns the number of units that a customer can still get after a request that was estimated to cost one
+    // unit and cost six.
+    let available_after = |second: Outcome| {
+        let mut gateway = SingleGateway::new(|s| (s.may_hedge, s.may_cancel) = (true, false), 4);
         for id in 100..120 {
-            let attempt = attempts_in(&one.ask(id, id, 1.0))[0];
-            one.end(attempt, 0, Outcome::Ok, 1.0);
+            let attempt = attempts_in(&gateway.send_request(id, id, 1.0))[0];
+            gateway.end_attempt(attempt, 0, Outcome::Ok, 1.0);
         }
-        let first = attempts_in(&one.ask(1, 7, 1.0))[0];
-        let hangs = (0..50).find_map(|_| {
-            one.g.now += 20 * MS;
-            attempts_in(&one.on(Event::TimerExpired { token: 0 })).pop()
+        let first = attempts_in(&gateway.send_request(1, 7, 1.0))[0];
+        let hedge = (0..50).find_map(|_| {
+            gateway.inner.now += 20 * MS;
+            attempts_in(&gateway.report(Event::TimerExpired { token: 0 })).pop()
         });
-        let beside = hangs.expect("another attempt beside the first");
-        one.end(first, 0, Outcome::Ok, 6.0);
-        one.end(beside, 1, second, 6.0);
-        (2..60).filter(|id| !attempts_in(&one.ask(*id, 7, 1.0)).is_empty()).count()
+        let hedged_attempt = hedge.expect("another attempt beside the first");
+        gateway.end_attempt(first, 0, Outcome::Ok, 6.0);
+        gateway.end_attempt(hedged_attempt, 1, second, 6.0);
+        (2..60).filter(|id| !attempts_in(&gateway.send_request(*id, 7, 1.0)).is_empty()).count()
     };
-    assert_eq!(left_after(Outcome::Ok), left_after(Outcome::Cancelled));
+    assert_eq!(available_after(Outcome::Ok), available_after(Outcome::Cancelled));
 }
 
 #[test]
@@ -114,66 +125,68 @@
                 s.classes[0].idempotency = Idempotency::WithKey(scope, 3_000 * MS);
                 s.plans[0].rate = 0.0;
             };
-            let mut one = One::new(keyed, 0);
+            let mut gateway = SingleGateway::new(keyed, 0);
             let at = |id, (zone, cell)| HostEntry { zone, cell, ..entry(id) };
             let entries = vec![at(1, (0, 1)), at(2, (0, 1)), at(3, elsewhere), at(4, elsewhere)];
-            one.on(Event::HostList { kind: HostListKind::Full, entries });
-            // The first two are in one place, and so are the others.
-            let first =
-                (1..).find_map(|id| attempts_in(&one.ask(id, 7, 1.0)).pop().filter(|(_, host)| host.0 < 3));
-            let first = first.expect("one is forwarded there");
-            let entries = vec![HostEntry { started_at: one.g.now, ..at(first.1 .0, elsewhere) }];
+            gateway.report(Event::HostList { kind: HostListKind::Full, entries });
+            // Hosts 1 and 2 share their idempotency keys, and so do hosts 3 and 4.
+            let first = (1..).find_map(|id| {
+                attempts_in(&gateway.send_request(id, 7, 1.0)).pop().filter(|(_, host)| host.0 < 3)
+            });
+            let first = first.expect("a request forwarded to host 1 or 2");
+            let entries = vec![HostEntry { started_at: gateway.inner.now, ..at(first.1 .0, elsewhere) }];
             let moved = Event::HostList { kind: HostListKind::Delta, entries };
-            let again = if ends_first {
-                let again = one.end(first, 0, Outcome::Error, 1.0);
-                one.on(moved);
-                again
+            let retry = if ends_first {
+                let retry = gateway.end_attempt(first, 0, Outcome::Error, 1.0);
+                gateway.report(moved);
+                retry
             } else {
-                one.on(moved);
-                one.end(first, 0, Outcome::Error, 1.0)
+                gateway.report(moved);
+                gateway.end_attempt(first, 0, Outcome::Error, 1.0)
             };
-            let to: Vec<u64> = attempts_in(&again).iter().map(|(_, host)| host.0).collect();
-            assert_eq!(to, [3 - first.1 .0], "{scope:?}, its end reported first: {ends_first}");
+            let to: Vec<u64> = attempts_in(&retry).iter().map(|(_, host)| host.0).collect();
+            assert_eq!(to, [3 - first.1 .0], "{scope:?}, end of the attempt reported first: {ends_first}");
         }
     }
 }
 
-/// Returns the units that a ceiling of 3 a second and 8 at once admits in one moment, after a lease of 4 that
-/// was not used.
+/// A ceiling of 3 units per second with a burst of 8 admits at most 8 units at once, although an earlier lease of 4
+/// units was not used.
 #[test]
 fn units_leased_long_ago_do_not_add_to_a_full_token_bucket() {
     let ceiling = |s: &mut Settings| {
         s.classes.truncate(1);
         s.plans = vec![Plan { ceiling_rate: 3.0, ceiling_burst: 8.0, ..Plan::default() }];
     };
-    let mut one = One::new(ceiling, 30);
-    let (name, amount) = calls_in(&one.g.request(1, 0, 7, 4.0))[0];
-    one.on(Event::ClientDisconnected { id: RequestId(1) });
-    one.totals.insert(name, amount);
-    one.g.counter_replied(name, Outcome::Ok, amount);
-    one.pass(10);
+    let mut gateway = SingleGateway::new(ceiling, 30);
+    let (key, amount) = counter_calls_in(&gateway.inner.request(1, 0, 7, 4.0))[0];
+    gateway.report(Event::ClientDisconnected { id: RequestId(1) });
+    gateway.totals.insert(key, amount);
+    gateway.inner.reply_to_call(key, Outcome::Ok, amount);
+    gateway.advance(10);
     let units: f64 = (2..40)
         .map(|id| (id, if id % 2 == 0 { 4.0 } else { 1.0 }))
-        .filter(|(id, units)| !attempts_in(&one.ask(*id, 7, *units)).is_empty())
+        .filter(|(id, units)| !attempts_in(&gateway.send_request(*id, 7, *units)).is_empty())
         .map(|(_, units)| units)
         .sum();
     assert!(units <= 8.0, "{units}");
 }
 
 #[test]
-fn a_customer_removed_to_free_memory_does_not_get_its_ceiling_twice() {
+fn a_customer_removed_to_free_memory_does_not_get_a_second_ceiling_burst() {
     let ceiling = |s: &mut Settings| {
         s.has_counter = false;
         s.customer_bytes = 4_000;
         s.plans = vec![Plan { ceiling_rate: 3.0, ceiling_burst: 8.0, ..Plan::default() }];
     };
-    let mut one = One::new(ceiling, 30);
+    let mut gateway = SingleGateway::new(ceiling, 30);
     let mut units = 0.0;
-    // Far more customers than fit into memory come in between.
+    // In between, requests arrive from far more customers than fit into memory.
     for id in 1..200 {
-        for (request, host) in attempts_in(&one.ask(id, if id % 10 == 1 { 7 } else { id }, 2.0)) {
+        for (request, host) in attempts_in(&gateway.send_request(id, if id % 10 == 1 { 7 } else { id }, 2.0))
+        {
             units += if id % 10 == 1 { 2.0 } else { 0.0 };
-            one.end((request, host), 0, Outcome::Ok, 2.0);
+            gateway.end_attempt((request, host), 0, Outcome::Ok, 2.0);
         }
     }
     assert!(units > 0.0 && units <= 8.0, "{units}");
@@ -181,81 +194,90 @@
 
 /// The state of a request when its client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stands {
+enum RequestState {
     /// The request waits for the counter.
-    Units,
+    WaitsForUnits,
     /// The request waits for a slot.
     Queued,
-    /// Its attempt is in flight, and ends like this after the disconnection is reported.
-    Out(Outcome),
+    /// Its attempt is in flight, and ends with this outcome after the disconnection is reported.
+    InFlight(Outcome),
 }
 
-/// Returns the attempts that others get at once, and the requests of the customer that are admitted, after
-/// some of its clients have disconnected.
-fn after_leaving(stands: Option<Stands>) -> (usize, usize) {
-    // A ceiling: a quota could have a full token bucket and an unused lease at once.
+/// Disconnects some clients of a customer while their requests are in the given state. Returns the number of
+/// attempts that can then be in flight for others, and the number of requests of the customer that are admitted.
+fn after_disconnections(state: Option<RequestState>) -> (usize, usize) {
+    // A ceiling instead of a quota, which could have a full token bucket and an unused lease at the same time.
     let ceiling = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, weight_factor: 1.0, ..Plan::default() };
     let settings = |s: &mut Settings| {
         s.classes.truncate(1);
         s.plans = vec![ceiling];
     };
-    let mut one = One::new(settings, 4);
-    // A customer that was removed has no known total.
-    one.ask(99, 7, 1.0);
-    one.pass(10);
+    let mut gateway = SingleGateway::new(settings, 4);
+    // The state of an idle customer is removed, so that its total is unknown.
+    gateway.send_request(99, 7, 1.0);
+    gateway.advance(10);
     // Others use all slots, four at each host.
-    let busy = if stands == Some(Stands::Queued) { 16 } else { 0 };
-    let others: Vec<_> = (500..500 + busy).flat_map(|id| attempts_in(&one.ask(id, id, 1.0))).collect();
-    // Units that come too late for one request are available to the next.
-    let leave = match stands {
+    let busy = if state == Some(RequestState::Queued) { 16 } else { 0 };
+    let others: Vec<_> =
+        (500..500 + busy).flat_map(|id| attempts_in(&gateway.send_request(id, id, 1.0))).collect();
+    // One request is enough: units that arrive too late for it are available to the next.
+    let disconnecting = match state {
         None => 0,
-        Some(Stands::Units) => 1,
+        Some(RequestState::WaitsForUnits) => 1,
         Some(_) => 12,
     };
-    for id in 1..=leave {
-        let actions = match stands {
-            Some(Stands::Units) => one.g.request(id, 0, 7, 1.0),
-            _ => one.ask(id, 7, 1.0),
+    for id in 1..=disconnecting {
+        let actions = match state {
+            Some(RequestState::WaitsForUnits) => gateway.inner.request(id, 0, 7, 1.0),
+            _ => gateway.send_request(id, 7, 1.0),
         };
-        let sent = attempts_in(&actions).pop();
-        assert_eq!(sent.is_some(), matches!(stands, Some(Stands::Out(_))), "{stands:?}");
-        one.on(Event::ClientDisconnected { id: RequestId(id) });
-        if let (Some(Stands::Out(outcome)), Some(attempt)) = (stands, sent) {
-            one.end(attempt, 0, outcome, 1.0);
+        let attempt = attempts_in(&actions).pop();
+        assert_eq!(attempt.is_some(), matches!(state, Some(RequestState::InFlight(_))), "{state:?}");
+        gateway.report(Event::ClientDisconnected { id: RequestId(id) });
+        if let (Some(RequestState::InFlight(outcome)), Some(attempt)) = (state, attempt) {
+            gateway.end_attempt(attempt, 0, outcome, 1.0);
         }
-        for (name, amount) in calls_in(&actions).into_iter().filter(|_| stands == Some(Stands::Units)) {
-            *one.totals.entry(name).or_default() += amount;
-            let total = one.totals[&name];
-            one.g.counter_replied(name, Outcome::Ok, total);
+        for (key, amount) in
+            counter_calls_in(&actions).into_iter().filter(|_| state == Some(RequestState::WaitsForUnits))
+        {
+            *gateway.totals.entry(key).or_default() += amount;
+            let total = gateway.totals[&key];
+            gateway.inner.reply_to_call(key, Outcome::Ok, total);
         }
     }
     for attempt in others {
-        one.end(attempt, 0, Outcome::Ok, 1.0);
+        gateway.end_attempt(attempt, 0, Outcome::Ok, 1.0);
     }
-    let out: Vec<_> = (600..).map_while(|id| attempts_in(&one.ask(id, id, 1.0)).pop()).collect();
-    one.on(Event::ClientDisconnected { id: RequestId(600 + out.len() as u64) });
-    out.iter().for_each(|attempt| drop(one.end(*attempt, 0, Outcome::Ok, 1.0)));
-    let gets_in = |id: &u64| {
-        let sent = attempts_in(&one.ask(*id, 7, 1.0)).pop();
-        sent.map(|attempt| one.end(attempt, 0, Outcome::Ok, 1.0)).is_some()
+    let attempts: Vec<_> =
+        (600..).map_while(|id| attempts_in(&gateway.send_request(id, id, 1.0)).pop()).collect();
+    gateway.report(Event::ClientDisconnected { id: RequestId(600 + attempts.len() as u64) });
+    attempts.iter().for_each(|attempt| drop(gateway.end_attempt(*attempt, 0, Outcome::Ok, 1.0)));
+    let is_admitted = |id: &u64| {
+        let attempt = attempts_in(&gateway.send_request(*id, 7, 1.0)).pop();
+        attempt.map(|attempt| gateway.end_attempt(attempt, 0, Outcome::Ok, 1.0)).is_some()
     };
-    (out.len(), (700..760).filter(gets_in).count())
+    (attempts.len(), (700..760).filter(is_admitted).count())
 }
 
 #[test]
 fn clients_that_disconnect_release_slots_queues_and_units() {
     use Outcome::*;
-    let (slots, units) = after_leaving(None);
+    let (slots, units) = after_disconnections(None);
     assert!(units > 12, "{units}");
-    let stands = [Stands::Units, Stands::Queued].into_iter();
-    for stands in stands
-        .chain([NotSent, ConnectFailed, Rejected, Cancelled, Ok, Timeout, ConnectionReset].map(Stands::Out))
-    {
-        let (slots_then, units_then) = after_leaving(Some(stands));
-        assert_eq!(slots_then, slots, "{stands:?}");
+    let states = [RequestState::WaitsForUnits, RequestState::Queued].into_iter();
+    for state in states.chain(
+        [NotSent, ConnectFailed, Rejected, Cancelled, Ok, Timeout, ConnectionReset]
+            .map(RequestState::InFlight),
+    ) {
+        let (slots_after, units_after) = after_disconnections(Some(state));
+        assert_eq!(slots_after, slots, "{state:?}");
         // A request that reached a host has spent its units.
-        let elapsed = matches!(stands, Stands::Out(Rejected | Cancelled | Ok | Timeout | ConnectionReset));
-        let left = if elapsed { units - 12..=units - 11 } else { units..=units };
-        assert!(left.contains(&units_then), "{stands:?}: {units_then} units, where else {units}");
+        let is_spent =
+            matches!(state, RequestState::InFlight(Rejected | Cancelled | Ok | Timeout | ConnectionReset));
+        let expected = if is_spent { units - 12..=units - 11 } else { units..=units };
+        assert!(
+            expected.contains(&units_after),
+            "{state:?}: {units_after} units, without a disconnection {units}"
+        );
     }
 }
--- a/crates/policy/tests/host_sizes.rs
+++ b/crates/policy/tests/host_sizes.rs
@@ -1,22 +1,25 @@
-//! Hosts of different sizes: a gateway learns from responses what a host can execute.
+//! Hosts of different sizes: a gateway learns from responses how many requests a host can execute.
 mod common;
-use common::world::{single_gateway, HostSpec, World, USUAL_HOST};
+use common::world::{single_gateway, HostSpec, World, NORMAL_HOST};
 use common::*;
 use policy::api::*;
 
-/// A host of one core executes 12.5 requests a second, one of eight cores 100; 95 a second are 0.84 of both
-/// together, and an even share would be four times what the small one can execute.
+/// A host of one core executes 12.5 requests per second, and one of eight cores executes 100. The load of 95 requests
+/// per second is 0.84 of their total capacity; an even share of it is four times the capacity of the small host.
 #[test]
-fn a_large_host_gets_what_it_can_execute_without_knowledge_of_its_size() {
+fn a_large_host_gets_load_in_proportion_to_the_capacity_learned_from_responses() {
     let mut world =
-        World::new(single_gateway(), &[USUAL_HOST, HostSpec { cores: 8, ..USUAL_HOST }], |_| 80 * MS);
+        World::new(single_gateway(), &[NORMAL_HOST, HostSpec { cores: 8, ..NORMAL_HOST }], |_| 80 * MS);
     world.run(60, 60, 4_000 * MS);
     world.run(60, 95, 4_000 * MS);
     world.reset_counts();
     world.run(30, 95, 4_000 * MS);
-    let sent = |host| world.sent.get(&HostId(host)).copied().unwrap_or(0) as f64;
-    let large = sent(2) / (sent(1) + sent(2));
+    let attempts = |host| world.sent.get(&HostId(host)).copied().unwrap_or(0) as f64;
+    let large = attempts(2) / (attempts(1) + attempts(2));
     let served = world.served as f64 / world.requests as f64;
-    assert!(served > 0.95, "served {served}, {large} of it by the large one");
-    assert!((0.80..0.95).contains(&large), "{large} by the large one, served {served}");
+    assert!(served > 0.95, "{served} of the requests served, {large} of the attempts at the large host");
+    assert!(
+        (0.80..0.95).contains(&large),
+        "{large} of the attempts at the large host, {served} of the requests served"
+    );
 }
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -1,8 +1,8 @@
-//! The memory of known customers stays within the granted bound. It is counted by the allocator, and so the
-//! same on each machine.
+//! The memory for the state of customers stays within the configured limit. The allocator counts it, so that the
+//! result is the same on each machine.
 mod common;
 use cap::Cap;
-use common::load::Load;
+use common::load::LoadedGateway;
 use common::*;
 use policy::customers_within;
 use std::alloc::System;
@@ -10,100 +10,111 @@
 
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
-/// Other tests must not allocate at the same time.
+/// Held by each test, so that no other test allocates at the same time.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 const MB: usize = 1 << 20;
 
-/// Returns a gateway whose customers may take this memory, in bytes.
-fn load(bytes: usize) -> Load {
+/// Returns a gateway with this limit on the memory for customers' state, in bytes.
+fn new_gateway(bytes: usize) -> LoadedGateway {
     let mut settings = settings();
     settings.gateways = 1;
     (settings.plans[0].rate, settings.plans[0].burst) = (100.0, 100.0);
     settings.customer_bytes = bytes as u64;
-    Load::with(settings, 500, 0)
+    LoadedGateway::with_settings(settings, 500, 0)
 }
 
-/// Returns the memory that the decision module holds, in bytes.
-fn held_by(load: Load) -> usize {
+/// Returns the memory that the decision module has allocated, in bytes.
+fn allocated_by(gateway: LoadedGateway) -> usize {
     let before = ALLOCATOR.allocated();
-    drop(load.policy);
+    drop(gateway.policy);
     before - ALLOCATOR.allocated()
 }
 
 #[test]
-fn a_customer_takes_the_stated_memory_in_either_form() {
+fn a_customer_takes_the_stated_memory_in_full_and_in_compact_form() {
     let _alone = ONE_AT_A_TIME.lock();
-    let nobody = held_by(load(0));
-    // Three requests each, at different times, so that there is history.
-    let mut often = load(0);
+    let without_customers = allocated_by(new_gateway(0));
+    // Three requests of each customer, at different times, so that each has a history and is kept in full form.
+    let mut full_form = new_gateway(0);
     for n in 0..6_000 {
-        often.ask(n % 2_000);
-        often.pass(MS);
+        full_form.send_request(n % 2_000);
+        full_form.advance(MS);
     }
-    often.pass(1_000 * MS);
-    let often = (held_by(often) - nobody) / 2_000;
-    // Only a few fit in full form.
-    let granted = 3 * MB;
-    let (few, many) = customers_within(granted);
-    let mut once = load(granted);
+    full_form.advance(1_000 * MS);
+    let full_form = (allocated_by(full_form) - without_customers) / 2_000;
+    // The limit is too small for the full form, so that most customers are kept in compact form.
+    let limit = 3 * MB;
+    let (few, many) = customers_within(limit);
+    let mut compact_form = new_gateway(limit);
     for n in 0..2 * many as u64 {
-        once.ask(n);
+        compact_form.send_request(n);
         if n % 20 == 0 {
-            once.pass(MS);
+            compact_form.advance(MS);
         }
     }
-    once.pass(1_000 * MS);
-    let known = once.policy.record_count();
-    let once = held_by(once) - nobody;
-    assert!(known >= many && many > 7 * few, "{known} of {many} are known, in full there is room for {few}");
-    assert!(granted / many <= 150 && often <= 1_100, "{} bytes, and {often} in full", granted / many);
-    // The bound is computed from these, so they must not be too small.
-    assert!(once <= granted + granted / 32 && often <= granted / few, "{once} of {granted}; {often} in full");
+    compact_form.advance(1_000 * MS);
+    let known = compact_form.policy.record_count();
+    let compact_form = allocated_by(compact_form) - without_customers;
+    assert!(
+        known >= many && many > 7 * few,
+        "{known} of {many} customers are known, {few} would fit in full form"
+    );
+    assert!(
+        limit / many <= 150 && full_form <= 1_100,
+        "{} bytes per customer in compact form, {full_form} in full form",
+        limit / many
+    );
+    // The limit on the number of customers is computed from the stated sizes, so these must not be too small.
+    assert!(
+        compact_form <= limit + limit / 32 && full_form <= limit / few,
+        "{compact_form} of {limit} bytes; {full_form} per customer in full form"
+    );
 }
 
 #[test]
 fn customers_with_one_request_stay_within_the_memory_and_displace_no_regular_ones() {
     let _alone = ONE_AT_A_TIME.lock();
-    let granted = 4 * MB;
-    let run = |flood: u64| {
-        let mut load = load(granted);
-        let (mut most, mut regular) = (0, 0);
+    let limit = 4 * MB;
+    let run = |requests_of_new_customers: u64| {
+        let mut gateway = new_gateway(limit);
+        let (mut max_bytes, mut admitted_regular) = (0, 0);
         for ms in 0..4_000 {
-            (0..flood).for_each(|n| load.ask(1_000_000 + ms * flood + n));
-            // Two hundred with five requests a second.
-            let before = load.rejected;
-            load.ask(ms % 200);
-            regular += u64::from(load.rejected == before);
-            load.pass(MS);
+            (0..requests_of_new_customers)
+                .for_each(|n| gateway.send_request(1_000_000 + ms * requests_of_new_customers + n));
+            // Two hundred regular customers with five requests per second each.
+            let before = gateway.rejected;
+            gateway.send_request(ms % 200);
+            admitted_regular += u64::from(gateway.rejected == before);
+            gateway.advance(MS);
             if ms % 500 == 0 {
-                most = most.max(load.policy.customer_bytes());
+                max_bytes = max_bytes.max(gateway.policy.customer_bytes());
             }
         }
-        load.pass(1_000 * MS);
-        (regular, load.rejected, most, held_by(load))
+        gateway.advance(1_000 * MS);
+        (admitted_regular, gateway.rejected, max_bytes, allocated_by(gateway))
     };
-    let (calm, flooded) = (run(0), run(25));
+    let (without_new, with_new) = (run(0), run(25));
     assert_eq!(
-        (flooded.0, flooded.1),
+        (with_new.0, with_new.1),
         (4_000, 0),
-        "of 104,000 requests none was rejected; regular ones, rejected"
+        "requests of regular customers that are admitted, and rejections of all 104,000 requests"
     );
-    assert_eq!(calm.0, 4_000);
-    assert!(flooded.2 <= granted, "{} bytes of {granted}", flooded.2);
-    assert!(flooded.3 <= granted + 2 * MB, "{} bytes held", flooded.3);
+    assert_eq!(without_new.0, 4_000);
+    assert!(with_new.2 <= limit, "{} of {limit} bytes", with_new.2);
+    assert!(with_new.3 <= limit + 2 * MB, "{} bytes allocated", with_new.3);
 }
 
 #[test]
 fn where_all_customers_are_busy_another_is_rejected_and_none_is_removed() {
     let _alone = ONE_AT_A_TIME.lock();
-    let mut load = load(200_000);
-    let (most, _) = customers_within(200_000);
-    // No request is answered yet.
-    (0..2 * most as u64).for_each(|n| load.ask(n));
-    assert_eq!((load.in_flight.len(), load.rejected), (most, most as u64));
-    load.pass(100 * MS);
-    assert_eq!(load.served, most as u64);
-    load.ask(1_000_000);
-    assert_eq!(load.rejected, most as u64, "there is room again");
+    let mut gateway = new_gateway(200_000);
+    let (max_customers, _) = customers_within(200_000);
+    // No request has its response yet.
+    (0..2 * max_customers as u64).for_each(|n| gateway.send_request(n));
+    assert_eq!((gateway.in_flight.len(), gateway.rejected), (max_customers, max_customers as u64));
+    gateway.advance(100 * MS);
+    assert_eq!(gateway.served, max_customers as u64);
+    gateway.send_request(1_000_000);
+    assert_eq!(gateway.rejected, max_customers as u64, "there is memory for another customer again");
 }
