--- a/crates/hedging/src/hedge_delay.rs
+++ b/crates/hedging/src/hedge_delay.rs
@@ -1,28 +1,28 @@
-//! The decision: what an attempt is worth, and how long to wait for it before a further one is sent.
+//! The expected value of an attempt, and the delay before a further one is sent.
 
 use crate::latency_distribution::{LatencyDistribution, SurvivalFunction};
 
-/// Fraction of responses still to come above which a further attempt is not considered: most attempts would be
-/// doubled.
+/// Fraction of responses still to come above which a further attempt is not considered, because most requests
+/// would then need two attempts.
 const MAX_RESPONSES_TO_COME: f64 = 0.5;
-/// Improvement of the expected value that a delay needs over the best one so far. It keeps rounding errors from
-/// deciding between delays that are equally good.
+/// Minimum improvement of the expected value over the best delay so far. It prevents rounding errors from deciding
+/// between delays of equal value.
 const MIN_IMPROVEMENT: f64 = 1e-9;
 
-/// How much time a request has left, and what a response is worth in it. Times are in seconds.
+/// Remaining time of a request, and the value of a response within it. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemainingTime {
-    /// Time until the latency objective; below 0 once it is missed.
+    /// Time until the latency objective; negative once the objective is missed.
     pub until_objective: f64,
-    /// Time until the deadline, after which nobody waits for the response any more.
+    /// Time until the deadline, after which the client no longer waits for the response.
     pub until_deadline: f64,
     /// Value of a response between objective and deadline, as a fraction of the value of one within the objective.
     pub late_fraction: f64,
 }
 
-/// A moment up to which a response has a value.
+/// A time until which a response has a value.
 struct Cutoff {
-    /// Value that is lost if the response comes later, as a fraction of the value of a response within the objective.
+    /// Value that is lost if the response arrives later, as a fraction of the value of a response within the objective.
     value: f64,
     /// Time until the cutoff, in seconds.
     remaining: f64,
@@ -30,14 +30,14 @@
     response_probability: f64,
 }
 
-/// The probability of a response within a given time, lost attempts included.
+/// The probability of a response within a given time, with lost attempts taken into account.
 struct ResponseCurve<'a> {
     latencies: SurvivalFunction<'a>,
     loss_rate: f64,
 }
 
 impl ResponseCurve<'_> {
-    /// Returns the probability that an attempt gets a response within this many seconds.
+    /// Returns the probability that an attempt gets a response within this time.
     fn probability_within(&self, seconds: f64) -> f64 {
         (1.0 - self.loss_rate) * (1.0 - self.latencies.fraction_above(seconds))
     }
@@ -59,7 +59,7 @@
 
 impl LatencyDistribution {
     /// Returns the expected value of an attempt that is sent now, as a fraction of the value of a response within
-    /// the latency objective. `loss_rate` is the fraction of attempts that never gets a response.
+    /// the latency objective. `loss_rate` is the fraction of attempts that never get a response.
     #[must_use]
     pub fn value_of_attempt(&self, remaining: RemainingTime, loss_rate: f64) -> f64 {
         let probability_within = |seconds: f64| {
@@ -73,15 +73,15 @@
             + remaining.late_fraction * probability_within(remaining.until_deadline)
     }
 
-    /// Returns for how many seconds to wait for an attempt that is sent now before a further one is sent beside it.
-    /// A result of `remaining.until_deadline` means that none is sent.
+    /// Returns the delay in seconds after which a further attempt is sent beside an attempt that is sent now. If it
+    /// equals `remaining.until_deadline`, no further attempt is sent.
     ///
-    /// `loss_rate` is the fraction of attempts that never gets a response. `attempt_cost` is the cost of a further
+    /// `loss_rate` is the fraction of attempts that never get a response. `attempt_cost` is the cost of a further
     /// attempt as a fraction of the value of a response within the latency objective.
     ///
-    /// Of all delays it is the one with the highest expected value of the responses, less the cost of the further
-    /// attempt times the probability that it is sent. The further attempt is assumed to help where the first one was
-    /// lost, and not where the first one is slow: a request that takes one host long takes another one as long.
+    /// The delay maximizes the expected value of the responses, less the cost of the further attempt multiplied by the
+    /// probability that it is sent. The further attempt is assumed to help if the first one is lost, but not if it is
+    /// slow: a request that takes a long time at one host takes as long at another.
     #[must_use]
     pub fn hedge_delay(&self, remaining: RemainingTime, loss_rate: f64, attempt_cost: f64) -> f64 {
         if !self.has_enough_samples() || loss_rate <= 0.0 {
@@ -98,7 +98,7 @@
             }
             let probability_sent = 1.0 - (1.0 - loss_rate) * (1.0 - fraction_above);
             let cost = attempt_cost * probability_sent;
-            // The further attempt gains at most what the first one loses.
+            // The expected gain of a further attempt is at most the loss rate.
             if fraction_above > MAX_RESPONSES_TO_COME || cost >= loss_rate {
                 continue;
             }
--- a/crates/hedging/src/latency_distribution.rs
+++ b/crates/hedging/src/latency_distribution.rs
@@ -1,19 +1,19 @@
 //! The distribution of response times: a histogram whose buckets grow by a constant ratio.
 
-/// Number of buckets. With [`BUCKET_RATIO`] they reach from a quarter of a millisecond to more than a minute.
+/// Number of buckets. With [`BUCKET_RATIO`] they range from a quarter of a millisecond to more than a minute.
 const BUCKET_COUNT: usize = 96;
-/// Lower edge of the first bucket, in seconds. Shorter responses count in that bucket.
+/// Lower edge of the first bucket, in seconds. Shorter response times are counted in this bucket.
 const SHORTEST: f64 = 0.000_25;
-/// Width of each bucket relative to the one before: a response time is known to 15 %.
+/// Width of each bucket relative to the previous one, so that a response time has a resolution of 15 %.
 const BUCKET_RATIO: f64 = 1.15;
 /// Natural logarithm of [`BUCKET_RATIO`].
 const LN_BUCKET_RATIO: f64 = 0.139_761_942_375_158_68;
-/// Number of responses beyond which all counts are halved, so that old responses fade.
+/// Number of responses beyond which all counts are halved, so that older responses lose weight.
 const MAX_RESPONSES: f64 = 2_000.0;
-/// Number of responses below which the distribution says too little to decide by it.
+/// Minimum number of responses for decisions based on the distribution.
 const MIN_RESPONSES: f64 = 30.0;
-/// Responses that are assumed to take longer than all recorded ones. Additive smoothing: without it a few fast
-/// responses would make a long wait look impossible.
+/// Number of responses assumed to take longer than all recorded ones (additive smoothing). Without it a few fast
+/// responses would make a longer response time appear impossible.
 const ASSUMED_SLOWER_RESPONSES: f64 = 0.5;
 
 /// Upper edge of each bucket, in seconds.
@@ -32,9 +32,9 @@
     ((libm::log(seconds.max(SHORTEST) / SHORTEST) / LN_BUCKET_RATIO) as usize).min(BUCKET_COUNT - 1)
 }
 
-/// How long responses take, in seconds, learnt from attempts that have ended. Old responses fade.
+/// The distribution of response times in seconds, learned from completed attempts. Older responses lose weight.
 ///
-/// A caller whose hosts differ in speed divides each time by how slow its host usually is.
+/// A caller whose hosts differ in speed divides each time by the usual relative response time of its host.
 #[derive(Clone, Debug)]
 pub struct LatencyDistribution {
     counts: [f32; BUCKET_COUNT],
@@ -48,7 +48,7 @@
 }
 
 impl LatencyDistribution {
-    /// Records a response that took this many seconds. A time that is not finite is ignored.
+    /// Records a response that took `seconds`. A time that is not finite is ignored.
     pub fn record_response(&mut self, seconds: f64) {
         if !seconds.is_finite() {
             return;
@@ -56,11 +56,11 @@
         self.add(bucket_index(seconds), 1.0);
     }
 
-    /// Records an attempt that was abandoned after this many seconds; `probability_lost` is the probability that it
-    /// would never have got a response.
+    /// Records an attempt that was abandoned after `seconds`; `probability_lost` is the probability that it would never
+    /// have got a response.
     ///
     /// A response would have taken longer than `seconds`, so its probability is distributed among the longer times
-    /// in proportion to their counts. Without this, abandoning attempts would make responses look faster than they
+    /// in proportion to their counts. Without this, abandoning attempts would make responses appear faster than they
     /// are (a censored observation; the redistribution is that of the Kaplan-Meier estimator).
     pub fn record_abandoned(&mut self, seconds: f64, probability_lost: f64) {
         let probability_late = 1.0 - probability_lost;
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Returns whether enough responses were recorded to decide by the distribution.
+    /// Returns whether enough responses were recorded for decisions based on the distribution.
     #[must_use]
     pub fn has_enough_samples(&self) -> bool {
         self.total >= MIN_RESPONSES
     }
 
-    /// Returns the fraction of responses that take longer than this many seconds. It never reaches 0: half a
-    /// response is assumed to take longer than all recorded ones.
+    /// Returns the fraction of responses that take longer than `seconds`. It is never 0, since half a response is
+    /// assumed to take longer than all recorded ones.
     #[must_use]
     pub fn fraction_above(&self, seconds: f64) -> f64 {
         let bucket = bucket_index(seconds);
@@ -99,28 +99,28 @@
     }
 
     /// Returns [`LatencyDistribution::fraction_above`] for a time in `bucket`, given the number of responses in
-    /// longer buckets. Within a bucket the responses are assumed to be spread evenly.
+    /// longer buckets. Within a bucket the response times are assumed to be uniformly distributed.
     fn fraction_above_in(&self, bucket: usize, seconds: f64, in_longer_buckets: f64) -> f64 {
         let end = BUCKET_ENDS[bucket];
         let start = end / BUCKET_RATIO;
-        let part_above = ((end - seconds) / (end - start)).clamp(0.0, 1.0);
-        self.smoothed_fraction(in_longer_buckets + part_above * f64::from(self.counts[bucket]))
+        let fraction_of_bucket_above = ((end - seconds) / (end - start)).clamp(0.0, 1.0);
+        self.smoothed_fraction(in_longer_buckets + fraction_of_bucket_above * f64::from(self.counts[bucket]))
     }
 
-    /// Returns the fraction of all responses that `longer_responses` are, with additive smoothing.
+    /// Returns `longer_responses` as a fraction of all responses, with additive smoothing.
     fn smoothed_fraction(&self, longer_responses: f64) -> f64 {
         (longer_responses + ASSUMED_SLOWER_RESPONSES) / (self.total + ASSUMED_SLOWER_RESPONSES)
     }
 
-    /// Returns the probability that an attempt never gets a response, given that it has none after this many
-    /// seconds. `loss_rate` is the probability for an attempt that was just sent (Bayes' theorem).
+    /// Returns the probability that an attempt never gets a response, given that it has none after `seconds` (Bayes'
+    /// theorem). `loss_rate` is the prior probability, for an attempt that was just sent.
     #[must_use]
     pub fn probability_lost(&self, seconds: f64, loss_rate: f64) -> f64 {
         let late = (1.0 - loss_rate) * self.fraction_above(seconds);
         loss_rate / (loss_rate + late).max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the fraction of slower responses at each time, with the sums over buckets computed once.
+    /// Returns the survival function of the distribution, with the sums over buckets computed once.
     pub(crate) fn survival_function(&self) -> SurvivalFunction<'_> {
         let mut in_longer_buckets = [0.0; BUCKET_COUNT];
         let mut sum = 0.0;
@@ -132,7 +132,8 @@
     }
 }
 
-/// The fraction of responses that take longer than a given time, for many times in a row.
+/// The fraction of responses that take longer than a given time. It is faster than
+/// [`LatencyDistribution::fraction_above`] when evaluated for many times.
 pub(crate) struct SurvivalFunction<'a> {
     distribution: &'a LatencyDistribution,
     /// For each bucket, the number of responses in longer buckets.
@@ -140,7 +141,7 @@
 }
 
 impl SurvivalFunction<'_> {
-    /// Returns the fraction of responses that take longer than this many seconds; all of them from 0 down.
+    /// Returns the fraction of responses that take longer than `seconds`; 1 if `seconds` is not positive.
     pub(crate) fn fraction_above(&self, seconds: f64) -> f64 {
         if seconds > 0.0 {
             let bucket = bucket_index(seconds);
--- a/crates/policy/tests/common/counter.rs
+++ b/crates/policy/tests/common/counter.rs
@@ -89,7 +89,7 @@
     /// Executes a call of a gateway. `draw` is a random number from 0 to 1, which determines the time of a slow
     /// reply.
     pub fn call(&mut self, now: Time, gateway: usize, call: (CounterKey, f64, Span), draw: f64) -> Reply {
-        self.apply_due_faults(now);
+        self.apply_faults(now);
         self.calls.push(now);
         let (key, amount, time_to_live) = call;
         let fault =
@@ -136,7 +136,7 @@
     }
 
     /// Applies the resets and partitions that have begun, and merges partitions that have ended.
-    fn apply_due_faults(&mut self, now: Time) {
+    fn apply_faults(&mut self, now: Time) {
         for n in 0..self.faults.len() {
             let fault_window = self.faults[n].clone();
             match &fault_window.fault {
@@ -192,7 +192,7 @@
 
     /// Returns the total of an entry while the counter is not partitioned.
     pub fn total(&mut self, now: Time, key: CounterKey) -> f64 {
-        self.apply_due_faults(now);
+        self.apply_faults(now);
         let entry = self.partitions[0].get(&key).filter(|entry| entry.expires > now);
         entry.map_or(0.0, |entry| entry.shared + entry.local)
     }
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,31 +1,31 @@
-//! Deterministic subsetting: which of many hosts one of many gateways works with.
+//! Deterministic subsetting: assigns a subset of many hosts to each of many gateways.
 //!
-//! If each of three hundred gateways uses each of two hundred hosts, it holds a connection to all of them, uses each
-//! once in a while, and notices the failure of each too late. With a **subset** of a few dozen hosts a gateway uses
-//! its connections again, detects a failing host soon, and a host that is warming up gets its requests from few
-//! gateways.
+//! If each of three hundred gateways uses all of two hundred hosts, it has a connection to each host, uses each
+//! connection rarely, and detects the failure of a host too late. With a **subset** of a few dozen hosts a gateway
+//! reuses its connections and detects a failing host soon, and a host that is warming up gets requests from few
+//! gateways only.
 //!
 //! # Contract
 //!
 //! - Gateways do not communicate. Each knows its index, the number of gateways and the ids of the hosts in service,
-//!   and all of them compute the same assignment from these.
-//! - Gateways are grouped into **rounds**. The gateways of one round divide all hosts among themselves, each host to
-//!   one of them, in an order that is shuffled differently in each round. So each host is in one subset of each round,
-//!   and the numbers of gateways of any two hosts differ by one at the most: by the last round, which may not be full.
-//! - A host that is added or removed moves the boundaries between neighbours of a round by one host at the most. A
-//!   subset changes by two hosts at the most, one added and one removed, because the shuffled order of the other
-//!   hosts stays.
-//! - The number of subsets in a round is a power of two, so that it seldom changes: only where the number of hosts or
-//!   of gateways crosses a power-of-two multiple of its minimum below.
+//!   from which all gateways compute the same assignment.
+//! - Gateways are grouped into **rounds**. The hosts are shuffled, differently for each round, and divided among the
+//!   gateways of the round. Each host is therefore in one subset per round, and the numbers of gateways of any two
+//!   hosts differ by at most one, because the last round may be incomplete.
+//! - Adding or removing a host moves the boundaries between neighbouring subsets of a round by at most one host. A
+//!   subset changes by at most two hosts, one added and one removed, because the shuffled order of the other hosts
+//!   does not change.
+//! - The number of subsets in a round is a power of two. It changes rarely: only when the number of hosts or gateways
+//!   crosses a power-of-two multiple of [`MIN_SUBSET_SIZE`] or [`MIN_GATEWAYS_PER_HOST`].
 //!
 //! The scheme is that of "Deterministic Subsetting" in chapter 20 of *Site Reliability Engineering* (Beyer et al.,
-//! 2016), with boundaries that stay where hosts come and go. The crate is this one file; it does no I/O and draws no
+//! 2016), extended by boundaries that hardly move when hosts are added or removed. The crate does no I/O and draws no
 //! random numbers.
 //!
 //! ```
 //! let hosts: Vec<u64> = (1..=200).collect();
 //! let gateways = 300;
-//! // Eight gateways make a round, so a gateway works with 25 of the 200 hosts.
+//! // A round consists of eight gateways, so each of them uses 25 of the 200 hosts.
 //! assert_eq!(subset::subset_count(hosts.len(), gateways), 8);
 //! let subset = subset::subset_of_gateway(&hosts, 42, gateways);
 //! assert_eq!(subset.len(), 25);
@@ -35,16 +35,16 @@
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
 
-/// Minimum number of hosts in a subset, unless there are fewer. With too few hosts the requests of one gateway could
-/// not be balanced.
+/// Minimum number of hosts in a subset, unless there are fewer hosts. With too few hosts a gateway could not balance
+/// its requests.
 ///
-/// As long as there are enough gateways, a subset has up to twice as many.
+/// If there are enough gateways, a subset has at most twice as many hosts.
 pub const MIN_SUBSET_SIZE: usize = 16;
-/// Minimum number of gateways that have a given host in their subset. With fewer the load of a host would depend on
-/// the traffic of a few gateways.
+/// Minimum number of gateways that have a given host in their subset. With fewer gateways the load of a host would
+/// depend on the traffic of only a few of them.
 pub const MIN_GATEWAYS_PER_HOST: usize = 20;
 
-/// Returns the number of subsets in a round, a power of two. With 1 each gateway works with all hosts.
+/// Returns the number of subsets in a round, a power of two. If it is 1, each gateway uses all hosts.
 #[must_use]
 pub fn subset_count(host_count: usize, gateway_count: usize) -> usize {
     let by_size = host_count / MIN_SUBSET_SIZE;
@@ -53,10 +53,10 @@
     1 << limit.ilog2()
 }
 
-/// Returns the subset of the gateway with this index, counted from 0, among `gateway_count` gateways: indices into
-/// `host_ids`, ascending.
+/// Returns the subset of the gateway with this index, from 0, among `gateway_count` gateways, as ascending indices
+/// into `host_ids`.
 ///
-/// `host_ids` are distinct ids that are the same at all gateways, in any order.
+/// `host_ids` are distinct, and the same at all gateways; their order does not matter.
 #[must_use]
 pub fn subset_of_gateway(host_ids: &[u64], gateway_index: usize, gateway_count: usize) -> Vec<usize> {
     let host_count = host_ids.len();
--- a/crates/subset/tests/subset.rs
+++ b/crates/subset/tests/subset.rs
@@ -1,4 +1,4 @@
-//! The contract of deterministic subsetting: balance, stability, agreement between gateways.
+//! The contract of deterministic subsetting: balance, stability, and consistency between gateways.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 const FIRST_HOST_ID: u64 = 0xfeed_0000;
 
-/// Returns consecutive ids, the hardest to shuffle.
+/// Returns consecutive ids, which are the hardest to shuffle.
 fn consecutive_ids(count: u64) -> Vec<u64> {
     (0..count).map(|n| FIRST_HOST_ID + n).collect()
 }
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn with_few_hosts_or_gateways_each_gateway_uses_all_hosts() {
+fn each_gateway_uses_all_hosts_if_there_are_few_hosts_or_gateways() {
     for (count, gateways) in [(10, 3), (120, 12), (9, 300), (200, 3), (31, 300)] {
         let hosts = consecutive_ids(count);
         let all =
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn each_host_is_in_equally_many_subsets_but_for_a_last_round_that_is_not_full() {
+fn numbers_of_subsets_per_host_differ_by_at_most_one() {
     for (count, gateways) in [(200_u64, 300_usize), (179, 273), (64, 60), (500, 1000)] {
         let hosts = consecutive_ids(count);
         let mut subsets_of_host = vec![0_usize; hosts.len()];
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_removed_host_changes_each_subset_by_two_hosts_at_most() {
+fn a_removed_host_changes_each_subset_by_at_most_two_hosts() {
     let removed = FIRST_HOST_ID + 77;
     let before = consecutive_ids(200);
     let after: Vec<u64> = before.iter().copied().filter(|host| *host != removed).collect();
@@ -62,12 +62,12 @@
         assert!(lost <= 1 + usize::from(old.contains(&removed)) && added <= 1, "{gateway}");
         total_added += added;
     }
-    // Unavoidable: the 37 or 38 subsets that had the host get another one.
+    // At least the 37 or 38 subsets that contained the host get another one.
     assert!((37..=300).contains(&total_added), "{total_added}");
 }
 
 #[test]
-fn the_order_of_the_list_does_not_matter_and_rounds_differ() {
+fn subsets_do_not_depend_on_the_order_of_the_list_and_differ_between_rounds() {
     let hosts = consecutive_ids(200);
     let reversed: Vec<u64> = hosts.iter().rev().copied().collect();
     assert_eq!(ids_in_subset(&hosts, 42, 300), ids_in_subset(&reversed, 42, 300));
@@ -81,7 +81,7 @@
 
 proptest! {
     #[test]
-    fn gateways_of_one_round_divide_all_hosts_among_themselves(
+    fn the_gateways_of_a_round_partition_the_hosts(
         ids in prop::collection::btree_set(any::<u64>(), 32..400),
         gateways in 40_usize..600,
         round in 0_usize..20,
