--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at hosts, and what their responses say.
+//! Attempts at hosts, and the interpretation of their responses.
 
 use crate::client::call::Call;
 use crate::messages::{AttemptKey, ConnectionId, NumberedAnswer};
@@ -10,21 +10,22 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Maximum figure in a host's response.
-const MAX_FIGURE: f64 = 1e5;
+/// Maximum plausible number in a host's response; greater ones are ignored.
+const MAX_METRIC: f64 = 1e5;
 
-/// An attempt that is to be made.
+/// The parameters of an attempt to be made.
 pub(crate) struct ForwardOrder {
     pub host_id: HostId,
-    /// When to give the attempt up.
+    /// When the attempt times out.
     pub deadline: Time,
-    /// When the last byte of the request has to be written at the latest.
+    /// Latest time at which the last byte of the request may be written.
     pub write_by: Time,
     pub call: Arc<Call>,
-    /// Whether the request may be executed twice; otherwise a dropped connection would lose it.
+    /// Whether the request may be executed twice. A request that is not idempotent cannot be retried after a dropped
+    /// connection.
     pub is_idempotent: bool,
-    /// Where the answer goes: closed once the client has disconnected, which may be long before the event of it is
-    /// processed.
+    /// Receives the answer. Closed as soon as the client has disconnected, possibly long before the event loop processes
+    /// the event for it.
     pub client: UnboundedSender<NumberedAnswer>,
 }
 
@@ -32,7 +33,7 @@
 pub(super) struct Attempt {
     pub order: ForwardOrder,
     pub started_at: Time,
-    /// The connection that the request was given to.
+    /// The connection on which the request was written.
     pub connection_id: Option<ConnectionId>,
     pub connection: AttemptConnection,
 }
@@ -45,13 +46,13 @@
     }
 }
 
-/// An attempt that has ended. The gateway completes what only it knows before the decision module is notified.
+/// An attempt that has ended. The gateway fills in the fields that only it knows before it notifies the decision module.
 #[derive(Debug)]
 pub(crate) struct FinishedAttempt {
     pub ended: AttemptEnded,
     pub started_at: Time,
     pub connection: AttemptConnection,
-    /// When the attempt would have been given up.
+    /// When the attempt would have timed out.
     pub deadline: Time,
     /// The response for the client.
     pub value: Option<Bytes>,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The end of an attempt that was never started.
+    /// Returns the result of an attempt that was never started.
     pub fn not_sent(key: AttemptKey, host: HostId, now: Time, deadline: Time) -> FinishedAttempt {
         FinishedAttempt {
             ended: attempt_ended(key, host, Outcome::NotSent),
@@ -80,29 +81,29 @@
         }
     }
 
-    /// Reads a response. Returns false if the host has violated the protocol; the request may have been executed then.
-    pub(super) fn take_response(&mut self, platform: &PlatformSettings, frame: Frame) -> bool {
+    /// Reads a response. Returns false if it violates the protocol, in which case the request may have been executed.
+    pub(super) fn read_response(&mut self, platform: &PlatformSettings, frame: Frame) -> bool {
         match frame {
-            Frame::Array(parts) => self.take_value(platform, parts),
-            Frame::Error(text) => self.take_error(platform, &text),
+            Frame::Array(parts) => self.read_value(platform, parts),
+            Frame::Error(text) => self.read_error(platform, &text),
             _ => false,
         }
     }
 
-    fn take_value(&mut self, platform: &PlatformSettings, parts: Vec<Frame>) -> bool {
-        let Ok([Frame::Bulk(value), figures, report]) = <[Frame; 3]>::try_from(parts) else { return false };
+    fn read_value(&mut self, platform: &PlatformSettings, parts: Vec<Frame>) -> bool {
+        let Ok([Frame::Bulk(value), metrics, report]) = <[Frame; 3]>::try_from(parts) else { return false };
         self.ended.outcome = Outcome::Ok;
         self.value = Some(value);
-        for part in [figures, report] {
+        for part in [metrics, report] {
             if let Frame::Bulk(text) = part {
-                self.take_figures(platform, &text);
+                self.read_metrics(platform, &text);
             }
         }
         true
     }
 
-    /// Only the protocol's two errors say what was executed.
-    fn take_error(&mut self, platform: &PlatformSettings, text: &[u8]) -> bool {
+    /// Reads an error. Only the two errors of the protocol (`BUSY`, `ERR`) tell whether the request was executed.
+    fn read_error(&mut self, platform: &PlatformSettings, text: &[u8]) -> bool {
         let mut words = text.split(|byte| *byte == b' ');
         self.ended.outcome = match words.next() {
             Some(b"BUSY") => Outcome::Rejected,
@@ -110,19 +111,19 @@
             _ => return false,
         };
         for word in words {
-            self.take_figures(platform, word);
+            self.read_metrics(platform, word);
         }
         true
     }
 
-    /// Reads figures of use and a load report, which are both names with numbers. Numbers that no host can mean are
-    /// ignored: they would disturb quotas, and the estimated load of all hosts.
-    fn take_figures(&mut self, platform: &PlatformSettings, text: &[u8]) {
+    /// Reads usage metrics and a load report, which are both lists of `name=number`. Implausible numbers are ignored: they
+    /// would distort quotas and the load estimates of all hosts.
+    fn read_metrics(&mut self, platform: &PlatformSettings, text: &[u8]) {
         let Ok(text) = std::str::from_utf8(text) else { return };
         let max_units =
-            if platform.max_request_units > 0.0 { platform.max_request_units } else { MAX_FIGURE };
+            if platform.max_request_units > 0.0 { platform.max_request_units } else { MAX_METRIC };
         for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-            let value = value.parse::<f64>().ok().filter(|value| (0.0..=MAX_FIGURE).contains(value));
+            let value = value.parse::<f64>().ok().filter(|value| (0.0..=MAX_METRIC).contains(value));
             let Some(value) = value else { continue };
             match name {
                 "used" => self.ended.quota_used = Some(value / 100.0),
--- a/crates/gateway/src/upstream/connection/mod.rs
+++ b/crates/gateway/src/upstream/connection/mod.rs
@@ -1,5 +1,6 @@
-//! One connection to a host. The gateway's event loop writes a request itself, since on an idle connection all of it can be
-//! written at once; the connection's task reads responses, and writes the rest of a request that could not.
+//! One connection to a host. The gateway's event loop writes requests itself, since on an idle connection a request can
+//! usually be written without waiting. The connection's task reads responses, and writes the remainder of a request that
+//! could not be written completely.
 
 use crate::client::call::Command;
 use crate::crash_points::{self, CrashPoint};
@@ -19,25 +20,25 @@
 use tokio::task::unconstrained;
 
 const MS: Span = 1_000_000;
-/// A response of which nothing more arrives for this long is broken.
+/// An incomplete response of which no further byte arrives for this long is invalid.
 const PARTIAL_RESPONSE_TIMEOUT: Span = 200 * MS;
 
-/// A host sends nothing on an idle connection.
+/// A host must not send anything on an idle connection.
 const UNEXPECTED_RESPONSE: RespError = RespError::Malformed("answer without a request");
-/// A host begins to process a command at its last byte: what it sends before is no response to it. Nor may the rest of a
-/// request that it has rejected reach it after all.
+/// A host begins to process a command at its last byte, so bytes that it sends before are no response to the command. The
+/// remainder of the request is not written, since the host must not execute a request that it has already rejected.
 const EARLY_RESPONSE: RespError = RespError::Malformed("answer before the end of its request");
 
 type WriterOf<E> = <<E as Env>::Stream as Stream>::Writer;
 
-/// What the event loop and the task of a connection share.
+/// State that the event loop shares with the task of a connection.
 struct Shared<W> {
     /// Whether the last byte of the current request has been written.
     is_request_written: AtomicBool,
-    /// Whether a request is on the connection, so that what arrives is its response.
+    /// Whether a request is in flight on the connection, so that arriving bytes belong to its response.
     awaits_response: AtomicBool,
-    /// The sending half while the event loop does not have it: after the connection was established, and after the rest
-    /// of a request was written.
+    /// The write half while it is neither with the event loop nor in use by the task: after the connection was established,
+    /// and after the remainder of a request was written.
     writer: Mutex<Option<W>>,
 }
 
@@ -51,35 +52,35 @@
     }
 }
 
-/// A connection, as the event loop uses it.
+/// The event loop's handle of a connection.
 pub(crate) struct HostConnection<E: Env> {
     shared: Arc<Shared<WriterOf<E>>>,
     writer: Option<WriterOf<E>>,
-    /// Takes requests that could not be written at once.
+    /// Passes partially written requests to the task.
     unwritten: UnboundedSender<(WriterOf<E>, Command)>,
 }
 
 /// Timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionTimeouts {
-    /// A connection that is not established by then fails.
+    /// A connection that is not established within this time fails.
     pub connect: Span,
-    /// An idle connection closes after this.
+    /// A connection closes after being idle for this long.
     pub idle: Span,
 }
 
-/// Why a connection did not take a request. No request was written completely then.
+/// Why a connection did not accept a request. The request was not written completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteError {
-    /// The connection has closed, or unread bytes wait on it, which would pass for the response.
+    /// The connection has closed, or has unread input that would be mistaken for the response.
     Stale,
-    /// The connection takes no byte now: the host has responded before it had read the last request. When a request would
-    /// be written, and whether it would still be wanted then, cannot be told.
+    /// The connection accepts no byte now: the host has responded before it had read the previous request. The request
+    /// would be written at an unknown time, when it may no longer be needed.
     Congested,
 }
 
 impl<E: Env> HostConnection<E> {
-    /// Starts to connect, and returns the connection with the task that carries it.
+    /// Starts to connect, and returns the connection with its task.
     pub fn open(
         env: &E,
         id: ConnectionId,
@@ -103,12 +104,12 @@
         self.shared.is_request_written.load(Ordering::Relaxed)
     }
 
-    /// Writes a request. Its first byte is written when this returns, or none ever is.
+    /// Writes a request. Its first byte has been written when this returns, or never will be.
     ///
     /// # Errors
-    /// The connection cannot take a request.
+    /// The connection cannot accept a request.
     pub fn write(&mut self, mut command: Command) -> Result<(), WriteError> {
-        // While the rest of the last request is written, the task has the writer.
+        // The task has the writer while it writes the remainder of the previous request.
         let writer = self.writer.take().or_else(|| self.shared.take_writer());
         let mut writer = writer.ok_or(WriteError::Congested)?;
         if self.unwritten.is_closed() || !writer.has_no_unread_input() {
@@ -131,10 +132,10 @@
     }
 }
 
-/// Writes what can be written without waiting.
+/// Writes as many bytes as possible without waiting.
 fn write_available<W: Writer>(writer: &mut W, command: &mut Command) -> io::Result<()> {
     while command.has_remaining() {
-        // The connection's task waits until more can be written: nobody has to be woken here.
+        // The connection's task waits until more can be written, so no waker is needed here.
         let write = pin!(unconstrained(writer.write_buf(command)));
         match write.poll(&mut Context::from_waker(Waker::noop())) {
             Poll::Ready(Ok(1..)) => {}
@@ -161,7 +162,7 @@
             let (reader, writer) = stream.into_split();
             self.shared.put_writer(writer);
             self.report(HostEvent::Connected(self.id));
-            if let Err(error) = self.carry(reader, unwritten).await {
+            if let Err(error) = self.drive(reader, unwritten).await {
                 if error.is_protocol_violation() {
                     self.report(HostEvent::ProtocolViolation { id: self.id, error });
                 }
@@ -174,22 +175,22 @@
         let _ = self.gateway.send(TrafficEvent::Host(event));
     }
 
-    async fn carry(
+    async fn drive(
         &self,
         mut reader: impl AsyncRead + Unpin + Send,
         mut unwritten: UnboundedReceiver<(WriterOf<E>, Command)>,
     ) -> Result<(), RespError> {
         let mut input = BytesMut::new();
         let mut idle_since: Time = self.env.now();
-        // One timer that is checked when it expires costs less than one for each request.
+        // A single timer that is extended when it expires is cheaper than a timer per request.
         let mut idle_timer = pin!(self.env.sleep(self.timeouts.idle));
         loop {
             tokio::select! {
                 biased;
-                // On an idle connection this is its end, or a protocol violation.
+                // On an idle connection this means that it has closed, or a protocol violation.
                 filled = resp::fill(&mut reader, &mut input) => {
                     filled?;
-                    self.take_response(&mut reader, &mut input).await?;
+                    self.receive_response(&mut reader, &mut input).await?;
                     idle_since = self.env.now();
                 }
                 unwritten = unwritten.recv() => {
@@ -209,12 +210,12 @@
         }
     }
 
-    /// Reads the rest of a response and reports it.
-    async fn take_response<R>(&self, reader: &mut R, input: &mut BytesMut) -> Result<(), RespError>
+    /// Reads the remainder of a response and reports it.
+    async fn receive_response<R>(&self, reader: &mut R, input: &mut BytesMut) -> Result<(), RespError>
     where
         R: AsyncRead + Unpin + Send,
     {
-        self.expects_response()?;
+        self.ensure_response_expected()?;
         let frame = self.read_response(reader, input).await?;
         crash_points::crash_if_armed(CrashPoint::AnswerRead);
         let is_reusable = input.is_empty();
@@ -227,8 +228,8 @@
         }
     }
 
-    /// Checks that what arrives now can be a response.
-    fn expects_response(&self) -> Result<(), RespError> {
+    /// Checks that a response is expected now.
+    fn ensure_response_expected(&self) -> Result<(), RespError> {
         if !self.shared.awaits_response.load(Ordering::Relaxed) {
             return Err(UNEXPECTED_RESPONSE);
         }
@@ -238,8 +239,8 @@
         Ok(())
     }
 
-    /// Reads the rest of a response. Hosts write one at once: one that stalls is broken, and an idempotent request still
-    /// has the time for another attempt.
+    /// Reads the remainder of a response. Hosts write a response in one piece, so a stalled one is invalid. The short timeout
+    /// leaves an idempotent request time for another attempt.
     async fn read_response<R>(&self, reader: &mut R, input: &mut BytesMut) -> Result<Frame, RespError>
     where
         R: AsyncRead + Unpin + Send,
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Writes the rest of a request.
+    /// Writes the remainder of a request.
     async fn write_remaining<R>(
         &self,
         reader: &mut R,
--- a/crates/gateway/src/upstream/connection/tests.rs
+++ b/crates/gateway/src/upstream/connection/tests.rs
@@ -6,140 +6,147 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection that may take so long to do nothing, and its host's side.
-async fn pair_within(idle: Span) -> (HostConnection<SystemEnv>, TcpStream, UnboundedReceiver<TrafficEvent>) {
+/// Returns an established connection with this idle timeout, the host's end of it, and the events.
+async fn connect_with_idle_timeout(
+    idle: Span,
+) -> (HostConnection<SystemEnv>, TcpStream, UnboundedReceiver<TrafficEvent>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (gateway, mut events) = mpsc::unbounded_channel();
-    let limits = ConnectionTimeouts { connect: 20_000 * MS, idle };
-    let (line, _) =
-        HostConnection::open(&SystemEnv::start(), 7, listener.local_addr().unwrap(), limits, gateway);
+    let timeouts = ConnectionTimeouts { connect: 20_000 * MS, idle };
+    let (connection, _) =
+        HostConnection::open(&SystemEnv::start(), 7, listener.local_addr().unwrap(), timeouts, gateway);
     let host = listener.accept().await.unwrap().0;
     assert!(matches!(events.recv().await, Some(TrafficEvent::Host(HostEvent::Connected(7)))));
-    (line, host, events)
+    (connection, host, events)
 }
 
-async fn pair() -> (HostConnection<SystemEnv>, TcpStream, UnboundedReceiver<TrafficEvent>) {
-    pair_within(20_000 * MS).await
+async fn connect() -> (HostConnection<SystemEnv>, TcpStream, UnboundedReceiver<TrafficEvent>) {
+    connect_with_idle_timeout(20_000 * MS).await
 }
 
-fn text(body: usize) -> Command {
+fn request(body: usize) -> Command {
     BytesMut::from("request").chain(Bytes::from(vec![b'x'; body])).chain(Bytes::new())
 }
 
 #[tokio::test]
-async fn bytes_that_lie_there_are_no_answer_to_the_next_request() {
-    let (mut line, mut host, mut events) = pair().await;
+async fn a_request_is_not_written_while_unread_input_is_pending() {
+    let (mut connection, mut host, mut events) = connect().await;
     host.write_all(b"*3\r\n$5\r\nstale\r\n$-1\r\n$-1\r\n").await.unwrap();
-    line.writer = line.shared.take_writer();
-    // Whether the task has been told of it, or only the system knows.
-    while line.writer.as_ref().is_some_and(Writer::has_no_unread_input) && !line.unwritten.is_closed() {
+    connection.writer = connection.shared.take_writer();
+    // Waits until the bytes have arrived, whether or not the task has read them.
+    while connection.writer.as_ref().is_some_and(Writer::has_no_unread_input)
+        && !connection.unwritten.is_closed()
+    {
         tokio::task::yield_now().await;
     }
-    assert_eq!(line.write(text(0)), Err(WriteError::Stale));
-    assert!(!line.is_request_written());
+    assert_eq!(connection.write(request(0)), Err(WriteError::Stale));
+    assert!(!connection.is_request_written());
     assert!(matches!(
         events.recv().await,
         Some(TrafficEvent::Host(HostEvent::ProtocolViolation { id: 7, .. }))
     ));
     assert!(matches!(events.recv().await, Some(TrafficEvent::Host(HostEvent::Closed(7)))));
-    drop(line);
-    // Closed with bytes unread, it may end as a reset.
-    let mut got = Vec::new();
-    let _ = host.read_to_end(&mut got).await;
-    assert!(got.is_empty(), "the request was written");
+    drop(connection);
+    // A connection that closes with unread input may be reset.
+    let mut received = Vec::new();
+    let _ = host.read_to_end(&mut received).await;
+    assert!(received.is_empty(), "the request was written");
 }
 
 #[tokio::test]
-async fn what_does_not_go_at_once_goes_later_and_counts_as_sent_only_then() {
-    let (mut line, mut host, mut events) = pair().await;
-    // More than the system takes of what nobody reads.
+async fn the_remainder_of_a_request_is_written_later_and_the_request_counts_as_written_only_then() {
+    let (mut connection, mut host, mut events) = connect().await;
+    // More than the socket buffers hold while the host reads nothing.
     let body = 32 << 20;
-    assert_eq!(line.write(text(body)), Ok(()));
-    assert!(!line.is_request_written());
-    let mut got = vec![0; body + 7];
-    host.read_exact(&mut got).await.unwrap();
-    while !line.is_request_written() {
+    assert_eq!(connection.write(request(body)), Ok(()));
+    assert!(!connection.is_request_written());
+    let mut received = vec![0; body + 7];
+    host.read_exact(&mut received).await.unwrap();
+    while !connection.is_request_written() {
         tokio::task::yield_now().await;
     }
     host.write_all(b"$2\r\nok\r\n").await.unwrap();
     let Some(TrafficEvent::Host(HostEvent::Response { is_reusable: true, .. })) = events.recv().await else {
-        panic!("no answer")
+        panic!("no response")
     };
-    assert_eq!(line.write(text(0)), Ok(()));
-    assert!(line.is_request_written(), "it can carry another");
+    assert_eq!(connection.write(request(0)), Ok(()));
+    assert!(connection.is_request_written(), "the second request was not written");
 }
 
-/// It begins a command at its last byte: an answer to half of one is none, and the rest is not written.
+/// A host begins to process a command at its last byte, so a reply to a partial command is a protocol violation and the
+/// remainder of the command is not written.
 #[tokio::test]
-async fn what_a_host_says_before_it_has_the_whole_request_is_no_answer_and_the_rest_is_not_sent() {
-    let (mut line, mut host, mut events) = pair().await;
+async fn an_early_response_is_a_protocol_violation_and_the_remaining_request_is_not_written() {
+    let (mut connection, mut host, mut events) = connect().await;
     let body = 32 << 20;
-    assert_eq!(line.write(text(body)), Ok(()));
-    assert!(!line.is_request_written(), "more than the system takes of what nobody reads");
+    assert_eq!(connection.write(request(body)), Ok(()));
+    assert!(!connection.is_request_written(), "the request fits into the socket buffers");
     host.write_all(b"-BUSY\r\n").await.unwrap();
-    let reads_on = tokio::spawn(async move {
-        let mut got = Vec::new();
-        let _ = host.read_to_end(&mut got).await;
-        got.len()
+    let reader_task = tokio::spawn(async move {
+        let mut received = Vec::new();
+        let _ = host.read_to_end(&mut received).await;
+        received.len()
     });
     assert!(matches!(
         events.recv().await,
         Some(TrafficEvent::Host(HostEvent::ProtocolViolation { id: 7, .. }))
     ));
     assert!(matches!(events.recv().await, Some(TrafficEvent::Host(HostEvent::Closed(7)))));
-    assert!(!line.is_request_written());
-    assert_eq!(line.write(text(0)), Err(WriteError::Congested), "its writer has gone");
-    assert!(reads_on.await.unwrap() < body + 7, "all of it was written");
+    assert!(!connection.is_request_written());
+    assert_eq!(connection.write(request(0)), Err(WriteError::Congested), "the writer was dropped");
+    assert!(reader_task.await.unwrap() < body + 7, "the complete request was written");
 }
 
-/// Where half a line from its host is when we close an idle connection at its age.
+/// When an incomplete reply of the host arrives, relative to the close of the connection by the idle timeout.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Half {
+enum PartialReply {
+    /// The task reads it before the close.
     Read,
-    /// It lies with the system.
+    /// It is in the socket's receive buffer at the close.
     Unread,
-    /// It comes when the connection has closed.
-    Late,
+    /// It arrives after the close.
+    AfterClose,
 }
 
 #[tokio::test]
-async fn half_a_line_that_crosses_our_close_of_an_idle_connection_is_no_part_of_an_answer() {
-    for half in [Half::Read, Half::Unread, Half::Late] {
-        let (mut line, host, mut events) = pair_within(100 * MS).await;
-        line.writer = line.shared.take_writer();
+async fn a_connection_closed_by_its_idle_timeout_accepts_no_request_when_a_partial_reply_arrives() {
+    for reply in [PartialReply::Read, PartialReply::Unread, PartialReply::AfterClose] {
+        let (mut connection, host, mut events) = connect_with_idle_timeout(100 * MS).await;
+        connection.writer = connection.shared.take_writer();
         let host = host.into_std().unwrap();
         host.set_nonblocking(false).unwrap();
-        let say = || (&host).write_all(b"*3\r\n$5\r\nsta").unwrap();
-        match half {
-            Half::Read => say(),
-            Half::Unread => {
-                // Timers fall due in their order, and the connection's own with them, before anything is read.
-                let early = tokio::time::sleep(Duration::from_millis(50));
-                let nothing_runs = || std::thread::sleep(Duration::from_millis(200));
-                let speak = async {
-                    early.await;
-                    say();
-                    while line.writer.as_ref().is_some_and(Writer::has_no_unread_input) {}
-                    assert!(!line.unwritten.is_closed(), "it has not closed yet");
+        let send = || (&host).write_all(b"*3\r\n$5\r\nsta").unwrap();
+        match reply {
+            PartialReply::Read => send(),
+            PartialReply::Unread => {
+                // Blocks the thread until both timers have expired. They fire in order of their time, and before any input
+                // is read.
+                let delay = tokio::time::sleep(Duration::from_millis(50));
+                let block_thread = || std::thread::sleep(Duration::from_millis(200));
+                let send_early = async {
+                    delay.await;
+                    send();
+                    while connection.writer.as_ref().is_some_and(Writer::has_no_unread_input) {}
+                    assert!(!connection.unwritten.is_closed(), "the connection closed too early");
                 };
-                tokio::join!(biased; speak, async { nothing_runs() });
+                tokio::join!(biased; send_early, async { block_thread() });
             }
-            Half::Late => {}
+            PartialReply::AfterClose => {}
         }
-        let told = events.recv().await;
-        let is_nonsense =
-            matches!(told, Some(TrafficEvent::Host(HostEvent::ProtocolViolation { id: 7, .. })));
-        assert_eq!(is_nonsense, half == Half::Read, "{half:?}: {told:?}");
-        let told = if is_nonsense { events.recv().await } else { told };
-        assert!(matches!(told, Some(TrafficEvent::Host(HostEvent::Closed(7)))), "{half:?}: {told:?}");
-        if half == Half::Late {
-            say();
+        let event = events.recv().await;
+        let is_violation =
+            matches!(event, Some(TrafficEvent::Host(HostEvent::ProtocolViolation { id: 7, .. })));
+        assert_eq!(is_violation, reply == PartialReply::Read, "{reply:?}: {event:?}");
+        let event = if is_violation { events.recv().await } else { event };
+        assert!(matches!(event, Some(TrafficEvent::Host(HostEvent::Closed(7)))), "{reply:?}: {event:?}");
+        if reply == PartialReply::AfterClose {
+            send();
         }
-        assert_eq!(line.write(text(0)), Err(WriteError::Stale), "{half:?}");
-        assert!(!line.is_request_written(), "{half:?}");
-        drop(line);
-        let mut got = Vec::new();
-        let _ = std::io::Read::read_to_end(&mut &host, &mut got);
-        assert!(got.is_empty(), "{half:?}: the request was written");
+        assert_eq!(connection.write(request(0)), Err(WriteError::Stale), "{reply:?}");
+        assert!(!connection.is_request_written(), "{reply:?}");
+        drop(connection);
+        let mut received = Vec::new();
+        let _ = std::io::Read::read_to_end(&mut &host, &mut received);
+        assert!(received.is_empty(), "{reply:?}: the request was written");
     }
 }
--- a/crates/gateway/src/upstream/events.rs
+++ b/crates/gateway/src/upstream/events.rs
@@ -1,4 +1,4 @@
-//! Takes in what happens on connections to hosts.
+//! Handles the events of connections to hosts.
 
 use crate::messages::{AttemptKey, ConnectionId, HostEvent};
 use crate::telemetry::failure_stats::STALE_CONNECTION;
@@ -10,7 +10,7 @@
 use runtime::Env;
 
 impl<E: Env> Upstream<E> {
-    /// Takes in an event of a connection.
+    /// Handles an event of a connection.
     pub fn on_event(&mut self, event: HostEvent) {
         match event {
             HostEvent::Connected(id) => self.on_connected(id),
@@ -30,7 +30,7 @@
                     host.awaits_quarantine_end = false;
                 }
                 self.serve_waiting(host_id);
-                // The connection may have closed meanwhile, or may not be reused for what waits.
+                // The connection may have closed meanwhile, or may not be reused for the attempts that wait.
                 self.connect_for_waiting(host_id);
             }
         }
@@ -61,14 +61,14 @@
         if is_first_response {
             self.pressure.on_first_response();
         }
-        let is_valid = self.take_response(key, frame);
+        let is_valid = self.finish_with_response(key, frame);
         if !is_valid || !is_reusable {
             self.log_protocol_violation(host_id, &RespError::Malformed("answer"));
             self.close(id);
             return self.connect_for_waiting(host_id);
         }
-        let is_wanted = self.hosts.get(&host_id).is_some_and(|host| !host.waiting.is_empty());
-        if !is_wanted && self.pressure.is_high(now) {
+        let is_needed = self.hosts.get(&host_id).is_some_and(|host| !host.waiting.is_empty());
+        if !is_needed && self.pressure.is_high(now) {
             self.close(id);
         } else {
             self.quarantine(id, now);
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Ends an attempt by its response. Returns false if the host has violated the protocol.
-    fn take_response(&mut self, key: AttemptKey, frame: Frame) -> bool {
+    /// Finishes an attempt with its response. Returns false if the host has violated the protocol.
+    fn finish_with_response(&mut self, key: AttemptKey, frame: Frame) -> bool {
         let Some(attempt) = self.attempts.remove(&key) else { return false };
         let mut finished = FinishedAttempt::new(key, &attempt, Outcome::ConnectionReset);
-        let is_valid = finished.take_response(&self.platform, frame);
+        let is_valid = finished.read_response(&self.platform, frame);
         self.finished.push_back(finished);
         is_valid
     }
 
-    /// Each response may violate the protocol: the rate of these lines is limited.
+    /// Logs a protocol violation. Every response may be one, so the rate of these lines is limited.
     fn log_protocol_violation(&mut self, host_id: HostId, error: &RespError) {
         let Some(host) = self.hosts.get_mut(&host_id) else { return };
         if host.protocol_violations.on_failure(self.env.now()).is_some() {
@@ -99,7 +99,7 @@
             self.pressure.on_unused_end(self.env.now(), connection.idle_since);
         }
         if let Some(key) = connection.current {
-            self.on_closed_under_request(connection, key);
+            self.on_closed_during_request(connection, key);
         } else if connection.is_established {
             self.on_closed_while_idle(id, connection);
         } else {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn on_closed_under_request(&mut self, connection: &PooledConnection<E>, key: AttemptKey) {
+    fn on_closed_during_request(&mut self, connection: &PooledConnection<E>, key: AttemptKey) {
         let now = self.env.now();
         let started_at = self.attempts.get(&key).map(|attempt| attempt.started_at);
         if started_at.is_some_and(|started_at| now < started_at + STALE_CONNECTION) {
@@ -123,8 +123,8 @@
         }
     }
 
-    /// An old connection closed before the request was written completely. That says nothing of the host, and no attempt
-    /// was made: another connection takes the request.
+    /// Moves the request to another connection after a reused one closed before the request was written completely. This
+    /// is no evidence against the host and counts as no attempt.
     fn retry_on_another_connection(&mut self, host_id: HostId, key: AttemptKey) {
         let Some(host) = self.hosts.get_mut(&host_id).filter(|host| host.is_ready) else {
             return self.finish(key, Outcome::NotSent);
@@ -146,8 +146,8 @@
         }
     }
 
-    /// A connection that cannot be established fails the attempt that it was opened for, and none that came to wait
-    /// meanwhile; nor any if the host has moved or started again since: the new address is still to be tried.
+    /// Fails the attempt for which the connection was opened, and no attempt that began to wait later. Fails none if the
+    /// host has moved or restarted since: the new address has not been tried yet.
     fn on_connect_failed(&mut self, connection: &PooledConnection<E>) {
         let host_id = connection.host_id;
         let key = connection.opened_for;
--- a/crates/gateway/src/upstream/host.rs
+++ b/crates/gateway/src/upstream/host.rs
@@ -1,4 +1,4 @@
-//! What the gateway knows of a host.
+//! The gateway's state of a host.
 
 use crate::discovery::endpoint_list::{Endpoint, Lifecycle};
 use crate::messages::{AttemptKey, ConnectionId};
@@ -27,23 +27,23 @@
     }
 }
 
-/// A host.
+/// The state of a host and of its connections.
 #[derive(Default)]
 pub(super) struct Host {
-    /// The host as the decision module was last notified of it.
+    /// The host's entry as last reported to the decision module.
     pub entry: HostEntry,
     pub address: Option<SocketAddr>,
     pub names: HostNames,
     started_at_ms: u64,
     /// Whether the host accepts requests.
     pub is_ready: bool,
-    /// Increases with each change of address or start: connections of an earlier generation are not reused.
+    /// Increases with each change of address and each restart: connections of an earlier generation are not reused.
     pub generation: u32,
     /// Idle connections, the oldest first.
     pub idle: Vec<ConnectionId>,
     /// Attempts that wait for a connection, in order.
     pub waiting: VecDeque<AttemptKey>,
-    /// Whether an event will come at the end of a connection's quarantine.
+    /// Whether an event is scheduled for the end of a connection's quarantine.
     pub awaits_quarantine_end: bool,
     /// Number of connections that are being established.
     pub connecting: usize,
@@ -56,14 +56,14 @@
 }
 
 impl Host {
-    /// Takes in that a complete list does not name the host.
+    /// Marks the host as removed: it is missing from a complete list.
     pub fn remove(&mut self) {
         self.is_ready = false;
         self.entry.state = HostState::Gone;
     }
 
-    /// Takes in an entry of the endpoint list. Returns attempts that must not be sent any more: they were for a warm host,
-    /// and the host has started again, so that they have to be decided anew.
+    /// Applies an entry of the endpoint list. Returns the attempts that must no longer be sent: if the host has restarted,
+    /// it has to warm up again, and a new decision is needed for attempts that were meant for a warm host.
     pub fn update(&mut self, endpoint: &Endpoint) -> Vec<AttemptKey> {
         let mut unsent = Vec::new();
         let has_moved = self.address != endpoint.address || self.started_at_ms != endpoint.started_at_ms;
@@ -110,14 +110,14 @@
         };
     }
 
-    /// Assigns the host's pools anew.
+    /// Reassigns the host's pools.
     pub fn assign_pools(&mut self, router: &RequestRouter) {
         self.entry.pools = router.pools_of(&self.names.attributes(self.entry.cell));
     }
 }
 
-/// Returns a host's identifier for the decision module: a hash of the name alone, so that nothing has to be kept for hosts
-/// that are gone, by a stated function (FNV-1a), so that it is the same in every build.
+/// Returns a host's identifier for the decision module: a hash of the name alone, so that no state is needed for removed
+/// hosts. The hash function is fixed (FNV-1a), so that every build computes the same identifier.
 pub(super) fn host_id_of(name: &str) -> HostId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -125,7 +125,7 @@
     HostId(name.bytes().fold(OFFSET_BASIS, mix))
 }
 
-/// Returns the index of a name; an unknown one has the index after the last.
+/// Returns the index of a name; `names.len()` for an unknown one.
 fn position(names: &[String], name: &str) -> u32 {
     names.iter().position(|candidate| candidate == name).unwrap_or(names.len()) as u32
 }
--- a/crates/gateway/src/upstream/idle_reuse.rs
+++ b/crates/gateway/src/upstream/idle_reuse.rs
@@ -1,29 +1,29 @@
-//! How long an idle connection to a host may be reused. Hosts, or what is between, drop idle connections unnoticed, and a
-//! request that is written to a dropped one ends as a reset: it may have been executed as far as can be told, and one that
-//! is not idempotent is lost. So the idle times after which connections worked, or did not, are evidence: of each host by
-//! itself, and of all hosts together for those that have shown none.
+//! Learns for how long an idle connection to a host may be reused. Hosts and middleboxes drop idle connections silently, and
+//! a request that is written to a dropped connection fails with a reset. Such a request may have been executed, so one that
+//! is not idempotent cannot be retried and fails. The gateway therefore learns from the idle times after which connections
+//! worked or turned out to be dropped: a limit per host, and one of all hosts together for hosts without evidence.
 
 use policy::api::{Span, Time};
 
 const MS: Span = 1_000_000;
 /// Connections may always be reused after this idle time.
 const MIN_LIMIT: Span = 10 * MS;
-/// Growth of the limit after each successful reuse near it. Where reuse and growth balance, one in some twenty-five such
-/// reuses finds a dropped connection.
+/// Growth of the limit after each successful reuse near it. In equilibrium, about one in twenty-five of such reuses finds a
+/// dropped connection.
 const GROWTH: f64 = 1.04;
-/// The limit also doubles in this time without a test: with few requests no connection is reused near the limit, and one
-/// that was found dropped would be the last that was ever kept. At a request a second this costs one dropped connection
-/// in a hundred.
+/// The limit also doubles in this time without any reuse: with few requests no connection is reused near the limit, and a
+/// single dropped connection would otherwise prevent all later reuse. At one request per second, one in a hundred requests
+/// finds a dropped connection because of this.
 const DOUBLING_TIME: Span = 4_000 * MS;
 /// Doublings after which the limit is beyond any maximum.
 const MAX_DOUBLINGS: f64 = 64.0;
-/// Factor on the limit when an idle connection is seen to end: that may have been the host's own timeout.
+/// Factor on the limit when an idle connection closes, possibly due to the host's own idle timeout.
 const ENDED_FACTOR: f64 = 0.9;
-/// Requests that are not idempotent reuse connections up to this fraction of the limit (one in 4): another connection
-/// costs a round trip and a little of the host's work, a dropped one costs the request.
+/// Requests that are not idempotent reuse connections up to this fraction of the limit (one in 4): a new connection costs a
+/// round trip and some work at the host, while a dropped connection costs the request.
 const NOT_IDEMPOTENT_DIVISOR: u64 = 4;
 
-/// A limit on the idle time, as it was at a time.
+/// A limit on the idle time, valid at the time `at`.
 #[derive(Clone, Copy, Debug)]
 struct ReuseLimit {
     limit: Span,
@@ -31,7 +31,7 @@
 }
 
 impl ReuseLimit {
-    /// Returns the limit that this one has grown to.
+    /// Returns the limit including its growth up to now.
     fn current(self, now: Time, maximum: Span) -> Span {
         let doublings = now.saturating_sub(self.at) as f64 / DOUBLING_TIME as f64;
         let grown = self.limit as f64 * doublings.min(MAX_DOUBLINGS).exp2();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the limit after a connection that had been idle for this long worked.
+    /// Returns the limit after the successful reuse of a connection that had been idle for this long.
     fn after_success(self, now: Time, idle: Span, maximum: Span) -> ReuseLimit {
         let current = self.current(now, maximum);
         let grown = if idle > current / 2 { (current as f64 * GROWTH) as Span } else { current };
@@ -50,11 +50,11 @@
     }
 }
 
-/// The evidence of one host; `None` if it has shown nothing of its own.
+/// The limit of one host; `None` if the limit of all hosts together applies.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HostIdleReuse(Option<ReuseLimit>);
 
-/// The evidence of all hosts together.
+/// The limit of all hosts together.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdleReuse {
     maximum: Span,
@@ -71,7 +71,7 @@
         host.0.unwrap_or(self.all_hosts).current(now, self.maximum)
     }
 
-    /// Returns the idle time from which a connection to a host may not be reused for a request.
+    /// Returns the idle time from which on a connection to a host may no longer be reused for a request.
     pub fn limit(&self, now: Time, host: HostIdleReuse, is_idempotent: bool) -> Span {
         let limit = self.host_limit(now, host);
         if is_idempotent {
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Records that a connection worked after this idle time.
+    /// Records the successful reuse of a connection after this idle time.
     pub fn on_success(&mut self, now: Time, host: &mut HostIdleReuse, idle: Span) {
         let maximum = self.maximum;
         self.all_hosts = self.all_hosts.after_success(now, idle, maximum);
         let own = host.0.map(|limit| limit.after_success(now, idle, maximum));
-        // A host that is like the others again needs no limit of its own.
+        // A host whose limit has reached the maximum again needs no separate limit.
         host.0 = own.filter(|limit| limit.limit < maximum);
     }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Records that an idle connection was seen to end after this idle time.
+    /// Records that an idle connection closed after this idle time.
     pub fn on_ended(&self, now: Time, host: &mut HostIdleReuse, idle: Span) {
         let limit = self.host_limit(now, *host);
         if (MIN_LIMIT..limit).contains(&idle) {
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! Hosts: their connections, and the attempts on them.
+//! The upstream side of the gateway: hosts, the connections to them, and the attempts on these connections.
 //!
-//! A connection carries one request at a time: a second one would wait behind a slow one, and giving an attempt up means
-//! closing its connection. `host` holds what is known of a host, `attempt` the attempts and their responses, `pool` opens,
-//! reuses and closes connections, `connection` is a single one, and `events` takes in what happens on them. `idle_reuse`
-//! and `connection_pressure` learn when connections may be reused.
+//! A connection carries one request at a time: a second request would wait behind a slow first one, and aborting an
+//! attempt requires closing its connection. `host` holds the state of a host, `attempt` the attempts and their responses;
+//! `pool` opens, reuses and closes connections, `connection` implements a single one, and `events` handles their events.
+//! `idle_reuse` and `connection_pressure` learn when connections may be reused.
 
 mod attempt;
 pub(crate) mod connection;
@@ -33,7 +33,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 const MS: Span = 1_000_000;
-/// Minimum of the time after which idle connections are closed.
+/// Minimum time after which idle connections are closed.
 const MIN_IDLE_TIME: Span = 100 * MS;
 
 /// All hosts that discovery names.
@@ -44,20 +44,20 @@
     max_connections: usize,
     idle_reuse: IdleReuse,
     pressure: ConnectionPressure,
-    /// Ordered by identifier, so that what is done to all hosts is done in the same order each time.
+    /// Ordered by identifier, so that hosts are always processed in the same order.
     hosts: BTreeMap<HostId, Host>,
     connections: FxHashMap<ConnectionId, PooledConnection<E>>,
-    /// Connections in quarantine with its end, in this order.
+    /// Connections in quarantine with the end of their quarantine, the earliest first.
     quarantined: VecDeque<(Time, ConnectionId)>,
     attempts: FxHashMap<AttemptKey, Attempt>,
     next_connection_id: ConnectionId,
     finished: VecDeque<FinishedAttempt>,
 }
 
-/// Why an attempt is stopped.
+/// Reason for stopping an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopReason {
-    /// The attempt is not wanted any more.
+    /// The attempt is no longer needed.
     Cancelled,
     /// The deadline of the attempt has passed.
     TimedOut,
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Returns the next attempt that has ended, in order.
+    /// Removes and returns the oldest finished attempt.
     pub fn next_finished(&mut self) -> Option<FinishedAttempt> {
         self.finished.pop_front()
     }
 
-    /// Takes in an endpoint list, and returns its entries for the decision module.
+    /// Applies an endpoint list, and returns its entries for the decision module.
     pub fn update(
         &mut self,
         list: &EndpointList,
@@ -116,8 +116,8 @@
         entries
     }
 
-    /// Closes idle connections of an earlier generation, and ends attempts that wait for a host that drains or is gone:
-    /// their first byte may not follow the notification.
+    /// Closes idle connections of an earlier generation, and ends attempts that wait for a draining or removed host: no
+    /// request may be started on a host after discovery has announced its departure.
     fn drop_outdated(&mut self) {
         let mut unsent = Vec::new();
         let mut outdated = Vec::new();
@@ -138,7 +138,7 @@
         self.hosts.retain(|_, host| host.is_ready || host.connections > 0);
     }
 
-    /// Assigns the pools of all hosts anew, and returns their entries for the decision module.
+    /// Reassigns the pools of all hosts, and returns their entries for the decision module.
     pub fn assign_pools(&mut self, router: &RequestRouter) -> Vec<HostEntry> {
         let assign = |host: &mut Host| {
             host.assign_pools(router);
@@ -162,7 +162,7 @@
         self.finish_unsent(unsent);
     }
 
-    /// Returns discovery's name of a host.
+    /// Returns the name of a host in discovery.
     pub fn name(&self, id: HostId) -> &str {
         self.hosts.get(&id).map_or("a host that is gone", |host| &host.names.id)
     }
@@ -173,7 +173,7 @@
         ready.map(|host| host.entry.clone()).collect()
     }
 
-    /// Starts an attempt: on the newest idle connection, or on the first that becomes available.
+    /// Starts an attempt on the newest idle connection, or on the first connection that becomes available.
     pub fn start(&mut self, key: AttemptKey, order: ForwardOrder) {
         let host_id = order.host_id;
         let now = self.env.now();
@@ -189,8 +189,8 @@
         self.connect_for_waiting(host_id);
     }
 
-    /// Ends a waiting attempt whose request may not be written any more: its client has disconnected, or its time is over.
-    /// Returns whether the attempt has ended.
+    /// Ends a waiting attempt whose request may no longer be written: its client has disconnected, or its deadline has
+    /// passed. Returns whether the attempt has ended.
     fn end_if_expired(&mut self, key: AttemptKey) -> bool {
         let now = self.env.now();
         let Some(order) = self.attempts.get(&key).map(|attempt| &attempt.order) else { return true };
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Stops an attempt. Closing its connection is what notifies the host.
+    /// Stops an attempt and closes its connection, which also tells the host to abort the request.
     pub fn stop(&mut self, key: AttemptKey, reason: StopReason) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let host_id = attempt.order.host_id;
@@ -225,7 +225,7 @@
         self.finish(key, outcome);
     }
 
-    /// Cancels an attempt whose request is not written completely, so that it is never executed.
+    /// Cancels an attempt whose request has not been written completely, so that the host never executes it.
     pub fn cancel_unwritten(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let pooled = attempt.connection_id.and_then(|id| self.connections.get(&id));
@@ -234,9 +234,10 @@
         }
     }
 
-    /// Closes the idle connections of a host that has sent nothing since an attempt that timed out. A host that is cut off
-    /// leaves its connections open and silent. A new connection that cannot be established proves that a request was not
-    /// executed, which one that is not idempotent survives; one written to a dropped connection does not.
+    /// Closes the idle connections of a host that has sent nothing since the start of an attempt that timed out. The
+    /// connections to a partitioned host stay open and silent. If a new connection cannot be established, the request was
+    /// certainly not executed, and even one that is not idempotent can be retried; a request that was written to a dropped
+    /// connection cannot.
     fn close_idle_of_silent_host(&mut self, host_id: HostId, since: Time) {
         let Some(host) = self.hosts.get_mut(&host_id).filter(|host| host.last_response < since) else {
             return;
@@ -264,8 +265,8 @@
     }
 }
 
-/// Returns after which idle time connections are closed. Hosts close them at the age in the settings at the latest, and a
-/// request written to a closed one ends as a reset: the gateway closes them well before.
+/// Returns the idle time after which connections are closed. Hosts close idle connections no later than the timeout in the
+/// settings, and a request written to a closed connection fails with a reset, so the gateway closes them well before.
 fn max_idle_time(platform: &PlatformSettings) -> Span {
     (platform.idle_timeout / 2).max(MIN_IDLE_TIME)
 }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! The connections to hosts: opened for attempts that wait, reused after a quarantine, and closed when they are outdated or
-//! too many.
+//! The pool of connections to hosts. A connection is opened for a waiting attempt, reused after a quarantine, and closed
+//! when it is outdated or the pool is full.
 
 use crate::messages::{AttemptKey, ConnectionId, HostEvent, TrafficEvent};
 use crate::telemetry::failure_stats::AttemptConnection;
@@ -10,11 +10,11 @@
 use runtime::{Env, Task};
 
 const MS: Span = 1_000_000;
-/// A connection is quarantined for this long after a response. A host that responds twice does so some milliseconds after
-/// the first time, and the second response would pass for that to the next request; in quarantine it is found out.
+/// A connection is quarantined for this long after a response. A faulty host that responds twice sends the second response
+/// some milliseconds after the first. Without the quarantine it would be taken for the response to the next request.
 const QUARANTINE: Span = 10 * MS;
-/// Maximum number of connections in quarantine, of all hosts together: each takes memory. Where responses arrive faster,
-/// the quarantine of the oldest one ends early.
+/// Maximum number of connections in quarantine to all hosts together, since each takes memory. If responses arrive faster,
+/// the quarantine of the oldest connection ends early.
 const MAX_QUARANTINED: usize = 8;
 
 /// A connection to a host.
@@ -23,7 +23,7 @@
     /// The host's generation when the connection was opened.
     pub generation: u32,
     pub is_established: bool,
-    /// Whether the connection has brought a response.
+    /// Whether a response has arrived on the connection.
     pub has_responded: bool,
     /// Since when the connection has been idle.
     pub idle_since: Time,
@@ -46,7 +46,7 @@
 }
 
 impl<E: Env> Upstream<E> {
-    /// Closes a connection, with whatever is on it.
+    /// Closes a connection, including any request in flight on it.
     pub(super) fn close(&mut self, id: ConnectionId) -> Option<PooledConnection<E>> {
         let connection = self.connections.remove(&id)?;
         if let Some(host) = self.hosts.get_mut(&connection.host_id) {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Gives waiting attempts the idle connections that there are, and waits for the end of a quarantine if attempts remain.
+    /// Assigns idle connections to waiting attempts. If attempts remain, schedules an event at the end of the next
+    /// quarantine.
     pub(super) fn serve_waiting(&mut self, host_id: HostId) {
         while self.serve_one(host_id) {}
         let now = self.env.now();
@@ -81,7 +82,8 @@
         });
     }
 
-    /// Gives a waiting attempt the newest idle connection, if that may be reused for it. Returns whether to try again.
+    /// Assigns the newest idle connection to a waiting attempt if the connection may be reused for it. Returns whether the
+    /// caller should try again.
     fn serve_one(&mut self, host_id: HostId) -> bool {
         let now = self.env.now();
         let Some(host) = self.hosts.get(&host_id).filter(|host| host.is_ready) else { return false };
@@ -116,7 +118,7 @@
         host.idle.iter().rposition(is_usable)
     }
 
-    /// Closes an idle connection that is too old to be reused, and those before it, which are older.
+    /// Closes an idle connection that is too old to be reused, and all older ones.
     fn close_idle_up_to(&mut self, host_id: HostId, index: usize) {
         let Some(host) = self.hosts.get_mut(&host_id) else { return };
         let old = host.idle.drain(..=index).collect();
@@ -129,7 +131,7 @@
         let id = host.idle.remove(index);
         match self.write(id, key) {
             Ok(()) => self.remove_waiting(host_id, key),
-            // Nothing was written, and that says nothing of the host: the attempt waits for another connection.
+            // Nothing was written, which is no evidence against the host: the attempt waits for another connection.
             Err(error) => {
                 let closed = self.close(id);
                 if let Some(connection) = closed.filter(|_| error == WriteError::Stale) {
@@ -152,7 +154,7 @@
         pooled.idle_time = now.saturating_sub(pooled.idle_since);
         pooled.current = Some(key);
         attempt.connection_id = Some(id);
-        // A new connection gets its request at once.
+        // On a new connection the request is written immediately: after a longer idle time the connection counts as reused.
         let is_reused = pooled.has_responded || pooled.idle_time >= MS;
         attempt.connection = match pooled.idle_time {
             idle_time if is_reused && idle_time > 0 => AttemptConnection::Reused(idle_time),
@@ -161,7 +163,7 @@
         Ok(())
     }
 
-    /// Makes a connection available: for an attempt that waits, or as an idle one.
+    /// Returns a connection to the pool, where a waiting attempt may use it immediately.
     pub(super) fn release(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let host_id = connection.host_id;
@@ -178,8 +180,8 @@
         self.connect_for_waiting(host_id);
     }
 
-    /// Starts the quarantine of a connection that has brought a response. If there are too many in quarantine, that of the
-    /// oldest ends.
+    /// Starts the quarantine of a connection after a response. If too many connections are in quarantine, the quarantine of
+    /// the oldest one ends.
     pub(super) fn quarantine(&mut self, id: ConnectionId, now: Time) {
         let until = now.saturating_add(QUARANTINE);
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -198,8 +200,8 @@
         }
     }
 
-    /// Opens connections until each waiting attempt has one on the way: an attempt that has just arrived, or one whose own
-    /// connection went to an outdated address.
+    /// Opens a connection if fewer are being established than attempts are waiting: for a new attempt, or for one whose
+    /// connection was opened to an outdated address.
     pub(super) fn connect_for_waiting(&mut self, host_id: HostId) {
         let lacks_connection = |host: &&Host| host.is_ready && host.connecting < host.waiting.len();
         while let Some(host) = self.hosts.get(&host_id).filter(lacks_connection) {
@@ -245,14 +247,14 @@
     /// Closes the connection that has been idle for longest. Returns whether there was one.
     fn close_longest_idle(&mut self) -> bool {
         let idle_since = |id: &ConnectionId| self.connections.get(id).map_or(0, |c| c.idle_since);
-        // Of one host the first idle connection is the oldest.
-        let with_idle = self.hosts.values_mut().filter(|host| !host.idle.is_empty());
-        let oldest = with_idle.min_by_key(|host| (idle_since(&host.idle[0]), host.idle[0]));
+        // The first idle connection of each host is its oldest.
+        let hosts_with_idle = self.hosts.values_mut().filter(|host| !host.idle.is_empty());
+        let oldest = hosts_with_idle.min_by_key(|host| (idle_since(&host.idle[0]), host.idle[0]));
         let Some(id) = oldest.map(|host| host.idle.remove(0)) else { return false };
         self.close(id).is_some()
     }
 
-    /// Records that a connection was found dropped after this idle time: others may be reused for less.
+    /// Records that a connection was found dropped after this idle time, which lowers the idle time allowed for reuse.
     pub(super) fn on_dropped_connection(&mut self, host_id: HostId, idle_time: Span) {
         if let Some(host) = self.hosts.get_mut(&host_id) {
             self.idle_reuse.on_dropped(self.env.now(), &mut host.idle_reuse, idle_time);
