--- a/crates/gateway/src/counter/client.rs
+++ b/crates/gateway/src/counter/client.rs
@@ -1,4 +1,4 @@
-//! Makes calls to the counter service on a few connections, and matches the ends of calls.
+//! Makes calls to the counter service on a small number of connections, and tracks their results.
 
 use crate::counter::connection::{add_command, CallProgress, ConnectionTask, QueuedCall};
 use crate::messages::{CallId, CounterEvent, CounterResult, TrafficEvent};
@@ -11,12 +11,12 @@
 use tokio::sync::mpsc::{self, UnboundedSender};
 
 const MS: Span = 1_000_000;
-/// Maximum number of connections. A new one is opened while all have calls in flight, so that a slow part of the counter
-/// delays few calls to the others.
+/// Maximum number of connections. A new one is opened while all others have calls in flight, so that a slow part of the
+/// counter delays few calls to its other parts.
 pub(crate) const MAX_CONNECTIONS: usize = 4;
 /// Maximum number of calls in flight on one connection; further calls are not made.
 const MAX_CALLS_IN_FLIGHT: usize = 256;
-/// A connection without a reply for this many call timeouts is dead.
+/// A connection that brings no reply within this many call timeouts is considered dead.
 const REPLY_TIMEOUT_FACTOR: Span = 4;
 
 /// A call that has not ended yet.
@@ -26,11 +26,11 @@
     progress: CallProgress,
 }
 
-/// A connection, as the gateway's event loop sees it.
+/// The event loop's handle of a connection.
 struct Connection {
     id: u64,
     calls: UnboundedSender<QueuedCall>,
-    /// Calls without a reply. Abandoned ones count as well: they delay the next ones all the same.
+    /// Number of calls without a reply. Abandoned calls are included, since they delay the next ones as well.
     in_flight: usize,
 }
 
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Sends new calls to this address. Calls in flight finish where they are: a connection without a sender of calls
-    /// closes after its last reply.
+    /// Sends new calls to this address. Calls in flight finish on their connections: a connection whose sender of calls has
+    /// been dropped closes after its last reply.
     pub fn move_to(&mut self, address: Option<SocketAddr>) {
         if self.address != address {
             self.address = address;
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Makes a call. Returns its identifier and when it times out; `None` if it cannot be written anywhere, so that
-    /// nothing is added.
+    /// Makes a call. Returns its identifier and the time at which it times out; `None` if no connection accepts the call, so
+    /// that nothing is added.
     pub fn add(&mut self, key: CounterKey, amount: f64, time_to_live: Span) -> Option<(CallId, Time)> {
         let started_at = self.env.now();
         let index = self.select_connection()?;
@@ -127,15 +127,16 @@
         self.end(call, outcome, 0.0)
     }
 
-    /// Abandons all calls, since whoever made them is gone: their ends are not reported, and what is not written yet
-    /// never is.
+    /// Abandons all calls, for use when the decision module that made them no longer exists. Their results are not reported,
+    /// and calls that have not been written yet never will be.
     pub fn abandon_all(&mut self) {
         for (_, call) in self.calls.drain() {
             call.progress.abandon();
         }
     }
 
-    /// Takes in what a connection reports. Returns the end of a call that is still of interest.
+    /// Handles an event of a connection. Returns the result of a call that ended, unless the call had timed out or been
+    /// abandoned.
     pub fn on_event(&mut self, event: CounterEvent) -> Option<CounterResult> {
         match event {
             CounterEvent::CallEnded { connection, call, outcome, total } => {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Each reply may violate the protocol: the rate of these lines is limited.
+    /// Logs a protocol violation. Every reply may be one, so the rate of these lines is limited.
     fn log_protocol_violation(&mut self, address: SocketAddr, error: &RespError) {
         if self.protocol_violations.on_failure(self.env.now()).is_some() {
             tracing::warn!(%address, %error, "counter violated the protocol");
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter: calls are written one behind another, and replies arrive in the order of the calls.
+//! One connection to the counter. Calls are pipelined, and replies arrive in the order of the calls.
 
 use crate::crash_points::{self, CrashPoint};
 use crate::messages::{CallId, CounterEvent, TrafficEvent};
@@ -14,22 +14,23 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
 const MS: Span = 1_000_000;
-/// The counter closes idle connections after about 10 s or less; the gateway closes its own before.
+/// The counter closes idle connections after at most about 10 s; the gateway closes them earlier.
 const IDLE_TIMEOUT: Span = 2_500 * MS;
-/// Fraction of the reply timeout that the rest of a reply may take: replies are short and come in one piece.
+/// Fraction of the reply timeout within which an incomplete reply has to be completed: replies are short and arrive in one
+/// piece.
 const PARTIAL_REPLY_DIVISOR: Span = 8;
 
-/// How far a call has come, shared by the gateway's event loop and the task of the connection.
+/// The progress of a call, shared by the gateway's event loop and the task of the connection.
 #[derive(Clone, Debug)]
 pub(crate) struct CallProgress(Arc<AtomicU8>);
 
 impl CallProgress {
     const QUEUED: u8 = 0;
-    /// Some of the bytes may have been sent: the counter may add the amount.
+    /// Some of the bytes may have been sent, so the counter may add the amount.
     const WRITTEN: u8 = 1;
     const ABANDONED: u8 = 2;
 
-    /// The progress of a call that is queued.
+    /// Creates the progress of a queued call.
     pub fn new() -> CallProgress {
         CallProgress(Arc::new(AtomicU8::new(CallProgress::QUEUED)))
     }
@@ -45,20 +46,20 @@
         exchanged.is_ok()
     }
 
-    /// Abandons the call, which is not written any more. Returns whether it may have been written before.
+    /// Abandons the call, which is not written after this. Returns whether it may have been written before.
     pub fn abandon(&self) -> bool {
         self.0.swap(CallProgress::ABANDONED, Ordering::Relaxed) == CallProgress::WRITTEN
     }
 }
 
-/// A call on its way to the task of the connection.
+/// A call queued for the task of the connection.
 pub(crate) struct QueuedCall {
     pub call: CallId,
     pub progress: CallProgress,
     pub command: Bytes,
 }
 
-/// Returns the command that adds an amount to a number.
+/// Returns the command that adds an amount to the counter of a key.
 pub(crate) fn add_command(key: CounterKey, amount: f64, time_to_live: Span) -> Bytes {
     let key = format!("{:016x}", key.0);
     let amount = format!("{amount:.6}");
@@ -76,27 +77,27 @@
     env: E,
     id: u64,
     gateway: UnboundedSender<TrafficEvent>,
-    /// With a call in flight, the connection is dead after this long without a reply.
+    /// A connection with a call in flight that brings no reply for this long is considered dead.
     reply_timeout: Span,
-    /// Calls that have been written and have no reply yet, the oldest first.
+    /// Written calls without a reply, the oldest first.
     in_flight: VecDeque<CallId>,
     output: BytesMut,
 }
 
 impl<E: Env> ConnectionTask<E> {
-    /// Creates the task of a connection that is not open yet.
+    /// Creates the task of a connection that has not been opened yet.
     pub fn new(env: E, id: u64, gateway: UnboundedSender<TrafficEvent>, reply_timeout: Span) -> Self {
         let in_flight = VecDeque::new();
         ConnectionTask { env, id, gateway, reply_timeout, in_flight, output: BytesMut::new() }
     }
 
-    /// Connects and carries calls until the connection fails, is idle for too long, or no sender of calls is left.
+    /// Connects and processes calls until the connection fails, is idle for too long, or the sender of calls is dropped.
     pub async fn run(mut self, address: SocketAddr, mut calls: UnboundedReceiver<QueuedCall>) {
         let mut error = None;
         if let Ok(Ok(stream)) = self.env.timeout(self.reply_timeout, self.env.connect(address)).await {
-            error = self.carry(stream, &mut calls).await.err();
+            error = self.drive(stream, &mut calls).await.err();
         }
-        // A written call without a reply may have been added; one that was never written has not.
+        // The amount of a written call without a reply may have been added; that of a call never written has not.
         for call in std::mem::take(&mut self.in_flight) {
             self.report(call, Outcome::Timeout, 0.0);
         }
@@ -122,7 +123,7 @@
         self.send(CounterEvent::CallEnded { connection: self.id, call, outcome, total });
     }
 
-    async fn carry(
+    async fn drive(
         &mut self,
         stream: E::Stream,
         calls: &mut UnboundedReceiver<QueuedCall>,
@@ -137,8 +138,8 @@
             if !accepts_calls && !awaits_reply {
                 return Ok(());
             }
-            let silent_at = last_alive + self.allowed_silence(&input);
-            let silent = self.env.sleep_until(silent_at);
+            let inactive_at = last_alive + self.inactivity_timeout(&input);
+            let inactive = self.env.sleep_until(inactive_at);
             tokio::select! {
                 biased;
                 queued = calls.recv(), if accepts_calls => match queued {
@@ -152,16 +153,16 @@
                 },
                 read = resp::fill(&mut reader, &mut input) => {
                     read?;
-                    if self.take_replies(&mut input)? || !has_partial_reply {
+                    if self.process_replies(&mut input)? || !has_partial_reply {
                         last_alive = self.env.now();
                     }
                 }
-                () = silent => return Ok(()),
+                () = inactive => return Ok(()),
             }
         }
     }
 
-    fn allowed_silence(&self, input: &BytesMut) -> Span {
+    fn inactivity_timeout(&self, input: &BytesMut) -> Span {
         if !input.is_empty() {
             self.reply_timeout / PARTIAL_REPLY_DIVISOR
         } else if !self.in_flight.is_empty() {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Writes a call and all that have been queued since, at once.
+    /// Writes a call together with all that have been queued since.
     async fn write<W: AsyncWrite + Unpin + Send>(
         &mut self,
         first: QueuedCall,
@@ -181,7 +182,7 @@
         let mut batch = Vec::new();
         let mut next = Some(first);
         while let Some(queued) = next {
-            // From here on some of the bytes may be sent: a call that is abandoned after this may have been added.
+            // From here on some of the bytes may be sent, so the amount of a call abandoned later may have been added.
             if queued.progress.start_writing() {
                 self.output.extend_from_slice(&queued.command);
                 batch.push((self.output.len(), queued.call));
@@ -205,8 +206,8 @@
         Ok(())
     }
 
-    /// Takes all complete replies off the input. Returns whether there were any.
-    fn take_replies(&mut self, input: &mut BytesMut) -> Result<bool, RespError> {
+    /// Processes all complete replies in the input. Returns whether there were any.
+    fn process_replies(&mut self, input: &mut BytesMut) -> Result<bool, RespError> {
         let before = self.in_flight.len();
         while let Some(frame) = resp::decode(input)? {
             self.on_reply(&frame)?;
@@ -217,7 +218,7 @@
     fn on_reply(&mut self, frame: &Frame) -> Result<(), RespError> {
         let (outcome, total) = match frame {
             Frame::Bulk(text) => (Outcome::Ok, parse_total(text)?),
-            // Overloaded, or an unknown command: nothing was added. After any other error it may have been.
+            // Overloaded, or an unknown command: nothing was added. After any other error the amount may have been added.
             Frame::Error(text) if matches!(text.split(|b| *b == b' ').next(), Some(b"BUSY" | b"ERR")) => {
                 (Outcome::Rejected, 0.0)
             }
--- a/crates/gateway/src/counter/log.rs
+++ b/crates/gateway/src/counter/log.rs
@@ -1,5 +1,5 @@
-//! Logs changes of the counter's state that last: how much has been granted locally meanwhile, and how far quotas may be
-//! exceeded by then. There is never a line per request.
+//! Logs lasting changes of the counter's state, with the units granted locally meanwhile and the amount by which quotas may
+//! have been exceeded. No line is written per request.
 
 use crate::telemetry::debounced_state::DebouncedState;
 use policy::api::Settings;
@@ -8,24 +8,23 @@
 use runtime::{Span, Time};
 
 const SECOND: Span = 1_000_000_000;
-/// Time between the first line about a fault and the first reminder; it doubles with each further one.
+/// Time between the first line about a fault and the first reminder; it doubles with each reminder.
 const FIRST_REMINDER: Span = 10 * SECOND;
 const MAX_REMINDER_INTERVAL: Span = 600 * SECOND;
 
-/// How severe a line is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Severity {
     Info,
     Warn,
 }
 
-/// A line of the log: a fixed message with fields.
+/// A log line: a fixed message with fields.
 #[derive(Debug, PartialEq)]
 pub(crate) struct LogLine {
     severity: Severity,
     message: &'static str,
     state: CounterState,
-    /// Number of counter resets since the start, in the line about one.
+    /// Number of counter resets since the start, in a line about a reset.
     resets: Option<u32>,
     consequences: Option<Consequences>,
 }
@@ -56,10 +55,10 @@
 /// The name of a plan with its quota.
 pub(crate) type NamedQuota = (String, Quota);
 
-/// What has been logged of the counter.
+/// The state of the log about the counter.
 pub(crate) struct CounterLog {
     state: DebouncedState<CounterState>,
-    /// The fault that has been logged and is not over.
+    /// The ongoing fault that has been logged.
     fault: Option<CounterFault>,
     /// Number of counter resets that have been logged.
     resets: u32,
@@ -76,7 +75,7 @@
 }
 
 impl CounterLog {
-    /// Creates the log of a gateway that starts now.
+    /// Creates the log at the start of a gateway.
     pub fn new(now: Time, quotas: Vec<NamedQuota>) -> CounterLog {
         let state = DebouncedState::new(CounterState::Unused, now);
         CounterLog { state, fault: None, resets: 0, quotas }
@@ -87,7 +86,7 @@
         self.state.needs_sample(now)
     }
 
-    /// Takes in the counter's state, and returns the lines to be written.
+    /// Records the counter's state, and returns the lines to be written.
     pub fn update(&mut self, now: Time, report: &CounterReport) -> Vec<LogLine> {
         let mut lines = Vec::new();
         lines.extend(self.reset_line(report.state, report.counter_resets));
@@ -99,7 +98,8 @@
         lines
     }
 
-    /// Returns whether there is no fault, logged or about to be: local grants count from here on.
+    /// Returns whether there is no fault, neither logged nor about to be logged. Local grants are counted from the last time
+    /// at which this was true.
     pub fn is_healthy(&self, report: &CounterReport) -> bool {
         self.fault.is_none() && !report.state.is_degraded()
     }
@@ -150,7 +150,7 @@
         })
     }
 
-    /// What a fault has led to by now.
+    /// Returns the consequences of a fault up to now.
     fn consequences(&self, now: Time, fault: &CounterFault, grants: &LocalGrants) -> Consequences {
         let duration = now - fault.since;
         let bound = |(plan, quota): &NamedQuota| {
@@ -168,12 +168,12 @@
     }
 }
 
-/// What a fault has led to.
+/// The consequences of a fault.
 #[derive(Debug, PartialEq)]
 struct Consequences {
     duration_s: u64,
     grants: LocalGrants,
-    /// For each plan, the units by which a customer exceeds its quota at most over all gateways.
+    /// For each plan, the maximum units by which a customer can exceed its quota, over all gateways.
     max_overshoot: String,
 }
 
@@ -184,8 +184,8 @@
     max_request_units: f64,
 ) -> Vec<NamedQuota> {
     let plans = plan_names.iter().zip(&settings.plans);
-    let with_quota = plans.filter(|(_, plan)| plan.rate > 0.0);
-    let named = with_quota.map(|(name, plan)| {
+    let plans_with_quota = plans.filter(|(_, plan)| plan.rate > 0.0);
+    let named = plans_with_quota.map(|(name, plan)| {
         let quota = Quota {
             rate: plan.rate,
             burst: plan.burst,
--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -1,7 +1,7 @@
-//! The client of the counter service, and what the log says of the counter.
+//! The client of the counter service, and the log lines about the counter.
 //!
-//! `client` makes calls and matches their ends, `connection` writes them one behind another and reads the replies, and
-//! `log` reports changes of the counter's state.
+//! `client` makes calls and tracks their results, `connection` pipelines them and reads the replies, and `log` reports
+//! changes of the counter's state.
 
 mod client;
 mod connection;
