--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the form in which discovery sends it.
+//! The endpoint list, parsed from the document that discovery sends.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -11,11 +11,11 @@
 pub struct EndpointList {
     /// Version of the list.
     pub generation: u64,
-    /// Whether the list is complete (`reset` on the wire): a host that it does not name is gone.
+    /// Whether the list is complete (`reset` on the wire): a host that it does not name has been removed.
     pub is_complete: bool,
     /// The hosts (`instances` on the wire).
     pub endpoints: Vec<Endpoint>,
-    /// Number of entries that could not be read completely.
+    /// Number of entries that could not be parsed completely.
     pub invalid_entries: usize,
 }
 
@@ -40,8 +40,8 @@
 pub struct Endpoint {
     /// Name of the host, the same at every gateway.
     pub instance_id: String,
-    /// Address of the host (`hostPort` on the wire). `None` for a host that accepts nothing new and of which nothing
-    /// else could be read.
+    /// Address of the host (`hostPort` on the wire). `None` if the entry is invalid and only shows that the host is draining
+    /// or has been removed.
     #[serde(rename = "hostPort")]
     pub address: Option<SocketAddr>,
     /// State of the host.
@@ -58,7 +58,7 @@
     /// Relative size of the host, without a unit.
     #[serde(default)]
     pub weight: f64,
-    /// Latest start of the host, in milliseconds of Unix time; 0 for one long past.
+    /// Latest start of the host, in milliseconds of Unix time; 0 for a start in the distant past.
     #[serde(default)]
     pub started_at_ms: u64,
 }
@@ -69,13 +69,13 @@
 pub enum Lifecycle {
     /// The host accepts requests.
     InService,
-    /// The host is draining: it finishes what is in flight and accepts nothing new.
+    /// The host is draining: it finishes the requests in flight and accepts no new ones.
     Terminating,
-    /// The host is gone.
+    /// The host has been removed.
     Terminated,
 }
 
-/// The document that discovery sends.
+/// The document as discovery sends it.
 #[derive(Deserialize)]
 struct Document {
     #[serde(default)]
@@ -86,7 +86,7 @@
     instances: Vec<Value>,
 }
 
-/// The error of a list of which no entry can be read.
+/// None of the entries of a list can be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("no entry can be read")]
 struct NoEntry;
@@ -94,8 +94,9 @@
 impl TryFrom<Document> for EndpointList {
     type Error = NoEntry;
 
-    /// Reads the entries one by one: an invalid one does not invalidate the others. That a host drains or is gone
-    /// counts whatever else its entry holds, since the version advances and discovery would not send it again.
+    /// Parses each entry separately, so that an invalid one does not invalidate the others. An entry that marks its host as
+    /// draining or removed takes effect even if the rest of it is invalid: the version advances, so discovery would not
+    /// send the entry again.
     fn try_from(document: Document) -> Result<EndpointList, NoEntry> {
         let Document { generation, reset, instances } = document;
         let mut endpoints = Vec::with_capacity(instances.len());
@@ -105,7 +106,7 @@
                 Some(endpoint) => endpoints.push(endpoint),
                 None => {
                     invalid_entries += 1;
-                    endpoints.extend(departure_in(entry));
+                    endpoints.extend(parse_departure(entry));
                 }
             }
         }
@@ -116,8 +117,8 @@
     }
 }
 
-/// Reads an invalid entry of a host that drains or is gone, as far as it says so.
-fn departure_in(entry: &Value) -> Option<Endpoint> {
+/// Parses an invalid entry for the departure of its host: that the host is draining or has been removed.
+fn parse_departure(entry: &Value) -> Option<Endpoint> {
     let lifecycle = Lifecycle::deserialize(entry.get("lifecycle")?).ok()?;
     let instance_id = entry.get("instanceId")?.as_str()?.to_owned();
     (lifecycle != Lifecycle::InService).then(|| Endpoint {
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -1,5 +1,5 @@
-//! Splits a stream of bytes into JSON documents. A document may be indented, come in several pieces, or share a piece with
-//! others. Each byte is scanned once.
+//! Splits a stream of bytes into JSON documents. A document may be indented, arrive in several fragments, or share a
+//! fragment with others. Each byte is scanned only once.
 
 use crate::discovery::ListError;
 use bytes::{Buf, BytesMut};
@@ -7,7 +7,7 @@
 /// Maximum length of a document, in bytes.
 pub(crate) const MAX_DOCUMENT: usize = 1 << 20;
 
-/// The next part of the stream.
+/// An item of the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum StreamItem {
     /// White space between documents, which serves as a heartbeat.
@@ -16,18 +16,19 @@
     Document(BytesMut),
 }
 
-/// The received bytes, up to the first document that is incomplete.
+/// A stream of JSON documents that are separated by optional white space.
 #[derive(Debug, Default)]
 pub(crate) struct JsonStream {
+    /// Received bytes that have not been returned as items yet.
     bytes: BytesMut,
-    /// Number of bytes that have been scanned.
+    /// Number of these bytes that have been scanned.
     scanned: usize,
-    /// Number of brackets that are open after them.
+    /// Number of brackets that are open after the scanned bytes.
     depth: usize,
     string: StringState,
 }
 
-/// Position relative to strings, in which brackets do not count.
+/// Position relative to string literals, in which brackets are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum StringState {
     #[default]
@@ -49,12 +50,11 @@
 }
 
 impl JsonStream {
-    /// Appends bytes that have been received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Returns the next complete part; `None` if more bytes are needed.
+    /// Returns the next complete item; `None` if more bytes are needed.
     pub fn next(&mut self) -> Result<Option<StreamItem>, ListError> {
         if self.scanned == 0 {
             if self.skip_whitespace() {
@@ -75,14 +75,14 @@
         Ok(None)
     }
 
-    /// Drops leading white space. Returns whether there was any.
+    /// Removes leading white space. Returns whether there was any.
     fn skip_whitespace(&mut self) -> bool {
         let count = self.bytes.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
         self.bytes.advance(count);
         count > 0
     }
 
-    /// Scans the bytes that have not been scanned, up to the end of a document.
+    /// Scans new bytes up to the end of a document, and returns the document if it is complete.
     fn scan(&mut self) -> Option<BytesMut> {
         while let Some(byte) = self.bytes.get(self.scanned).copied() {
             self.scanned += 1;
--- a/crates/gateway/src/discovery/json_stream/tests.rs
+++ b/crates/gateway/src/discovery/json_stream/tests.rs
@@ -1,24 +1,26 @@
 use super::*;
 
-/// All parts of a stream that comes in frames of one size, and how it ends.
-fn parts(stream: &str, size: usize) -> (Vec<String>, Result<(), ListError>) {
-    let (mut documents, mut found) = (JsonStream::default(), Vec::new());
+/// Returns the json_stream of a stream that arrives in frames of one size, and the error that ended it.
+fn split(stream: &str, size: usize) -> (Vec<String>, Result<(), ListError>) {
+    let (mut json_stream, mut documents) = (JsonStream::default(), Vec::new());
     for frame in stream.as_bytes().chunks(size) {
-        documents.push(frame);
+        json_stream.push(frame);
         loop {
-            match documents.next() {
-                Ok(Some(StreamItem::Document(text))) => found.push(String::from_utf8(text.to_vec()).unwrap()),
+            match json_stream.next() {
+                Ok(Some(StreamItem::Document(text))) => {
+                    documents.push(String::from_utf8(text.to_vec()).unwrap())
+                }
                 Ok(Some(StreamItem::Whitespace)) => {}
                 Ok(None) => break,
-                Err(error) => return (found, Err(error)),
+                Err(error) => return (documents, Err(error)),
             }
         }
     }
-    (found, Ok(()))
+    (documents, Ok(()))
 }
 
 #[test]
-fn documents_are_split_alike_however_they_are_fragmented() {
+fn documents_are_split_the_same_for_every_frame_size() {
     let cases: [(&str, &[&str]); 8] = [
         ("", &[]),
         (" \r\n\t\n", &[]),
@@ -31,18 +33,19 @@
     ];
     for (stream, expected) in cases {
         for size in 1..=stream.len().max(1) {
-            let (found, end) = parts(stream, size);
-            assert!(found == expected && end.is_ok(), "{stream} by {size}: {found:?}, {end:?}");
+            let (documents, end) = split(stream, size);
+            assert!(documents == expected && end.is_ok(), "{stream} by {size}: {documents:?}, {end:?}");
         }
     }
 }
 
 #[test]
-fn an_invalid_or_too_long_document_is_an_error() {
+fn rejects_an_invalid_or_too_long_document() {
     let long = format!("{{\"a\":\"{}", "x".repeat(MAX_DOCUMENT));
     let cases = [("{}\n[]", 1, ListError::NoDocument), ("x", 0, ListError::NoDocument)];
-    for (stream, whole, error) in cases.into_iter().chain([(long.as_str(), 0, ListError::TooLong)]) {
-        let (found, end) = parts(stream, 4096);
-        assert_eq!((found.len(), end.unwrap_err().to_string()), (whole, error.to_string()));
+    for (stream, valid_documents, error) in cases.into_iter().chain([(long.as_str(), 0, ListError::TooLong)])
+    {
+        let (documents, end) = split(stream, 4096);
+        assert_eq!((documents.len(), end.unwrap_err().to_string()), (valid_documents, error.to_string()));
     }
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: one watch at a discovery agent, resumed at the known version after each failure.
 //!
-//! `watch` keeps the watch open and reports lists to the gateway, `agent` makes the calls, `json_stream` splits what they
-//! bring into documents, `endpoint_list` reads these, and `stale_entries` removes what is older than what is known.
+//! `watch` keeps the watch open and reports lists to the gateway, `agent` calls the agent, `json_stream` splits response
+//! bodies into documents, `endpoint_list` parses these, and `stale_entries` removes outdated entries.
 
 mod agent;
 pub(crate) mod endpoint_list;
@@ -11,15 +11,15 @@
 
 pub(crate) use watch::watch_endpoints;
 
-/// Why a list cannot be used. The latest one stays in effect, and the complete list is requested next.
+/// Why a list cannot be used. The latest list stays in effect, and the complete list is requested next.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ListError {
     #[error("not a list of hosts")]
     NoDocument,
-    #[error("too long a list of hosts")]
+    #[error("the list of hosts is too long")]
     TooLong,
     #[error("not a list of hosts: {0}")]
     Unreadable(#[from] serde_json::Error),
-    #[error("a whole list without hosts")]
+    #[error("a complete list without hosts")]
     Empty,
 }
--- a/crates/gateway/src/discovery/stale_entries.rs
+++ b/crates/gateway/src/discovery/stale_entries.rs
@@ -1,32 +1,33 @@
-//! Removes stale entries from endpoint lists. Changes may arrive out of order, and a complete list may be older than what
-//! is known; discovery would not repeat that a host drains.
+//! Removes stale entries from endpoint lists. Changes may arrive out of order, and a complete list may be older than the
+//! changes already applied. A draining host must not be restored by such a list, since discovery would not repeat its
+//! departure.
 
 use crate::discovery::endpoint_list::{Endpoint, EndpointList, Lifecycle};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
 
-/// Maximum number of departed hosts that are remembered: those that departed at the latest versions.
+/// Maximum number of departures that are remembered, those with the latest versions.
 pub(crate) const MAX_DEPARTURES: usize = 1024;
 
-/// The departure of a host's process: it drains or is gone.
+/// The departure of a host's process, which is draining or has been removed.
 #[derive(Clone, Copy, Debug)]
 struct Departure {
-    /// Version of the list that said so.
+    /// Version of the list that reported the departure.
     version: u64,
     /// Start of the process, in milliseconds of Unix time.
     started_at_ms: u64,
 }
 
-/// What the lists of one discovery agent have said. At another agent versions may start again.
+/// The known hosts and departures from the lists of one discovery agent. Versions of another agent are not comparable.
 #[derive(Debug, Default)]
 pub(crate) struct StaleEntryFilter {
-    /// Hosts in service with their starts, in milliseconds of Unix time; as many as discovery names.
+    /// Hosts in service with their start times, in milliseconds of Unix time. Bounded by the length of discovery's list.
     in_service: BTreeMap<String, u64>,
     departures: BTreeMap<String, Departure>,
 }
 
 impl StaleEntryFilter {
-    /// Removes hosts from a list that have departed at a later version, unless they have started again since.
+    /// Removes hosts from a list that have departed at a later version, unless they have restarted since.
     pub fn remove_stale(&mut self, list: &mut EndpointList) {
         let version = list.generation;
         if list.is_complete {
@@ -39,7 +40,7 @@
                 true
             }
         });
-        self.bound_departures();
+        self.limit_departures();
     }
 
     /// Records the departure of hosts that a complete list does not name.
@@ -49,11 +50,11 @@
         let missing: Vec<(String, u64)> =
             missing.map(|(name, started_at_ms)| (name.clone(), *started_at_ms)).collect();
         for (name, started_at_ms) in missing {
-            self.depart(&name, Departure { version: list.generation, started_at_ms });
+            self.insert_departure(&name, Departure { version: list.generation, started_at_ms });
         }
     }
 
-    /// Records a host in service. Returns whether the entry is current rather than older than the host's departure.
+    /// Records a host in service. Returns false if the entry is older than the departure of the host.
     fn is_current(&mut self, version: u64, host: &Endpoint) -> bool {
         let is_stale = self.departures.get(&host.instance_id).is_some_and(|departure| {
             departure.version > version && host.started_at_ms <= departure.started_at_ms
@@ -66,23 +67,23 @@
         true
     }
 
-    /// Records a host that drains or is gone.
+    /// Records a host that is draining or has been removed.
     fn record_departure(&mut self, version: u64, host: &Endpoint) {
-        // An entry that could not be read does not tell the start: it concerns any process that is not known.
+        // An invalid entry has no start time: if the host is unknown, the departure applies to all its processes.
         let unknown_start = if host.address.is_none() { u64::MAX } else { 0 };
         let known_start = self.in_service.get(&host.instance_id).copied().unwrap_or(unknown_start);
         let started_at_ms = known_start.max(host.started_at_ms);
-        self.depart(&host.instance_id, Departure { version, started_at_ms });
+        self.insert_departure(&host.instance_id, Departure { version, started_at_ms });
     }
 
-    fn depart(&mut self, name: &str, departure: Departure) {
+    fn insert_departure(&mut self, name: &str, departure: Departure) {
         self.in_service.remove(name);
         let recorded = self.departures.entry(name.to_owned()).or_insert(departure);
         recorded.version = recorded.version.max(departure.version);
         recorded.started_at_ms = recorded.started_at_ms.max(departure.started_at_ms);
     }
 
-    fn bound_departures(&mut self) {
+    fn limit_departures(&mut self) {
         if self.departures.len() > MAX_DEPARTURES {
             let all = std::mem::take(&mut self.departures);
             let mut departures: Vec<(String, Departure)> = all.into_iter().collect();
--- a/crates/gateway/src/discovery/stale_entries/tests.rs
+++ b/crates/gateway/src/discovery/stale_entries/tests.rs
@@ -13,27 +13,34 @@
 }
 
 #[test]
-fn a_draining_host_is_not_put_back_by_an_older_list() {
+fn a_draining_host_is_not_restored_by_an_older_list() {
     let mut filter = StaleEntryFilter::default();
     let drain = list(3, false, &[("s-1", "terminating"), ("s-2", "in_service")]);
     assert_eq!(remaining(&mut filter, drain), ["s-1", "s-2"]);
     let older = list(2, false, &[("s-1", "in_service"), ("s-2", "in_service")]);
     assert_eq!(remaining(&mut filter, older), ["s-2"]);
-    let gone = list(2, false, &[("s-1", "terminated")]);
-    assert_eq!(remaining(&mut filter, gone), ["s-1"], "a departure counts at any version");
+    let removed = list(2, false, &[("s-1", "terminated")]);
+    assert_eq!(remaining(&mut filter, removed), ["s-1"], "a departure was dropped because of its version");
     assert_eq!(remaining(&mut filter, list(2, false, &[("s-1", "in_service")])), [""; 0]);
-    assert_eq!(remaining(&mut filter, list(4, false, &[("s-1", "in_service")])), ["s-1"], "it is back");
+    assert_eq!(
+        remaining(&mut filter, list(4, false, &[("s-1", "in_service")])),
+        ["s-1"],
+        "a newer list did not restore the host"
+    );
     assert_eq!(remaining(&mut filter, list(2, false, &[("s-1", "in_service")])), ["s-1"]);
 }
 
 #[test]
-fn an_older_complete_list_puts_back_no_departed_host_and_adds_the_others() {
-    // What is told before; then whether a list of version 4 puts the host back, which started so.
+fn an_older_complete_list_restores_no_departed_host_and_adds_the_others() {
+    // Each case first applies lists after which the host has departed at version 5. Then another list follows: whether it
+    // is complete, its version, the start time of the host in it, and whether it restores the host.
     let drains = || vec![list(3, true, &[("s-1", "in_service")]), list(5, false, &[("s-1", "terminating")])];
     let left_out = || vec![list(3, true, &[("s-1", "in_service")]), list(5, true, &[("s-2", "in_service")])];
-    let gone = || vec![list(5, false, &[("s-1", "terminated")])];
-    for (case, told) in [("drains", drains as fn() -> _), ("left out", left_out), ("gone", gone)] {
-        for (reset, version, started, is_back) in [
+    let removed = || vec![list(5, false, &[("s-1", "terminated")])];
+    for (case, earlier_lists) in
+        [("drains", drains as fn() -> _), ("left out", left_out), ("removed", removed)]
+    {
+        for (reset, version, started, is_restored) in [
             (true, 4, 0, false),
             (false, 4, 0, false),
             (true, 4, 1, true),
@@ -43,10 +50,10 @@
             (false, 6, 0, true),
         ] {
             let mut filter = StaleEntryFilter::default();
-            told().iter_mut().for_each(|list| filter.remove_stale(list));
+            earlier_lists().iter_mut().for_each(|list| filter.remove_stale(list));
             let mut late = list(version, reset, &[("s-1", "in_service"), ("s-3", "in_service")]);
             late.endpoints[0].started_at_ms = started;
-            let expected: &[&str] = if is_back { &["s-1", "s-3"] } else { &["s-3"] };
+            let expected: &[&str] = if is_restored { &["s-1", "s-3"] } else { &["s-3"] };
             assert_eq!(
                 remaining(&mut filter, late),
                 expected,
@@ -58,7 +65,7 @@
 
 #[test]
 fn an_invalid_entry_of_a_draining_host_concerns_the_process_in_service() {
-    for (known, started, is_back) in [(true, 7, false), (true, 8, true), (false, 8, false)] {
+    for (known, started, is_restored) in [(true, 7, false), (true, 8, true), (false, 8, false)] {
         let mut filter = StaleEntryFilter::default();
         let mut serving = list(1, true, &[("s-1", "in_service")]);
         serving.endpoints[0].started_at_ms = 7;
@@ -70,7 +77,7 @@
         filter.remove_stale(&mut drain);
         let mut late = list(4, false, &[("s-1", "in_service")]);
         late.endpoints[0].started_at_ms = started;
-        assert_eq!(remaining(&mut filter, late).len(), usize::from(is_back), "{known}, {started}");
+        assert_eq!(remaining(&mut filter, late).len(), usize::from(is_restored), "{known}, {started}");
     }
 }
 
@@ -82,7 +89,7 @@
         assert!(filter.departures() <= MAX_DEPARTURES, "{}", filter.departures());
     }
     assert_eq!(remaining(&mut filter, list(9_990, false, &[("s-9995", "in_service")])), [""; 0]);
-    // Also where all of them leave at once.
+    // The bound also holds if all hosts depart in one list.
     let names: Vec<String> = (0..5_000).map(|n| format!("t-{n}")).collect();
     let hosts = |state| names.iter().map(|name| (name.as_str(), state)).collect::<Vec<_>>();
     filter.remove_stale(&mut list(10_000, true, &hosts("in_service")));
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -20,19 +20,19 @@
 const MS: Span = 1_000_000;
 /// Nanoseconds per second.
 const SECOND: f64 = 1e9;
-/// A watch may keep sending heartbeats and no list. One that has sent no list for this long is replaced once another one
-/// has been opened, which asks for changes since the known version and so costs the agent next to nothing.
+/// A faulty watch may send heartbeats and no list. A watch without a list for this long is replaced as soon as another one
+/// has been opened. The new watch resumes at the known version, so it costs the agent very little.
 const RENEWAL_INTERVAL: Span = 2_500 * MS;
-/// Pauses after failed calls: the first, and the longest, to which they grow.
+/// Minimum and maximum backoff after failed calls.
 const MIN_BACKOFF: Span = 20 * MS;
 const MAX_BACKOFF: Span = 200 * MS;
-/// What an agent had sent when discovery moves away from it counts as notified, also while it is unread: its watch is read
-/// for this much longer.
+/// Time for which the old watch is still read after discovery has moved to another address. The gateway is held to every
+/// change that the old agent sent before the move, including changes that are still unread.
 const MOVE_GRACE: Span = 5 * MS;
 /// Pause between calls for the complete list if it cannot be used.
-const UNUSABLE_LIST_PAUSE: Span = 1_000 * MS;
+const UNUSABLE_LIST_BACKOFF: Span = 1_000 * MS;
 
-/// Where a watch resumes.
+/// The position at which a watch resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Resume {
     /// After this version.
@@ -41,8 +41,9 @@
     CompleteList,
 }
 
-/// Watches the endpoint list for as long as the gateway runs; the latest list stays in effect while discovery is
-/// unreachable. At a new address the complete list is requested: its versions need not compare with the old ones.
+/// Watches the endpoint list for as long as the gateway runs. The latest list stays in effect while discovery is
+/// unreachable. At a new address the complete list is requested, since its versions need not be comparable with the old
+/// ones.
 pub(crate) async fn watch_endpoints<E: Env>(
     env: E,
     mut addresses: watch::Receiver<SocketAddr>,
@@ -51,7 +52,7 @@
 ) {
     let mut resume = Resume::After(cached.generation);
     let mut backoff = MIN_BACKOFF;
-    let mut hedges = true;
+    let mut hedges_calls = true;
     let mut outage = OutageLog::default();
     let mut filter = StaleEntryFilter::default();
     filter.remove_stale(&mut cached);
@@ -59,14 +60,15 @@
         let address = *addresses.borrow_and_update();
         let resumed_at = resume;
         let attempt = async {
-            let agent = AgentClient { env: env.clone(), address, hedges: std::mem::take(&mut hedges) };
+            let agent =
+                AgentClient { env: env.clone(), address, hedges_calls: std::mem::take(&mut hedges_calls) };
             let mut attempt =
                 WatchAttempt { agent, gateway: &gateway, outage: &mut outage, filter: &mut filter };
             let Err(error) = attempt.run(&mut resume).await;
             attempt.on_failure(&error);
             let is_unusable = error.is::<ListError>();
             backoff = match resumed_at {
-                Resume::CompleteList if is_unusable => UNUSABLE_LIST_PAUSE,
+                Resume::CompleteList if is_unusable => UNUSABLE_LIST_BACKOFF,
                 _ if resume == resumed_at => (backoff * 2).min(MAX_BACKOFF),
                 _ => MIN_BACKOFF,
             };
@@ -80,7 +82,7 @@
             Progress::Moved(Ok(())) => {
                 resume = Resume::CompleteList;
                 backoff = MIN_BACKOFF;
-                hedges = true;
+                hedges_calls = true;
                 filter = StaleEntryFilter::default();
             }
             Progress::Moved(Err(_)) => return,
@@ -88,15 +90,15 @@
     }
 }
 
-/// How a watch attempt came to its end.
+/// How a watch attempt ended.
 enum Progress {
-    /// The attempt failed, and the pause after it is over.
+    /// The attempt failed, and the backoff after it has elapsed.
     Completed,
-    /// Discovery has moved, or nobody is left who could move it.
+    /// Discovery has moved, or the sender of addresses has been dropped.
     Moved(Result<(), RecvError>),
 }
 
-/// Runs an attempt to its end, or until discovery moves.
+/// Runs an attempt until it ends or discovery moves.
 async fn until_moved<E: Env>(
     env: &E,
     addresses: &mut watch::Receiver<SocketAddr>,
@@ -136,7 +138,7 @@
                 biased;
                 item = current.next() => {
                     let item = item?;
-                    self.on_alive();
+                    self.on_reachable();
                     if let StreamItem::Document(list) = item {
                         version = self.report(&list)?;
                         *resume = Resume::After(version);
@@ -144,7 +146,7 @@
                     }
                 }
                 successor = &mut renewal => {
-                    // Without a successor the current watch stays for as long as it is alive.
+                    // If no successor can be opened, the current watch is kept for as long as it is alive.
                     let delay = match successor {
                         Ok(successor) => {
                             current = successor;
@@ -163,8 +165,8 @@
         let agent = self.agent.clone();
         let call = agent.hedged(|| agent.complete_list());
         let list = agent.env.timeout(RESPONSE_TIMEOUT, call).await.context("no list")??;
-        self.agent.hedges = false;
-        self.on_alive();
+        self.agent.hedges_calls = false;
+        self.on_reachable();
         self.report(&list)
     }
 
@@ -175,7 +177,7 @@
         if !list.is_complete_and_empty() {
             self.filter.remove_stale(&mut list);
         }
-        // Whatever the list means, it does not end all service.
+        // A list without hosts is treated as faulty, since applying it would stop all service.
         if list.is_complete_and_empty() {
             return Err(ListError::Empty.into());
         }
@@ -184,7 +186,7 @@
         Ok(version)
     }
 
-    fn on_alive(&mut self) {
+    fn on_reachable(&mut self) {
         if self.outage.is_ongoing() {
             // The gateway may have stopped.
             let _ = self.gateway.send(ControlEvent::DiscoveryReachable(true));
