--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -11,12 +11,13 @@
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 
-/// Minimum number of descriptors: with fewer there is no room for clients beside hosts, discovery and the counter.
+/// Minimum number of file descriptors; with fewer, none would remain for clients besides hosts, discovery and the counter.
 pub const MIN_SOCKETS: usize = 64;
-/// Minimum memory in which a gateway and its buffers fit, in megabytes.
+/// Minimum memory for a gateway and its buffers, in megabytes.
 const MIN_MEMORY_MB: usize = 4;
-const KEYS: &[&str] = &["name", "listen", "discovery", "counter", "seed", "limits", "known", "settings"];
-const LIMITS: &[&str] = &["cores", "memory_mb", "sockets"];
+const DOCUMENT_KEYS: &[&str] =
+    &["name", "listen", "discovery", "counter", "seed", "limits", "known", "settings"];
+const LIMIT_KEYS: &[&str] = &["cores", "memory_mb", "sockets"];
 
 /// Why a configuration document is rejected.
 #[derive(Debug, thiserror::Error)]
@@ -25,12 +26,12 @@
     /// The document is not JSON.
     #[error(transparent)]
     NotJson(#[from] serde_json::Error),
-    /// A key has a value of another type.
+    /// The value of a key has the wrong type.
     #[error("`{key}`: {error}")]
     Key {
         /// Full name of the key.
         key: String,
-        /// What is wrong with its value.
+        /// The error in its value.
         error: serde_json::Error,
     },
     /// A key of the document is misspelt.
@@ -42,21 +43,21 @@
     /// The platform's settings cannot be used.
     #[error("`settings`: {0}")]
     Settings(SettingsError),
-    /// Too few descriptors.
+    /// The limit of file descriptors is too low.
     #[error("`limits.sockets` is {0}, under {MIN_SOCKETS}")]
     TooFewSockets(usize),
-    /// Too little memory.
+    /// The memory limit is too low.
     #[error("`limits.memory_mb` is {0}, under {MIN_MEMORY_MB}")]
     TooLittleMemory(usize),
-    /// The settings allow the counter, and its address is missing.
-    #[error("`counter` is missing: the settings allow the counter, and nothing says where it is")]
+    /// The settings allow the counter, but its address is missing.
+    #[error("`counter` is missing: the settings allow the counter, but its address is not configured")]
     NoCounter,
-    /// The seed is not a number.
+    /// The seed is not a hexadecimal number.
     #[error("`seed` is `{seed}`, not a hexadecimal number of 64 bits: {error}")]
     Seed {
-        /// The value.
+        /// The value of the key.
         seed: String,
-        /// What is wrong with it.
+        /// The parse error.
         error: ParseIntError,
     },
 }
@@ -85,7 +86,7 @@
     "0".into()
 }
 
-/// A configuration that has been checked.
+/// The gateway's configuration, parsed from its document and validated.
 #[derive(Debug)]
 pub struct Config {
     /// Name of the gateway.
@@ -96,29 +97,29 @@
     pub discovery: SocketAddr,
     /// Address of the counter service.
     pub counter: Option<SocketAddr>,
-    /// Seed of the random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Memory beyond which the process is killed, in bytes.
+    /// Memory limit above which the process is killed, in bytes.
     pub memory_bytes: usize,
-    /// The endpoint list as the gateway had it before (`known` in the document); it may be old.
+    /// The endpoint list from before the start (`known` in the document); it may be outdated.
     pub cached_endpoints: EndpointList,
     /// The platform's settings.
     pub platform: PlatformSettings,
-    /// The operators' files; the document itself names none.
+    /// The operators' files, which the document does not contain.
     pub operators: Operators,
-    /// Full names of the keys that this version does not know and skips.
+    /// Full names of the keys that this version does not know and ignores.
     pub unknown_keys: Vec<String>,
     /// The document itself, for comparison with later ones.
     pub document: Value,
 }
 
 impl Config {
-    /// Reads the document.
+    /// Parses the document.
     ///
     /// # Errors
-    /// What is wrong with the document, with the name of the key.
+    /// The document is invalid; the error names the key.
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let json: Value = serde_json::from_slice(text)?;
         let mut unknown_keys = unknown_keys_of(&json)?;
@@ -148,7 +149,7 @@
         })
     }
 
-    /// Returns how the memory is divided.
+    /// Returns the memory budget for the limits of the document.
     pub fn memory_budget(&self) -> MemoryBudget {
         MemoryBudget::within(self.memory_bytes, self.sockets)
     }
@@ -156,10 +157,10 @@
 
 /// Returns the keys that this version does not know, except those of the settings.
 fn unknown_keys_of(document: &Value) -> Result<Vec<String>, ConfigError> {
-    let mut unknown = unknown_keys(document, KEYS)?;
+    let mut unknown = unknown_keys(document, DOCUMENT_KEYS)?;
     if let Some(limits) = document.get("limits").filter(|limits| limits.is_object()) {
-        let inside = unknown_keys(limits, LIMITS).map_err(ConfigError::LimitKeys)?;
-        unknown.extend(inside.into_iter().map(|key| format!("limits.{key}")));
+        let unknown_limits = unknown_keys(limits, LIMIT_KEYS).map_err(ConfigError::LimitKeys)?;
+        unknown.extend(unknown_limits.into_iter().map(|key| format!("limits.{key}")));
     }
     Ok(unknown)
 }
@@ -178,9 +179,10 @@
     u64::from_str_radix(seed, 16).map_err(|error| ConfigError::Seed { seed: seed.to_owned(), error })
 }
 
-/// Settings of one class, named `read` where it is safe and else `order`, and of the plan `team`, for tests.
+/// Returns settings for tests, with one class and the plan `team`. The class is named `read` if its semantics are `safe`,
+/// and `order` otherwise.
 #[cfg(test)]
-pub(crate) fn sample(semantics: &str, aim: u64, limit: u64) -> Value {
+pub(crate) fn sample(semantics: &str, latency_objective: u64, deadline: u64) -> Value {
     let name = if semantics == "safe" { "read" } else { "order" };
     serde_json::json!({
         "allowed": {"cancel": false, "conn-idle": 60_000_000_000u64, "dial-timeout": 2_000_000_000u64,
@@ -189,7 +191,7 @@
         "domain": {"shared-counter": false, "units-top": 6.0},
         "feedback": {"fields": [], "how": "none"},
         "rules": {"cold": 0, "cold-share": 0.0, "must-ask-in": 0},
-        "services": [{"name": name, "semantics": semantics, "aim": aim, "hard-limit": limit, "worth": 1.0,
+        "services": [{"name": name, "semantics": semantics, "aim": latency_objective, "hard-limit": deadline, "worth": 1.0,
             "late-worth": 0.0, "stream": false}],
         "tariffs": [{"name": "team", "refill": 0.0, "burst": 0.0, "concurrency": 0, "worth-factor": 1.0,
             "extra-worth": 0.0, "overrun-cost": 0.0, "ceiling-rate": 0.0, "never-over-depth": 0.0,
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway: start, reload and graceful shutdown.
+//! The lifecycle of a gateway: start, reload and graceful shutdown.
 
 pub(crate) mod reload;
 mod shutdown;
@@ -13,7 +13,7 @@
 use crate::request_routing::{OperatorsError, RequestRouter};
 use anyhow::{Context as _, Result};
 use policy::policy::Policy;
-use reload::{keys_that_need_a_start, Reload};
+use reload::{keys_requiring_restart, Reload};
 use runtime::{Env, Listener};
 use serde_json::Value;
 use shutdown::shut_down;
@@ -23,8 +23,8 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 
-/// Descriptors for the listener, discovery, the runtime, standard streams, connections that linger without a slot (at most
-/// eight), and connections that are closing.
+/// File descriptors for the listener, discovery, the runtime, standard streams, connections that linger without a slot (at
+/// most eight), and connections that are closing.
 const RESERVED_SOCKETS: usize = 24;
 
 /// A signal to the process.
@@ -32,7 +32,7 @@
 pub enum Signal {
     /// Read the configuration again (SIGHUP).
     Reload,
-    /// Answer the accepted requests, then end (SIGTERM).
+    /// Answer the accepted requests, then exit (SIGTERM).
     Terminate,
 }
 
@@ -47,15 +47,15 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
 }
 
-/// Serves until a [`Signal::Terminate`], and then until all accepted requests are answered or the time for that is over.
+/// Serves until a [`Signal::Terminate`], and then until all accepted requests are answered or the shutdown times out.
 ///
-/// `read_config` reads the configuration again at each [`Signal::Reload`]: the addresses of discovery and the counter, and
-/// the operators' files, take effect; an error changes nothing.
+/// `read_config` is called to read the configuration again at each [`Signal::Reload`]. The addresses of discovery and the
+/// counter, and the operators' files, take effect; an error changes nothing.
 ///
 /// # Errors
 /// The gateway cannot start.
@@ -99,35 +99,36 @@
     let in_flight = gateway.in_flight();
     env.spawn(gateway.run(control_inbox, traffic_inbox));
 
-    let (agent, agents) = watch::channel(config.discovery);
+    let (agent_address, agent_addresses) = watch::channel(config.discovery);
     let cached = config.cached_endpoints.clone();
-    env.spawn(discovery::watch_endpoints(env.clone(), agents, cached, control.clone()));
+    env.spawn(discovery::watch_endpoints(env.clone(), agent_addresses, cached, control.clone()));
 
     let budget = CommandBudget::within(&config.memory_budget());
     let context = client::Context::new(env.clone(), platform.clone(), traffic.clone(), phases, budget);
     env.spawn(client::accept(listener, sockets.clients, context));
     tracing::info!(name = %config.name, %address, "listening");
 
-    let reloader = Reloader { read_config, started_with: config.document, agent, gateway: control };
-    while reloader.next(&mut signals).await == Some(Signal::Reload) {}
-    // Signals are still received during the shutdown. A second SIGTERM has no effect; a reload has, since discovery is
-    // watched for as long as somebody can move it.
-    env.spawn(async move { while reloader.next(&mut signals).await.is_some() {} });
+    let reloader =
+        Reloader { read_config, initial_document: config.document, agent_address, gateway: control };
+    while reloader.handle_signal(&mut signals).await == Some(Signal::Reload) {}
+    // Signals are still received during the shutdown. A second SIGTERM has no effect, but a reload does. The watch of
+    // discovery also ends when the reloader, which holds the sender of its addresses, is dropped.
+    env.spawn(async move { while reloader.handle_signal(&mut signals).await.is_some() {} });
     let deadlines = platform.settings.classes.iter().map(|class| class.deadline);
     let longest_deadline = deadlines.max().unwrap_or(0);
     shut_down(&env, phase, in_flight, longest_deadline).await;
     Ok(())
 }
 
-/// How the descriptors of the process are divided.
+/// The allocation of the file descriptors of the process.
 struct SocketBudget {
     hosts: usize,
     clients: ConnectionLimits,
 }
 
 impl SocketBudget {
-    /// A quarter of the descriptors is for hosts: clients hold up to a third of them for requests, and connections that
-    /// stay open without a request must not displace those.
+    /// Allocates a quarter of the descriptors to hosts and the rest to clients. Clients use up to a third of the descriptors
+    /// for requests, and connections that stay open without a request must not displace these.
     fn of(sockets: usize) -> SocketBudget {
         let available = sockets - RESERVED_SOCKETS - 2 * MAX_CONNECTIONS;
         let hosts = available / 4;
@@ -136,18 +137,18 @@
     }
 }
 
-/// Reads the configuration again and distributes it.
+/// Reads the configuration again and distributes it to the parts of the gateway.
 struct Reloader<F> {
     read_config: F,
-    /// The document that the gateway started with.
-    started_with: Value,
-    agent: watch::Sender<SocketAddr>,
+    /// The configuration document at the start of the gateway.
+    initial_document: Value,
+    agent_address: watch::Sender<SocketAddr>,
     gateway: UnboundedSender<ControlEvent>,
 }
 
 impl<F: Fn() -> Result<Config>> Reloader<F> {
-    /// Waits for the next signal, and reloads if it asks for that.
-    async fn next(&self, signals: &mut UnboundedReceiver<Signal>) -> Option<Signal> {
+    /// Waits for the handle_signal signal, and reloads the configuration if the signal is [`Signal::Reload`].
+    async fn handle_signal(&self, signals: &mut UnboundedReceiver<Signal>) -> Option<Signal> {
         let signal = signals.recv().await?;
         if signal == Signal::Reload {
             if let Err(error) = self.reload().await {
@@ -158,7 +159,7 @@
         Some(signal)
     }
 
-    /// Puts another configuration into effect completely; after an error, nothing of it.
+    /// Applies a new configuration completely, or not at all after an error.
     async fn reload(&self) -> Result<()> {
         let config = (self.read_config)()?;
         crash_points::crash_if_armed(CrashPoint::ReloadRead);
@@ -166,13 +167,13 @@
         let reload = Reload { counter: config.counter, operators: config.operators, done };
         let _ = self.gateway.send(ControlEvent::Reload(Box::new(reload)));
         outcome.await.context("the gateway has stopped")??;
-        self.agent.send_if_modified(|address| {
+        self.agent_address.send_if_modified(|address| {
             let has_moved = *address != config.discovery;
             *address = config.discovery;
             has_moved
         });
         tracing::info!("configuration reloaded");
-        if let Some(keys) = keys_that_need_a_start(&self.started_with, &config.document) {
+        if let Some(keys) = keys_requiring_restart(&self.initial_document, &config.document) {
             tracing::warn!(%keys, "configuration changes take effect only at a start");
         }
         Ok(())
--- a/crates/gateway/src/lifecycle/reload/mod.rs
+++ b/crates/gateway/src/lifecycle/reload/mod.rs
@@ -1,4 +1,4 @@
-//! What a running gateway takes from a configuration that has been read again, and what takes effect only at a start.
+//! The part of a configuration that a running gateway can reload, and the detection of changes that require a restart.
 
 use crate::request_routing::OperatorsError;
 use config_language::model::Operators;
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 
-/// Keys of the document that take effect without a start.
-const RELOADABLE: [&str; 2] = ["discovery", "counter"];
-/// Keys whose values are compared as a whole: the difference of two endpoint lists is of no interest.
-const OPAQUE: [&str; 1] = ["known"];
-/// Maximum number of keys that a line names; the others are counted.
+/// Keys of the document that take effect without a restart.
+const RELOADABLE_KEYS: [&str; 2] = ["discovery", "counter"];
+/// Keys whose differences are not reported by inner key: the differences between two endpoint lists are irrelevant.
+const OPAQUE_KEYS: [&str; 1] = ["known"];
+/// Maximum number of keys that a log line names; further ones are counted.
 const MAX_NAMED: usize = 8;
 
 /// The reloadable part of a configuration, which takes effect completely or not at all.
@@ -18,16 +18,16 @@
 pub(crate) struct Reload {
     pub counter: Option<SocketAddr>,
     pub operators: Operators,
-    /// Receives the outcome.
+    /// Receives the result.
     pub done: oneshot::Sender<Result<(), OperatorsError>>,
 }
 
-/// Names the keys in which a document differs from the one that the gateway started with, as far as the change takes
-/// effect only at a start. `None` if there are none.
-pub(crate) fn keys_that_need_a_start(started_with: &Value, current: &Value) -> Option<String> {
+/// Returns the names of the keys that differ from the initial document and take effect only at a restart; `None` if there
+/// are none.
+pub(crate) fn keys_requiring_restart(initial: &Value, current: &Value) -> Option<String> {
     let mut keys = Vec::new();
-    collect_differences("", started_with, current, &mut keys);
-    keys.retain(|key| !RELOADABLE.contains(&key.as_str()));
+    collect_differences("", initial, current, &mut keys);
+    keys.retain(|key| !RELOADABLE_KEYS.contains(&key.as_str()));
     if keys.is_empty() {
         return None;
     }
@@ -40,7 +40,7 @@
 /// Adds the full names of the keys whose values differ.
 fn collect_differences(path: &str, old: &Value, new: &Value, keys: &mut Vec<String>) {
     match (old, new) {
-        (Value::Object(old), Value::Object(new)) if !OPAQUE.contains(&path) => {
+        (Value::Object(old), Value::Object(new)) if !OPAQUE_KEYS.contains(&path) => {
             let added = new.keys().filter(|key| !old.contains_key(*key));
             for key in old.keys().chain(added) {
                 let full_name = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
@@ -54,7 +54,7 @@
                 collect_differences(&format!("{path}[{index}]"), old, new, keys);
             }
         }
-        // A number may be written in several ways.
+        // The same number may be written in several ways.
         (Value::Number(old), Value::Number(new)) if old.as_f64() == new.as_f64() => {}
         _ if old == new => {}
         _ => keys.push(path.to_owned()),
--- a/crates/gateway/src/lifecycle/reload/tests.rs
+++ b/crates/gateway/src/lifecycle/reload/tests.rs
@@ -5,24 +5,24 @@
     serde_json::from_str(include_str!("../../../../../deploy/example.json")).unwrap()
 }
 
-/// Returns the named keys if the example has these values in place of its own.
+/// Returns the names of the keys that require a restart if these values of the example document change.
 fn named_keys(changes: &[(&str, Value)]) -> Option<String> {
     let mut document = example();
     for (pointer, value) in changes {
         match document.pointer_mut(pointer) {
-            Some(place) => *place = value.clone(),
+            Some(slot) => *slot = value.clone(),
             None => document[&pointer[1..]] = value.clone(),
         }
     }
-    keys_that_need_a_start(&example(), &document)
+    keys_requiring_restart(&example(), &document)
 }
 
 #[test]
-fn each_key_that_needs_a_start_is_named_and_no_other() {
+fn names_the_keys_that_require_a_restart_and_no_others() {
     for (pointer, value, named) in [
         ("/discovery", json!("127.0.0.1:1"), None),
         ("/counter", json!("127.0.0.1:1"), None),
-        // The same figure, written in another way.
+        // The same number, written differently.
         ("/settings/tariffs/0/refill", json!(4), None),
         ("/name", json!("gateway-2"), Some("`name`")),
         ("/listen", json!("127.0.0.1:1"), Some("`listen`")),
@@ -41,25 +41,25 @@
 }
 
 #[test]
-fn many_keys_are_one_bounded_line() {
-    let all: Vec<String> = (0..20).map(|number| format!("/more-{number:02}")).collect();
-    let changes: Vec<(&str, Value)> = all.iter().map(|key| (key.as_str(), json!(1))).collect();
+fn many_keys_are_named_in_one_bounded_line() {
+    let names: Vec<String> = (0..20).map(|number| format!("/more-{number:02}")).collect();
+    let changes: Vec<(&str, Value)> = names.iter().map(|key| (key.as_str(), json!(1))).collect();
     let line = named_keys(&changes).unwrap();
     assert!(line.starts_with("`more-00`, `more-01`, ") && line.ends_with("`more-07` and 12 more"), "{line}");
 }
 
 #[test]
-fn a_key_that_is_gone_is_named_like_one_that_came() {
+fn a_removed_key_is_named_like_an_added_one() {
     let mut without = example();
     without.as_object_mut().unwrap().remove("known");
     let line = Some("`known`".to_owned());
-    assert_eq!(keys_that_need_a_start(&example(), &without), line);
-    assert_eq!(keys_that_need_a_start(&without, &example()), line);
+    assert_eq!(keys_requiring_restart(&example(), &without), line);
+    assert_eq!(keys_requiring_restart(&without, &example()), line);
     without["counter"] = Value::Null;
     without["known"] = example()["known"].clone();
     assert_eq!(
-        keys_that_need_a_start(&example(), &without),
+        keys_requiring_restart(&example(), &without),
         None,
-        "where the counter is counts at once, also that there is none"
+        "the removal of the counter requires a restart"
     );
 }
--- a/crates/gateway/src/lifecycle/tests.rs
+++ b/crates/gateway/src/lifecycle/tests.rs
@@ -7,40 +7,40 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// The decision module, but that it panics at requests of six units, with half of what it wants said.
-struct Panics(Policy);
+/// The decision module, except that it panics at a request of six units after it has added its actions.
+struct PanicsAtSixUnits(Policy);
 
-impl DecisionModule for Panics {
+impl DecisionModule for PanicsAtSixUnits {
     fn start(settings: Settings, seed: u64) -> Self {
-        Panics(Policy::new(settings, seed))
+        PanicsAtSixUnits(Policy::new(settings, seed))
     }
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        let bad = matches!(&event, Event::Request(request) if request.units == 6.0);
+        let panics = matches!(&event, Event::Request(request) if request.units == 6.0);
         self.0.handle(now, event, actions);
-        if bad {
-            panic!("as the test wants");
+        if panics {
+            panic!("intended by the test");
         }
     }
 }
 
-/// The decision module, but that it panics where its plans change.
-struct Settled(Policy);
+/// The decision module, except that it panics when its plans change.
+struct PanicsAtChangedPlans(Policy);
 
-impl DecisionModule for Settled {
+impl DecisionModule for PanicsAtChangedPlans {
     fn start(settings: Settings, seed: u64) -> Self {
-        Settled(Policy::new(settings, seed))
+        PanicsAtChangedPlans(Policy::new(settings, seed))
     }
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        assert!(!matches!(event, Event::PlansChanged(_)), "as the test wants");
+        assert!(!matches!(event, Event::PlansChanged(_)), "intended by the test");
         self.0.handle(now, event, actions);
     }
 }
 
 fn config(host: SocketAddr) -> Config {
-    let nowhere = "127.0.0.1:9";
+    let closed_port = "127.0.0.1:9";
     let host = json!({"instanceId": "s-1", "hostPort": host.to_string(), "lifecycle": "in_service"});
     let document = json!({
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": nowhere, "seed": "7",
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": closed_port, "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "known": {"generation": 1, "reset": true, "instances": [host]},
         "settings": crate::config::sample("unsafe", 8_000_000_000, 9_000_000_000),
@@ -54,11 +54,11 @@
     async fn connect(address: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(address).await.unwrap()))
     }
-    async fn post(&mut self, id: u64, units: u32) {
-        let list = format!("c=order,t=team,d=8500,units={units},spread=1,first=0");
+    async fn send_request(&mut self, id: u64, units: u32) {
+        let arguments = format!("c=order,t=team,d=8500,units={units},spread=1,first=0");
         let text = format!(
-            "*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000000000000001\r\n$16\r\n{id:016x}\r\n${}\r\n{list}\r\n$1\r\nb\r\n",
-            list.len()
+            "*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000000000000001\r\n$16\r\n{id:016x}\r\n${}\r\n{arguments}\r\n$1\r\nb\r\n",
+            arguments.len()
         );
         self.0.get_mut().write_all(text.as_bytes()).await.unwrap();
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// The next command that comes to a host, and its connection.
+/// Returns the next command that a host receives, and its connection.
 async fn command(host: &TcpListener) -> (String, TcpStream) {
     let mut stream = timeout(Duration::from_secs(20), host.accept()).await.expect("no command").unwrap().0;
     let (mut text, mut buf) = (String::new(), [0; 512]);
@@ -81,49 +81,59 @@
 }
 
 #[tokio::test]
-async fn a_panic_of_the_module_fails_what_it_held_and_nothing_after() {
+async fn a_panic_of_the_decision_module_fails_its_requests_and_no_later_ones() {
     let host = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let config = config(host.local_addr().unwrap());
     let (_signals, signals) = mpsc::unbounded_channel();
-    // Its own listener cannot be asked for its port from here: a free one is taken beforehand.
+    // The port of the gateway's listener is not accessible from here, so the test chooses a free one beforehand.
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let config = Config { listen: free, ..config };
 
-    tokio::spawn(serve_with::<SystemEnv, Panics, _>(
+    tokio::spawn(serve_with::<SystemEnv, PanicsAtSixUnits, _>(
         SystemEnv::start(),
         config,
         || anyhow::bail!("none"),
         signals,
     ));
-    let (mut first, mut bad) = loop {
+    let (mut first, mut panicking) = loop {
         tokio::task::yield_now().await;
         if let Ok(stream) = TcpStream::connect(free).await {
             break (Client(BufReader::new(stream)), Client::connect(free).await);
         }
     };
-    first.post(1, 1).await;
-    let (_, mut silent) = command(&host).await;
+    first.send_request(1, 1).await;
+    let (_, mut abandoned) = command(&host).await;
     let start = std::time::Instant::now();
-    bad.post(2, 6).await;
-    assert_eq!(bad.line().await, "-ERR failed\r\n");
-    assert_eq!(first.line().await, "-ERR failed\r\n", "held by the module that is gone");
-    assert_eq!(silent.read(&mut [0]).await.unwrap(), 0, "nobody waits for its attempt any more");
-    assert!(start.elapsed() < Duration::from_secs(6), "only when they were overdue, after 8.5 s");
-    first.post(3, 1).await;
+    panicking.send_request(2, 6).await;
+    assert_eq!(panicking.line().await, "-ERR failed\r\n");
+    assert_eq!(first.line().await, "-ERR failed\r\n", "the other request of the module");
+    assert_eq!(
+        abandoned.read(&mut [0]).await.unwrap(),
+        0,
+        "the connection of the abandoned attempt was not closed"
+    );
+    assert!(
+        start.elapsed() < Duration::from_secs(6),
+        "the requests failed only at their deadline, after 8.5 s"
+    );
+    first.send_request(3, 1).await;
     let (text, mut stream) = command(&host).await;
-    assert!(text.contains("0000000000000003"), "half-said actions were carried out: {text}");
+    assert!(
+        text.contains("0000000000000003"),
+        "the actions of the module that panicked were executed: {text}"
+    );
     stream.write_all(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").await.unwrap();
     assert_eq!(first.line().await, "$1\r\n");
 }
 
 #[tokio::test]
-async fn a_reload_that_changes_nothing_is_no_news_to_the_module() {
+async fn a_reload_without_changes_does_not_notify_the_decision_module() {
     let host = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = host.local_addr().unwrap();
-    let (tell, signals) = mpsc::unbounded_channel();
+    let (sender, signals) = mpsc::unbounded_channel();
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let first = Config { listen: free, ..config(address) };
-    tokio::spawn(serve_with::<SystemEnv, Settled, _>(
+    tokio::spawn(serve_with::<SystemEnv, PanicsAtChangedPlans, _>(
         SystemEnv::start(),
         first,
         move || Ok(config(address)),
@@ -135,15 +145,15 @@
             break Client(BufReader::new(stream));
         }
     };
-    client.post(1, 1).await;
+    client.send_request(1, 1).await;
     let (_, mut stream) = command(&host).await;
-    (0..3).for_each(|_| tell.send(Signal::Reload).unwrap());
-    // A second command is taken in behind the reloads.
+    (0..3).for_each(|_| sender.send(Signal::Reload).unwrap());
+    // A second command is processed after the reloads.
     let mut other = Client::connect(free).await;
-    other.post(2, 1).await;
+    other.send_request(2, 1).await;
     let (_, mut second) = command(&host).await;
     second.write_all(b"*3\r\n$1\r\nw\r\n$-1\r\n$-1\r\n").await.unwrap();
     assert_eq!(other.line().await, "$1\r\n");
     stream.write_all(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").await.unwrap();
-    assert_eq!(client.line().await, "$1\r\n", "what was in hand goes on");
+    assert_eq!(client.line().await, "$1\r\n", "the request in flight was not answered");
 }
--- a/crates/gateway/src/telemetry/debounced_state.rs
+++ b/crates/gateway/src/telemetry/debounced_state.rs
@@ -1,12 +1,12 @@
-//! Suppresses log lines about states that do not last.
+//! Suppresses log lines about transient states.
 
 use runtime::{Span, Time};
 
-/// Time between two samples. A state that differs between them is not reported: after a start and after an outage of the
-/// counter it takes some seconds until the other gateways' heartbeats have been seen.
+/// Time between two samples. A new state is reported only if two consecutive samples agree: after a start and after an
+/// outage of the counter it takes some seconds until the heartbeats of the other gateways have been received.
 const SAMPLE_INTERVAL: Span = 4_000_000_000;
 
-/// A state that is sampled at intervals, and reported once when two samples in a row agree on a new one.
+/// A state that is sampled at intervals. A new state is reported once, when two consecutive samples agree on it.
 #[derive(Debug)]
 pub(crate) struct DebouncedState<T> {
     reported: T,
@@ -15,17 +15,17 @@
 }
 
 impl<T: Copy + PartialEq> DebouncedState<T> {
-    /// Starts with a state that needs no report.
+    /// Starts with a state that is not reported.
     pub fn new(state: T, now: Time) -> DebouncedState<T> {
         DebouncedState { reported: state, sampled: state, sampled_at: now }
     }
 
-    /// Returns whether the next sample should be taken.
+    /// Returns whether the next sample is needed.
     pub fn needs_sample(&self, now: Time) -> bool {
         now >= self.sampled_at.saturating_add(SAMPLE_INTERVAL)
     }
 
-    /// Takes a sample, and returns the state if it is to be reported.
+    /// Records a sample, and returns the state if it should be reported.
     pub fn sample(&mut self, now: Time, state: T) -> Option<T> {
         self.sampled_at = now;
         let is_stable = self.sampled == state;
--- a/crates/gateway/src/telemetry/debounced_state/tests.rs
+++ b/crates/gateway/src/telemetry/debounced_state/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Returns what is reported of these states, one sample after the other.
+/// Returns the states that are reported if these are sampled in order.
 fn reported(states: &str) -> String {
     let mut state = DebouncedState::new('-', 0);
     let samples = states.chars().zip(1..);
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn a_state_of_one_sample_is_not_reported() {
-    assert_eq!(reported("apwwawwpaww"), "w", "a start, then states of one sample each");
+fn a_state_that_lasts_for_one_sample_is_not_reported() {
+    assert_eq!(reported("apwwawwpaww"), "w", "only the state that lasts for two samples");
     assert_eq!(reported("wwawawaw"), "w");
 }
 
--- a/crates/gateway/src/telemetry/failure_stats.rs
+++ b/crates/gateway/src/telemetry/failure_stats.rs
@@ -1,6 +1,6 @@
-//! Statistics of requests that missed their latency objective: a log line for each, at a limited rate, and a summary per
-//! minute that adds up their priority weight by reason. A request is counted for one reason only, so the parts add up to
-//! the total.
+//! Statistics of requests that missed their latency objective: a log line per request, at a limited rate, and a summary per
+//! minute with the sum of their priority weights by reason. Each request is counted for exactly one reason, so the parts
+//! add up to the total.
 
 use policy::api::{HostId, Outcome, RejectReason, Span, Time};
 use std::collections::BTreeMap;
@@ -8,13 +8,14 @@
 
 const MS: Span = 1_000_000;
 const SECOND: Span = 1_000 * MS;
-/// Lines about single requests that may be written at once, and per second after that.
+/// Burst and rate of log lines about single requests.
 const LINE_BURST: f64 = 100.0;
 const LINES_PER_SECOND: f64 = 10.0;
 const SUMMARY_PERIOD: Span = 60 * SECOND;
-/// Maximum number of reasons that a summary names; the others are added up.
+/// Maximum number of reasons that a summary names; the remaining ones are summed up.
 const MAX_NAMED: usize = 8;
-/// A request that fails this soon on a reused connection found it closed by the host.
+/// A reset this soon after a request was written on a reused connection means that the host had closed the connection
+/// before.
 pub(crate) const STALE_CONNECTION: Span = 10 * MS;
 
 /// Why a request missed its latency objective.
@@ -31,7 +32,7 @@
 }
 
 impl FailureReason {
-    /// Returns the words for the log, which the page `failed-requests.md` lists.
+    /// Returns the text for the log; the page `failed-requests.md` lists these texts.
     pub fn label(self) -> &'static str {
         match self {
             FailureReason::Rejected(reason) => reject_label(reason),
@@ -61,15 +62,15 @@
 /// The connection of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptConnection {
-    /// The attempt never had a connection.
+    /// The attempt was never assigned a connection.
     None,
-    /// The attempt was the first on its connection.
+    /// The attempt was the first one on its connection.
     New,
     /// The connection had been idle for this long.
     Reused(Span),
 }
 
-/// The end of an attempt that brought no response.
+/// An attempt that ended without a usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FailedAttempt {
     pub host: HostId,
@@ -79,7 +80,7 @@
 }
 
 impl FailedAttempt {
-    /// Returns the words for the log.
+    /// Returns the text for the log.
     pub fn label(&self) -> &'static str {
         let is_reused = matches!(self.connection, AttemptConnection::Reused(_));
         match self.outcome {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Returns attempts in one line: for each its host, its connection, how it ended and after how long.
+/// Describes attempts in one line, each with its host, its connection, its outcome and its duration.
 pub(crate) fn describe<'a>(attempts: &[FailedAttempt], host_name: impl Fn(HostId) -> &'a str) -> String {
     let mut text = String::new();
     for attempt in attempts {
@@ -116,7 +117,7 @@
 /// A reason, and the label of the last attempt (empty if there was none).
 type ReasonKey = (FailureReason, &'static str);
 
-/// Requests that were counted for one reason.
+/// The number and the priority weight of requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     requests: u64,
@@ -138,7 +139,7 @@
 struct LineLimiter {
     available: f64,
     refilled_at: Time,
-    /// Lines that were suppressed since the last one.
+    /// Number of lines suppressed since the last one was written.
     suppressed: u64,
 }
 
@@ -147,7 +148,7 @@
         LineLimiter { available: LINE_BURST, refilled_at: now, suppressed: 0 }
     }
 
-    /// Returns the number of lines suppressed before this one if it may be written.
+    /// Returns the number of lines suppressed before this one if it may be written; otherwise `None`.
     fn admit(&mut self, now: Time) -> Option<u64> {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
         self.refilled_at = now;
@@ -172,14 +173,14 @@
         }
     }
 
-    /// Counts a request of this priority weight that has arrived.
+    /// Counts an arrived request of this priority weight.
     pub fn count_request(&mut self, weight: f64) {
         self.total.requests += 1;
         self.total.weight += weight;
     }
 
-    /// Counts a request that missed its objective; `last` is its last attempt. Returns the number of lines suppressed
-    /// before if a line may be written about it.
+    /// Counts a request that missed its objective; `last` is its last attempt. If a line may be written about the request,
+    /// returns the number of lines suppressed before.
     pub fn count_failure(
         &mut self,
         now: Time,
@@ -194,13 +195,13 @@
         self.lines.admit(now)
     }
 
-    /// Returns whether the period is over.
+    /// Returns whether the period has ended.
     pub fn needs_summary(&self, now: Time) -> bool {
         now >= self.started_at + SUMMARY_PERIOD
     }
 
-    /// Ends the period and starts the next one. Returns the failures of the period in one line, the greatest weight
-    /// first; `None` if there were none.
+    /// Ends the period and starts the next one. Returns one line with the failures of the period, by descending weight;
+    /// `None` if there were none.
     pub fn summary(&mut self, now: Time) -> Option<String> {
         let total = std::mem::take(&mut self.total);
         let failures = std::mem::take(&mut self.failures);
--- a/crates/gateway/src/telemetry/failure_stats/tests.rs
+++ b/crates/gateway/src/telemetry/failure_stats/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_line_names_each_attempt_with_its_connection() {
+fn a_line_describes_each_attempt_with_its_connection() {
     let attempts = [
         attempt(Outcome::ConnectionReset, 3 * MS, AttemptConnection::Reused(1_200 * MS)),
         attempt(Outcome::ConnectionReset, 80 * MS, AttemptConnection::New),
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_summary_adds_up_and_names_the_greatest_part_first() {
+fn a_summary_adds_up_weights_and_names_the_greatest_first() {
     let mut stats = FailureStats::new(0);
     (0..100).for_each(|_| stats.count_request(2.0));
     let stale = attempt(Outcome::ConnectionReset, MS, AttemptConnection::Reused(MS));
@@ -41,11 +41,15 @@
 }
 
 #[test]
-fn lines_are_limited_and_tell_how_many_were_suppressed() {
+fn lines_are_limited_and_the_suppressed_ones_are_counted() {
     let mut stats = FailureStats::new(0);
     let mut fail = |now| stats.count_failure(now, FailureReason::ObjectiveMissed, None, 1.0);
     let lines = (0..1_000).filter_map(|_| fail(MS)).count();
     assert_eq!(lines, LINE_BURST as usize);
     assert_eq!(fail(SECOND), Some(900));
-    assert_eq!(stats.failures[&(FailureReason::ObjectiveMissed, "")].requests, 1_001, "all are counted");
+    assert_eq!(
+        stats.failures[&(FailureReason::ObjectiveMissed, "")].requests,
+        1_001,
+        "a failure without a line was not counted"
+    );
 }
--- a/crates/gateway/src/telemetry/in_flight.rs
+++ b/crates/gateway/src/telemetry/in_flight.rs
@@ -1,4 +1,4 @@
-//! Counts the requests that have no final answer yet, so that a shutdown can wait for them.
+//! Counts the requests without a final answer, so that a shutdown can wait for them.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -15,19 +15,19 @@
 }
 
 impl InFlightGauge {
-    /// Counts a request that has been accepted.
+    /// Counts an accepted request.
     pub fn increment(&self) {
         self.0.count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that has its final answer.
+    /// Stops counting a request that has received its final answer.
     pub fn decrement(&self) {
         if self.0.count.fetch_sub(1, Ordering::Relaxed) == 1 {
             self.0.is_zero.notify_waiters();
         }
     }
 
-    /// Waits until no request is without an answer.
+    /// Waits until every request has its final answer.
     pub async fn wait_until_zero(&self) {
         loop {
             let is_zero = self.0.is_zero.notified();
--- a/crates/gateway/src/telemetry/mod.rs
+++ b/crates/gateway/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What the gateway measures of itself, and the rate at which it logs.
+//! Measurements of the gateway itself, and rate limits for its log.
 
 pub(crate) mod debounced_state;
 pub(crate) mod event_loop_delay;
--- a/crates/gateway/src/telemetry/outage_log/tests.rs
+++ b/crates/gateway/src/telemetry/outage_log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_outage_of_an_hour_takes_eleven_lines() {
+fn an_outage_of_an_hour_is_logged_in_eleven_lines() {
     let mut outage = OutageLog::default();
     let lines = (0..3600 * 5).filter_map(|n| outage.on_failure(1_000 * SECOND + n * SECOND / 5)).count();
     assert_eq!(lines, 11);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_flapping_peer_is_logged_as_rarely() {
+fn a_flapping_peer_is_logged_12_to_26_times_an_hour() {
     let mut outage = OutageLog::default();
     let mut lines = 0;
     for n in 0..3600 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_failure_after_a_stable_time_is_logged_at_once() {
+fn a_failure_after_a_stable_period_is_logged_immediately() {
     let mut outage = OutageLog::default();
     assert_eq!(outage.on_failure(1_000 * SECOND), Some(0));
     assert_eq!(outage.on_failure(1_001 * SECOND), None);
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -1,10 +1,10 @@
-//! The timers of the gateway's event loop. A timer that is no longer needed is cancelled, so that it wakes nobody.
+//! The timers of the gateway's event loop. A timer that is no longer needed is cancelled, so that it causes no wakeup.
 
 use policy::api::Time;
 use std::collections::BTreeSet;
 
-/// A queue of timers, the earliest first. Timers of the same time expire in the order of their own type, so that the
-/// order is the same each time.
+/// A queue of timers, the earliest first. Timers with the same time expire in the order of `T`, so that the order is
+/// deterministic.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<T>(BTreeSet<(Time, T)>);
 
@@ -24,12 +24,12 @@
         self.0.remove(&(at, timer));
     }
 
-    /// Returns when the earliest timer expires.
+    /// Returns the time at which the earliest timer expires.
     pub fn next(&self) -> Option<Time> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Removes the earliest timer if it has expired.
+    /// Removes and returns the earliest timer if it has expired.
     pub fn pop_expired(&mut self, now: Time) -> Option<T> {
         if self.next()? > now {
             return None;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 
 const MS: Span = 1_000_000;
 /// A connection is quarantined for this long after a response. A faulty host that responds twice sends the second response
-/// some milliseconds after the first. Without the quarantine it would be taken for the response to the next request.
+/// some milliseconds after the first. Without the quarantine it would be mistaken for the response to the next request.
 const QUARANTINE: Span = 10 * MS;
 /// Maximum number of connections in quarantine to all hosts together, since each takes memory. If responses arrive faster,
 /// the quarantine of the oldest connection ends early.
