--- a/crates/gateway/src/config/memory_budget.rs
+++ b/crates/gateway/src/config/memory_budget.rs
@@ -1,5 +1,5 @@
-//! The memory budget of a gateway. All parts that keep state per request, connection or customer are limited by this one
-//! budget, which is derived from `limits.memory_mb`.
+//! The memory budget of a gateway. All parts that keep state per request, connection or customer are limited by this
+//! one budget, which is derived from `limits.memory_mb`.
 
 use policy::customers_within;
 use resp::MAX_VALUE;
@@ -12,8 +12,8 @@
 const CONNECTION_BYTES: usize = 4 << 10;
 /// Divisor for the minimum fraction of the memory that customers get (one in 16).
 const MIN_CUSTOMER_DIVISOR: usize = 16;
-/// Eighths of the remaining memory that customers get. The last eighth is for requests in flight and for memory that has
-/// been freed but not yet returned to the system.
+/// Eighths of the remaining memory that customers get. The last eighth is for requests in flight and for memory that
+/// has been freed but not yet returned to the system.
 const CUSTOMER_EIGHTHS: usize = 7;
 
 /// The parts of the memory, in bytes except for `command_slots`.
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -11,7 +11,8 @@
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 
-/// Minimum number of file descriptors; with fewer, none would remain for clients besides hosts, discovery and the counter.
+/// Minimum number of file descriptors; with fewer, none would remain for clients besides hosts, discovery and the
+/// counter.
 pub const MIN_SOCKETS: usize = 64;
 /// Minimum memory for a gateway and its buffers, in megabytes.
 const MIN_MEMORY_MB: usize = 4;
@@ -179,8 +180,8 @@
     u64::from_str_radix(seed, 16).map_err(|error| ConfigError::Seed { seed: seed.to_owned(), error })
 }
 
-/// Returns settings for tests, with one class and the plan `team`. The class is named `read` if its semantics are `safe`,
-/// and `order` otherwise.
+/// Returns settings for tests, with one class and the plan `team`. The class is named `read` if its semantics are
+/// `safe`, and `order` otherwise.
 #[cfg(test)]
 pub(crate) fn sample(semantics: &str, latency_objective: u64, deadline: u64) -> Value {
     let name = if semantics == "safe" { "read" } else { "order" };
--- a/crates/gateway/src/counter/client.rs
+++ b/crates/gateway/src/counter/client.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Sends new calls to this address. Calls in flight finish on their connections: a connection whose sender of calls has
-    /// been dropped closes after its last reply.
+    /// Sends new calls to this address. Calls in flight finish on their connections: a connection whose sender of calls
+    /// has been dropped closes after its last reply.
     pub fn move_to(&mut self, address: Option<SocketAddr>) {
         if self.address != address {
             self.address = address;
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Makes a call. Returns its identifier and the time at which it times out; `None` if no connection accepts the call, so
-    /// that nothing is added.
+    /// Makes a call. Returns its identifier and the time at which it times out; `None` if no connection accepts the
+    /// call, so that nothing is added.
     pub fn add(&mut self, key: CounterKey, amount: f64, time_to_live: Span) -> Option<(CallId, Time)> {
         let started_at = self.env.now();
         let index = self.select_connection()?;
@@ -127,8 +127,8 @@
         self.end(call, outcome, 0.0)
     }
 
-    /// Abandons all calls, for use when the decision module that made them no longer exists. Their results are not reported,
-    /// and calls that have not been written yet never will be.
+    /// Abandons all calls, for use when the decision module that made them no longer exists. Their results are not
+    /// reported, and calls that have not been written yet never will be.
     pub fn abandon_all(&mut self) {
         for (_, call) in self.calls.drain() {
             call.progress.abandon();
--- a/crates/gateway/src/counter/client/tests.rs
+++ b/crates/gateway/src/counter/client/tests.rs
@@ -157,8 +157,8 @@
     );
 }
 
-/// A counter client on a simulated network with a window smaller than a call, so that a write stalls in the middle of the
-/// call until the service reads.
+/// A counter client on a simulated network with a window smaller than a call, so that a write stalls in the middle of
+/// the call until the service reads.
 struct SlowReader {
     sim: Sim,
     counter: CounterClient<SimEnv>,
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -16,8 +16,8 @@
 const MS: Span = 1_000_000;
 /// The counter closes idle connections after at most about 10 s; the gateway closes them earlier.
 const IDLE_TIMEOUT: Span = 2_500 * MS;
-/// Fraction of the reply timeout within which an incomplete reply has to be completed: replies are short and arrive in one
-/// piece.
+/// Fraction of the reply timeout within which an incomplete reply has to be completed: replies are short and arrive in
+/// one piece.
 const PARTIAL_REPLY_DIVISOR: Span = 8;
 
 /// The progress of a call, shared by the gateway's event loop and the task of the connection.
@@ -91,7 +91,8 @@
         ConnectionTask { env, id, gateway, reply_timeout, in_flight, output: BytesMut::new() }
     }
 
-    /// Connects and processes calls until the connection fails, is idle for too long, or the sender of calls is dropped.
+    /// Connects and processes calls until the connection fails, is idle for too long, or the sender of calls is
+    /// dropped.
     pub async fn run(mut self, address: SocketAddr, mut calls: UnboundedReceiver<QueuedCall>) {
         let mut error = None;
         if let Ok(Ok(stream)) = self.env.timeout(self.reply_timeout, self.env.connect(address)).await {
@@ -218,7 +219,8 @@
     fn on_reply(&mut self, frame: &Frame) -> Result<(), RespError> {
         let (outcome, total) = match frame {
             Frame::Bulk(text) => (Outcome::Ok, parse_total(text)?),
-            // Overloaded, or an unknown command: nothing was added. After any other error the amount may have been added.
+            // Overloaded, or an unknown command: nothing was added. After any other error the amount may have been
+            // added.
             Frame::Error(text) if matches!(text.split(|b| *b == b' ').next(), Some(b"BUSY" | b"ERR")) => {
                 (Outcome::Rejected, 0.0)
             }
--- a/crates/gateway/src/counter/log.rs
+++ b/crates/gateway/src/counter/log.rs
@@ -1,5 +1,5 @@
-//! Logs lasting changes of the counter's state, with the units granted locally meanwhile and the amount by which quotas may
-//! have been exceeded. No line is written per request.
+//! Logs lasting changes of the counter's state, with the units granted locally meanwhile and the amount by which quotas
+//! may have been exceeded. No line is written per request.
 
 use crate::telemetry::debounced_state::DebouncedState;
 use policy::api::Settings;
@@ -98,8 +98,8 @@
         lines
     }
 
-    /// Returns whether there is no fault, neither logged nor about to be logged. Local grants are counted from the last time
-    /// at which this was true.
+    /// Returns whether there is no fault, neither logged nor about to be logged. Local grants are counted from the last
+    /// time at which this was true.
     pub fn is_healthy(&self, report: &CounterReport) -> bool {
         self.fault.is_none() && !report.state.is_degraded()
     }
--- a/crates/gateway/src/crash_points.rs
+++ b/crates/gateway/src/crash_points.rs
@@ -1,9 +1,9 @@
 //! Crash points: places at which a test build can be made to crash, to test that no invariant is violated by a crash.
 //!
 //! Crash points exist only with the feature `crash-points`, which is disabled in all releases (`.ci/run` checks that);
-//! without the feature a point is an empty inline function. `FENNELBEAM_CRASH=point:n` kills the process when the point is
-//! reached for the n-th time, counted from one. The process sends itself SIGKILL rather than aborting: the signal cannot be
-//! caught, no buffer is flushed, no task finishes, and no core is dumped, exactly as after `kill -9`.
+//! without the feature a point is an empty inline function. `FENNELBEAM_CRASH=point:n` kills the process when the point
+//! is reached for the n-th time, counted from one. The process sends itself SIGKILL rather than aborting: the signal
+//! cannot be caught, no buffer is flushed, no task finishes, and no core is dumped, exactly as after `kill -9`.
 
 /// A point in the processing of a request, or in the lifecycle of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Parses `point:n`. Panics if the point does not exist, so that a test with a misspelt point fails immediately instead
-    /// of passing without a crash.
+    /// Parses `point:n`. Panics if the point does not exist, so that a test with a misspelt point fails immediately
+    /// instead of passing without a crash.
     fn parse(text: &str) -> Option<(CrashPoint, u64)> {
         let parts = text.split_once(':');
         let point = |name| CrashPoint::ALL.into_iter().find(|point| point.name() == name);
--- a/crates/gateway/src/discovery/agent.rs
+++ b/crates/gateway/src/discovery/agent.rs
@@ -13,13 +13,13 @@
 use std::pin::pin;
 
 const MS: Span = 1_000_000;
-/// An agent sends a heartbeat every 2 s. A watch without a heartbeat, or a call without a response, fails after this time.
-/// The gateway is held to a change from 6 s after discovery received it, whether or not the change has arrived: two
-/// consecutive failures and a third call have to fit into these 6 s.
+/// An agent sends a heartbeat every 2 s. A watch without a heartbeat, or a call without a response, fails after this
+/// time. The gateway is held to a change from 6 s after discovery received it, whether or not the change has arrived:
+/// two consecutive failures and a third call have to fit into these 6 s.
 pub(crate) const RESPONSE_TIMEOUT: Span = 2_500 * MS;
 const CONNECT_TIMEOUT: Span = 1_000 * MS;
-/// The first call to an agent is hedged after this long without a response: the cached list may be too old to be used, and
-/// takes effect after a second without a newer one.
+/// The first call to an agent is hedged after this long without a response: the cached list may be too old to be used,
+/// and takes effect after a second without a newer one.
 const HEDGE_DELAY: Span = 300 * MS;
 
 /// The client of one discovery agent.
@@ -38,8 +38,8 @@
         self.open(&format!("/registry/instances?watch=1&after={after}")).await
     }
 
-    /// Requests the complete list, which is the first document of the response. The end of the response is not awaited: it
-    /// may have no length, and its connection may stay open.
+    /// Requests the complete list, which is the first document of the response. The end of the response is not awaited:
+    /// it may have no length, and its connection may stay open.
     pub async fn complete_list(&self) -> Result<BytesMut> {
         let mut response = self.open("/registry/instances").await?;
         loop {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Makes a call. If calls are hedged and there is no response within [`HEDGE_DELAY`], makes a second call and returns
-    /// the first result of either.
+    /// Makes a call. If calls are hedged and there is no response within [`HEDGE_DELAY`], makes a second call and
+    /// returns the first result of either.
     pub async fn hedged<T, F: Future<Output = Result<T>> + Send>(&self, call: impl Fn() -> F) -> Result<T> {
         let mut first = pin!(call());
         if !self.hedges_calls {
@@ -93,8 +93,8 @@
     env: E,
     body: Incoming,
     documents: JsonStream,
-    /// When the agent last sent a complete document or a heartbeat. Bytes of an incomplete document do not prove that the
-    /// agent is alive, since the rest may never arrive.
+    /// When the agent last sent a complete document or a heartbeat. Bytes of an incomplete document do not prove that
+    /// the agent is alive, since the rest may never arrive.
     last_alive: Time,
 }
 
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -40,8 +40,8 @@
 pub struct Endpoint {
     /// Name of the host, the same at every gateway.
     pub instance_id: String,
-    /// Address of the host (`hostPort` on the wire). `None` if the entry is invalid and only shows that the host is draining
-    /// or has been removed.
+    /// Address of the host (`hostPort` on the wire). `None` if the entry is invalid and only shows that the host is
+    /// draining or has been removed.
     #[serde(rename = "hostPort")]
     pub address: Option<SocketAddr>,
     /// State of the host.
@@ -94,9 +94,9 @@
 impl TryFrom<Document> for EndpointList {
     type Error = NoEntry;
 
-    /// Parses each entry separately, so that an invalid one does not invalidate the others. An entry that marks its host as
-    /// draining or removed takes effect even if the rest of it is invalid: the version advances, so discovery would not
-    /// send the entry again.
+    /// Parses each entry separately, so that an invalid one does not invalidate the others. An entry that marks its
+    /// host as draining or removed takes effect even if the rest of it is invalid: the version advances, so discovery
+    /// would not send the entry again.
     fn try_from(document: Document) -> Result<EndpointList, NoEntry> {
         let Document { generation, reset, instances } = document;
         let mut endpoints = Vec::with_capacity(instances.len());
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: one watch at a discovery agent, resumed at the known version after each failure.
 //!
-//! `watch` keeps the watch open and reports lists to the gateway, `agent` calls the agent, `json_stream` splits response
-//! bodies into documents, `endpoint_list` parses these, and `stale_entries` removes outdated entries.
+//! `watch` keeps the watch open and reports lists to the gateway, `agent` calls the agent, `json_stream` splits
+//! response bodies into documents, `endpoint_list` parses these, and `stale_entries` removes outdated entries.
 
 mod agent;
 pub(crate) mod endpoint_list;
--- a/crates/gateway/src/discovery/stale_entries.rs
+++ b/crates/gateway/src/discovery/stale_entries.rs
@@ -1,6 +1,6 @@
-//! Removes stale entries from endpoint lists. Changes may arrive out of order, and a complete list may be older than the
-//! changes already applied. A draining host must not be restored by such a list, since discovery would not repeat its
-//! departure.
+//! Removes stale entries from endpoint lists. Changes may arrive out of order, and a complete list may be older than
+//! the changes already applied. A draining host must not be restored by such a list, since discovery would not repeat
+//! its departure.
 
 use crate::discovery::endpoint_list::{Endpoint, EndpointList, Lifecycle};
 use std::cmp::Reverse;
@@ -18,10 +18,12 @@
     started_at_ms: u64,
 }
 
-/// The known hosts and departures from the lists of one discovery agent. Versions of another agent are not comparable.
+/// The known hosts and departures from the lists of one discovery agent. Versions of another agent are not
+/// comparable, since they may start again.
 #[derive(Debug, Default)]
 pub(crate) struct StaleEntryFilter {
-    /// Hosts in service with their start times, in milliseconds of Unix time. Bounded by the length of discovery's list.
+    /// Hosts in service with their start times, in milliseconds of Unix time. Bounded by the length of discovery's
+    /// list.
     in_service: BTreeMap<String, u64>,
     departures: BTreeMap<String, Departure>,
 }
--- a/crates/gateway/src/discovery/stale_entries/tests.rs
+++ b/crates/gateway/src/discovery/stale_entries/tests.rs
@@ -32,8 +32,8 @@
 
 #[test]
 fn an_older_complete_list_restores_no_departed_host_and_adds_the_others() {
-    // Each case first applies lists after which the host has departed at version 5. Then another list follows: whether it
-    // is complete, its version, the start time of the host in it, and whether it restores the host.
+    // Each case first applies lists after which the host has departed at version 5. Then another list follows: whether
+    // it is complete, its version, the start time of the host in it, and whether it restores the host.
     let drains = || vec![list(3, true, &[("s-1", "in_service")]), list(5, false, &[("s-1", "terminating")])];
     let left_out = || vec![list(3, true, &[("s-1", "in_service")]), list(5, true, &[("s-2", "in_service")])];
     let removed = || vec![list(5, false, &[("s-1", "terminated")])];
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -20,14 +20,14 @@
 const MS: Span = 1_000_000;
 /// Nanoseconds per second.
 const SECOND: f64 = 1e9;
-/// A faulty watch may send heartbeats and no list. A watch without a list for this long is replaced as soon as another one
-/// has been opened. The new watch resumes at the known version, so it costs the agent very little.
+/// A faulty watch may send heartbeats and no list. A watch without a list for this long is replaced as soon as another
+/// one has been opened. The new watch resumes at the known version, so it costs the agent very little.
 const RENEWAL_INTERVAL: Span = 2_500 * MS;
 /// Minimum and maximum backoff after failed calls.
 const MIN_BACKOFF: Span = 20 * MS;
 const MAX_BACKOFF: Span = 200 * MS;
-/// Time for which the old watch is still read after discovery has moved to another address. The gateway is held to every
-/// change that the old agent sent before the move, including changes that are still unread.
+/// Time for which the old watch is still read after discovery has moved to another address. The gateway is held to
+/// every change that the old agent sent before the move, including changes that are still unread.
 const MOVE_GRACE: Span = 5 * MS;
 /// Pause between calls for the complete list if it cannot be used.
 const UNUSABLE_LIST_BACKOFF: Span = 1_000 * MS;
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -23,8 +23,8 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 
-/// File descriptors for the listener, discovery, the runtime, standard streams, connections that linger without a slot (at
-/// most eight), and connections that are closing.
+/// File descriptors for the listener, discovery, the runtime, standard streams, connections that linger without a slot
+/// (at most eight), and connections that are closing.
 const RESERVED_SOCKETS: usize = 24;
 
 /// A signal to the process.
@@ -54,8 +54,8 @@
 
 /// Serves until a [`Signal::Terminate`], and then until all accepted requests are answered or the shutdown times out.
 ///
-/// `read_config` is called to read the configuration again at each [`Signal::Reload`]. The addresses of discovery and the
-/// counter, and the operators' files, take effect; an error changes nothing.
+/// `read_config` is called to read the configuration again at each [`Signal::Reload`]. The addresses of discovery and
+/// the counter, and the operators' files, take effect; an error changes nothing.
 ///
 /// # Errors
 /// The gateway cannot start.
@@ -127,8 +127,8 @@
 }
 
 impl SocketBudget {
-    /// Allocates a quarter of the descriptors to hosts and the rest to clients. Clients use up to a third of the descriptors
-    /// for requests, and connections that stay open without a request must not displace these.
+    /// Allocates a quarter of the descriptors to hosts and the rest to clients. Clients use up to a third of the
+    /// descriptors for requests, and connections that stay open without a request must not displace these.
     fn of(sockets: usize) -> SocketBudget {
         let available = sockets - RESERVED_SOCKETS - 2 * MAX_CONNECTIONS;
         let hosts = available / 4;
--- a/crates/gateway/src/lifecycle/reload/mod.rs
+++ b/crates/gateway/src/lifecycle/reload/mod.rs
@@ -22,8 +22,8 @@
     pub done: oneshot::Sender<Result<(), OperatorsError>>,
 }
 
-/// Returns the names of the keys that differ from the initial document and take effect only at a restart; `None` if there
-/// are none.
+/// Returns the names of the keys that differ from the initial document and take effect only at a restart; `None` if
+/// there are none.
 pub(crate) fn keys_requiring_restart(initial: &Value, current: &Value) -> Option<String> {
     let mut keys = Vec::new();
     collect_differences("", initial, current, &mut keys);
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -10,15 +10,15 @@
 const MS: Span = 1_000_000;
 /// New connections are accepted for this long after SIGTERM; they may arrive for up to 0.4 s.
 const ACCEPT_PERIOD: Span = 450 * MS;
-/// New requests are accepted for this long after SIGTERM. Even the last one then has its full deadline, with 0.1 s left to
-/// write its answer and for the client to read it.
+/// New requests are accepted for this long after SIGTERM. Even the last one then has its full deadline, with 0.1 s left
+/// to write its answer and for the client to read it.
 const ADMIT_PERIOD: Span = 500 * MS;
-/// The shutdown times out this long after the longest deadline, counted from SIGTERM. SIGKILL follows no earlier than 0.7 s
-/// after the longest deadline.
+/// The shutdown times out this long after the longest deadline, counted from SIGTERM. SIGKILL follows no earlier than
+/// 0.7 s after the longest deadline.
 const SHUTDOWN_MARGIN: Span = 600 * MS;
 
-/// Shuts down: continues to accept connections and requests for a short time, then answers the accepted requests and lets
-/// connections close between requests. Returns when all connections have closed or the shutdown has timed out.
+/// Shuts down: continues to accept connections and requests for a short time, then answers the accepted requests and
+/// lets connections close between requests. Returns when all connections have closed or the shutdown has timed out.
 pub(super) async fn shut_down<E: Env>(
     env: &E,
     phase: watch::Sender<LifecyclePhase>,
--- a/crates/gateway/src/telemetry/event_loop_delay.rs
+++ b/crates/gateway/src/telemetry/event_loop_delay.rs
@@ -1,7 +1,7 @@
 //! Measures the delay of the gateway's event loop: the time between the arrival of an event and its processing.
 //!
-//! If the machine gives the gateway too little CPU time, hosts, the counter and clients all appear slow; only this delay
-//! shows the cause.
+//! If the machine gives the gateway too little CPU time, hosts, the counter and clients all appear slow; only this
+//! delay shows the cause.
 
 use policy::api::{Span, Time};
 
--- a/crates/gateway/src/telemetry/failure_stats.rs
+++ b/crates/gateway/src/telemetry/failure_stats.rs
@@ -1,6 +1,6 @@
-//! Statistics of requests that missed their latency objective: a log line per request, at a limited rate, and a summary per
-//! minute with the sum of their priority weights by reason. Each request is counted for exactly one reason, so the parts
-//! add up to the total.
+//! Statistics of requests that missed their latency objective: a log line per request, at a limited rate, and a summary
+//! per minute with the sum of their priority weights by reason. Each request is counted for exactly one reason, so the
+//! parts add up to the total.
 
 use policy::api::{HostId, Outcome, RejectReason, Span, Time};
 use std::collections::BTreeMap;
@@ -179,8 +179,8 @@
         self.total.weight += weight;
     }
 
-    /// Counts a request that missed its objective; `last` is its last attempt. If a line may be written about the request,
-    /// returns the number of lines suppressed before.
+    /// Counts a request that missed its objective; `last` is its last attempt. If a line may be written about the
+    /// request, returns the number of lines suppressed before.
     pub fn count_failure(
         &mut self,
         now: Time,
--- a/crates/gateway/src/telemetry/outage_log.rs
+++ b/crates/gateway/src/telemetry/outage_log.rs
@@ -1,5 +1,5 @@
-//! Limits the rate of log lines about a peer's outages: one immediately, further ones at growing intervals, and one at the
-//! end. The limit also holds for a peer that fails and recovers repeatedly for hours.
+//! Limits the rate of log lines about a peer's outages: one immediately, further ones at growing intervals, and one at
+//! the end. The limit also holds for a peer that fails and recovers repeatedly for hours.
 
 use policy::api::{Span, Time};
 
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -24,8 +24,8 @@
     /// Whether the request may be executed twice. A request that is not idempotent cannot be retried after a dropped
     /// connection.
     pub is_idempotent: bool,
-    /// Receives the answer. Closed as soon as the client has disconnected, possibly long before the event loop processes
-    /// the event for it.
+    /// Receives the answer. Closed as soon as the client has disconnected, possibly long before the event loop
+    /// processes the event for it.
     pub client: UnboundedSender<NumberedAnswer>,
 }
 
@@ -46,7 +46,8 @@
     }
 }
 
-/// An attempt that has ended. The gateway fills in the fields that only it knows before it notifies the decision module.
+/// An attempt that has ended. The gateway fills in the fields that only it knows before it notifies the decision
+/// module.
 #[derive(Debug)]
 pub(crate) struct FinishedAttempt {
     pub ended: AttemptEnded,
@@ -116,8 +117,8 @@
         true
     }
 
-    /// Reads usage metrics and a load report, which are both lists of `name=number`. Implausible numbers are ignored: they
-    /// would distort quotas and the load estimates of all hosts.
+    /// Reads usage metrics and a load report, which are both lists of `name=number`. Implausible numbers are ignored:
+    /// they would distort quotas and the load estimates of all hosts.
     fn read_metrics(&mut self, platform: &PlatformSettings, text: &[u8]) {
         let Ok(text) = std::str::from_utf8(text) else { return };
         let max_units =
--- a/crates/gateway/src/upstream/connection/mod.rs
+++ b/crates/gateway/src/upstream/connection/mod.rs
@@ -1,6 +1,6 @@
 //! One connection to a host. The gateway's event loop writes requests itself, since on an idle connection a request can
-//! usually be written without waiting. The connection's task reads responses, and writes the remainder of a request that
-//! could not be written completely.
+//! usually be written without waiting. The connection's task reads responses, and writes the remainder of a request
+//! that could not be written completely.
 
 use crate::client::call::Command;
 use crate::crash_points::{self, CrashPoint};
@@ -25,8 +25,8 @@
 
 /// A host must not send anything on an idle connection.
 const UNEXPECTED_RESPONSE: RespError = RespError::Malformed("answer without a request");
-/// A host begins to process a command at its last byte, so bytes that it sends before are no response to the command. The
-/// remainder of the request is not written, since the host must not execute a request that it has already rejected.
+/// A host begins to process a command at its last byte, so bytes that it sends before are no response to the command.
+/// The remainder of the request is not written, since the host must not execute a request that it has already rejected.
 const EARLY_RESPONSE: RespError = RespError::Malformed("answer before the end of its request");
 
 type WriterOf<E> = <<E as Env>::Stream as Stream>::Writer;
@@ -37,8 +37,8 @@
     is_request_written: AtomicBool,
     /// Whether a request is in flight on the connection, so that arriving bytes belong to its response.
     awaits_response: AtomicBool,
-    /// The write half while it is neither with the event loop nor in use by the task: after the connection was established,
-    /// and after the remainder of a request was written.
+    /// The write half while it is neither with the event loop nor in use by the task: after the connection was
+    /// established, and after the remainder of a request was written.
     writer: Mutex<Option<W>>,
 }
 
@@ -239,8 +239,8 @@
         Ok(())
     }
 
-    /// Reads the remainder of a response. Hosts write a response in one piece, so a stalled one is invalid. The short timeout
-    /// leaves an idempotent request time for another attempt.
+    /// Reads the remainder of a response. Hosts write a response in one piece, so a stalled one is invalid. The short
+    /// timeout leaves an idempotent request time for another attempt.
     async fn read_response<R>(&self, reader: &mut R, input: &mut BytesMut) -> Result<Frame, RespError>
     where
         R: AsyncRead + Unpin + Send,
--- a/crates/gateway/src/upstream/connection/tests.rs
+++ b/crates/gateway/src/upstream/connection/tests.rs
@@ -119,8 +119,8 @@
         match reply {
             PartialReply::Read => send(),
             PartialReply::Unread => {
-                // Blocks the thread until both timers have expired. They fire in order of their time, and before any input
-                // is read.
+                // Blocks the thread until both timers have expired. They fire in order of their time, and before any
+                // input is read.
                 let delay = tokio::time::sleep(Duration::from_millis(50));
                 let block_thread = || std::thread::sleep(Duration::from_millis(200));
                 let send_early = async {
--- a/crates/gateway/src/upstream/connection_pressure/tests.rs
+++ b/crates/gateway/src/upstream/connection_pressure/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Simulates new connections at intervals of 10 ms, the first 10 ms after `start`; every `every`th one is rejected. Returns
-/// the time of the last one.
+/// Simulates new connections at intervals of 10 ms, the first 10 ms after `start`; every `every`th one is rejected.
+/// Returns the time of the last one.
 fn simulate_connections(pressure: &mut ConnectionPressure, start: Time, count: u64, every: u64) -> Time {
     for n in 1..=count {
         match n % every {
--- a/crates/gateway/src/upstream/events.rs
+++ b/crates/gateway/src/upstream/events.rs
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Moves the request to another connection after a reused one closed before the request was written completely. This
-    /// is no evidence against the host and counts as no attempt.
+    /// Moves the request to another connection after a reused one closed before the request was written completely.
+    /// This is no evidence against the host and counts as no attempt.
     fn retry_on_another_connection(&mut self, host_id: HostId, key: AttemptKey) {
         let Some(host) = self.hosts.get_mut(&host_id).filter(|host| host.is_ready) else {
             return self.finish(key, Outcome::NotSent);
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Fails the attempt for which the connection was opened, and no attempt that began to wait later. Fails none if the
-    /// host has moved or restarted since: the new address has not been tried yet.
+    /// Fails the attempt for which the connection was opened, and no attempt that began to wait later. Fails none if
+    /// the host has moved or restarted since: the new address has not been tried yet.
     fn on_connect_failed(&mut self, connection: &PooledConnection<E>) {
         let host_id = connection.host_id;
         let key = connection.opened_for;
--- a/crates/gateway/src/upstream/host.rs
+++ b/crates/gateway/src/upstream/host.rs
@@ -62,8 +62,8 @@
         self.entry.state = HostState::Gone;
     }
 
-    /// Applies an entry of the endpoint list. Returns the attempts that must no longer be sent: if the host has restarted,
-    /// it has to warm up again, and a new decision is needed for attempts that were meant for a warm host.
+    /// Applies an entry of the endpoint list. Returns the attempts that must no longer be sent: if the host has
+    /// restarted, it has to warm up again, and a new decision is needed for attempts that were meant for a warm host.
     pub fn update(&mut self, endpoint: &Endpoint) -> Vec<AttemptKey> {
         let mut unsent = Vec::new();
         let has_moved = self.address != endpoint.address || self.started_at_ms != endpoint.started_at_ms;
@@ -116,8 +116,8 @@
     }
 }
 
-/// Returns a host's identifier for the decision module: a hash of the name alone, so that no state is needed for removed
-/// hosts. The hash function is fixed (FNV-1a), so that every build computes the same identifier.
+/// Returns a host's identifier for the decision module: a hash of the name alone, so that no state is needed for
+/// removed hosts. The hash function is fixed (FNV-1a), so that every build computes the same identifier.
 pub(super) fn host_id_of(name: &str) -> HostId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/gateway/src/upstream/idle_reuse.rs
+++ b/crates/gateway/src/upstream/idle_reuse.rs
@@ -1,26 +1,27 @@
-//! Learns for how long an idle connection to a host may be reused. Hosts and middleboxes drop idle connections silently, and
-//! a request that is written to a dropped connection fails with a reset. Such a request may have been executed, so one that
-//! is not idempotent cannot be retried and fails. The gateway therefore learns from the idle times after which connections
-//! worked or turned out to be dropped: a limit per host, and one of all hosts together for hosts without evidence.
+//! Learns for how long an idle connection to a host may be reused. Hosts and middleboxes drop idle connections
+//! silently, and a request that is written to a dropped connection fails with a reset. Such a request may have been
+//! executed, so one that is not idempotent cannot be retried and fails. The gateway therefore learns from the idle
+//! times after which connections worked or turned out to be dropped: a limit per host, and one of all hosts together
+//! for hosts without evidence.
 
 use policy::api::{Span, Time};
 
 const MS: Span = 1_000_000;
 /// Connections may always be reused after this idle time.
 const MIN_LIMIT: Span = 10 * MS;
-/// Growth of the limit after each successful reuse near it. In equilibrium, about one in twenty-five of such reuses finds a
-/// dropped connection.
+/// Growth of the limit after each successful reuse near it. In equilibrium, about one in twenty-five of such reuses
+/// finds a dropped connection.
 const GROWTH: f64 = 1.04;
-/// The limit also doubles in this time without any reuse: with few requests no connection is reused near the limit, and a
-/// single dropped connection would otherwise prevent all later reuse. At one request per second, one in a hundred requests
-/// finds a dropped connection because of this.
+/// The limit also doubles in this time without any reuse: with few requests no connection is reused near the limit, and
+/// a single dropped connection would otherwise prevent all later reuse. At one request per second, one in a hundred
+/// requests finds a dropped connection because of this.
 const DOUBLING_TIME: Span = 4_000 * MS;
 /// Doublings after which the limit is beyond any maximum.
 const MAX_DOUBLINGS: f64 = 64.0;
 /// Factor on the limit when an idle connection closes, possibly due to the host's own idle timeout.
 const ENDED_FACTOR: f64 = 0.9;
-/// Requests that are not idempotent reuse connections up to this fraction of the limit (one in 4): a new connection costs a
-/// round trip and some work at the host, while a dropped connection costs the request.
+/// Requests that are not idempotent reuse connections up to this fraction of the limit (one in 4): a new connection
+/// costs a round trip and some work at the host, while a dropped connection costs the request.
 const NOT_IDEMPOTENT_DIVISOR: u64 = 4;
 
 /// A limit on the idle time, valid at the time `at`.
--- a/crates/gateway/src/upstream/idle_reuse/tests.rs
+++ b/crates/gateway/src/upstream/idle_reuse/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Simulates a host that silently drops connections after an idle time. Requests arrive every 5 to 500 ms; one in six is
-/// not idempotent. Returns the number of requests that found a dropped connection and the number that needed a new one,
-/// each for idempotent requests and then for those that are not.
+/// Simulates a host that silently drops connections after an idle time. Requests arrive every 5 to 500 ms; one in six
+/// is not idempotent. Returns the number of requests that found a dropped connection and the number that needed a new
+/// one, each for idempotent requests and then for those that are not.
 fn simulate_requests(drops_after: Span, requests: u64) -> [u64; 4] {
     let (mut reuse, mut host) = (IdleReuse::new(7_500 * MS), HostIdleReuse::default());
     let mut counts = [0; 4];
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! The upstream side of the gateway: hosts, the connections to them, and the attempts on these connections.
 //!
 //! A connection carries one request at a time: a second request would wait behind a slow first one, and aborting an
-//! attempt requires closing its connection. `host` holds the state of a host, `attempt` the attempts and their responses;
-//! `pool` opens, reuses and closes connections, `connection` implements a single one, and `events` handles their events.
-//! `idle_reuse` and `connection_pressure` learn when connections may be reused.
+//! attempt requires closing its connection. `host` holds the state of a host, `attempt` the attempts and their
+//! responses; `pool` opens, reuses and closes connections, `connection` implements a single one, and `events` handles
+//! their events. `idle_reuse` and `connection_pressure` learn when connections may be reused.
 
 mod attempt;
 pub(crate) mod connection;
@@ -235,9 +235,9 @@
     }
 
     /// Closes the idle connections of a host that has sent nothing since the start of an attempt that timed out. The
-    /// connections to a partitioned host stay open and silent. If a new connection cannot be established, the request was
-    /// certainly not executed, and even one that is not idempotent can be retried; a request that was written to a dropped
-    /// connection cannot.
+    /// connections to a partitioned host stay open and silent. If a new connection cannot be established, the request
+    /// was certainly not executed, and even one that is not idempotent can be retried; a request that was written to a
+    /// dropped connection cannot.
     fn close_idle_of_silent_host(&mut self, host_id: HostId, since: Time) {
         let Some(host) = self.hosts.get_mut(&host_id).filter(|host| host.last_response < since) else {
             return;
@@ -265,8 +265,9 @@
     }
 }
 
-/// Returns the idle time after which connections are closed. Hosts close idle connections no later than the timeout in the
-/// settings, and a request written to a closed connection fails with a reset, so the gateway closes them well before.
+/// Returns the idle time after which connections are closed. Hosts close idle connections no later than the timeout in
+/// the settings, and a request written to a closed connection fails with a reset, so the gateway closes them well
+/// before.
 fn max_idle_time(platform: &PlatformSettings) -> Span {
     (platform.idle_timeout / 2).max(MIN_IDLE_TIME)
 }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! The pool of connections to hosts. A connection is opened for a waiting attempt, reused after a quarantine, and closed
-//! when it is outdated or the pool is full.
+//! The pool of connections to hosts. A connection is opened for a waiting attempt, reused after a quarantine, and
+//! closed when it is outdated or the pool is full.
 
 use crate::messages::{AttemptKey, ConnectionId, HostEvent, TrafficEvent};
 use crate::telemetry::failure_stats::AttemptConnection;
@@ -10,11 +10,12 @@
 use runtime::{Env, Task};
 
 const MS: Span = 1_000_000;
-/// A connection is quarantined for this long after a response. A faulty host that responds twice sends the second response
-/// some milliseconds after the first. Without the quarantine it would be mistaken for the response to the next request.
+/// A connection is quarantined for this long after a response. A faulty host that responds twice sends the second
+/// response some milliseconds after the first. Without the quarantine it would be mistaken for the response to the next
+/// request.
 const QUARANTINE: Span = 10 * MS;
-/// Maximum number of connections in quarantine to all hosts together, since each takes memory. If responses arrive faster,
-/// the quarantine of the oldest connection ends early.
+/// Maximum number of connections in quarantine to all hosts together, since each takes memory. If responses arrive
+/// faster, the quarantine of the oldest connection ends early.
 const MAX_QUARANTINED: usize = 8;
 
 /// A connection to a host.
@@ -82,8 +83,8 @@
         });
     }
 
-    /// Assigns the newest idle connection to a waiting attempt if the connection may be reused for it. Returns whether the
-    /// caller should try again.
+    /// Assigns the newest idle connection to a waiting attempt if the connection may be reused for it. Returns whether
+    /// the caller should try again.
     fn serve_one(&mut self, host_id: HostId) -> bool {
         let now = self.env.now();
         let Some(host) = self.hosts.get(&host_id).filter(|host| host.is_ready) else { return false };
@@ -154,7 +155,8 @@
         pooled.idle_time = now.saturating_sub(pooled.idle_since);
         pooled.current = Some(key);
         attempt.connection_id = Some(id);
-        // On a new connection the request is written immediately: after a longer idle time the connection counts as reused.
+        // On a new connection the request is written immediately: after a longer idle time the connection counts as
+        // reused.
         let is_reused = pooled.has_responded || pooled.idle_time >= MS;
         attempt.connection = match pooled.idle_time {
             idle_time if is_reused && idle_time > 0 => AttemptConnection::Reused(idle_time),
@@ -180,8 +182,8 @@
         self.connect_for_waiting(host_id);
     }
 
-    /// Starts the quarantine of a connection after a response. If too many connections are in quarantine, the quarantine of
-    /// the oldest one ends.
+    /// Starts the quarantine of a connection after a response. If too many connections are in quarantine, the
+    /// quarantine of the oldest one ends.
     pub(super) fn quarantine(&mut self, id: ConnectionId, now: Time) {
         let until = now.saturating_add(QUARANTINE);
         if let Some(connection) = self.connections.get_mut(&id) {
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -31,7 +31,8 @@
     (upstream, config, listener, events)
 }
 
-/// The disconnection of a client is visible immediately through its channel, while the event for it may still be queued.
+/// The disconnection of a client is visible immediately through its channel, while the event for it may still be
+/// queued.
 #[tokio::test]
 async fn a_request_that_waits_for_a_connection_is_not_written_after_its_client_has_disconnected() {
     for is_disconnected in [false, true] {
