--- a/crates/gateway/src/counter/log/tests.rs
+++ b/crates/gateway/src/counter/log/tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_fault_is_repeated_at_growing_intervals_with_its_consequences() {
+fn a_fault_is_logged_at_growing_intervals_with_its_consequences() {
     let mut samples = vec![COMPLETE, COMPLETE];
     samples.extend([UNREACHABLE; 30]);
     samples.extend([COMPLETE; 2]);
--- a/crates/gateway/src/discovery/stale_entries/tests.rs
+++ b/crates/gateway/src/discovery/stale_entries/tests.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_invalid_entry_of_a_draining_host_concerns_the_process_in_service() {
+fn an_invalid_entry_of_a_draining_host_applies_to_the_process_in_service() {
     for (known, started, is_restored) in [(true, 7, false), (true, 8, true), (false, 8, false)] {
         let mut filter = StaleEntryFilter::default();
         let mut serving = list(1, true, &[("s-1", "in_service")]);
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -39,7 +39,7 @@
 }
 
 impl Attempt {
-    /// Detaches the attempt from its connection, which could not take the request.
+    /// Detaches the attempt from its connection, which could not accept the request.
     pub fn clear_connection(&mut self) {
         self.connection_id = None;
         self.connection = AttemptConnection::None;
--- a/crates/gateway/src/upstream/idle_reuse/tests.rs
+++ b/crates/gateway/src/upstream/idle_reuse/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn requests_that_are_not_idempotent_hardly_ever_find_a_dropped_connection() {
+fn requests_that_are_not_idempotent_rarely_find_a_dropped_connection() {
     for drops_after in [20 * MS, 100 * MS, 300 * MS] {
         let [dropped, dropped_not_idempotent, ..] = simulate_requests(drops_after, 20_000);
         assert!(dropped < 20_000 / 20, "{drops_after}: {dropped}");
