--- a/crates/gateway/src/gateway/decisions.rs
+++ b/crates/gateway/src/gateway/decisions.rs
@@ -1,4 +1,4 @@
-//! Lets the decision module decide, and executes what it wants.
+//! Reports events to the decision module and executes the actions that it returns.
 
 use super::{Gateway, Timer};
 use crate::messages::{FinalAnswer, LifecyclePhase};
@@ -9,20 +9,20 @@
 use runtime::Env;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// A decision module: [`Policy`], or one that a test puts in its place.
+/// A decision module: [`Policy`], or a test double.
 pub(crate) trait DecisionModule: Send + 'static {
-    /// Creates a module that knows nothing but its settings.
+    /// Creates a module with these settings and no other state.
     fn start(settings: Settings, seed: u64) -> Self;
 
-    /// Takes in an event, and adds the actions to be executed.
+    /// Handles an event and appends the resulting actions, in order.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
 
-    /// Returns the state of the counter and what has been granted locally, for the log.
+    /// Returns the state of the counter and the units of local grants, for the log.
     fn counter_report(&self, _now: Time) -> CounterReport {
         CounterReport::default()
     }
 
-    /// Starts to count local grants from zero.
+    /// Resets the count of local grants to zero.
     fn clear_local_grants(&mut self) {}
 }
 
@@ -45,7 +45,8 @@
 }
 
 impl<E: Env, D: DecisionModule> Gateway<E, D> {
-    /// Reports an event to the decision module and executes its actions. Events that these cause are reported in turn.
+    /// Reports an event to the decision module and executes the resulting actions. Events that these actions cause are
+    /// queued and reported after them.
     pub(super) fn notify(&mut self, event: Event) {
         self.pending_events.push_back(event);
         if self.is_notifying {
@@ -56,8 +57,8 @@
         while let Some(event) = self.pending_events.pop_front() {
             let now = self.env.now();
             let module = &mut self.module;
-            let decided = catch_unwind(AssertUnwindSafe(|| module.handle(now, event, &mut actions)));
-            if decided.is_err() {
+            let handled = catch_unwind(AssertUnwindSafe(|| module.handle(now, event, &mut actions)));
+            if handled.is_err() {
                 self.restart_module(&mut actions);
                 continue;
             }
@@ -68,15 +69,16 @@
         self.is_notifying = false;
     }
 
-    /// Replaces a module that has panicked: its state may be half changed, and its actions incomplete. All requests fail
-    /// at once, and another module starts from the hosts in service, as after a restart of the process.
+    /// Replaces a module that has panicked: its state may be partly updated, and its actions incomplete. All requests
+    /// fail at once, and a new module starts with the hosts in service, as after a restart of the process.
     fn restart_module(&mut self, actions: &mut Vec<Action>) {
         tracing::error!(failed_requests = self.requests.len(), "decision module panicked and was restarted");
         actions.clear();
         self.pending_events.clear();
         self.seed = self.seed.wrapping_add(1);
         self.module = D::start(self.settings.clone(), self.seed);
-        // Both modules use the same keys: a reply to a call of the old one would pass for one to the new.
+        // Both modules use the same counter keys, so a reply to a call of the old module would be attributed to a call
+        // of the new one.
         self.counter.abandon_all();
         self.timers.retain(|timer| !matches!(timer, Timer::Module(_) | Timer::CounterCall(_)));
         self.fail_all_requests();
@@ -121,12 +123,12 @@
                     }
                 }
             }
-            // The watch is open from the start, and opens itself again.
+            // `discovery::watch` subscribes when the process starts, and resubscribes after a failure.
             Action::SubscribeToHosts => {}
         }
     }
 
-    /// Marks the process as ready, if it has been starting.
+    /// Moves the process from the phase `Starting` to `Ready`; other phases stay.
     pub(super) fn set_ready(&mut self) {
         self.phase.send_if_modified(|phase| {
             let is_starting = *phase == LifecyclePhase::Starting;
--- a/crates/gateway/src/gateway/endpoints.rs
+++ b/crates/gateway/src/gateway/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, reloads and site failover: what decides which hosts requests may be forwarded to.
+//! Endpoint lists, reloads and site failover: the inputs that determine which hosts requests may be forwarded to.
 
 use super::{DecisionModule, Gateway, Timer};
 use crate::crash_points::{self, CrashPoint};
@@ -11,8 +11,9 @@
 use site_failover::FailoverUpdate;
 
 impl<E: Env, D: DecisionModule> Gateway<E, D> {
-    /// Takes in a list from discovery. Changes to the list known before the start are reported together with it: in
-    /// between, queued requests would be forwarded to draining hosts.
+    /// Applies a list from discovery. While the cached list has not been used, a list that holds only changes is merged
+    /// into it, and both are reported as one: if the cached list were reported first, queued requests would be
+    /// forwarded to hosts that are draining by now.
     pub(super) fn on_endpoint_list(&mut self, list: EndpointList) {
         match self.cached_endpoints.take() {
             Some(cached) if !list.is_complete => {
@@ -24,7 +25,7 @@
         self.set_ready();
     }
 
-    /// Uses the list known before the start, since discovery has not sent one in time.
+    /// Uses the cached list if discovery has not sent one within [`super::CACHED_LIST_DELAY`].
     pub(super) fn use_cached_endpoints(&mut self) {
         if let Some(cached) = self.cached_endpoints.take() {
             self.apply_endpoints(&cached, HostListKind::Cached);
@@ -43,7 +44,7 @@
         self.report_finished();
     }
 
-    /// Puts a configuration that has been read again into effect, completely or not at all.
+    /// Applies a reloaded configuration, completely or not at all.
     pub(super) fn on_reload(&mut self, reload: Reload) {
         let Reload { counter, operators, done } = reload;
         let outcome = self.reload_operators(operators);
@@ -51,13 +52,13 @@
         if outcome.is_ok() {
             self.counter.move_to(counter);
         }
-        // The reader of the configuration may have stopped.
+        // The task that reloads the configuration may have ended.
         let _ = done.send(outcome);
     }
 
-    /// Puts another version of the operators' files into effect completely, or changes nothing. Requests in flight keep
-    /// their pools; attempts that wait for a host which has left these are not sent any more. Files that say the same as
-    /// before are not reported to the decision module.
+    /// Applies another version of the operators' files completely, or changes nothing if it is invalid. Requests in
+    /// flight keep their pools; attempts that wait for a connection to a host that has left these pools are cancelled.
+    /// Files with the same contents as before are not reported to the decision module.
     fn reload_operators(&mut self, operators: Operators) -> Result<(), OperatorsError> {
         if operators == self.operators {
             return Ok(());
@@ -81,7 +82,7 @@
         Ok(())
     }
 
-    /// Cancels attempts that wait for a host which is in none of their pools any more.
+    /// Cancels attempts that wait for a connection to a host that is no longer in any of their pools.
     fn cancel_misrouted(&mut self) {
         for (key, pools) in self.upstream.waiting_attempts() {
             let (id, _) = key;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Lets the site failover decide when it is time, and sets its next timer.
+    /// Runs a tick of the site failover controller if it needs one now, and sets the timer for the next.
     pub(super) fn update_sites(&mut self) {
         let now = self.env.now();
         if self.sites.needs_tick(now) {
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Applies decisions on sites. Attempts that wait for a connection to a host that is now excluded are cancelled.
+    /// Applies the controller's decisions. Attempts that wait for a connection to a host that is now excluded are
+    /// cancelled.
     fn apply_failover(&mut self, update: FailoverUpdate) {
         for transition in &update.transitions {
             tracing::info!(%transition, "site failover");
@@ -131,7 +133,8 @@
         self.report_finished();
     }
 
-    /// Notifies the router which pools have a host that accepts requests, for requests that are restricted to some sites.
+    /// Reports to the router which pools have a host that accepts requests. The router needs this for requests that are
+    /// restricted to some sites.
     fn update_pools_with_hosts(&mut self) {
         if !self.sites.is_idle() {
             let mut entries = self.upstream.ready_entries();
--- a/crates/gateway/src/gateway/logging.rs
+++ b/crates/gateway/src/gateway/logging.rs
@@ -1,4 +1,4 @@
-//! What the gateway logs of its own state: all of it at a limited rate.
+//! Log lines about the gateway's own state, each kind of which is rate-limited.
 
 use super::{DecisionModule, Gateway};
 use crate::counter::log::LogLine;
@@ -11,7 +11,8 @@
 const SECOND: Span = 1_000 * MS;
 
 impl<E: Env, D: DecisionModule> Gateway<E, D> {
-    /// Takes in that a request which arrived at `arrived_at` is processed now.
+    /// Records that a request which arrived at `arrived_at` is processed now, and logs if the event loop has become
+    /// delayed or has recovered.
     pub(super) fn log_event_loop_delay(&mut self, arrived_at: Time) {
         match self.event_loop_delay.observe(self.env.now(), arrived_at) {
             None => {}
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Counts and logs a request that has no response within its latency objective, and will have none.
+    /// Counts and logs a request that has not received a response within its latency objective and no longer can.
     pub(super) fn log_failure(&mut self, id: RequestId, reason: FailureReason) {
         let Some(request) = self.requests.get(&id) else { return };
         let now = self.env.now();
@@ -47,7 +48,7 @@
         );
     }
 
-    /// Logs the summary of failures when its period is over.
+    /// Logs the summary of failures at the end of each summary period.
     pub(super) fn log_failure_summary(&mut self) {
         let now = self.env.now();
         if self.failure_stats.needs_summary(now) {
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,7 +1,8 @@
-//! The gateway's event loop: owns the decision module, reports to it what happens, and executes what it wants.
+//! The gateway's event loop: owns the decision module, reports events to it, and executes the actions that it returns.
 //!
-//! This file dispatches events and timers. `decisions` runs the decision module, `requests` keeps the requests in flight
-//! and their attempts, `endpoints` applies endpoint lists, reloads and site failover, and `logging` writes the log.
+//! This file dispatches events and timers. `decisions` runs the decision module, `requests` keeps the requests in
+//! flight and their attempts, `endpoints` applies endpoint lists, reloads and site failover, and `logging` writes the
+//! log.
 
 mod decisions;
 mod endpoints;
@@ -36,13 +37,13 @@
 use tokio::sync::watch;
 
 const MS: Span = 1_000_000;
-/// Without a list from discovery, the list known before the start is used after this.
+/// Time to wait for an endpoint list from discovery before the cached list is used.
 const CACHED_LIST_DELAY: Span = 1_000 * MS;
 /// Maximum number of traffic events that are processed in one iteration.
-const BATCH: usize = 128;
-/// Control events are looked for after this many traffic events of a batch: each of these may take some twenty
-/// microseconds, and a drain must not wait.
-const CONTROL_INTERVAL: usize = 16;
+const MAX_BATCH_EVENTS: usize = 128;
+/// Control events are polled each time this many traffic events of a batch have been processed: a traffic event can
+/// take about 20 microseconds, and a host that starts to drain must be noticed without delay.
+const CONTROL_POLL_EVENTS: usize = 16;
 
 /// A timer of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,15 +52,15 @@
     Module(u32),
     /// The deadline of an attempt.
     AttemptDeadline(AttemptKey),
-    /// A request that is not written completely by now is not sent any more.
+    /// The attempt is cancelled if its request has not been written completely by now.
     WriteBy(AttemptKey),
-    /// A request has had no answer for too long.
+    /// A request has had no answer for `requests::OVERDUE_GRACE` after its deadline.
     Overdue(RequestId),
     /// The timeout of a call to the counter.
     CounterCall(CallId),
-    /// The site failover has to decide.
+    /// The next tick of the site failover controller.
     Sites,
-    /// The list known before the start has to be used.
+    /// [`CACHED_LIST_DELAY`] has passed without a list from discovery.
     CachedList,
 }
 
@@ -72,7 +73,8 @@
     seed: u64,
     module: D,
     upstream: Upstream<E>,
-    /// The list known before the start, until the first one arrives or it has to be used: hosts in it may drain by now.
+    /// The endpoint list cached before the start, until discovery sends a list or [`CACHED_LIST_DELAY`] has passed. It
+    /// is not used at once, because hosts in it may be draining by now.
     cached_endpoints: Option<EndpointList>,
     router: RequestRouter,
     sites: SiteControl,
@@ -80,12 +82,12 @@
     operators: Operators,
     counter: CounterClient<E>,
     requests: FxHashMap<RequestId, InFlightRequest>,
-    /// Clients' identifiers of the requests in flight. Clients choose them, so the set has a random seed of its own;
-    /// nothing is ever done in its order.
+    /// Clients' identifiers of the requests in flight. Clients choose them, so the set is hashed with a random seed
+    /// against deliberate collisions. It is never iterated, so that the seed does not affect the gateway's behaviour.
     client_ids: HashSet<u64>,
     timers: TimerQueue<Timer>,
-    /// Events that have yet to be reported to the decision module, in order: executing one action may cause events while
-    /// other actions are still to be executed.
+    /// Events that have not been reported to the decision module yet, in order: executing an action can cause events
+    /// while other actions have not been executed.
     pending_events: VecDeque<Event>,
     is_notifying: bool,
     counter_log: CounterLog,
@@ -97,7 +99,7 @@
 }
 
 impl<E: Env, D: DecisionModule> Gateway<E, D> {
-    /// Creates the state of a gateway that starts now.
+    /// Creates the event loop's state at the start of the process.
     pub fn new(
         env: E,
         config: &Config,
@@ -153,33 +155,33 @@
         self.in_flight.clone()
     }
 
-    /// Runs for as long as the process does. Control events are processed before all traffic, however much of that is
-    /// queued.
+    /// Runs until the process ends. Control events are processed before traffic events, regardless of how many of those
+    /// are queued.
     pub async fn run(
         mut self,
         mut control: UnboundedReceiver<ControlEvent>,
         mut traffic: UnboundedReceiver<TrafficEvent>,
     ) {
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH_EVENTS);
         let sleep = self.env.sleep(0);
         tokio::pin!(sleep);
-        let mut is_armed = true;
+        let mut is_sleep_armed = true;
         loop {
-            // A timer that is armed for too early a time costs one iteration in vain; to move it back and forth with each
-            // request costs more.
+            // The sleep is only ever rescheduled to an earlier time. If its timer is cancelled, it expires once without
+            // effect, which costs less than rescheduling it for each request.
             let next_timer = self.timers.next();
-            if let Some(at) = next_timer.filter(|at| !is_armed || *at < sleep.deadline()) {
+            if let Some(at) = next_timer.filter(|at| !is_sleep_armed || *at < sleep.deadline()) {
                 sleep.as_mut().reset(at);
-                is_armed = true;
+                is_sleep_armed = true;
             }
             tokio::select! {
                 biased;
                 Some(event) = control.recv() => self.on_control(event),
-                count = traffic.recv_many(&mut batch, BATCH) => if count == 0 { return },
-                () = &mut sleep, if is_armed => is_armed = false,
+                count = traffic.recv_many(&mut batch, MAX_BATCH_EVENTS) => if count == 0 { return },
+                () = &mut sleep, if is_sleep_armed => is_sleep_armed = false,
             }
             for (index, event) in batch.drain(..).enumerate() {
-                if index % CONTROL_INTERVAL == 0 {
+                if index % CONTROL_POLL_EVENTS == 0 {
                     while let Ok(event) = control.try_recv() {
                         self.on_control(event);
                     }
@@ -237,7 +239,7 @@
                         self.on_counter_result(&result);
                     }
                 }
-                // The sites are updated after all timers have fired.
+                // `run` updates the sites after all timers have fired.
                 Timer::Sites => {}
                 Timer::CachedList => self.use_cached_endpoints(),
             }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: each is kept until its one final answer has been sent and its attempts have ended.
+//! Requests in flight: each is kept until its single final answer has been sent and all its attempts have ended.
 
 use super::{DecisionModule, Gateway, Timer};
 use crate::client::call::Call;
@@ -13,18 +13,18 @@
 use std::sync::Arc;
 
 const MS: Span = 1_000_000;
-/// A request that the decision module has not answered this long after its deadline is failed: none stays without an
-/// answer.
-const OVERDUE: Span = 10 * MS;
+/// Time after a request's deadline at which the event loop fails the request if the decision module has not answered
+/// it, so that every request gets an answer.
+const OVERDUE_GRACE: Span = 10 * MS;
 
 /// A request in flight.
 pub(super) struct InFlightRequest {
     pub call: Arc<Call>,
-    /// Where the final answer goes; `None` once it has been sent.
+    /// Recipient of the final answer; `None` once the answer has been sent.
     pub reply_to: Option<ReplyTo>,
     pub deadline: Time,
     pub route: Route,
-    /// Number of attempts that were ordered.
+    /// Number of attempts that the decision module has ordered.
     pub attempts: u32,
     /// Number of attempts that have not ended.
     attempts_in_flight: u32,
@@ -38,12 +38,12 @@
 }
 
 impl InFlightRequest {
-    /// When the request is failed if it has no answer by then.
+    /// Returns when the request is failed if it has not been answered.
     fn overdue_at(&self) -> Time {
-        self.deadline + OVERDUE
+        self.deadline + OVERDUE_GRACE
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.reply_to.is_none() && self.attempts_in_flight == 0
     }
 }
@@ -55,7 +55,7 @@
         if reply_to.is_closed() {
             return;
         }
-        // A host could not tell two requests with one identifier apart.
+        // Hosts identify requests by the client's identifier, so two requests in flight must not share one.
         if !self.client_ids.insert(call.client_id) {
             return reply_to.send(FinalAnswer::Failed);
         }
@@ -96,27 +96,27 @@
         class_weight * plan_factor * units
     }
 
-    /// Takes in that the client of a request has disconnected.
+    /// Ends a request whose client has disconnected.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if self.take_reply_to(id).is_some() {
             self.log_failure(id, FailureReason::ClientDisconnected);
             self.notify(Event::ClientDisconnected { id });
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Fails a request that is overdue.
+    /// Fails a request that has not been answered by [`OVERDUE_GRACE`] after its deadline.
     pub(super) fn on_overdue(&mut self, id: RequestId) {
         if let Some(reply_to) = self.take_reply_to(id) {
             reply_to.send(FinalAnswer::Failed);
             self.log_failure(id, FailureReason::DeadlineExceeded);
             self.notify(Event::ClientDisconnected { id });
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Takes the right to send the one final answer. Attempts that still wait for a connection are cancelled: a request
-    /// that is over is not forwarded any more.
+    /// Takes the channel for the single final answer, so that nothing else can answer the request. Attempts whose
+    /// request has not been written completely are cancelled, since an answered request must not be forwarded.
     fn take_reply_to(&mut self, id: RequestId) -> Option<ReplyTo> {
         let request = self.requests.get_mut(&id)?;
         let reply_to = request.reply_to.take()?;
@@ -130,7 +130,7 @@
         Some(reply_to)
     }
 
-    /// Sends the final answer to a request; `reason` is why the decision module does not let it succeed.
+    /// Sends the final answer to a request. `reason` is set if the decision module rejected or failed the request.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer, reason: Option<RejectReason>) {
         if let Some(reply_to) = self.take_reply_to(id) {
             reply_to.send(answer);
@@ -138,7 +138,7 @@
                 self.on_rejected(id, reason);
             }
         }
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
     fn on_rejected(&mut self, id: RequestId, reason: RejectReason) {
@@ -148,9 +148,9 @@
         self.log_failure(id, FailureReason::Rejected(reason));
     }
 
-    /// Removes a request that has its answer and no attempt in flight.
-    fn remove_if_over(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(InFlightRequest::is_over) {
+    /// Removes a request that has been answered and has no attempt in flight.
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(InFlightRequest::is_finished) {
             if let Some(request) = self.requests.remove(&id) {
                 self.client_ids.remove(&request.call.client_id);
                 self.router.release(&request.route);
@@ -158,11 +158,12 @@
         }
     }
 
-    /// Starts an attempt. Each attempt that the decision module orders ends once, also one that comes too late to be made:
-    /// the request is over, or its client has disconnected and the event of it is still queued.
+    /// Starts an attempt. The end of each attempt that the decision module orders is reported exactly once, also if the
+    /// attempt is not sent because the request has been answered already, or because its client has disconnected and
+    /// the event that reports this is still queued.
     pub(super) fn forward(&mut self, id: RequestId, host_id: HostId, deadline: Time, write_by: Time) {
         let Some(request) = self.requests.get_mut(&id) else {
-            debug_assert!(false, "an attempt of a request that is not in flight");
+            debug_assert!(false, "attempt ordered for a request that is not in flight");
             return;
         };
         let key = (id, request.attempts);
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Reports the attempts that have ended; the first response goes to the client directly.
+    /// Reports all attempts that have ended to the decision module. A request's first response is sent to the client
+    /// without asking the decision module.
     pub(super) fn report_finished(&mut self) {
         while let Some(finished) = self.upstream.next_finished() {
             self.on_finished(finished);
@@ -208,11 +210,11 @@
         ended.is_request_closed = self.on_attempt_ended(id, value);
         self.sites.on_attempt_ended(self.env.now(), &ended);
         self.notify(Event::AttemptEnded(ended));
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Takes in that an attempt has ended, and answers the request if it brought a response. Returns whether the request
-    /// needs no response any more.
+    /// Records that an attempt has ended, and answers the request if the attempt brought a response. Returns whether
+    /// the request has been answered.
     fn on_attempt_ended(&mut self, id: RequestId, value: Option<Bytes>) -> bool {
         if let Some(value) = value {
             self.answer_with_response(id, value);
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -14,89 +14,91 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot};
 
-/// Decides nothing, and tells what it was told of, in order.
-struct Told(mpsc::UnboundedSender<&'static str>);
+/// Returns no actions, and sends the kinds of the events that are reported to it to a channel, in order.
+struct RecordingModule(mpsc::UnboundedSender<&'static str>);
 
 thread_local! {
-    static TELLS: std::cell::RefCell<Option<mpsc::UnboundedSender<&'static str>>> = const { std::cell::RefCell::new(None) };
+    static EVENT_SENDER: std::cell::RefCell<Option<mpsc::UnboundedSender<&'static str>>> = const { std::cell::RefCell::new(None) };
 }
 
-impl DecisionModule for Told {
+impl DecisionModule for RecordingModule {
     fn start(_: Settings, _: u64) -> Self {
-        Told(TELLS.with_borrow_mut(Option::take).expect("one gateway"))
+        RecordingModule(
+            EVENT_SENDER.with_borrow_mut(Option::take).expect("one module is started for each test"),
+        )
     }
     fn handle(&mut self, _: Time, event: Event, _: &mut Vec<Action>) {
-        let what = match event {
+        let kind = match event {
             Event::Request(_) => "request",
             Event::HostList { .. } => "hosts",
             _ => "other",
         };
-        let _ = self.0.send(what);
+        let _ = self.0.send(kind);
     }
 }
 
 #[tokio::test]
-async fn a_drain_goes_before_all_requests_that_came_earlier() {
+async fn an_endpoint_list_is_processed_before_requests_that_are_already_queued() {
     let document = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "settings": crate::config::sample("safe", 8_000_000_000, 9_000_000_000),
     });
     let config = Config::parse(document.to_string().as_bytes()).unwrap();
-    let site = Arc::new(config.platform.clone());
-    let routing = RequestRouter::new(site.clone(), &config.operators).unwrap();
-    let (tell, mut told) = mpsc::unbounded_channel();
-    TELLS.set(Some(tell));
-    let (inputs, inbox) = mpsc::unbounded_channel();
-    let (news, binding) = mpsc::unbounded_channel();
+    let platform = Arc::new(config.platform.clone());
+    let router = RequestRouter::new(platform.clone(), &config.operators).unwrap();
+    let (sender, mut reported_events) = mpsc::unbounded_channel();
+    EVENT_SENDER.set(Some(sender));
+    let (traffic_sender, traffic) = mpsc::unbounded_channel();
+    let (control_sender, control) = mpsc::unbounded_channel();
     let (phase, _) = watch::channel(LifecyclePhase::Starting);
-    let gateway: Gateway<SystemEnv, Told> =
-        Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
-    assert_eq!(told.recv().await, Some("hosts"), "the list known before the start");
-    // Far more than a batch lies there before the news does.
-    let (answers, _answered) = mpsc::unbounded_channel();
+    let gateway: Gateway<SystemEnv, RecordingModule> =
+        Gateway::new(SystemEnv::start(), &config, platform.clone(), router, &traffic_sender, 16, phase);
+    assert_eq!(reported_events.recv().await, Some("hosts"), "the cached list");
+    // Many batches of requests are queued before the endpoint list.
+    let (answers, _answer_receiver) = mpsc::unbounded_channel();
     for id in 1..=5_000_u64 {
-        let words = ["CALL.GET", "0000000000000001", &format!("{id:016x}")].map(str::to_owned);
+        let parts = ["CALL.GET", "0000000000000001", &format!("{id:016x}")].map(str::to_owned);
         let list = "c=read,t=team,d=900,units=1,spread=1,first=0".to_owned();
-        let frame = |word: &String| Frame::Bulk(Bytes::from(word.clone()));
-        let words: Vec<Frame> = words.iter().chain([&list]).map(frame).collect();
-        let (request, call) = call::parse(&site, RequestId(id), &words).unwrap();
+        let frame = |part: &String| Frame::Bulk(Bytes::from(part.clone()));
+        let parts: Vec<Frame> = parts.iter().chain([&list]).map(frame).collect();
+        let (request, call) = call::parse(&platform, RequestId(id), &parts).unwrap();
         let reply_to = ReplyTo { command: id, answers: answers.clone() };
         let incoming = IncomingRequest { arrived_at: 1, request, call, reply_to };
-        inputs.send(TrafficEvent::Request(Box::new(incoming))).unwrap();
+        traffic_sender.send(TrafficEvent::Request(Box::new(incoming))).unwrap();
     }
-    news.send(ControlEvent::EndpointList(EndpointList::default())).unwrap();
-    tokio::spawn(gateway.run(binding, inbox));
-    assert_eq!(told.recv().await, Some("hosts"));
+    control_sender.send(ControlEvent::EndpointList(EndpointList::default())).unwrap();
+    tokio::spawn(gateway.run(control, traffic));
+    assert_eq!(reported_events.recv().await, Some("hosts"));
     for _ in 0..5_000 {
-        while told.recv().await.expect("it runs") != "request" {}
+        while reported_events.recv().await.expect("the event loop runs") != "request" {}
     }
 }
 
-/// Sends the request that came last to the one host at each timer, and notes what it is told of requests.
-struct SendsWhenTimed(Option<RequestId>);
+/// Orders an attempt of the latest request at host 1 whenever a timer expires, and records the events about requests.
+struct ForwardingModule(Option<RequestId>);
 
 thread_local! {
-    static NOTED: std::cell::RefCell<Vec<String>> = const { std::cell::RefCell::new(Vec::new()) };
+    static RECORDED: std::cell::RefCell<Vec<String>> = const { std::cell::RefCell::new(Vec::new()) };
 }
 
-fn note(text: String) {
-    NOTED.with_borrow_mut(|noted| noted.push(text));
+fn record(text: String) {
+    RECORDED.with_borrow_mut(|recorded| recorded.push(text));
 }
 
-impl DecisionModule for SendsWhenTimed {
+impl DecisionModule for ForwardingModule {
     fn start(_: Settings, _: u64) -> Self {
-        SendsWhenTimed(None)
+        ForwardingModule(None)
     }
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => {
                 self.0 = Some(request.id);
-                note("request".into());
+                record("request".into());
             }
-            Event::ClientDisconnected { .. } => note("left".into()),
+            Event::ClientDisconnected { .. } => record("disconnected".into()),
             Event::AttemptEnded(ended) => {
-                note(format!("{:?}, closed: {}", ended.outcome, ended.is_request_closed))
+                record(format!("{:?}, closed: {}", ended.outcome, ended.is_request_closed))
             }
             Event::TimerExpired { .. } => {
                 let (id, host) = (self.0.expect("a request"), HostId(1));
@@ -107,44 +109,44 @@
     }
 }
 
-/// The word that a client has left waits behind all that came before it, in a burst for long: it is looked for when a
-/// request is taken up and before each attempt. The host is not in the list, so that an attempt that is started ends at
-/// once.
+/// In a burst, the event of a disconnected client stays queued behind many others. The event loop therefore also checks
+/// for the disconnection when it receives a request and before each attempt. The host is not in the endpoint list, so
+/// that an attempt that is started ends at once.
 #[tokio::test]
-async fn a_client_that_has_gone_is_noticed_before_the_word_of_it() {
+async fn a_disconnected_client_is_noticed_before_its_event_is_processed() {
     let document = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "settings": crate::config::sample("safe", 8_000_000_000, 9_000_000_000),
     });
     let config = Config::parse(document.to_string().as_bytes()).unwrap();
-    let site = Arc::new(config.platform.clone());
+    let platform = Arc::new(config.platform.clone());
     let id = RequestId(7);
-    let words =
+    let parts =
         ["CALL.GET", "0000000000000001", "0000000000000007", "c=read,t=team,d=900,units=1,spread=1,first=0"];
-    let words: Vec<Frame> =
-        words.iter().map(|word| Frame::Bulk(Bytes::from_static(word.as_bytes()))).collect();
-    let unsent = "NotSent, closed: true";
-    // Attempts before the client goes; `None`: it goes before the request is taken up.
+    let parts: Vec<Frame> =
+        parts.iter().map(|part| Frame::Bulk(Bytes::from_static(part.as_bytes()))).collect();
+    let not_sent = "NotSent, closed: true";
+    // Number of attempts before the client disconnects; `None` if it disconnects before its request is processed.
     let cases: [(Option<u32>, &[&str]); 3] = [
         (None, &[]),
-        (Some(0), &["request", "left", unsent]),
-        (Some(1), &["request", "NotSent, closed: false", "left", unsent]),
+        (Some(0), &["request", "disconnected", not_sent]),
+        (Some(1), &["request", "NotSent, closed: false", "disconnected", not_sent]),
     ];
     for (attempts, expected) in cases {
-        let routing = RequestRouter::new(site.clone(), &config.operators).unwrap();
-        let (inputs, _inbox) = mpsc::unbounded_channel();
+        let router = RequestRouter::new(platform.clone(), &config.operators).unwrap();
+        let (traffic_sender, _traffic) = mpsc::unbounded_channel();
         let (phase, _) = watch::channel(LifecyclePhase::Starting);
-        let mut gateway: Gateway<SystemEnv, SendsWhenTimed> =
-            Gateway::new(SystemEnv::start(), &config, site.clone(), routing, &inputs, 16, phase);
-        NOTED.take();
-        let (answers, answered) = mpsc::unbounded_channel();
-        let (request, call) = call::parse(&site, id, &words).unwrap();
+        let mut gateway: Gateway<SystemEnv, ForwardingModule> =
+            Gateway::new(SystemEnv::start(), &config, platform.clone(), router, &traffic_sender, 16, phase);
+        RECORDED.take();
+        let (answers, answer_receiver) = mpsc::unbounded_channel();
+        let (request, call) = call::parse(&platform, id, &parts).unwrap();
         let incoming =
             IncomingRequest { arrived_at: 1, request, call, reply_to: ReplyTo { command: 0, answers } };
-        let mut answered = Some(answered);
+        let mut answer_receiver = Some(answer_receiver);
         if attempts.is_none() {
-            answered.take();
+            answer_receiver.take();
         }
         gateway.on_traffic(TrafficEvent::Request(Box::new(incoming)));
         if let Some(attempts) = attempts {
@@ -152,28 +154,28 @@
                 gateway.notify(Event::TimerExpired { token: 0 });
                 gateway.report_finished();
             }
-            answered.take();
+            answer_receiver.take();
             gateway.notify(Event::TimerExpired { token: 0 });
             gateway.report_finished();
         }
         gateway.on_traffic(TrafficEvent::ClientDisconnected(id));
-        assert_eq!(NOTED.take(), expected, "{attempts:?}");
+        assert_eq!(RECORDED.take(), expected, "{attempts:?}");
         assert!(
             gateway.requests.is_empty() && gateway.client_ids.is_empty(),
-            "{attempts:?}: it is still held"
+            "{attempts:?}: the request has not been removed"
         );
-        assert_eq!(gateway.timers.next(), None, "{attempts:?}: something still falls due");
+        assert_eq!(gateway.timers.next(), None, "{attempts:?}: a timer has not been cancelled");
     }
 }
 
-/// Asks the counter at each request, and panics at one for six units. Notes the rate of the first plan that it starts
-/// with, and what it is told of plans, hosts and the counter.
-struct Frail;
+/// Adds one unit to the counter for each request, and panics at a request for six units. Records the rate of the first
+/// plan when it starts, and the events about plans, hosts and the counter.
+struct PanickingModule;
 
-impl DecisionModule for Frail {
+impl DecisionModule for PanickingModule {
     fn start(settings: Settings, _: u64) -> Self {
-        note(format!("starts at {}", settings.plans[0].rate));
-        Frail
+        record(format!("starts at {}", settings.plans[0].rate));
+        PanickingModule
     }
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
@@ -183,40 +185,40 @@
                     amount: 1.0,
                     time_to_live: 1_000 * MS,
                 });
-                assert!(request.units < 6.0, "as the test wants");
+                assert!(request.units < 6.0, "deliberate panic");
             }
-            Event::PlansChanged(plans) => note(format!("plans at {}", plans[0].rate)),
-            Event::HostList { kind, entries } => note(format!("{kind:?}, {} hosts", entries.len())),
-            Event::CounterReplied { outcome, total, .. } => note(format!("{outcome:?} {total}")),
+            Event::PlansChanged(plans) => record(format!("plans at {}", plans[0].rate)),
+            Event::HostList { kind, entries } => record(format!("{kind:?}, {} hosts", entries.len())),
+            Event::CounterReplied { outcome, total, .. } => record(format!("{outcome:?} {total}")),
             _ => {}
         }
     }
 }
 
-/// A gateway that knows one host from before, whose module is frail, and its counter.
-struct FrailRoom {
+/// A gateway whose decision module can panic and whose cached list has one host, with a counter service.
+struct PanickingModuleFixture {
     sim: Sim,
-    site: Arc<PlatformSettings>,
-    gateway: Gateway<SimEnv, Frail>,
-    inbox: UnboundedReceiver<TrafficEvent>,
-    /// Calls that have come to the counter. Each gets this number for an answer, 10 ms later.
-    counted: Arc<AtomicU32>,
+    platform: Arc<PlatformSettings>,
+    gateway: Gateway<SimEnv, PanickingModule>,
+    traffic: UnboundedReceiver<TrafficEvent>,
+    /// Number of calls that the counter has received. The reply to each call is this number, 10 ms later.
+    counter_calls: Arc<AtomicU32>,
 }
 
-impl FrailRoom {
-    fn new() -> FrailRoom {
+impl PanickingModuleFixture {
+    fn new() -> PanickingModuleFixture {
         let sim = Sim::new(SimConfig { seed: 1, start: 1_000 * MS, network: NetworkSpec::default() });
         let process = |name: &str| sim.machine(name, Place::Building(0)).process(name);
-        let (service, env) = (process("counter"), process("gateway"));
-        let mut listener = service.listen("0.0.0.0:80".parse().unwrap(), 16).unwrap();
-        let counted = Arc::new(AtomicU32::new(0));
-        let (address, count) = (listener.local_addr().unwrap(), counted.clone());
-        service.clone().spawn(async move {
+        let (counter_env, env) = (process("counter"), process("gateway"));
+        let mut listener = counter_env.listen("0.0.0.0:80".parse().unwrap(), 16).unwrap();
+        let counter_calls = Arc::new(AtomicU32::new(0));
+        let (address, calls) = (listener.local_addr().unwrap(), counter_calls.clone());
+        counter_env.clone().spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
-                let (env, count) = (service.clone(), count.clone());
-                service.spawn(async move {
+                let (env, calls) = (counter_env.clone(), calls.clone());
+                counter_env.spawn(async move {
                     while stream.read(&mut [0; 512]).await.is_ok_and(|count| count > 0) {
-                        let total = count.fetch_add(1, Ordering::Relaxed) + 1;
+                        let total = calls.fetch_add(1, Ordering::Relaxed) + 1;
                         env.sleep(10 * MS).await;
                         stream.write_all(format!("$1\r\n{total}\r\n").as_bytes()).await.unwrap();
                     }
@@ -233,23 +235,23 @@
             "known": {"generation": 1, "reset": true, "instances": [host]}, "settings": settings,
         });
         let config = Config::parse(document.to_string().as_bytes()).unwrap();
-        let site = Arc::new(config.platform.clone());
-        let routing = RequestRouter::new(site.clone(), &config.operators).unwrap();
-        let (inputs, inbox) = mpsc::unbounded_channel();
+        let platform = Arc::new(config.platform.clone());
+        let router = RequestRouter::new(platform.clone(), &config.operators).unwrap();
+        let (traffic_sender, traffic) = mpsc::unbounded_channel();
         let (phase, _) = watch::channel(LifecyclePhase::Starting);
-        NOTED.take();
-        let gateway = Gateway::new(env, &config, site.clone(), routing, &inputs, 16, phase);
-        assert_eq!(NOTED.take(), ["starts at 10"]);
-        FrailRoom { sim, site, gateway, inbox, counted }
+        RECORDED.take();
+        let gateway = Gateway::new(env, &config, platform.clone(), router, &traffic_sender, 16, phase);
+        assert_eq!(RECORDED.take(), ["starts at 10"]);
+        PanickingModuleFixture { sim, platform, gateway, traffic, counter_calls }
     }
 
-    /// Whether a request for so many units is answered at once.
-    fn ask(&mut self, id: u64, units: u32) -> bool {
+    /// Sends a request for this number of units. Returns whether it is answered at once.
+    fn send_request(&mut self, id: u64, units: u32) -> bool {
         let list = format!("c=read,t=team,d=900,units={units},spread=1,first=0");
-        let words = ["CALL.GET".to_owned(), "0000000000000001".to_owned(), format!("{id:016x}"), list];
-        let words: Vec<Frame> = words.into_iter().map(|word| Frame::Bulk(word.into())).collect();
-        let (request, call) = call::parse(&self.site, RequestId(id), &words).unwrap();
-        let (answers, mut answered) = mpsc::unbounded_channel();
+        let parts = ["CALL.GET".to_owned(), "0000000000000001".to_owned(), format!("{id:016x}"), list];
+        let parts: Vec<Frame> = parts.into_iter().map(|part| Frame::Bulk(part.into())).collect();
+        let (request, call) = call::parse(&self.platform, RequestId(id), &parts).unwrap();
+        let (answers, mut answer_receiver) = mpsc::unbounded_channel();
         let incoming = IncomingRequest {
             arrived_at: self.sim.now(),
             request,
@@ -257,14 +259,14 @@
             reply_to: ReplyTo { command: 0, answers },
         };
         self.gateway.on_traffic(TrafficEvent::Request(Box::new(incoming)));
-        answered.try_recv().is_ok()
+        answer_receiver.try_recv().is_ok()
     }
 
-    /// Lets time pass, and the gateway do what has come up.
+    /// Advances the virtual time, then processes the queued events and the expired timers.
     fn run(&mut self, span: Span) {
         self.sim.run_until(self.sim.now() + span).unwrap();
-        while let Ok(input) = self.inbox.try_recv() {
-            self.gateway.on_traffic(input);
+        while let Ok(event) = self.traffic.try_recv() {
+            self.gateway.on_traffic(event);
         }
         self.gateway.fire_timers();
     }
@@ -280,54 +282,64 @@
 }
 
 #[test]
-fn a_module_that_panics_before_the_first_list_has_come_leaves_the_known_one_to_the_next() {
-    let mut room = FrailRoom::new();
-    assert!(room.ask(1, 6), "it is failed");
-    assert_eq!(NOTED.take(), ["starts at 10", "Cached, 0 hosts"]);
-    room.run(999 * MS);
-    assert_eq!(NOTED.take(), [""; 0]);
-    room.run(MS);
-    assert_eq!(NOTED.take(), ["Cached, 1 hosts"], "the known list has to do");
-    // The same with a list of changes before that.
-    let mut room = FrailRoom::new();
-    assert!(room.ask(1, 6));
-    NOTED.take();
-    room.gateway
+fn the_cached_list_is_reported_to_the_next_module_after_a_panic_before_the_first_list() {
+    let mut fixture = PanickingModuleFixture::new();
+    assert!(fixture.send_request(1, 6), "the request fails");
+    assert_eq!(RECORDED.take(), ["starts at 10", "Cached, 0 hosts"]);
+    fixture.run(999 * MS);
+    assert_eq!(RECORDED.take(), [""; 0]);
+    fixture.run(MS);
+    assert_eq!(RECORDED.take(), ["Cached, 1 hosts"], "the cached list is used");
+    // The same with a list of changes before the cached list is used.
+    let mut fixture = PanickingModuleFixture::new();
+    assert!(fixture.send_request(1, 6));
+    RECORDED.take();
+    fixture
+        .gateway
         .on_control(ControlEvent::EndpointList(EndpointList { generation: 2, ..EndpointList::default() }));
-    assert_eq!(NOTED.take(), ["Cached, 1 hosts"]);
-    room.run(1_000 * MS);
-    assert_eq!(NOTED.take(), [""; 0], "once");
+    assert_eq!(RECORDED.take(), ["Cached, 1 hosts"]);
+    fixture.run(1_000 * MS);
+    assert_eq!(RECORDED.take(), [""; 0], "reported only once");
 }
 
 #[test]
-fn a_module_that_panics_after_a_reload_is_followed_by_one_with_the_plans_in_force() {
-    let mut room = FrailRoom::new();
-    room.reload("quota policy \"tight\" {\n  plan = \"team\"\n  rate = 5 units/s\n  burst = 50 units\n}\n");
-    assert_eq!(NOTED.take(), ["plans at 5", "Delta, 0 hosts"]);
-    assert!(room.ask(1, 6));
-    assert_eq!(NOTED.take(), ["starts at 5", "Cached, 0 hosts"]);
-    room.reload("");
-    assert_eq!(NOTED.take(), ["plans at 10", "Delta, 0 hosts"], "and goes on from there");
+fn a_module_started_after_a_panic_has_the_reloaded_plans() {
+    let mut fixture = PanickingModuleFixture::new();
+    fixture
+        .reload("quota policy \"tight\" {\n  plan = \"team\"\n  rate = 5 units/s\n  burst = 50 units\n}\n");
+    assert_eq!(RECORDED.take(), ["plans at 5", "Delta, 0 hosts"]);
+    assert!(fixture.send_request(1, 6));
+    assert_eq!(RECORDED.take(), ["starts at 5", "Cached, 0 hosts"]);
+    fixture.reload("");
+    assert_eq!(RECORDED.take(), ["plans at 10", "Delta, 0 hosts"], "the next reload applies");
 }
 
 #[test]
-fn what_the_counter_answers_to_a_module_that_panicked_is_not_told_to_the_next() {
-    // The first call is out, or has not been written yet, when the module panics.
-    for (written, calls) in [(true, 2), (false, 1)] {
-        let mut room = FrailRoom::new();
-        assert!(!room.ask(1, 1));
-        if written {
-            room.run(5 * MS);
-            assert_eq!(room.counted.load(Ordering::Relaxed), 1);
+fn counter_replies_to_a_module_that_panicked_are_not_reported_to_the_next() {
+    // When the module panics, the first call has been written, or is still queued.
+    for (is_written, calls) in [(true, 2), (false, 1)] {
+        let mut fixture = PanickingModuleFixture::new();
+        assert!(!fixture.send_request(1, 1));
+        if is_written {
+            fixture.run(5 * MS);
+            assert_eq!(fixture.counter_calls.load(Ordering::Relaxed), 1);
         }
-        assert!(room.ask(2, 6));
-        // Of the same name: the answer of one would pass for that of the other.
-        assert!(!room.ask(3, 1));
-        NOTED.take();
-        room.run(50 * MS);
-        assert_eq!(room.counted.load(Ordering::Relaxed), calls, "what was not written never is");
-        assert_eq!(NOTED.take(), [format!("Ok {calls}")], "{written}: its own call alone");
-        room.run(500 * MS);
-        assert_eq!(NOTED.take(), [""; 0], "{written}");
+        assert!(fixture.send_request(2, 6));
+        // Both calls have the same key, so a reply to the first could be attributed to the second.
+        assert!(!fixture.send_request(3, 1));
+        RECORDED.take();
+        fixture.run(50 * MS);
+        assert_eq!(
+            fixture.counter_calls.load(Ordering::Relaxed),
+            calls,
+            "a call that was not written is never sent"
+        );
+        assert_eq!(
+            RECORDED.take(),
+            [format!("Ok {calls}")],
+            "written: {is_written}: only the reply to its own call"
+        );
+        fixture.run(500 * MS);
+        assert_eq!(RECORDED.take(), [""; 0], "written: {is_written}");
     }
 }
