--- a/crates/gateway/src/client/budget.rs
+++ b/crates/gateway/src/client/budget.rs
@@ -4,22 +4,22 @@
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A connection may take another permit while it holds fewer than one in this many of those that are left: however many
-/// clients do not read their replies, some permits stay for those that do.
+/// A connection may acquire another permit while it holds less than this fraction (one in four) of the available
+/// permits. Thus some permits remain for other clients, regardless of how many clients do not read their replies.
 const FAIR_SHARE_DIVISOR: usize = 4;
 
-/// What all commands in flight may take together. A command that does not fit is rejected at once: waiting would let
-/// clients that are slow to read starve the others.
+/// Memory budget of all commands in flight. A command that exceeds it is rejected at once: if it waited for memory,
+/// clients that are slow to read could starve the others.
 #[derive(Clone)]
 pub(crate) struct CommandBudget {
-    /// A permit for each command, which may get a response of the maximum length.
+    /// One permit for each command, since each may get a response of the maximum length.
     pub(super) slots: Arc<Semaphore>,
-    /// A permit for each byte of the commands themselves.
+    /// One permit for each byte of the commands themselves.
     pub(super) bytes: Arc<Semaphore>,
 }
 
 impl CommandBudget {
-    /// Creates the budget for commands within a gateway's memory.
+    /// Creates the budget for a gateway with this division of its memory.
     pub fn within(memory: &MemoryBudget) -> CommandBudget {
         let bytes = memory.commands.min(Semaphore::MAX_PERMITS);
         CommandBudget {
@@ -29,14 +29,14 @@
     }
 }
 
-/// The permits that one connection holds.
+/// The permits of a semaphore that one connection holds.
 pub(super) struct HeldPermits {
     semaphore: Arc<Semaphore>,
     permits: Option<OwnedSemaphorePermit>,
 }
 
 impl HeldPermits {
-    /// Starts without permits of this semaphore.
+    /// Creates an empty set of permits, to be acquired from this semaphore.
     pub fn new(semaphore: Arc<Semaphore>) -> HeldPermits {
         HeldPermits { semaphore, permits: None }
     }
@@ -46,13 +46,13 @@
         self.permits.as_ref().map_or(0, |permits| permits.num_permits())
     }
 
-    /// Returns whether the connection holds so many permits that too few are left for others.
+    /// Returns whether the connection holds at least one in [`FAIR_SHARE_DIVISOR`] of the available permits.
     pub fn exceeds_fair_share(&self) -> bool {
         let held = self.count();
         held > 0 && held * FAIR_SHARE_DIVISOR >= self.semaphore.available_permits()
     }
 
-    /// Takes more permits. Returns false, and takes none, if there are not enough.
+    /// Acquires more permits without waiting. Returns false, and acquires none, if not enough are available.
     pub fn extend(&mut self, count: u32) -> bool {
         if count == 0 {
             return true;
@@ -65,14 +65,14 @@
         true
     }
 
-    /// Gives the permits beyond this number back to the semaphore.
+    /// Returns the held permits beyond this number to the semaphore.
     pub fn shrink_to(&mut self, count: usize) {
         if let Some(permits) = &mut self.permits {
             drop(permits.split(permits.num_permits().saturating_sub(count)));
         }
     }
 
-    /// Gives all permits back to the semaphore.
+    /// Returns all held permits to the semaphore.
     pub fn release(&mut self) {
         self.permits = None;
     }
--- a/crates/gateway/src/client/connection/input.rs
+++ b/crates/gateway/src/client/connection/input.rs
@@ -1,8 +1,8 @@
-//! Takes commands off the input of a connection.
+//! Decodes and processes the input of a connection.
 
 use super::Connection;
 use crate::client::call;
-use crate::client::linger::MAX_DISCARDED;
+use crate::client::linger::MAX_DISCARDED_BYTES;
 use crate::client::replies::{PendingReply, Reply};
 use crate::messages::{FinalAnswer, IncomingRequest, LifecyclePhase, ReplyTo, TrafficEvent};
 use bytes::{Bytes, BytesMut};
@@ -11,35 +11,36 @@
 use std::fmt;
 
 const MS: Span = 1_000_000;
-/// Maximum number of commands of one connection that are processed at once. Commands behind them are read ahead: a
-/// connection is read all the time, or the end of its client would not be noticed.
+/// Maximum number of commands of one connection that are processed concurrently. Further commands are read ahead: the
+/// connection is read continuously, since a disconnection of the client would not be noticed otherwise.
 pub(super) const MAX_PIPELINE: usize = 16;
-/// Bytes that are read ahead. Beyond them, complete commands are rejected.
-const MAX_READ_AHEAD: usize = 128 * 1024;
-/// Maximum number of commands of one connection without a written reply, rejected ones included. A client that sends more
-/// is disconnected.
+/// Maximum number of bytes that are read ahead. If there are more, complete commands are rejected.
+const MAX_READ_AHEAD_BYTES: usize = 128 * 1024;
+/// Maximum number of commands of one connection whose replies have not been written, including rejections. A client
+/// that sends more is disconnected.
 pub(super) const MAX_OUTSTANDING: usize = 1024;
 /// The first command, and the rest of an incomplete one, have to arrive within this time.
 pub(super) const COMMAND_TIMEOUT: Span = 2_000 * MS;
-/// Bytes of commands that a connection may hold without permits of the common budget.
-const FREE_BYTES: usize = 4 * 1024;
+/// Bytes of commands that a connection may hold without permits from the shared budget.
+const UNBUDGETED_BYTES: usize = 4 * 1024;
 
-/// What happens to the bytes that a client sends.
+/// How the bytes that a client sends are processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InputState {
-    /// They are commands.
+    /// They are decoded as commands.
     Commands,
-    /// They cannot be decoded: this many more are discarded, then the client is disconnected.
+    /// They cannot be decoded: this many more bytes are discarded, then the client is disconnected.
     Discarding(usize),
-    /// Nothing is read, and no request is in flight.
+    /// The connection stops reading, and no request is in flight.
     Ended,
 }
 
 impl<E: Env> Connection<E> {
-    /// Takes in bytes that have been read: they are bounded, and the end of the client is noticed.
-    pub(super) fn take_input(&mut self) {
+    /// Processes the bytes that have been read, within the bounds on input. The connection is read in all states but
+    /// `Ended`, so that a disconnection of the client is noticed.
+    pub(super) fn process_input(&mut self) {
         match self.input_state {
-            InputState::Commands => self.take_commands(),
+            InputState::Commands => self.process_commands(),
             InputState::Discarding(remaining) if self.input.len() < remaining => {
                 self.input_state = InputState::Discarding(remaining - self.input.len());
                 self.input.clear();
@@ -48,12 +49,12 @@
         }
     }
 
-    /// Takes commands as far as the pipeline has room.
-    pub(super) fn take_commands(&mut self) {
-        if !self.reserve_bytes() || self.is_too_far_ahead() {
+    /// Processes commands until the pipeline is full.
+    pub(super) fn process_commands(&mut self) {
+        if !self.reserve_bytes() || self.exceeds_read_ahead() {
             self.reject_complete_commands();
             if self.input_state == InputState::Commands && !self.reserve_bytes() {
-                self.reject_protocol("no room for so long a command");
+                self.reply_protocol_error("no room for so long a command");
             }
         }
         while self.input_state == InputState::Commands
@@ -66,32 +67,33 @@
                         self.command_deadline.or_else(|| Some(self.context.env.now() + COMMAND_TIMEOUT));
                     return;
                 }
-                Ok(Some(Frame::Array(words))) if !words.is_empty() => self.take_command(&words),
-                Ok(Some(_)) => self.reject_protocol("commands are arrays of bulk strings"),
-                Err(error) => self.reject_protocol(error),
+                Ok(Some(Frame::Array(parts))) if !parts.is_empty() => self.process_command(&parts),
+                Ok(Some(_)) => self.reply_protocol_error("commands are arrays of bulk strings"),
+                Err(error) => self.reply_protocol_error(error),
             }
         }
     }
 
-    /// Holds permits for the bytes of this connection's commands. Returns false if there are not enough.
+    /// Acquires the missing permits for the bytes of this connection's commands, or releases all if none are needed.
+    /// Returns false if not enough are available.
     fn reserve_bytes(&mut self) -> bool {
         let bytes = self.input.len() + self.pending.in_flight_bytes();
-        let wanted = bytes.saturating_sub(FREE_BYTES);
-        if wanted == 0 {
+        let needed = bytes.saturating_sub(UNBUDGETED_BYTES);
+        if needed == 0 {
             self.byte_permits.release();
             return true;
         }
-        self.byte_permits.extend(wanted.saturating_sub(self.byte_permits.count()) as u32)
+        self.byte_permits.extend(needed.saturating_sub(self.byte_permits.count()) as u32)
     }
 
-    /// Returns whether too much has been read ahead of a full pipeline: more than a connection may, or so much that too
-    /// little of the common budget is left for others.
-    fn is_too_far_ahead(&self) -> bool {
-        let is_too_much = self.byte_permits.exceeds_fair_share() || self.input.len() > MAX_READ_AHEAD;
-        self.outstanding() >= MAX_PIPELINE && is_too_much
+    /// Returns whether too many bytes have been read ahead of a full pipeline: more than [`MAX_READ_AHEAD_BYTES`], or
+    /// more than the connection's fair share of the common budget.
+    fn exceeds_read_ahead(&self) -> bool {
+        let is_over_limit = self.byte_permits.exceeds_fair_share() || self.input.len() > MAX_READ_AHEAD_BYTES;
+        self.outstanding() >= MAX_PIPELINE && is_over_limit
     }
 
-    /// Rejects each command that has arrived completely; what remains may fit.
+    /// Rejects each command that has arrived completely. The remaining bytes may then fit into the budget.
     fn reject_complete_commands(&mut self) {
         while self.input_state == InputState::Commands && !self.input.is_empty() {
             if self.outstanding() >= MAX_OUTSTANDING {
@@ -99,44 +101,45 @@
             }
             match resp::decode(&mut self.input) {
                 Ok(None) => return,
-                Ok(Some(Frame::Array(words))) if !words.is_empty() => {
+                Ok(Some(Frame::Array(parts))) if !parts.is_empty() => {
                     self.command_deadline = None;
                     let reply =
-                        if is_ping(&words) { self.ping_reply() } else { FinalAnswer::Rejected(None).into() };
+                        if is_ping(&parts) { self.ping_reply() } else { FinalAnswer::Rejected(None).into() };
                     self.pending.push(PendingReply::Ready(reply));
                 }
-                Ok(Some(_)) => self.reject_protocol("commands are arrays of bulk strings"),
-                Err(error) => self.reject_protocol(error),
+                Ok(Some(_)) => self.reply_protocol_error("commands are arrays of bulk strings"),
+                Err(error) => self.reply_protocol_error(error),
             }
         }
     }
 
-    /// Replies with a protocol error, since the input cannot be decoded any further. The connection closes after the
-    /// replies to the commands before it.
-    pub(super) fn reject_protocol(&mut self, error: impl fmt::Display) {
+    /// Replies with a protocol error and discards further input, since it cannot be decoded. The connection closes
+    /// after the replies to the earlier commands and this error.
+    pub(super) fn reply_protocol_error(&mut self, error: impl fmt::Display) {
         let reply = Reply::error(format_args!("protocol error: {error}"));
         self.pending.push(PendingReply::Ready(reply));
-        self.end_input(InputState::Discarding(MAX_DISCARDED));
+        self.stop_input(InputState::Discarding(MAX_DISCARDED_BYTES));
     }
 
-    /// Fails the requests in flight of a client that sends without an end, and reads nothing more of it.
+    /// Fails the requests in flight of a client that has sent more than the limits allow, and reads nothing more from
+    /// it.
     fn abandon_client(&mut self) {
         for request in self.pending.fail_in_flight() {
             let _ = self.context.gateway.send(TrafficEvent::ClientDisconnected(request));
         }
-        self.end_input(InputState::Ended);
+        self.stop_input(InputState::Ended);
     }
 
-    fn end_input(&mut self, state: InputState) {
+    fn stop_input(&mut self, state: InputState) {
         self.input_state = state;
         self.command_deadline = None;
         self.input = BytesMut::new();
     }
 
-    fn take_command(&mut self, words: &[Frame]) {
+    fn process_command(&mut self, parts: &[Frame]) {
         self.command_deadline = None;
         let reply =
-            if is_ping(words) { PendingReply::Ready(self.ping_reply()) } else { self.take_call(words) };
+            if is_ping(parts) { PendingReply::Ready(self.ping_reply()) } else { self.process_call(parts) };
         self.pending.push(reply);
     }
 
@@ -150,10 +153,11 @@
         }
     }
 
-    /// Reports a call to the gateway's event loop.
-    fn take_call(&mut self, words: &[Frame]) -> PendingReply {
+    /// Parses a call and reports its request to the gateway's event loop. Returns the reply at once if the call is
+    /// invalid or rejected.
+    fn process_call(&mut self, parts: &[Frame]) -> PendingReply {
         let id = self.context.next_request_id();
-        let (request, call) = match call::parse(&self.context.platform, id, words) {
+        let (request, call) = match call::parse(&self.context.platform, id, parts) {
             Ok(call) => call,
             Err(error) => return PendingReply::Ready(Reply::error(error)),
         };
@@ -165,15 +169,15 @@
         let incoming = IncomingRequest { arrived_at: self.context.env.now(), request, call, reply_to };
         match self.context.gateway.send(TrafficEvent::Request(Box::new(incoming))) {
             Ok(()) => {
-                self.has_called = true;
+                self.has_sent_call = true;
                 PendingReply::InFlight { request: id, bytes }
             }
             Err(_) => PendingReply::Ready(Reply::error("stopping")),
         }
     }
 
-    /// Holds a permit for one more command, which may get a response of the maximum length that stays in memory until the
-    /// client has read it. Returns false if there is none.
+    /// Acquires a permit for one more command, which may get a response of the maximum length that stays in memory
+    /// until the client has read it. Returns false if none is available, or if the connection holds its fair share.
     fn reserve_command(&mut self) -> bool {
         if self.command_permits.count() > self.outstanding() {
             return true;
@@ -182,6 +186,6 @@
     }
 }
 
-fn is_ping(words: &[Frame]) -> bool {
-    matches!(words, [Frame::Bulk(name)] if name.eq_ignore_ascii_case(b"PING"))
+fn is_ping(parts: &[Frame]) -> bool {
+    matches!(parts, [Frame::Bulk(name)] if name.eq_ignore_ascii_case(b"PING"))
 }
--- a/crates/gateway/src/client/connection/mod.rs
+++ b/crates/gateway/src/client/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The connection of one client.
+//! One client connection: reads commands, and writes the replies in the order of the commands.
 
 mod input;
 
@@ -22,21 +22,22 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{watch, OwnedSemaphorePermit};
 
-/// Why the gateway ends a connection.
+/// Why the gateway closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// All commands are answered, the last of them perhaps just now.
+    /// The input has ended or the process shuts down, and all commands have been answered. The last reply may have been
+    /// written just now.
     Answered,
-    /// No reply was owed, and another connection gets the slot at once.
+    /// No reply was outstanding. The connection releases its slot at once, for another connection.
     Evicted,
 }
 
-/// What a connection does next.
+/// The next step of a connection's loop.
 enum Progress {
-    /// It can do more without waiting.
+    /// More can be done without waiting.
     Repeat,
     Close(CloseReason),
-    /// It waits for events, in this phase of the process.
+    /// Wait for events. The process is in this phase.
     Wait(LifecyclePhase),
 }
 
@@ -44,21 +45,21 @@
 struct Connection<E> {
     context: Context<E>,
     slot: Arc<ConnectionSlot>,
-    /// The activity that the slot shows.
-    published: Activity,
+    /// The activity last published to the listener.
+    published_activity: Activity,
     input: BytesMut,
     input_state: InputState,
-    /// By when the first command, or the rest of one, has to arrive.
+    /// Time by which the first command, or the rest of an incomplete one, has to arrive.
     command_deadline: Option<Time>,
     pending: PendingReplies,
     output: Output,
     answers: UnboundedSender<NumberedAnswer>,
     /// Permits for the commands whose replies have not been written completely.
     command_permits: HeldPermits,
-    /// Permits for the bytes of commands beyond the free ones.
+    /// Permits for the bytes of commands beyond `input::UNBUDGETED_BYTES`.
     byte_permits: HeldPermits,
     /// Whether a valid call has arrived.
-    has_called: bool,
+    has_sent_call: bool,
 }
 
 /// Serves a connection until it ends.
@@ -70,14 +71,16 @@
 ) {
     let env = context.env.clone();
     let contention = context.contention.clone();
-    // Held to the end: a shutdown waits for all receivers of the phase, also for connections that linger.
+    // Kept until the function returns: a shutdown waits until all receivers of the phase have been dropped, including
+    // those of connections that linger.
     let _phase = context.phase.clone();
     let (mut reader, mut writer) = stream.into_split();
     let (mut connection, inbox) = Connection::new(context, slot.clone());
     let closed = connection.run(&mut reader, &mut writer, inbox).await;
     connection.report_disconnect();
     drop(connection);
-    // The slot that is wanted is this one, also if its client is gone: no other connection has to close.
+    // This connection satisfies the listener's request for a slot, also if its client has disconnected. The flag is
+    // cleared so that no other connection closes as well.
     let is_slot_wanted = contention.take_wanted();
     let Ok(reason) = closed else { return };
     let mut lingering = pin!(env.timeout(LINGER_TIMEOUT, linger(&mut reader, &mut writer)));
@@ -94,7 +97,7 @@
 }
 
 impl<E: Env> Connection<E> {
-    /// Creates the state of a new connection, and the channel on which the answers to its requests arrive.
+    /// Creates the state of a new connection, and the receiver of the answers to its requests.
     fn new(
         context: Context<E>,
         slot: Arc<ConnectionSlot>,
@@ -102,7 +105,7 @@
         let (answers, inbox) = mpsc::unbounded_channel();
         let connection = Connection {
             slot,
-            published: Activity::New,
+            published_activity: Activity::New,
             input: BytesMut::new(),
             input_state: InputState::Commands,
             command_deadline: Some(context.env.now() + COMMAND_TIMEOUT),
@@ -111,16 +114,19 @@
             answers,
             command_permits: HeldPermits::new(context.budget.slots.clone()),
             byte_permits: HeldPermits::new(context.budget.bytes.clone()),
-            has_called: false,
+            has_sent_call: false,
             context,
         };
         (connection, inbox)
     }
 
-    /// Runs until the client disconnects (an error), or the connection is to close with all commands answered.
+    /// Serves the connection until it should close and all commands have been answered.
     ///
-    /// Waiting for evictions and phases is kept over all iterations: to register and deregister it with each request
-    /// costs more than the request.
+    /// The futures that wait for evictions and phases live across all iterations: registering and deregistering them
+    /// for each request would cost more than the request itself.
+    ///
+    /// # Errors
+    /// The client has disconnected, or has not read its replies in time.
     async fn run(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin + Send),
@@ -138,12 +144,12 @@
                 Progress::Close(reason) => return Ok(reason),
                 Progress::Wait(phase) => phase,
             };
-            let activity = self.published;
+            let activity = self.published_activity;
             let command_deadline = self.command_deadline;
             let write_deadline = self.output.write_deadline(env.now());
             tokio::select! {
                 biased;
-                Some((command, answer)) = inbox.recv() => self.take_answers(command, answer, &mut inbox),
+                Some((command, answer)) = inbox.recv() => self.record_answers(command, answer, &mut inbox),
                 written = env.timeout_at(write_deadline.unwrap_or(0), writer.write_buf(&mut self.output.bytes)),
                     if write_deadline.is_some() =>
                 {
@@ -152,7 +158,7 @@
                 }
                 read = resp::fill(reader, &mut self.input), if self.input_state != InputState::Ended => {
                     read?;
-                    self.take_input();
+                    self.process_input();
                 }
                 () = env.sleep_until(command_deadline.unwrap_or(0)), if command_deadline.is_some() => {
                     if self.on_command_timeout(writer) {
@@ -172,14 +178,14 @@
         }
     }
 
-    /// Does what can be done without waiting: writes replies, takes commands, and decides whether to close.
+    /// Does the work that needs no waiting: writes replies, processes commands, and decides whether to close.
     async fn advance<W: Writer>(
         &mut self,
         writer: &mut W,
         phases: &mut watch::Receiver<LifecyclePhase>,
     ) -> io::Result<Progress> {
         self.flush_ready();
-        // Mostly all of it is written at once, and there is room for further commands.
+        // Usually all output is written at once, and further commands fit into the pipeline.
         if !self.output.is_empty() && self.write_now(writer).await? {
             return Ok(Progress::Repeat);
         }
@@ -195,19 +201,20 @@
         Ok(Progress::Wait(phase))
     }
 
-    /// Returns whether all commands are answered, with nothing left to write.
+    /// Returns whether all commands have been answered and all replies have been written.
     fn is_answered(&self) -> bool {
         self.pending.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether the connection closes now.
+    /// Returns whether the connection should close because the process shuts down or its input has ended.
     fn should_close<W: Writer>(&self, phase: LifecyclePhase, writer: &W) -> bool {
-        let takes_commands = self.input_state == InputState::Commands;
-        if takes_commands && phase < LifecyclePhase::Closing {
+        let accepts_commands = self.input_state == InputState::Commands;
+        if accepts_commands && phase < LifecyclePhase::Closing {
             return false;
         }
-        if takes_commands && phase < LifecyclePhase::Rejecting {
-            // What waits to be read is a request that has arrived. A part of a command is one that has begun.
+        if accepts_commands && phase < LifecyclePhase::Rejecting {
+            // Unread input is a request that has arrived, and a part of a command is a request that has begun to
+            // arrive: both are answered.
             return self.is_answered() && self.input.is_empty() && writer.has_no_unread_input();
         }
         self.is_answered()
@@ -216,7 +223,7 @@
     fn activity(&self) -> Activity {
         if !self.is_answered() {
             Activity::Busy
-        } else if !self.has_called {
+        } else if !self.has_sent_call {
             Activity::New
         } else if self.input.is_empty() {
             Activity::Idle
@@ -225,26 +232,27 @@
         }
     }
 
-    /// Shows the activity to the listener, if it has changed.
+    /// Publishes the activity to the listener, if it has changed.
     fn publish(&mut self, activity: Activity) {
-        if activity != self.published {
+        if activity != self.published_activity {
             self.slot.set(activity, self.context.env.now());
-            self.published = activity;
+            self.published_activity = activity;
         }
     }
 
-    /// Takes in that the listener wants the slot. Returns whether the connection closes.
+    /// Handles an eviction by the listener. Returns whether the connection closes.
     fn on_eviction<W: Writer>(&mut self, activity: Activity, writer: &W) -> bool {
         if activity != Activity::Busy && writer.has_no_unread_input() {
             return true;
         }
         self.context.contention.eviction_refused.notify_one();
-        // Published again, this connection is the latest to become idle, and another one is evicted first.
-        self.published = Activity::Busy;
+        // When the activity is published again, this connection is the latest to become idle, so that another
+        // one is evicted first.
+        self.published_activity = Activity::Busy;
         false
     }
 
-    /// Returns whether the connection closes because it is idle and its slot is wanted.
+    /// Returns whether the connection closes because it is idle and the listener wants a slot.
     fn yields_slot<W: Writer>(&self, activity: Activity, writer: &W) -> bool {
         let contention = &self.context.contention;
         activity == Activity::Idle
@@ -253,8 +261,8 @@
             && contention.take_wanted()
     }
 
-    /// Takes an answer, and all others that have arrived.
-    fn take_answers(
+    /// Records an answer, and all others that have arrived.
+    fn record_answers(
         &mut self,
         command: u64,
         answer: FinalAnswer,
@@ -266,26 +274,26 @@
         }
     }
 
-    /// Takes in that the first command, or the rest of one, has not arrived in time. Returns whether the connection
-    /// closes.
+    /// Handles the expiry of the command deadline: the first command, or the rest of one, has not arrived in time.
+    /// Returns whether the connection closes.
     fn on_command_timeout<W: Writer>(&mut self, writer: &W) -> bool {
         let has_sent_nothing = self.input.is_empty() && self.pending.is_empty();
         if !has_sent_nothing {
-            self.reject_protocol("command not whole in time");
+            self.reply_protocol_error("command not whole in time");
             return false;
         }
-        // An error would pass for the reply to a command that crosses it, while a plain end makes the client send that
-        // one again.
+        // A client would take an error for the reply to a command that it sends at the same time. If the connection is
+        // closed without a reply, it retries that command.
         if writer.has_no_unread_input() {
             return true;
         }
-        // A command has just arrived, and is read next.
+        // A command has just arrived and is read next.
         self.command_deadline = None;
         false
     }
 
-    /// Writes what can be written without waiting. Returns whether that completed a reply. What remains is written while
-    /// waiting for other events, within its deadline.
+    /// Writes as much output as possible without waiting. Returns whether a reply was completed. The rest is written
+    /// while the connection waits for other events, until its write deadline.
     async fn write_now<W: AsyncWrite + Unpin + Send>(&mut self, writer: &mut W) -> io::Result<bool> {
         if crash_points::is_armed(CrashPoint::InAnswer) {
             writer.write_all(&self.output.bytes.chunk()[..1]).await?;
@@ -304,15 +312,15 @@
         Ok(has_written && self.output.on_written())
     }
 
-    /// Moves ready replies to the output, in the order of the commands, and takes further commands. Some of these may
-    /// have their replies at once: no event comes for them.
+    /// Moves ready replies to the output, in the order of the commands, and processes further commands. This is
+    /// repeated for commands that are answered at once, since no later event triggers their replies.
     fn flush_ready(&mut self) {
         loop {
             while let Some(reply) = self.pending.pop_ready() {
                 self.output.push(reply);
             }
             self.command_permits.shrink_to(self.outstanding());
-            self.take_commands();
+            self.process_commands();
             if !self.pending.is_first_ready() {
                 return;
             }
@@ -324,7 +332,7 @@
         self.pending.len() + self.output.replies()
     }
 
-    /// Reports that nobody waits for the requests in flight any more.
+    /// Reports to the event loop that the client of the requests in flight has disconnected.
     fn report_disconnect(&mut self) {
         for request in self.pending.drain_in_flight() {
             let _ = self.context.gateway.send(TrafficEvent::ClientDisconnected(request));
@@ -332,7 +340,7 @@
     }
 }
 
-/// Waits for the next phase, and returns the channel; `None` if the gateway has ended.
+/// Waits for the next phase, and returns the receiver; `None` if the sender has been dropped.
 async fn next_phase(mut phases: watch::Receiver<LifecyclePhase>) -> Option<watch::Receiver<LifecyclePhase>> {
     phases.changed().await.ok().map(|()| phases)
 }
--- a/crates/gateway/src/client/linger.rs
+++ b/crates/gateway/src/client/linger.rs
@@ -1,5 +1,5 @@
-//! Ends a connection so that its last reply arrives: a close over unread bytes of the client would reset the connection,
-//! and the reply would be lost with it.
+//! Closes a connection so that its last reply arrives. Closing a socket with unread input resets the connection, and
+//! the client would lose the reply.
 
 use bytes::BytesMut;
 use runtime::Span;
@@ -7,25 +7,25 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 const MS: Span = 1_000_000;
-/// How long a connection lingers at most.
+/// Maximum time that a connection lingers.
 pub(super) const LINGER_TIMEOUT: Span = 500 * MS;
-/// Maximum number of connections that linger after another one has got their slot: small, since each holds a descriptor
-/// beyond the limit on connections.
+/// Maximum number of connections that linger after their slot has been given to another connection. It is small, since
+/// each of them holds a descriptor beyond the limit on connections.
 pub(crate) const MAX_LINGERING: u64 = 8;
-/// Maximum number of bytes that are read and discarded of a client that goes on sending after its last reply, or after
-/// bytes that cannot be decoded.
-pub(super) const MAX_DISCARDED: usize = 256 * 1024;
-const READ_CAPACITY: usize = 16 * 1024;
+/// Maximum number of bytes that are read and discarded from a client that continues to send after its last reply, or
+/// after bytes that cannot be decoded.
+pub(super) const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Ends the sending direction and waits for the client to end the other one.
+/// Shuts down the sending direction and waits for the client to close the other one.
 pub(super) async fn linger<R, W>(reader: &mut R, writer: &mut W) -> io::Result<()>
 where
     R: AsyncRead + Unpin + Send,
     W: AsyncWrite + Unpin + Send,
 {
-    let mut discarded = BytesMut::with_capacity(READ_CAPACITY);
+    let mut discarded = BytesMut::with_capacity(READ_BUFFER_BYTES);
     writer.shutdown().await?;
-    let mut remaining = MAX_DISCARDED;
+    let mut remaining = MAX_DISCARDED_BYTES;
     while remaining > 0 {
         discarded.clear();
         match reader.read_buf(&mut discarded).await? {
@@ -33,6 +33,6 @@
             count => remaining = remaining.saturating_sub(count),
         }
     }
-    // The system's flow control stops a client that does not stop sending, while the client reads its last reply.
+    // TCP flow control now blocks a client that continues to send, while it can still read its last reply.
     std::future::pending().await
 }
--- a/crates/gateway/src/client/listener.rs
+++ b/crates/gateway/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, and closes idle ones where there are too many.
+//! Accepts connections, and closes idle ones when there are too many.
 
 use crate::client::connection::serve;
 use crate::client::slots::{Activity, ConnectionSlot, FIRST_COMMAND_GRACE};
@@ -13,27 +13,30 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 
 const MS: Span = 1_000_000;
-/// Connections that the system may queue for the listener.
+/// Length of the kernel's accept queue.
 const BACKLOG: u32 = 1024;
-/// Pause after a connection could not be accepted, because no descriptor was left, say.
+/// Pause after an accept has failed, for example for lack of descriptors.
 const ACCEPT_BACKOFF: Span = 20 * MS;
 
-/// Maximum numbers of clients' connections.
+/// Limits on client connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Connections that have brought calls. Clients use at most a third of all descriptors for requests, and some keep
-    /// their connection open after one: while it is open, a request may lack a descriptor.
+    /// Maximum number of connections on which calls have arrived. Clients use at most a third of all descriptors for
+    /// requests, and some keep their connection open after a request: as long as it is open, another request may lack a
+    /// descriptor.
     pub callers: usize,
 }
 
-/// Listens on the given address only.
+/// Listens on this address only.
 pub(crate) fn listen<E: Env>(env: &E, address: SocketAddr) -> io::Result<E::Listener> {
     env.listen(address, BACKLOG)
 }
 
-/// Accepts connections until the gateway closes them, and then those that have arrived by that time. With all slots in
-/// use, a connection is evicted for the next one: what waits in the backlog may have sent a request, which would be lost.
+/// Accepts connections until the gateway enters the phase `Closing`, and then those that are in the accept queue by
+/// that time. With all slots in use, a connection is evicted for the next one: a client in the accept queue may have
+/// sent a request, which would otherwise be lost.
 pub(crate) async fn accept<E: Env>(mut listener: E::Listener, limits: ConnectionLimits, context: Context<E>) {
     let permits = Arc::new(Semaphore::new(limits.connections));
     let mut slots: Vec<Arc<ConnectionSlot>> = Vec::new();
@@ -42,7 +45,7 @@
     loop {
         slots.retain(|slot| Arc::strong_count(slot) > 1);
         evict_excess_caller(&slots, limits.callers);
-        let Some(permit) = free_slot(&permits, &slots, &context).await else { return };
+        let Some(permit) = acquire_slot(&permits, &slots, &context).await else { return };
         context.contention.set_wanted(false);
         let Some(accepted) = next_connection(&mut listener, &context.phase).await else { return };
         match accepted {
@@ -64,7 +67,7 @@
 }
 
 /// Waits for a free slot, evicting connections while there is none.
-async fn free_slot<E: Env>(
+async fn acquire_slot<E: Env>(
     permits: &Arc<Semaphore>,
     slots: &[Arc<ConnectionSlot>],
     context: &Context<E>,
@@ -77,13 +80,13 @@
             biased;
             permit = permits.clone().acquire_owned() => return permit.ok(),
             () = context.contention.eviction_refused.notified() => {}
-            // By then a connection that has just been accepted has sent a command, or can be evicted.
+            // A connection that has just been accepted has sent a command by then, or can be evicted.
             () = context.env.sleep(FIRST_COMMAND_GRACE) => {}
         }
     }
 }
 
-/// Waits for the next connection; `None` if connections are being closed and none has arrived.
+/// Waits for the next connection. Returns `None` if connections are being closed and the accept queue is empty.
 async fn next_connection<L: Listener>(
     listener: &mut L,
     phase: &watch::Receiver<LifecyclePhase>,
@@ -94,7 +97,7 @@
         accepted = listener.accept() => return Some(accepted),
         _ = phase.wait_for(|phase| *phase >= LifecyclePhase::Closing) => {}
     }
-    // The system may have a connection that the runtime has not been notified of.
+    // The kernel may have queued a connection that the async runtime has not been notified of yet.
     tokio::task::yield_now().await;
     tokio::select! {
         biased;
@@ -103,7 +106,7 @@
     }
 }
 
-/// Evicts the caller that has been idle longest, if there are too many callers.
+/// Evicts the connection that has been idle longest, if calls have arrived on too many connections.
 fn evict_excess_caller(slots: &[Arc<ConnectionSlot>], max_callers: usize) {
     let callers = || slots.iter().filter(|slot| matches!(slot.get().0, Activity::Idle | Activity::Busy));
     if callers().count() > max_callers {
@@ -114,7 +117,7 @@
     }
 }
 
-/// Evicts one connection that is owed no reply. If all are busy, the next one to become idle closes.
+/// Evicts one connection without an outstanding reply. If all are busy, the next one to become idle closes.
 fn evict_one<E: Env>(slots: &[Arc<ConnectionSlot>], context: &Context<E>) {
     let now = context.env.now();
     let ranked = slots.iter().filter_map(|slot| Some((slot.eviction_rank(now)?, slot)));
--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -1,9 +1,9 @@
 //! Clients: the listener, their connections, and the commands on them.
 //!
-//! `listener` accepts connections, and closes idle ones where there are too many (`slots` holds what it knows of each).
-//! `connection` reads commands (`call` parses them), reports requests to the gateway's event loop, and writes the replies
-//! in the order of the commands. `budget` bounds the memory of all commands together, `linger` ends a connection without
-//! losing its last reply.
+//! `listener` accepts connections, and closes idle ones when there are too many (`slots` holds the state by which it
+//! selects them). `connection` reads commands (`call` parses them), reports requests to the gateway's event loop, and
+//! writes the replies in the order of the commands. `budget` bounds the memory of all commands together, `linger`
+//! closes a connection without losing its last reply.
 
 mod budget;
 pub(crate) mod call;
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// What all connections of clients share.
+/// State that all client connections share.
 #[derive(Clone)]
 pub(crate) struct Context<E> {
     env: E,
@@ -38,7 +38,7 @@
 }
 
 impl<E> Context<E> {
-    /// Creates the context of all connections of a gateway.
+    /// Creates the context of all client connections of a gateway.
     pub fn new(
         env: E,
         platform: Arc<PlatformSettings>,
--- a/crates/gateway/src/client/replies.rs
+++ b/crates/gateway/src/client/replies.rs
@@ -9,25 +9,26 @@
 use std::fmt;
 
 const MS: Span = 1_000_000;
-/// Values up to this length are copied behind their header: one piece costs less than several writes.
-const MAX_COPIED: usize = 4 * 1024;
-/// Space for a header line.
-const HEADER_CAPACITY: usize = 16;
-/// A client that reads nothing of its replies for this long is gone.
+/// Values up to this length are copied into one buffer with their header, which costs less than several writes.
+const MAX_COPIED_BYTES: usize = 4 * 1024;
+/// Buffer capacity for a header line and the end of line.
+const HEADER_CAPACITY_BYTES: usize = 16;
+/// A client that reads none of its output for this long is regarded as disconnected.
 pub(super) const READ_TIMEOUT: Span = 3_000 * MS;
-/// So is one that has not read the next reply completely after this: it may not keep its slot by a byte now and then.
+/// A client that has not read the next reply completely within this time is regarded as disconnected: it must not keep
+/// its slot by reading a byte now and then.
 const REPLY_TIMEOUT: Span = 10_000 * MS;
 
 /// A reply to a command.
 pub(super) enum Reply {
-    /// An encoded line.
+    /// An encoded line, with its end of line.
     Line(Bytes),
-    /// A value that has to be encoded.
+    /// A value that is encoded as a bulk string when it is moved to the output.
     Value(Bytes),
 }
 
 impl Reply {
-    /// Returns an error line with this text.
+    /// Creates an error reply with this text.
     pub fn error(text: impl fmt::Display) -> Reply {
         Reply::Line(format!("-ERR {text}\r\n").into())
     }
@@ -46,9 +47,9 @@
     }
 }
 
-/// A command whose reply is not in the output yet.
+/// A command whose reply has not been moved to the output yet.
 pub(super) enum PendingReply {
-    /// The request is in flight; its call takes this many bytes.
+    /// The request is in flight; `bytes` is the size of its call.
     InFlight {
         request: RequestId,
         bytes: usize,
@@ -56,28 +57,28 @@
     Ready(Reply),
 }
 
-/// The commands of a connection whose replies are not in the output yet, in order.
+/// The commands of a connection whose replies have not been moved to the output yet, in order.
 #[derive(Default)]
 pub(super) struct PendingReplies {
     replies: VecDeque<PendingReply>,
-    /// Number of the first command.
+    /// Command number of the first entry.
     first: CommandNumber,
-    /// Bytes of the calls that are in flight.
+    /// Total size of the calls in flight, in bytes.
     in_flight_bytes: usize,
 }
 
 impl PendingReplies {
-    /// Returns the number of commands.
+    /// Returns the number of commands whose replies are pending.
     pub fn len(&self) -> usize {
         self.replies.len()
     }
 
-    /// Returns whether there is no command.
+    /// Returns whether no replies are pending.
     pub fn is_empty(&self) -> bool {
         self.replies.is_empty()
     }
 
-    /// Returns the bytes of the calls that are in flight.
+    /// Returns the total size of the calls in flight, in bytes.
     pub fn in_flight_bytes(&self) -> usize {
         self.in_flight_bytes
     }
@@ -95,7 +96,7 @@
         self.replies.push_back(reply);
     }
 
-    /// Sets the reply to a command; a command that is not pending any more is ignored.
+    /// Sets the reply to a command. Does nothing if the command is no longer pending.
     pub fn complete(&mut self, command: CommandNumber, answer: FinalAnswer) {
         let index = command.checked_sub(self.first).and_then(|index| usize::try_from(index).ok());
         let Some(reply) = index.and_then(|index| self.replies.get_mut(index)) else { return };
@@ -110,7 +111,7 @@
         matches!(self.replies.front(), Some(PendingReply::Ready(_)))
     }
 
-    /// Removes the first command if its reply is ready.
+    /// Removes the first command and returns its reply, if that is ready.
     pub fn pop_ready(&mut self) -> Option<Reply> {
         if !self.is_first_ready() {
             return None;
@@ -147,15 +148,15 @@
 #[derive(Default)]
 pub(super) struct Output {
     pub bytes: SegmentedBuf<Bytes>,
-    /// Where each reply in the output ends, in bytes since the first one on this connection.
+    /// End offset of each reply in the output, as the number of bytes since the start of the connection.
     reply_ends: VecDeque<u64>,
-    /// Bytes that were ever put into the output.
+    /// Number of bytes appended to the output since the connection was established.
     total: u64,
     deadlines: WriteDeadlines,
 }
 
 impl Output {
-    /// Returns whether there is something to write.
+    /// Returns whether all output has been written.
     pub fn is_empty(&self) -> bool {
         !self.bytes.has_remaining()
     }
@@ -165,17 +166,17 @@
         self.reply_ends.len()
     }
 
-    /// Encodes a reply at the end of the output.
+    /// Encodes a reply and appends it to the output.
     pub fn push(&mut self, reply: Reply) {
         match reply {
             Reply::Line(line) => self.append(line),
-            Reply::Value(value) if value.len() <= MAX_COPIED => {
-                let mut encoded = BytesMut::with_capacity(value.len() + HEADER_CAPACITY);
+            Reply::Value(value) if value.len() <= MAX_COPIED_BYTES => {
+                let mut encoded = BytesMut::with_capacity(value.len() + HEADER_CAPACITY_BYTES);
                 resp::encode_bulk(&mut encoded, &value);
                 self.append(encoded.freeze());
             }
             Reply::Value(value) => {
-                let mut header = BytesMut::with_capacity(HEADER_CAPACITY);
+                let mut header = BytesMut::with_capacity(HEADER_CAPACITY_BYTES);
                 resp::encode_bulk_header(&mut header, value.len());
                 self.append(header.freeze());
                 self.append(value);
@@ -190,7 +191,7 @@
         self.bytes.push(bytes);
     }
 
-    /// Takes in that bytes have been written. Returns whether they completed a reply.
+    /// Updates the reply offsets and the write deadlines after a write. Returns whether the write completed a reply.
     pub fn on_written(&mut self) -> bool {
         let written = self.total - self.bytes.remaining() as u64;
         let before = self.reply_ends.len();
@@ -202,31 +203,32 @@
         has_completed_reply
     }
 
-    /// Returns by when the client has to read of the output; `None` if there is nothing to write.
+    /// Returns the time by which the client has to read some of the output; `None` if there is nothing to write.
     pub fn write_deadline(&mut self, now: Time) -> Option<Time> {
         (!self.is_empty()).then(|| self.deadlines.earliest(now))
     }
 }
 
-/// By when a client has to read of its replies. Only reading renews the deadlines; replies to further commands do not.
+/// Times by which a client has to read its output. Only reading resets the deadlines; replies to further commands do
+/// not.
 #[derive(Default)]
 struct WriteDeadlines {
-    /// For any byte.
-    any: Option<Time>,
-    /// For the next reply as a whole.
+    /// Deadline for reading at least one byte.
+    any_byte: Option<Time>,
+    /// Deadline for reading the next reply completely.
     reply: Option<Time>,
 }
 
 impl WriteDeadlines {
-    /// Returns the earliest deadline; the deadlines start with the first call.
+    /// Returns the earlier deadline. Deadlines that are not set are started at `now`.
     fn earliest(&mut self, now: Time) -> Time {
-        let any = *self.any.get_or_insert(now.saturating_add(READ_TIMEOUT));
+        let any_byte = *self.any_byte.get_or_insert(now.saturating_add(READ_TIMEOUT));
         let reply = *self.reply.get_or_insert(now.saturating_add(REPLY_TIMEOUT));
-        any.min(reply)
+        any_byte.min(reply)
     }
 
     fn on_written(&mut self, has_completed_reply: bool) {
-        self.any = None;
+        self.any_byte = None;
         if has_completed_reply {
             self.reply = None;
         }
