--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,20 +1,20 @@
-//! The network side of the gateway, as a library that the program and the emulator drive. It executes what the decision
-//! module ([`policy`]) wants, over any [`runtime::Env`].
+//! The network side of the gateway, as a library that both the gateway program and the cluster emulator run. It
+//! executes the actions of the decision module ([`policy`]), on any [`runtime::Env`].
 //!
-//! The way of a request:
+//! The path of a request:
 //!
 //! 1. `client` accepts a connection, reads a command and parses it as a call.
 //! 2. `gateway`, the event loop, selects the request's route (`request_routing`, `site_control`) and reports it to the
 //!    decision module.
-//! 3. The decision module asks the shared counter for units where it has to (`counter`), and orders an attempt at a host,
-//!    or answers at once.
-//! 4. `upstream` writes the attempt on a connection to the host and reads the response.
-//! 5. `gateway` sends the one final answer to the client's connection, which writes the replies in the order of the
+//! 3. The decision module adds the request's units to the shared counter (`counter`) if it needs to, and then orders an
+//!    attempt at a host, or rejects or fails the request at once.
+//! 4. `upstream` writes the request to a connection to the host and reads the response.
+//! 5. `gateway` sends the single final answer to the client's connection, which writes the replies in the order of the
 //!    commands.
 //!
-//! `discovery` watches the endpoint list; `lifecycle` starts the parts, reloads the configuration (`config`) and shuts
-//! down; `telemetry` measures what the log reports. The parts know the messages between them (`messages`) and not one
-//! another.
+//! `discovery` watches the endpoint list; `lifecycle` starts the tasks, reloads the configuration (`config`) and shuts
+//! down; `telemetry` collects the figures for the log. Apart from `gateway`, the modules know the messages between them
+//! (`messages`) and not one another.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
 
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,5 +1,6 @@
-//! Messages between the parts of the network side. Clients, hosts, the counter and discovery each know these and nothing
-//! of one another: they report to the gateway's event loop, which alone knows them all.
+//! Messages between the gateway's modules. The modules for clients, hosts, the counter and discovery do not depend on
+//! one another: each reports to the gateway's event loop with these messages, and only the event loop depends on all of
+//! them.
 
 use crate::client::call::Call;
 use crate::discovery::endpoint_list::EndpointList;
@@ -10,27 +11,28 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What clients, hosts and the counter report to the gateway's event loop.
+/// Events that connections to clients, hosts and the counter report to the gateway's event loop.
 #[derive(Debug)]
 pub(crate) enum TrafficEvent {
     /// A client has sent a request.
     Request(Box<IncomingRequest>),
     /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
-    /// Something has happened on a connection to a host.
+    /// An event on a connection to a host.
     Host(HostEvent),
-    /// Something has happened on a connection to the counter.
+    /// An event on a connection to the counter.
     Counter(CounterEvent),
 }
 
-/// What the gateway's event loop processes before all traffic, however much of that is queued.
+/// Events that the gateway's event loop processes before all traffic events, regardless of how many of those are
+/// queued.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// Discovery has sent an endpoint list, or changes to it.
+    /// Discovery has sent a complete endpoint list, or changes to it.
     EndpointList(EndpointList),
     /// Discovery has become unreachable, or reachable again.
     DiscoveryReachable(bool),
-    /// A configuration has been read again.
+    /// The configuration has been reloaded.
     Reload(Box<Reload>),
 }
 
@@ -43,7 +45,7 @@
     pub reply_to: ReplyTo,
 }
 
-/// The final answer to a request; there is exactly one.
+/// The final answer to a request. Each request gets exactly one.
 #[derive(Debug)]
 pub(crate) enum FinalAnswer {
     /// The response of a host.
@@ -54,13 +56,13 @@
     Failed,
 }
 
-/// Numbers the commands of a connection, in order.
+/// Sequence number of a command on its connection.
 pub(crate) type CommandNumber = u64;
 
-/// A final answer on its way to the connection of its client.
+/// A final answer, with the number of its command on the client's connection.
 pub(crate) type NumberedAnswer = (CommandNumber, FinalAnswer);
 
-/// Where the final answer to a request goes.
+/// Recipient of the final answer to a request: a command on a client's connection.
 #[derive(Debug)]
 pub(crate) struct ReplyTo {
     pub command: CommandNumber,
@@ -68,7 +70,8 @@
 }
 
 impl ReplyTo {
-    /// Returns whether the client's connection has closed. This is known at once, while the event of it is still queued.
+    /// Returns whether the client's connection has closed. This is visible at once, while the
+    /// [`TrafficEvent::ClientDisconnected`] may still be queued.
     pub fn is_closed(&self) -> bool {
         self.answers.is_closed()
     }
@@ -79,7 +82,7 @@
     }
 }
 
-/// Phase of the process between its start and its end.
+/// Phase of the process's life cycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum LifecyclePhase {
     /// No endpoint list has arrived yet.
@@ -87,32 +90,32 @@
     Starting,
     /// Requests are served.
     Ready,
-    /// Shutting down: new connections are still accepted, but health checks fail.
+    /// Graceful shutdown: new connections are still accepted, but health checks fail.
     Stopping,
-    /// Connections close when they are between requests.
+    /// Connections close as soon as they have no request in flight.
     Closing,
-    /// New requests are rejected, since there may not be the time to answer them.
+    /// New requests are rejected, since there may not be enough time to answer them.
     Rejecting,
 }
 
-/// An attempt: its request and its index among the request's attempts.
+/// Identifies an attempt: its request and its index among the request's attempts.
 pub(crate) type AttemptKey = (RequestId, u32);
 
-/// Identifies a connection to a host; never used twice.
+/// Identifies a connection to a host; never reused.
 pub(crate) type ConnectionId = u64;
 
-/// What a connection to a host reports.
+/// Events that a connection to a host reports.
 #[derive(Debug)]
 pub(crate) enum HostEvent {
     /// The connection is established.
     Connected(ConnectionId),
-    /// A response to the request on the connection has arrived; `is_reusable` if no byte has followed it.
+    /// A response to the request on the connection has arrived. `is_reusable` is false if more bytes have followed it.
     Response { id: ConnectionId, frame: Frame, is_reusable: bool },
     /// The host has violated the protocol.
     ProtocolViolation { id: ConnectionId, error: RespError },
     /// The connection has closed, or could not be established.
     Closed(ConnectionId),
-    /// The quarantine of a connection to this host is over.
+    /// The quarantine of a connection to this host has ended.
     QuarantineEnded(HostId),
 }
 
@@ -125,14 +128,14 @@
     pub call: CallId,
     pub key: CounterKey,
     pub outcome: Outcome,
-    /// The number after the call.
+    /// Value of the counter after the call.
     pub total: f64,
     pub elapsed: Span,
     /// When the call would have timed out.
     pub deadline: Time,
 }
 
-/// What a connection to the counter reports.
+/// Events that a connection to the counter reports.
 #[derive(Debug)]
 pub(crate) enum CounterEvent {
     /// A call has ended.
--- a/crates/gateway/src/request_routing.rs
+++ b/crates/gateway/src/request_routing.rs
@@ -11,33 +11,33 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Number of pools: the bits of a mask.
-const POOLS: usize = 64;
+/// Maximum number of pools: the number of bits in a pool mask.
+const MAX_POOLS: usize = 64;
 
-/// Why the operators' files cannot be used.
+/// Why the operators' files cannot be put into effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperatorsError {
-    /// The pools, routes or quota policies cannot be used.
+    /// The pools, routes or quota policies are invalid.
     #[error(transparent)]
     Routing(#[from] RoutingError),
-    /// The plan for lost sites cannot be used.
+    /// The site failover plan is invalid.
     #[error(transparent)]
     Failover(#[from] PlanError),
 }
 
-/// The current version of the operators' files, and what requests in flight still use of earlier ones.
+/// The current version of the operators' files, with the pools of earlier versions that requests in flight still use.
 pub(crate) struct RequestRouter {
     platform: Arc<PlatformSettings>,
     table: RoutingTable,
-    /// The platform's plans, tightened by the operators.
+    /// The platform's plans, with the stricter limits of the operators' quota policies applied.
     plans: Vec<Plan>,
     failover_plan: FailoverPlan,
-    /// Numbers of the routes, by index in the table. A route that the next version has by the same name keeps its number,
-    /// so that its limit counts the attempts of both versions.
+    /// Numbers of the routes, by index in the table. A route that the next version has under the same name keeps its
+    /// number, so that its limit counts the attempts of both versions together.
     route_numbers: Vec<u32>,
     last_route_number: u32,
-    /// Number of requests in flight that may go to each pool.
-    requests_by_pool: [u32; POOLS],
+    /// Number of requests in flight that may be forwarded to each pool.
+    requests_by_pool: [u32; MAX_POOLS],
     /// Pools with a host that accepts requests, one bit each.
     pools_with_hosts: u64,
 }
@@ -46,7 +46,7 @@
     /// Creates the router with the first version of the files.
     ///
     /// # Errors
-    /// The files cannot be used.
+    /// The files are invalid.
     pub fn new(
         platform: Arc<PlatformSettings>,
         operators: &Operators,
@@ -58,17 +58,17 @@
             failover_plan: FailoverPlan::default(),
             route_numbers: Vec::new(),
             last_route_number: 0,
-            requests_by_pool: [0; POOLS],
+            requests_by_pool: [0; MAX_POOLS],
             pools_with_hosts: 0,
         };
         router.reload(operators)?;
         Ok(router)
     }
 
-    /// Puts another version of the files into effect as a whole.
+    /// Puts another version of the files into effect, completely or not at all.
     ///
     /// # Errors
-    /// The files cannot be used; nothing changes then.
+    /// The files are invalid; the current version stays in effect.
     pub fn reload(&mut self, operators: &Operators) -> Result<(), OperatorsError> {
         let platform = &self.platform;
         let names = PlatformNames {
@@ -85,33 +85,35 @@
         let plans = tightened_plans(platform, operators)?;
         let failover_plan = FailoverPlan::compile(operators, &failover_names)?;
         let table = RoutingTable::compile_after(&self.table, self.pools_in_use(), operators, &names)?;
-        self.route_numbers = self.numbers_in(&table);
+        self.route_numbers = self.assign_route_numbers(&table);
         self.plans = plans;
         self.failover_plan = failover_plan;
         self.table = table;
         Ok(())
     }
 
-    /// Numbers the routes of the next table.
-    fn numbers_in(&mut self, next: &RoutingTable) -> Vec<u32> {
-        let mut kept = BTreeMap::new();
+    /// Returns the numbers of the routes in the next table: routes of the current table keep theirs, others get new
+    /// ones.
+    fn assign_route_numbers(&mut self, next: &RoutingTable) -> Vec<u32> {
+        let mut numbers_by_index = BTreeMap::new();
         for (number, successor) in self.route_numbers.iter().zip(self.table.successors(next)) {
             if let Some(successor) = successor {
-                kept.insert(successor.index(), *number);
+                numbers_by_index.insert(successor.index(), *number);
             }
         }
-        let mut number = |index: usize| match kept.get(&index) {
+        let mut number_of = |index: usize| match numbers_by_index.get(&index) {
             Some(number) => *number,
             None => {
                 self.last_route_number = self.last_route_number.wrapping_add(1);
                 self.last_route_number
             }
         };
-        (0..next.len()).map(&mut number).collect()
+        (0..next.len()).map(&mut number_of).collect()
     }
 
+    /// Returns the pools to which requests in flight may be forwarded.
     fn pools_in_use(&self) -> PoolMask {
-        let used = (0..POOLS).filter(|pool| self.requests_by_pool[*pool] > 0);
+        let used = (0..MAX_POOLS).filter(|pool| self.requests_by_pool[*pool] > 0);
         PoolMask(used.fold(0, |mask, pool| mask | 1 << pool))
     }
 
@@ -120,7 +122,7 @@
         &self.plans
     }
 
-    /// Returns the plan for lost sites.
+    /// Returns the site failover plan in effect.
     pub fn failover_plan(&self) -> &FailoverPlan {
         &self.failover_plan
     }
@@ -135,13 +137,13 @@
         self.table.pools_of(host).0
     }
 
-    /// Sets the pools of all hosts that accept requests.
+    /// Sets which pools have a host that accepts requests, from the pools of each such host.
     pub fn set_pools_with_hosts(&mut self, pools: impl Iterator<Item = u64>) {
         self.pools_with_hosts = pools.fold(0, |all, pools| all | pools);
     }
 
-    /// Selects the route of a request that is restricted to these sites. Its pools stay in use until
-    /// [`RequestRouter::release`].
+    /// Selects the route of a request that may be forwarded to these sites only. The route's pools count as in use
+    /// until [`RequestRouter::release`].
     pub fn select(&mut self, request: &Request, sites: SiteSet) -> Route {
         let attributes =
             RequestAttributes { class: request.class, plan: request.plan, customer: request.customer.0 };
@@ -160,9 +162,9 @@
         Route { pools: destination.pool.0, fallback: destination.fallback.0, limit }
     }
 
-    /// Restricts a route to sites. A pool without a host there is not restricted: hosts of lost sites accept no requests
-    /// anyway. Once the sites have no host any more, the rest of the pool takes over, and only where there is no rest the
-    /// route's fallback.
+    /// Restricts a route to sites. A route is not restricted if its pool has no host in these sites that accepts
+    /// requests; hosts of lost sites accept none anyway. If the sites lose their last host later, the pool's hosts in
+    /// all sites are the fallback, or the route's own fallback if the pool has no host in other sites.
     fn restrict(&self, route: Route, sites: SiteSet) -> Route {
         let pools_in = |sites: SiteSet| self.table.pools_in_sites(PoolMask(route.pools), sites.0).0;
         let allowed = pools_in(sites);
@@ -170,12 +172,12 @@
         if allowed & self.pools_with_hosts == 0 {
             return route;
         }
-        let has_rest = all & !allowed & self.pools_with_hosts != 0;
-        let fallback = if has_rest { all } else { route.fallback };
+        let has_other_hosts = all & !allowed & self.pools_with_hosts != 0;
+        let fallback = if has_other_hosts { all } else { route.fallback };
         Route { pools: allowed, fallback, ..route }
     }
 
-    /// Releases the pools of a request that is over, with all its attempts.
+    /// Releases the pools of a request that has been answered and whose attempts have all ended.
     pub fn release(&mut self, route: &Route) {
         self.for_each_pool(route, |requests| *requests = requests.wrapping_sub(1));
     }
@@ -189,15 +191,15 @@
     }
 }
 
-/// Checks whether gateways with these settings can put operators' files into effect.
+/// Checks whether gateways with these settings can put the operators' files into effect.
 ///
 /// # Errors
-/// The first error, with file, line, column and reason.
+/// Returns the first error, with file, line, column and reason.
 pub fn check_operators(platform: &PlatformSettings, operators: &Operators) -> Result<(), OperatorsError> {
     RequestRouter::new(Arc::new(platform.clone()), operators).map(drop)
 }
 
-/// Returns the platform's plans, tightened by the operators' quota policies.
+/// Returns the platform's plans, with the stricter limits of the operators' quota policies applied.
 fn tightened_plans(platform: &PlatformSettings, operators: &Operators) -> Result<Vec<Plan>, RoutingError> {
     let plans = &platform.settings.plans;
     let named = platform.plan_names.iter().zip(plans);
