--- a/crates/gateway/src/client/connection/input.rs
+++ b/crates/gateway/src/client/connection/input.rs
@@ -14,7 +14,7 @@
 /// Maximum number of commands of one connection that are processed concurrently. Further commands are read ahead: the
 /// connection is read continuously, since a disconnection of the client would not be noticed otherwise.
 pub(super) const MAX_PIPELINE: usize = 16;
-/// Maximum number of bytes that are read ahead. If there are more, complete commands are rejected.
+/// Number of bytes read ahead of a full pipeline above which complete commands are rejected.
 const MAX_READ_AHEAD_BYTES: usize = 128 * 1024;
 /// Maximum number of commands of one connection whose replies have not been written, including rejections. A client
 /// that sends more is disconnected.
