--- a/crates/api-gateway/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -325,7 +325,7 @@
     std::fs::write(&file, played.trace.unwrap().to_text().unwrap()).unwrap();
     let trace = RunTrace::read(&file).unwrap();
     let timed = trace.timed();
-    assert!(timed.events.iter().all(|timed| timed.sign.is_none()), "all signs came: {:?}", timed.events);
+    assert!(timed.events.iter().all(|timed| timed.trigger.is_none()), "all signs came: {:?}", timed.events);
     assert!(timed.events[1].at >= timed.events[0].at, "the log speaks after the signal: {:?}", timed.events);
     let again = judged_of(|| play_with(&timed, Run { replay: Some(&trace), ..Run::default() }));
     let told = trace.compare(&again.trace.unwrap());
--- a/crates/api-gateway/tests/quota.rs
+++ b/crates/api-gateway/tests/quota.rs
@@ -140,8 +140,8 @@
     until("a burst and more to be spent", || units(GREEDY) > QUOTA.burst * 2.0);
 
     let before = units(GREEDY);
-    counter.fail(CounterFault::Lost, CUT.as_nanos() as u64);
-    counter.fail(CounterFault::Fresh, 0);
+    counter.fail(CounterFault::Unreachable, CUT.as_nanos() as u64);
+    counter.fail(CounterFault::Reset, 0);
     let away = Instant::now();
     until("the counter to be asked again", || counter.names() > 0);
     let (away, lent) = (away.elapsed(), units(GREEDY) - before);
--- a/crates/cluster-emulator/examples/fleet_curve.rs
+++ b/crates/cluster-emulator/examples/fleet_curve.rs
@@ -44,7 +44,7 @@
     let Some(text) = file::find(&name) else { bail!("no shipped scenario is called {name}") };
     let mut scenario = file::parse(&name, text)?;
     if ample {
-        scenario.site.counter = CounterSpec { parts: 100, calls_per_s: 1e6, ..CounterSpec::default() };
+        scenario.site.counter = CounterSpec { shards: 100, calls_per_s: 1e6, ..CounterSpec::default() };
     }
     println!("{name}, seed {SEED}{}", if ample { ", an ample counter" } else { "" });
     println!();
--- a/crates/cluster-emulator/src/counter.rs
+++ b/crates/cluster-emulator/src/counter.rs
@@ -55,7 +55,7 @@
     /// Its machine loses power for so long.
     pub fn lose(&self, span: Span) {
         match self {
-            CounterOf::Tasks(counter) => counter.fail(CounterFault::Lost, span),
+            CounterOf::Tasks(counter) => counter.fail(CounterFault::Unreachable, span),
             CounterOf::Process(counter) => counter.kill(),
         }
     }
@@ -63,7 +63,7 @@
     /// Its machine has power again: it starts anew, and knows nothing. Whether it does: it may have lost power twice.
     pub fn start_anew(&self) -> io::Result<bool> {
         match self {
-            CounterOf::Tasks(counter) => counter.fail(CounterFault::Fresh, 0),
+            CounterOf::Tasks(counter) => counter.fail(CounterFault::Reset, 0),
             CounterOf::Process(counter) => return counter.start_anew(),
         }
         Ok(true)
@@ -90,7 +90,7 @@
 pub(crate) fn act<E: Env>(counter: &CounterStandIn<E>, event: &Event) {
     match event {
         Event::Counter(fault, span) => counter.fail(fault.clone(), *span),
-        Event::GarbleCounter(share, span) => counter.garble(*share, *span),
+        Event::CorruptCounterReplies(share, span) => counter.garble(*share, *span),
         _ => {}
     }
 }
--- a/crates/cluster-emulator/src/director.rs
+++ b/crates/cluster-emulator/src/director.rs
@@ -8,7 +8,7 @@
 use anyhow::Result;
 use cluster_model::agent::Notice;
 use cluster_model::rng::Rng;
-use cluster_model::scenario::{Event, Side, Which};
+use cluster_model::scenario::{Event, PartitionSide, Selector};
 use cluster_model::seen::{Seen, Told, What};
 use cluster_model::{MS, SECOND};
 use faults::{Flapping, Gap};
@@ -95,7 +95,7 @@
 impl<S: Stage> Director<S> {
     /// The events of the site's scenario, counted from `start`.
     pub fn new(site: SiteOf<S>, start: Time) -> Self {
-        let timed = site.scenario.events.iter().enumerate().filter(|(_, timed)| timed.sign.is_none());
+        let timed = site.scenario.events.iter().enumerate().filter(|(_, timed)| timed.trigger.is_none());
         let ats: Vec<(usize, Time)> = timed.map(|(place, timed)| (place, start + timed.at)).collect();
         let moments = Moments::new(&site.scenario, start);
         let mut director = Director {
@@ -257,7 +257,7 @@
                 }
             }
             // Clients know of it from the start.
-            Event::Traffic(..) | Event::Lean(..) => {}
+            Event::Traffic(..) | Event::SkewTraffic(..) => {}
             Event::SlowHosts(which, times, span) => {
                 for host in self.hosts(&which, &mut rng) {
                     self.site.hosts[host as usize].slow.push((times, now + span));
@@ -311,36 +311,38 @@
                 let again = hosts.into_iter().filter(|_| same_address);
                 again.for_each(|host| self.plan(there, Step::NewAt(host)));
             }
-            Event::Heavy(class, share, times, span) => self.heavy(now, &class, share, times, span),
-            Event::GarbleHosts(share, span) => {
+            Event::ExpensiveRequests(class, share, times, span) => {
+                self.heavy(now, &class, share, times, span)
+            }
+            Event::CorruptHostResponses(share, span) => {
                 self.site.weather.garble = Some((share, now + span));
                 self.on_all_hosts(|host| host.garble(share, now + span));
             }
-            Event::Mishaps(mishap, share, which, span) => {
+            Event::RequestFaults(mishap, share, which, span) => {
                 for host in self.hosts(&which, &mut rng) {
                     self.on_host(host, |host| host.mishaps(mishap, share, now + span));
                 }
             }
-            Event::Stale(after, which, span) => {
+            Event::StaleConnections(after, which, span) => {
                 for host in self.hosts(&which, &mut rng) {
                     self.on_host(host, |host| host.stale(after, now + span));
                 }
             }
-            event @ (Event::Counter(..) | Event::GarbleCounter(..)) => {
+            event @ (Event::Counter(..) | Event::CorruptCounterReplies(..)) => {
                 self.site.counter.event(place, &event)?
             }
-            fault @ (Event::Cut(..)
-            | Event::CutOff(..)
-            | Event::LoseBuilding(..)
+            fault @ (Event::Partition(..)
+            | Event::IsolateBuilding(..)
+            | Event::PowerLoss(..)
             | Event::Links(..)
-            | Event::StopGateways(..)
+            | Event::SuspendGateways(..)
             | Event::FreezeGateways(..)
-            | Event::StopHosts(..)
-            | Event::StopCounter(..)
-            | Event::Clock(..)
+            | Event::SuspendHosts(..)
+            | Event::SuspendCounter(..)
+            | Event::ClockOffset(..)
             | Event::SlowGateways(..)) => self.fault(now, fault, &mut rng)?,
             Event::Discovery(fault, span) => self.site.registry.fail(now, fault, span),
-            Event::Impatient(share, span) => self.site.clients.set_impatient(share, span),
+            Event::EarlyDisconnects(share, span) => self.site.clients.set_impatient(share, span),
         }
         Ok(())
     }
@@ -353,7 +355,7 @@
     // ---- Gateways
 
     /// The gateways that are meant, of those that are up.
-    fn gateways(&self, which: &Which, rng: &mut Rng) -> Vec<u32> {
+    fn gateways(&self, which: &Selector, rng: &mut Rng) -> Vec<u32> {
         let up = |post: &u32| self.site.gateways[*post as usize].up.is_some();
         let all = self.site.gateways.len() as u32;
         choose(which, all, (0..all).filter(up).collect(), |gateway| self.building(gateway), rng)
@@ -471,7 +473,7 @@
     // ---- Hosts
 
     /// The hosts that are meant: a share is of those in service.
-    fn hosts(&self, which: &Which, rng: &mut Rng) -> Vec<u32> {
+    fn hosts(&self, which: &Selector, rng: &mut Rng) -> Vec<u32> {
         let in_service = self.site.in_service();
         let place = |host: u32| self.site.hosts[host as usize].place;
         choose(which, in_service.len() as u32, in_service, |host| self.building(place(host)), rng)
@@ -550,11 +552,11 @@
 
     // ---- The network
 
-    fn posts(&self, side: &Side) -> Vec<Post> {
+    fn posts(&self, side: &PartitionSide) -> Vec<Post> {
         let site = &self.site.scenario.site;
         let places = self.site.hosts.iter().map(|host| host.place);
         match side {
-            Side::Building(number) => {
+            PartitionSide::Building(number) => {
                 let here = |place: &u32| self.building(*place) == *number;
                 let mut posts: Vec<Post> = (0..site.gateways).filter(here).map(Post::Gateway).collect();
                 let mut places: Vec<u32> = places.filter(here).collect();
@@ -564,13 +566,13 @@
                 posts.extend((*number == site.counter.building).then_some(Post::Counter));
                 posts
             }
-            Side::Gateway(number) => vec![Post::Gateway(number - 1)],
-            Side::Host(number) => {
+            PartitionSide::Gateway(number) => vec![Post::Gateway(number - 1)],
+            PartitionSide::Host(number) => {
                 let place = self.site.hosts.get(*number as usize - 1).map(|host| host.place);
                 place.map(Post::Host).into_iter().collect()
             }
-            Side::Counter => vec![Post::Counter],
-            Side::Clients => vec![Post::Clients],
+            PartitionSide::Counter => vec![Post::Counter],
+            PartitionSide::Clients => vec![Post::Clients],
         }
     }
 }
@@ -580,17 +582,19 @@
 /// Who is meant: a share is of `all`; whoever is drawn is drawn of the `present` ones, numbered from 0. Buildings
 /// are numbered from 1.
 pub(crate) fn choose(
-    which: &Which,
+    which: &Selector,
     all: u32,
     mut present: Vec<u32>,
     building: impl Fn(u32) -> u32,
     rng: &mut Rng,
 ) -> Vec<u32> {
     match which {
-        Which::All => present,
-        Which::These(these) => present.into_iter().filter(|number| these.contains(&(number + 1))).collect(),
-        Which::Building(here) => present.into_iter().filter(|number| building(*number) == *here).collect(),
-        Which::Share(_) | Which::Count(_) => {
+        Selector::All => present,
+        Selector::Numbers(these) => {
+            present.into_iter().filter(|number| these.contains(&(number + 1))).collect()
+        }
+        Selector::Building(here) => present.into_iter().filter(|number| building(*number) == *here).collect(),
+        Selector::Share(_) | Selector::Count(_) => {
             rng.shuffle(&mut present);
             present.truncate(which.count(all) as usize);
             present.sort_unstable();
@@ -607,7 +611,7 @@
     fn forty_one_percent_of_three_is_one_and_drawn_by_the_seed() {
         let draw = |seed| {
             let mut rng = Rng::stream(seed, "event", 0);
-            choose(&Which::Share(0.41), 3, vec![0, 1, 2], |_| 1, &mut rng)
+            choose(&Selector::Share(0.41), 3, vec![0, 1, 2], |_| 1, &mut rng)
         };
         assert!((0..20).all(|seed| draw(seed).len() == 1));
         assert_eq!(draw(7), draw(7));
@@ -617,9 +621,9 @@
     #[test]
     fn those_that_are_named_are_meant_if_they_are_there() {
         let mut rng = Rng::stream(1, "event", 0);
-        assert_eq!(choose(&Which::These(vec![3, 1, 9]), 3, vec![0, 2], |_| 1, &mut rng), [0, 2]);
-        assert_eq!(choose(&Which::Building(2), 4, vec![0, 1, 3], |n| n % 2 + 1, &mut rng), [1, 3]);
-        assert_eq!(choose(&Which::Count(5), 3, vec![0, 2], |_| 1, &mut rng), [0, 2]);
-        assert_eq!(choose(&Which::All, 3, vec![], |_| 1, &mut rng), [0_u32; 0]);
+        assert_eq!(choose(&Selector::Numbers(vec![3, 1, 9]), 3, vec![0, 2], |_| 1, &mut rng), [0, 2]);
+        assert_eq!(choose(&Selector::Building(2), 4, vec![0, 1, 3], |n| n % 2 + 1, &mut rng), [1, 3]);
+        assert_eq!(choose(&Selector::Count(5), 3, vec![0, 2], |_| 1, &mut rng), [0, 2]);
+        assert_eq!(choose(&Selector::All, 3, vec![], |_| 1, &mut rng), [0_u32; 0]);
     }
 }
--- a/crates/cluster-emulator/src/director/faults.rs
+++ b/crates/cluster-emulator/src/director/faults.rs
@@ -5,7 +5,7 @@
 use anyhow::Result;
 use cluster_model::agent::Notice;
 use cluster_model::rng::Rng;
-use cluster_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Side, Which};
+use cluster_model::scenario::{Event, LinkDirection, LinkEnd, LinkFault, PartitionSide, Selector};
 use cluster_model::seen::What;
 use cluster_model::MS;
 use runtime::{Span, Time};
@@ -49,16 +49,16 @@
     /// Something fails between machines or in processes of gateways.
     pub(super) fn fault(&mut self, now: Time, event: Event, rng: &mut Rng) -> Result<()> {
         match event {
-            Event::Cut(a, b, span, reset) => {
+            Event::Partition(a, b, span, reset) => {
                 let (a, b) = (self.posts(&a), self.posts(&b));
                 self.cut(now, &a, &b, span, reset)?;
             }
-            Event::CutOff(building, span) => self.cut_off(now, building, span)?,
-            Event::LoseBuilding(building, span) => self.lose(now, building, span)?,
+            Event::IsolateBuilding(building, span) => self.cut_off(now, building, span)?,
+            Event::PowerLoss(building, span) => self.lose(now, building, span)?,
             Event::Links(gateways, end, fault, span) => {
                 self.links(now, (&gateways, &end), &fault, span, rng)?;
             }
-            Event::StopGateways(which, span) => {
+            Event::SuspendGateways(which, span) => {
                 for gateway in self.gateways(&which, rng) {
                     self.stop(now, gateway, span);
                 }
@@ -68,13 +68,13 @@
                     self.freeze(now, gateway, span);
                 }
             }
-            Event::StopHosts(which, span) => {
+            Event::SuspendHosts(which, span) => {
                 for host in self.hosts(&which, rng) {
                     self.stop_host_for(now, host, span)?;
                 }
             }
-            Event::StopCounter(span) => self.stand(now, Post::Counter, span, Vec::new())?,
-            Event::Clock(which, ahead) => {
+            Event::SuspendCounter(span) => self.stand(now, Post::Counter, span, Vec::new())?,
+            Event::ClockOffset(which, ahead) => {
                 let all: Vec<u32> = (0..self.site.gateways.len() as u32).collect();
                 for gateway in choose(&which, all.len() as u32, all, |gateway| self.building(gateway), rng) {
                     self.site.stage.set_clock(gateway, ahead)?;
@@ -142,7 +142,7 @@
     }
 
     fn cut_off(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
-        let (inside, outside) = (self.posts(&Side::Building(building)), self.outside(building));
+        let (inside, outside) = (self.posts(&PartitionSide::Building(building)), self.outside(building));
         self.cut(now, &inside, &outside, span, false)
     }
 
@@ -150,7 +150,7 @@
     fn lose(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
         self.cut_off(now, building, span)?;
         self.plan(now + span, Step::Drop(building));
-        for post in self.posts(&Side::Building(building)) {
+        for post in self.posts(&PartitionSide::Building(building)) {
             match post {
                 Post::Gateway(gateway) => {
                     self.site.gateways[gateway as usize].again = false;
@@ -196,7 +196,7 @@
     /// The front has given up its connections to the machines of a building that was lost. Without that it would
     /// write requests to processes that are no more, and nobody could tell what became of them.
     pub(super) fn drop_connections(&mut self, building: u32) -> Result<()> {
-        let posts = self.posts(&Side::Building(building)).into_iter();
+        let posts = self.posts(&PartitionSide::Building(building)).into_iter();
         let gateways = posts.filter(|post| matches!(post, Post::Gateway(_)));
         let pairs: Vec<(Post, Post)> = gateways.map(|gateway| (Post::Clients, gateway)).collect();
         Ok(self.site.stage.reset_links(&pairs)?)
@@ -210,7 +210,7 @@
     /// All that is not in a building.
     fn outside(&self, building: u32) -> Vec<Post> {
         let others = (1..=self.site.scenario.site.buildings).filter(|other| *other != building);
-        others.flat_map(|other| self.posts(&Side::Building(other))).chain([Post::Clients]).collect()
+        others.flat_map(|other| self.posts(&PartitionSide::Building(other))).chain([Post::Clients]).collect()
     }
 
     // ---- Links
@@ -218,7 +218,7 @@
     fn links(
         &mut self,
         now: Time,
-        (gateways, end): (&Which, &LinkEnd),
+        (gateways, end): (&Selector, &LinkEnd),
         fault: &LinkFault,
         span: Span,
         rng: &mut Rng,
@@ -237,7 +237,7 @@
             lasting => self.site.stage.fail_links(&pairs, lasting, span)?,
         }
         // What is on its way when a delay ends keeps its time.
-        let underway = if let LinkFault::Slow(_, most) = fault { *most } else { 0 };
+        let underway = if let LinkFault::Delay(_, most) = fault { *most } else { 0 };
         self.plan(now + span + underway + self.site.stage.late_by(), Step::Whole(gaps));
         Ok(())
     }
@@ -268,7 +268,7 @@
             return Ok(());
         }
         let span = flapping.every.min(flapping.until - now);
-        self.site.stage.fail_links(&flapping.pairs, &LinkFault::Cut(LinkWay::Both), span)?;
+        self.site.stage.fail_links(&flapping.pairs, &LinkFault::Blackhole(LinkDirection::Both), span)?;
         self.plan(now.saturating_add(flapping.every.saturating_mul(2)), Step::Flap(flapping));
         Ok(())
     }
--- a/crates/cluster-emulator/src/moments.rs
+++ b/crates/cluster-emulator/src/moments.rs
@@ -1,6 +1,6 @@
 //! Moments of a scenario that are named by something seen, and which of them have come.
 
-use cluster_model::scenario::{Scenario, Sign};
+use cluster_model::scenario::{Scenario, Trigger};
 use cluster_model::seen::{Got, What};
 use cluster_model::SECOND;
 use runtime::{Span, Time};
@@ -11,7 +11,7 @@
     /// Its place in the scenario.
     place: usize,
     line: u32,
-    sign: Sign,
+    sign: Trigger,
     /// The latest at which the sign may come.
     by: Time,
     /// So often it was seen in time; it counts from 1.
@@ -29,7 +29,7 @@
     /// Of a scenario whose first request comes at `start`.
     pub fn new(scenario: &Scenario, start: Time) -> Moments {
         let awaited = scenario.events.iter().enumerate().filter_map(|(place, timed)| {
-            let (sign, by) = (timed.sign.clone()?, start + timed.at);
+            let (sign, by) = (timed.trigger.clone()?, start + timed.at);
             Some(Awaited { place, line: timed.line, sign, by, seen: 0, come: false })
         });
         Moments { awaited: awaited.collect() }
@@ -47,18 +47,18 @@
 
     /// A host, numbered from 0, is told to drain.
     pub fn drains(&mut self, at: Time, host: u32) -> Vec<usize> {
-        self.notice(at, |sign| *sign == Sign::Drains(host + 1))
+        self.notice(at, |sign| *sign == Trigger::HostDrain(host + 1))
     }
 
     /// A line of a gateway's log, numbered from 0.
     pub fn logged(&mut self, at: Time, gateway: u32, line: &str) -> Vec<usize> {
         self.notice(
             at,
-            |sign| matches!(sign, Sign::Log(of, text) if *of == gateway + 1 && line.contains(text)),
+            |sign| matches!(sign, Trigger::LogLine(of, text) if *of == gateway + 1 && line.contains(text)),
         )
     }
 
-    fn notice(&mut self, at: Time, shows: impl Fn(&Sign) -> bool) -> Vec<usize> {
+    fn notice(&mut self, at: Time, shows: impl Fn(&Trigger) -> bool) -> Vec<usize> {
         let mut begin = Vec::new();
         for awaited in self.awaited.iter_mut().filter(|awaited| !awaited.come && at <= awaited.by) {
             if shows(&awaited.sign) {
@@ -89,31 +89,34 @@
 }
 
 /// How manieth sighting a sign is.
-fn nth(sign: &Sign) -> u32 {
+fn nth(sign: &Trigger) -> u32 {
     match sign {
-        Sign::CounterCall(_, n) | Sign::HostCall(_, _, n) | Sign::Request(_, n) | Sign::Answer(_, n) => *n,
+        Trigger::CounterCall(_, n)
+        | Trigger::HostAttempt(_, _, n)
+        | Trigger::Request(_, n)
+        | Trigger::Response(_, n) => *n,
         _ => 1,
     }
 }
 
 /// Whether a sighting is one of those that a sign counts.
-fn shows(sign: &Sign, what: &What) -> bool {
+fn shows(sign: &Trigger, what: &What) -> bool {
     match (sign, what) {
-        (Sign::CounterCall(of, _), What::Counted { gateway, .. })
-        | (Sign::Request(of, _), What::Asked { gateway, .. })
-        | (Sign::Gateway(of, true), What::GatewayUp { gateway })
-        | (Sign::Gateway(of, false), What::GatewayDown { gateway, .. }) => *of == gateway + 1,
-        (Sign::HostCall(of, to, _), What::Received { gateway, host, .. }) => {
+        (Trigger::CounterCall(of, _), What::Counted { gateway, .. })
+        | (Trigger::Request(of, _), What::Asked { gateway, .. })
+        | (Trigger::GatewayProcess(of, true), What::GatewayUp { gateway })
+        | (Trigger::GatewayProcess(of, false), What::GatewayDown { gateway, .. }) => *of == gateway + 1,
+        (Trigger::HostAttempt(of, to, _), What::Received { gateway, host, .. }) => {
             *of == gateway + 1 && to.is_none_or(|to| to == host + 1)
         }
-        (Sign::Answer(of, _), What::Answered { gateway, got, .. }) => {
+        (Trigger::Response(of, _), What::Answered { gateway, got, .. }) => {
             *of == gateway + 1 && matches!(got, Got::Served(_) | Got::Busy(_) | Got::Failed)
         }
-        (Sign::Told(of, about, told), What::Told { gateway, host, state, .. }) => {
+        (Trigger::DiscoveryUpdate(of, about, told), What::Told { gateway, host, state, .. }) => {
             (*of, *about, *told) == (gateway + 1, host + 1, *state)
         }
-        (Sign::Host(of, true), What::Started { host, .. })
-        | (Sign::Host(of, false), What::Stopped { host } | What::Fell { host }) => *of == host + 1,
+        (Trigger::HostProcess(of, true), What::Started { host, .. })
+        | (Trigger::HostProcess(of, false), What::Stopped { host } | What::Fell { host }) => *of == host + 1,
         _ => false,
     }
 }
--- a/crates/cluster-emulator/src/play.rs
+++ b/crates/cluster-emulator/src/play.rs
@@ -9,7 +9,7 @@
 use crate::trace::RunTrace;
 use crate::virtual_time::{GatewayMaker, VirtualStage};
 use anyhow::{bail, Result};
-use cluster_model::scenario::{Event, Scenario, Side, Sign};
+use cluster_model::scenario::{Event, PartitionSide, Scenario, Trigger};
 use cluster_model::seen::{Got, Seen, What};
 use cluster_model::SECOND;
 use fake_services::Recorder;
@@ -258,7 +258,7 @@
 /// Where the site cannot be put up, or a process panics or spins: the message names it.
 pub fn play_virtual(scenario: &Scenario, seed: u64, mut options: VirtualOptions<'_>) -> Result<Played> {
     for timed in &scenario.events {
-        if let Some(Sign::Log(..)) = timed.sign {
+        if let Some(Trigger::LogLine(..)) = timed.trigger {
             bail!(
                 "line {}: gateways of virtual time have no logs of their own: play it with --real",
                 timed.line
@@ -332,8 +332,8 @@
 /// Whether stand-ins that fall silent cannot do what the event asks for.
 fn needs_links(event: &Event) -> bool {
     match event {
-        Event::Cut(a, b, ..) => [a, b].contains(&&Side::Clients),
-        Event::Links(..) | Event::CutOff(..) | Event::LoseBuilding(..) => true,
+        Event::Partition(a, b, ..) => [a, b].contains(&&PartitionSide::Clients),
+        Event::Links(..) | Event::IsolateBuilding(..) | Event::PowerLoss(..) => true,
         _ => false,
     }
 }
@@ -341,7 +341,7 @@
 async fn real(scenario: &Scenario, seed: u64, mut options: RealOptions<'_>) -> Result<Played> {
     let mut stage = RealStage::new(&scenario.site, seed, &options)?;
     for timed in &scenario.events {
-        if let Some(Sign::Log(gateway, _)) = timed.sign {
+        if let Some(Trigger::LogLine(gateway, _)) = timed.trigger {
             stage.watch_log(gateway - 1);
         }
     }
--- a/crates/cluster-emulator/src/real.rs
+++ b/crates/cluster-emulator/src/real.rs
@@ -141,7 +141,7 @@
             operators: options.operators.clone(),
             launcher: options.launcher.clone(),
             limits: launch::Limits {
-                descriptors: u64::from(site.sockets),
+                descriptors: u64::from(site.file_descriptors),
                 memory_mb: u64::from(site.memory_mb),
             },
             logs: options.logs.clone(),
@@ -510,7 +510,7 @@
 fn mean_way(site: &Site) -> Span {
     let buildings = u64::from(site.buildings.max(1));
     let network = &site.network;
-    (network.same + network.cross * (buildings - 1)) / buildings
+    (network.intra_building + network.inter_building * (buildings - 1)) / buildings
 }
 
 /// User and system time of a process, in clock ticks.
--- a/crates/cluster-emulator/src/real/wires.rs
+++ b/crates/cluster-emulator/src/real/wires.rs
@@ -3,7 +3,7 @@
 
 use crate::stage::{lock, Post};
 use crate::trace::{LinkLine, LinkName, RunTrace};
-use cluster_model::scenario::{LinkFault, LinkWay, Site};
+use cluster_model::scenario::{LinkDirection, LinkFault, Site};
 use fault_proxy::{
     Entry, Fault, FaultId, Last, LinkId, LinkSet, LinkSpec, Messages, Moment, Place, Plan, Settings, Way,
     What, Who,
@@ -133,8 +133,8 @@
         }
         let network = &self.site.network;
         let one_way = match (self.building(a), self.building(b)) {
-            (Some(one), Some(two)) if one == two => network.same,
-            (Some(_), Some(_)) => network.cross,
+            (Some(one), Some(two)) if one == two => network.intra_building,
+            (Some(_), Some(_)) => network.inter_building,
             _ => network.client,
         };
         let jitter = Duration::from_nanos((one_way as f64 * network.jitter) as u64);
@@ -289,11 +289,11 @@
     entry(link, when, fault, lasts)
 }
 
-fn way(way: LinkWay) -> Way {
+fn way(way: LinkDirection) -> Way {
     match way {
-        LinkWay::Both => Way::Both,
-        LinkWay::Calls => Way::Calls,
-        LinkWay::Answers => Way::Answers,
+        LinkDirection::Both => Way::Both,
+        LinkDirection::FromInitiator => Way::Calls,
+        LinkDirection::ToInitiator => Way::Answers,
     }
 }
 
@@ -301,13 +301,13 @@
 fn lasting(fault: &LinkFault) -> Option<Fault> {
     Some(match fault {
         LinkFault::Hold(held) => Fault::Hold { way: way(*held) },
-        LinkFault::Cut(cut) => Fault::Cut { way: way(*cut) },
-        LinkFault::Slow(from, to) => Fault::Delay {
+        LinkFault::Blackhole(cut) => Fault::Cut { way: way(*cut) },
+        LinkFault::Delay(from, to) => Fault::Delay {
             way: Way::Both,
             base: Duration::from_nanos(*from),
             jitter: Duration::from_nanos(to.saturating_sub(*from)),
         },
-        LinkFault::Narrow(rate) => Fault::Rate { way: Way::Both, bytes_per_s: (rate * KIB) as u64 },
+        LinkFault::RateLimit(rate) => Fault::Rate { way: Way::Both, bytes_per_s: (rate * KIB) as u64 },
         LinkFault::Reset | LinkFault::Flap(_) => return None,
     })
 }
--- a/crates/cluster-emulator/src/site.rs
+++ b/crates/cluster-emulator/src/site.rs
@@ -177,7 +177,7 @@
                 start,
                 length: scenario.length,
                 recorder: recorder.clone(),
-                most_connections: (site.sockets / FRONT_SHARE) as usize,
+                most_connections: (site.file_descriptors / FRONT_SHARE) as usize,
             },
         );
         let weather = Weather::default();
@@ -198,7 +198,7 @@
             settled,
         };
         put_up.set_first_clocks()?;
-        if site.start_within == 0 {
+        if site.start_jitter == 0 {
             (0..site.gateways).try_for_each(|gateway| put_up.start_gateway(gateway))?;
         }
         Ok(put_up)
@@ -207,7 +207,7 @@
     /// Clocks that are told differently at 0 are so from the first start on. The director says it once more then.
     fn set_first_clocks(&mut self) -> io::Result<()> {
         for (place, timed) in self.scenario.events.iter().enumerate().filter(|(_, timed)| timed.at == 0) {
-            if let Event::Clock(which, ahead) = &timed.event {
+            if let Event::ClockOffset(which, ahead) = &timed.event {
                 let mut rng = Rng::stream(self.seed, "event", place as u64);
                 let site = &self.scenario.site;
                 let all: Vec<u32> = (0..site.gateways).collect();
@@ -249,7 +249,7 @@
     pub fn start_delay(&self, gateway: u32) -> Span {
         let starts = u64::from(self.gateways[gateway as usize].starts);
         let mut rng = Rng::stream(self.seed, "start", u64::from(gateway) << 32 | starts);
-        rng.below(self.scenario.site.start_within.max(1))
+        rng.below(self.scenario.site.start_jitter.max(1))
     }
 
     /// The list of hosts that a gateway's agent has, if it is not silent.
--- a/crates/cluster-emulator/src/stated.rs
+++ b/crates/cluster-emulator/src/stated.rs
@@ -18,7 +18,7 @@
 //! Nothing is stated of plans whose customers the decision module lets in beyond their quotas on purpose, where idle
 //! hosts make that worth more than it costs.
 
-use cluster_model::scenario::{CounterFault, Event, LinkEnd, PlanSpec, Scenario, Side, Site};
+use cluster_model::scenario::{CounterFault, Event, LinkEnd, PartitionSide, PlanSpec, Scenario, Site};
 use cluster_model::Span;
 use history_checker::{Bound, Terms};
 use quota::bound::{max_overshoot, Failure, Quota, LEASE_HORIZON_S};
@@ -27,7 +27,7 @@
 pub fn stated(scenario: &Scenario, on_sockets: bool) -> Terms {
     let mut terms = Terms::of(&scenario.site);
     for (plan, bound) in scenario.site.plans.iter().zip(&mut terms.bounds) {
-        let lets_in_more = plan.extra_worth > plan.overrun_cost && plan.ceiling_rate == 0.0;
+        let lets_in_more = plan.over_quota_weight_share > plan.over_quota_cost && plan.ceiling_rate == 0.0;
         *bound = bound.filter(|_| !lets_in_more).map(|bound| {
             let allowance = allowance(scenario, plan, on_sockets);
             Bound { allowance, ..bound }
@@ -42,7 +42,7 @@
         rate: plan.rate,
         burst: plan.burst,
         set_size: plan.spread.min(scenario.site.gateways),
-        max_request_units: f64::from(scenario.traffic.most_units),
+        max_request_units: f64::from(scenario.traffic.max_units),
     };
     let none = Failure { duration_s: 0.0, partitions: 1, counter_answers: true, counter_resets: 0 };
     let mut units = max_overshoot(&quota, &none, true);
@@ -80,10 +80,10 @@
         Some(Failure { counter_answers: true, ..Failure::counter_unreachable(seconds(span), quota) })
     };
     match event {
-        Event::Counter(CounterFault::Fresh, _) => {
+        Event::Counter(CounterFault::Reset, _) => {
             Some(Failure { duration_s: 0.0, partitions: 1, counter_answers: true, counter_resets: 1 })
         }
-        Event::Counter(CounterFault::Split(groups), span) => {
+        Event::Counter(CounterFault::SplitBrain(groups), span) => {
             let sides = groups.len() as u32 + quota.set_size;
             Some(Failure {
                 duration_s: seconds(*span),
@@ -96,18 +96,20 @@
         Event::Counter(CounterFault::Flapping(_), span) => {
             Some(Failure { counter_answers: true, ..Failure::counter_unreachable(seconds(*span), quota) })
         }
-        Event::Counter(_, span) | Event::GarbleCounter(_, span) | Event::StopCounter(span) => lost(*span),
-        Event::Cut(a, b, span, _) if [a, b].iter().any(|side| reaches_counter(side)) => apart(*span),
+        Event::Counter(_, span) | Event::CorruptCounterReplies(_, span) | Event::SuspendCounter(span) => {
+            lost(*span)
+        }
+        Event::Partition(a, b, span, _) if [a, b].iter().any(|side| reaches_counter(side)) => apart(*span),
         // The counter is in it, or its gateways are parted from the counter.
-        Event::CutOff(_, span) => apart(*span),
+        Event::IsolateBuilding(_, span) => apart(*span),
         // Some gateways may be heard and not answered, and others be whole all the while.
         Event::Links(_, LinkEnd::Counter, _, span) => apart(*span),
         // With all that it knew, and its gateways with it.
-        Event::LoseBuilding(building, span) if *building == site.counter.building => {
+        Event::PowerLoss(building, span) if *building == site.counter.building => {
             Some(Failure { counter_resets: 1, ..Failure::counter_unreachable(seconds(*span), quota) })
         }
         // Others take over from one that stands still. When it goes on its calls have run out of time.
-        Event::StopGateways(..) | Event::FreezeGateways(..) => apart(0),
+        Event::SuspendGateways(..) | Event::FreezeGateways(..) => apart(0),
         // It may have no turn while an answer is in time.
         Event::SlowGateways(_, _, span) => apart(*span),
         _ => None,
@@ -115,8 +117,8 @@
 }
 
 /// The counter stands in a building.
-fn reaches_counter(side: &Side) -> bool {
-    matches!(side, Side::Counter | Side::Building(_))
+fn reaches_counter(side: &PartitionSide) -> bool {
+    matches!(side, PartitionSide::Counter | PartitionSide::Building(_))
 }
 
 /// Processes of gateways that an event ends, or lets stand still.
@@ -124,10 +126,10 @@
     match event {
         Event::KillGateways(which, _)
         | Event::RestartGateways(which, _)
-        | Event::StopGateways(which, _)
+        | Event::SuspendGateways(which, _)
         | Event::FreezeGateways(which, _)
         | Event::SlowGateways(which, ..) => which.count(site.gateways),
-        Event::LoseBuilding(building, _) => {
+        Event::PowerLoss(building, _) => {
             let buildings = site.buildings.max(1);
             (0..site.gateways).filter(|gateway| gateway % buildings + 1 == *building).count() as u32
         }
@@ -137,12 +139,13 @@
 
 /// For how long what gateways send may wait on its way to hosts.
 fn held_back(event: &Event) -> Span {
-    let reaches_hosts = |side: &Side| matches!(side, Side::Building(_) | Side::Host(_));
+    let reaches_hosts =
+        |side: &PartitionSide| matches!(side, PartitionSide::Building(_) | PartitionSide::Host(_));
     match event {
-        Event::Links(_, LinkEnd::Hosts(_), _, span) | Event::CutOff(_, span) | Event::StopHosts(_, span) => {
-            *span
-        }
-        Event::Cut(a, b, span, _) if reaches_hosts(a) || reaches_hosts(b) => *span,
+        Event::Links(_, LinkEnd::Hosts(_), _, span)
+        | Event::IsolateBuilding(_, span)
+        | Event::SuspendHosts(_, span) => *span,
+        Event::Partition(a, b, span, _) if reaches_hosts(a) || reaches_hosts(b) => *span,
         _ => 0,
     }
 }
--- a/crates/cluster-emulator/src/swarm.rs
+++ b/crates/cluster-emulator/src/swarm.rs
@@ -10,7 +10,8 @@
 use anyhow::Result;
 use cluster_model::rng::Rng;
 use cluster_model::scenario::{
-    CounterFault, DiscoveryFault, Event, LinkEnd, Mishap, Scenario, Side, Timed, Which,
+    CounterFault, DiscoveryFault, Event, LinkEnd, PartitionSide, RequestFault, Scenario, ScheduledEvent,
+    Selector,
 };
 use cluster_model::{Span, MS, SECOND};
 use history_checker::Rule as HistoryRule;
@@ -256,13 +257,13 @@
     site.gateways = 1 + rng.below(5) as u32;
     site.hosts = 3 + rng.below(10) as u32;
     site.buildings = 1 + rng.below(3) as u32;
-    site.host.cold_share = share(&mut rng, 21, 39);
-    site.host.cold = span(&mut rng, 5.2, 17.0);
+    site.host.warmup_share = share(&mut rng, 21, 39);
+    site.host.warmup = span(&mut rng, 5.2, 17.0);
     site.host.slots = 4 + rng.below(9) as u32;
     site.host.queue = 18 + rng.below(55) as u32;
-    site.counter.on = rng.chance(0.9);
-    site.counter.parts = 1 + rng.below(3) as u32;
-    site.second_copies = rng.chance(0.5);
+    site.counter.enabled = rng.chance(0.9);
+    site.counter.shards = 1 + rng.below(3) as u32;
+    site.hedging = rng.chance(0.5);
     site.retry_after = rng.chance(0.5).then_some(SECOND);
     site.max_attempts = 2 + rng.below(3) as u32;
     for plan in &mut site.plans {
@@ -273,18 +274,19 @@
     traffic.rate = f64::from((cores * rng.between(0.2, 0.75) / WORK_S) as u32).min(220.0);
     traffic.retries = rng.below(3) as u32;
     traffic.backoff = if rng.chance(0.3) { 0 } else { 30 * MS + rng.below(210) * MS };
-    traffic.impatient = if rng.chance(0.2) { 0.05 } else { 0.0 };
-    traffic.front_notice = span(&mut rng, 0.8, 4.0);
+    traffic.early_disconnects = if rng.chance(0.2) { 0.05 } else { 0.0 };
+    traffic.front_detection_delay = span(&mut rng, 0.8, 4.0);
     scenario.events = random_events(&mut rng, &scenario, event);
     // A counter that fails is there.
-    scenario.site.counter.on |= scenario.events.iter().any(|timed| is_about_the_counter(&timed.event));
+    scenario.site.counter.enabled |= scenario.events.iter().any(|timed| is_about_the_counter(&timed.event));
     scenario
 }
 
-fn random_events(rng: &mut Rng, scenario: &Scenario, kinds: Kinds) -> Vec<Timed> {
+fn random_events(rng: &mut Rng, scenario: &Scenario, kinds: Kinds) -> Vec<ScheduledEvent> {
     let count = 1 + rng.below(6);
-    let mut events: Vec<Timed> = (0..count).map(|_| timed(rng, scenario, kinds)).collect();
-    let changes: Vec<Timed> = events.iter().flat_map(|timed| changes_to_tell_of(rng, timed)).collect();
+    let mut events: Vec<ScheduledEvent> = (0..count).map(|_| timed(rng, scenario, kinds)).collect();
+    let changes: Vec<ScheduledEvent> =
+        events.iter().flat_map(|timed| changes_to_tell_of(rng, timed)).collect();
     events.extend(changes);
     // Stable: what was added for an event comes after it.
     events.sort_by_key(|timed| timed.at);
@@ -292,22 +294,27 @@
 }
 
 fn is_about_the_counter(event: &Event) -> bool {
-    use Event::{Counter, Cut, GarbleCounter, Links};
+    use Event::{CorruptCounterReplies, Counter, Links, Partition};
     matches!(
         event,
-        Counter(..) | GarbleCounter(..) | Cut(_, Side::Counter, ..) | Links(_, LinkEnd::Counter, ..)
+        Counter(..)
+            | CorruptCounterReplies(..)
+            | Partition(_, PartitionSide::Counter, ..)
+            | Links(_, LinkEnd::Counter, ..)
     )
 }
 
 /// Discovery that tells late, twice or out of order does so only of what changes: with most other events it would
 /// rehearse nothing. So something changes with it, and once more soon after.
-fn changes_to_tell_of(rng: &mut Rng, timed: &Timed) -> Vec<Timed> {
-    use DiscoveryFault::{Late, Reordered, Repeats};
-    if !matches!(timed.event, Event::Discovery(Late(_) | Repeats | Reordered, _)) {
+fn changes_to_tell_of(rng: &mut Rng, timed: &ScheduledEvent) -> Vec<ScheduledEvent> {
+    use DiscoveryFault::{Delayed, Duplicated, Reordered};
+    if !matches!(timed.event, Event::Discovery(Delayed(_) | Duplicated | Reordered, _)) {
         return Vec::new();
     }
     let later = timed.at + (1 + rng.below(5)) * 100 * MS;
-    [timed.at, later].map(|at| Timed { at, sign: None, line: 0, event: change_of_hosts(rng) }).into()
+    [timed.at, later]
+        .map(|at| ScheduledEvent { at, trigger: None, line: 0, event: change_of_hosts(rng) })
+        .into()
 }
 
 fn change_of_hosts(rng: &mut Rng) -> Event {
@@ -339,17 +346,17 @@
     (from + rng.below(to - from + 1)) as f64 / 10.0
 }
 
-fn some(rng: &mut Rng) -> Which {
-    Which::Share(share(rng, 10, 70))
+fn some(rng: &mut Rng) -> Selector {
+    Selector::Share(share(rng, 10, 70))
 }
 
 /// Draws an event.
 type Kinds = fn(&mut Rng, &Scenario) -> Event;
 
-fn timed(rng: &mut Rng, scenario: &Scenario, kinds: Kinds) -> Timed {
+fn timed(rng: &mut Rng, scenario: &Scenario, kinds: Kinds) -> ScheduledEvent {
     // Whole tenths of seconds, so that some fall on the same instant.
     let at = SECOND + rng.below((scenario.length - QUIET_END) / (100 * MS)) * 100 * MS;
-    Timed { at, sign: None, line: 0, event: kinds(rng, scenario) }
+    ScheduledEvent { at, trigger: None, line: 0, event: kinds(rng, scenario) }
 }
 
 fn event(rng: &mut Rng, scenario: &Scenario) -> Event {
@@ -357,64 +364,69 @@
     match rng.below(25) {
         0 | 1 => Event::KillGateways(some(rng), Some(span(rng, 1.0, 8.0))),
         2 => Event::RestartGateways(some(rng), 0),
-        3 => Event::ReloadGateways(Which::All),
+        3 => Event::ReloadGateways(Selector::All),
         4 | 5 => Event::Traffic(times(rng, 13, 25), span(rng, 3.0, 10.0), 200 * MS),
         6 => Event::SlowHosts(some(rng), times(rng, 20, 100), span(rng, 3.0, 15.0)),
         7 => Event::PauseHosts(some(rng), span(rng, 0.3, 3.0)),
         8 => drain(rng),
         9 => Event::KillHosts(some(rng), rng.chance(0.6).then(|| span(rng, 1.0, 8.0))),
-        10 => Event::RestartHosts(if rng.chance(0.3) { Which::All } else { some(rng) }),
+        10 => Event::RestartHosts(if rng.chance(0.3) { Selector::All } else { some(rng) }),
         11 => Event::AddHosts(1 + rng.below(4) as u32),
         12 => Event::ReplaceHosts(some(rng), rng.chance(0.5)),
-        13 => Event::Heavy(
+        13 => Event::ExpensiveRequests(
             site.classes[rng.below(site.classes.len() as u64) as usize].name.clone(),
             share(rng, 1, 3),
             times(rng, 50, 300),
             span(rng, 3.0, 15.0),
         ),
-        14 => Event::GarbleHosts(share(rng, 1, 10), span(rng, 2.0, 10.0)),
-        15 => Event::GarbleCounter(share(rng, 1, 30), span(rng, 2.0, 10.0)),
+        14 => Event::CorruptHostResponses(share(rng, 1, 10), span(rng, 2.0, 10.0)),
+        15 => Event::CorruptCounterReplies(share(rng, 1, 30), span(rng, 2.0, 10.0)),
         16 => cut(rng, site.gateways, site.hosts, site.buildings),
         17 | 18 => Event::Counter(counter_fault(rng, site.gateways), span(rng, 1.0, 12.0)),
-        20 => Event::Mishaps(Mishap::Swallowed, share(rng, 1, 30), some(rng), span(rng, 2.0, 10.0)),
-        21 => Event::Mishaps(Mishap::Reset, share(rng, 1, 20), some(rng), span(rng, 2.0, 10.0)),
-        22 => Event::Stale(span(rng, 0.1, 2.0), some(rng), span(rng, 2.0, 10.0)),
-        23 => Event::Discovery(DiscoveryFault::Cut(span(rng, 0.3, 3.0)), span(rng, 2.0, 10.0)),
-        19 => Event::Impatient(share(rng, 5, 40), span(rng, 2.0, 10.0)),
+        20 => Event::RequestFaults(RequestFault::Dropped, share(rng, 1, 30), some(rng), span(rng, 2.0, 10.0)),
+        21 => Event::RequestFaults(
+            RequestFault::ConnectionReset,
+            share(rng, 1, 20),
+            some(rng),
+            span(rng, 2.0, 10.0),
+        ),
+        22 => Event::StaleConnections(span(rng, 0.1, 2.0), some(rng), span(rng, 2.0, 10.0)),
+        23 => Event::Discovery(DiscoveryFault::WatchReset(span(rng, 0.3, 3.0)), span(rng, 2.0, 10.0)),
+        19 => Event::EarlyDisconnects(share(rng, 5, 40), span(rng, 2.0, 10.0)),
         _ => Event::Discovery(discovery_fault(rng), span(rng, 1.0, 8.0)),
     }
 }
 
 fn cut(rng: &mut Rng, gateways: u32, hosts: u32, buildings: u32) -> Event {
-    let gateway = Side::Gateway(1 + rng.below(u64::from(gateways)) as u32);
+    let gateway = PartitionSide::Gateway(1 + rng.below(u64::from(gateways)) as u32);
     let other = match rng.below(4) {
-        0 => Side::Counter,
-        1 => Side::Clients,
-        2 => Side::Building(1 + rng.below(u64::from(buildings)) as u32),
-        _ => Side::Host(1 + rng.below(u64::from(hosts)) as u32),
+        0 => PartitionSide::Counter,
+        1 => PartitionSide::Clients,
+        2 => PartitionSide::Building(1 + rng.below(u64::from(buildings)) as u32),
+        _ => PartitionSide::Host(1 + rng.below(u64::from(hosts)) as u32),
     };
     let span = (3 + rng.below(60)) * 100 * MS;
-    Event::Cut(gateway, other, span, rng.chance(0.4))
+    Event::Partition(gateway, other, span, rng.chance(0.4))
 }
 
 fn counter_fault(rng: &mut Rng, gateways: u32) -> CounterFault {
     match rng.below(8) {
-        0 => CounterFault::Lost,
-        1 => CounterFault::Silent,
-        2 => CounterFault::Mute,
-        3 => CounterFault::Slow(80 * MS, 500 * MS),
-        4 => CounterFault::Split((1..=gateways).map(|gateway| vec![gateway]).collect()),
-        5 => CounterFault::Fresh,
+        0 => CounterFault::Unreachable,
+        1 => CounterFault::DropCalls,
+        2 => CounterFault::DropReplies,
+        3 => CounterFault::DelayReplies(80 * MS, 500 * MS),
+        4 => CounterFault::SplitBrain((1..=gateways).map(|gateway| vec![gateway]).collect()),
+        5 => CounterFault::Reset,
         6 => CounterFault::Flapping((3 + rng.below(10)) * 100 * MS),
-        _ => CounterFault::Full,
+        _ => CounterFault::Overloaded,
     }
 }
 
 fn discovery_fault(rng: &mut Rng) -> DiscoveryFault {
     match rng.below(4) {
-        0 => DiscoveryFault::Silent,
-        1 => DiscoveryFault::Late((5 + rng.below(30)) * 100 * MS),
-        2 => DiscoveryFault::Repeats,
+        0 => DiscoveryFault::Stalled,
+        1 => DiscoveryFault::Delayed((5 + rng.below(30)) * 100 * MS),
+        2 => DiscoveryFault::Duplicated,
         _ => DiscoveryFault::Reordered,
     }
 }
@@ -430,7 +442,7 @@
         match event {
             Event::Counter(fault, _) => word(format!("{fault:?}")),
             Event::Discovery(fault, _) => word(format!("{fault:?}")),
-            Event::Cut(_, other, ..) => word(format!("{other:?}")),
+            Event::Partition(_, other, ..) => word(format!("{other:?}")),
             event => word(format!("{event:?}")),
         }
     }
@@ -443,45 +455,47 @@
             "AddHosts",
             "Building",
             "Clients",
+            "CorruptCounterReplies",
+            "CorruptHostResponses",
             "Counter",
-            "Cut",
+            "DelayReplies",
+            "Delayed",
             "DrainHosts",
+            "DropCalls",
+            "DropReplies",
+            "Duplicated",
+            "EarlyDisconnects",
+            "ExpensiveRequests",
             "Flapping",
-            "Fresh",
-            "Full",
-            "GarbleCounter",
-            "GarbleHosts",
-            "Heavy",
             "Host",
-            "Impatient",
             "KillGateways",
             "KillHosts",
-            "Late",
-            "Lost",
-            "Mishaps",
-            "Mute",
+            "Overloaded",
             "PauseHosts",
             "ReloadGateways",
             "Reordered",
-            "Repeats",
             "ReplaceHosts",
+            "RequestFaults",
+            "Reset",
             "RestartGateways",
             "RestartHosts",
-            "Silent",
             "SlowHosts",
-            "Slow",
-            "Split",
-            "Stale",
+            "SplitBrain",
+            "StaleConnections",
+            "Stalled",
             "Traffic",
+            "Unreachable",
+            "WatchReset",
         ];
         assert_eq!(kinds, wanted.map(String::from).into());
     }
 
     #[test]
     fn where_discovery_tells_wrongly_there_is_something_to_tell_of() {
-        use DiscoveryFault::{Late, Reordered, Repeats};
-        let wrongly =
-            |timed: &&Timed| matches!(timed.event, Event::Discovery(Late(_) | Repeats | Reordered, _));
+        use DiscoveryFault::{Delayed, Duplicated, Reordered};
+        let wrongly = |timed: &&ScheduledEvent| {
+            matches!(timed.event, Event::Discovery(Delayed(_) | Duplicated | Reordered, _))
+        };
         let changes = |event: &Event| {
             matches!(
                 event,
--- a/crates/cluster-emulator/src/swarm/fleets.rs
+++ b/crates/cluster-emulator/src/swarm/fleets.rs
@@ -2,7 +2,7 @@
 
 use super::{cut, event, is_about_the_counter, random_events, share, some, span, times};
 use cluster_model::rng::Rng;
-use cluster_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Scenario, Timed, Which};
+use cluster_model::scenario::{Event, LinkDirection, LinkEnd, LinkFault, Scenario, ScheduledEvent, Selector};
 use cluster_model::{Span, MS, SECOND};
 
 /// Gateways, from and to.
@@ -22,21 +22,21 @@
     site.gateways = (GATEWAYS.0 + rng.below(most - GATEWAYS.0 + 1)) as u32;
     site.hosts = 4 + rng.below(9) as u32;
     site.buildings = 1 + rng.below(4) as u32;
-    site.host.cold_share = share(&mut rng, 21, 39);
-    site.host.cold = span(&mut rng, 5.2, 17.0);
-    site.counter.on = rng.chance(0.9);
+    site.host.warmup_share = share(&mut rng, 21, 39);
+    site.host.warmup = span(&mut rng, 5.2, 17.0);
+    site.counter.enabled = rng.chance(0.9);
     site.counter.building = 1 + rng.below(u64::from(site.buildings)) as u32;
-    site.second_copies = rng.chance(0.5);
+    site.hedging = rng.chance(0.5);
     site.retry_after = rng.chance(0.5).then_some(SECOND);
     site.max_attempts = 2 + rng.below(3) as u32;
     let traffic = &mut scenario.traffic;
     traffic.rate = 20.0 + rng.below(60) as f64;
     traffic.retries = rng.below(2) as u32;
-    traffic.front_notice = span(&mut rng, 0.8, 3.0);
+    traffic.front_detection_delay = span(&mut rng, 0.8, 3.0);
     scenario.events = random_events(&mut rng, &scenario, fault);
     at_once(&mut rng, &mut scenario);
     // A counter that fails is there.
-    scenario.site.counter.on |= scenario.events.iter().any(|timed| is_about_the_counter(&timed.event));
+    scenario.site.counter.enabled |= scenario.events.iter().any(|timed| is_about_the_counter(&timed.event));
     scenario
 }
 
@@ -46,7 +46,7 @@
         let nth = rng.below(scenario.events.len() as u64) as usize;
         let at = scenario.events[nth].at + rng.below(AT_ONCE);
         let event = fault(rng, scenario);
-        scenario.events.push(Timed { at, sign: None, line: 0, event });
+        scenario.events.push(ScheduledEvent { at, trigger: None, line: 0, event });
         scenario.events.sort_by_key(|timed| timed.at);
     }
 }
@@ -57,30 +57,31 @@
     match rng.below(11) {
         0..=2 => event(rng, scenario),
         3..=5 => links(rng),
-        6 => Event::StopGateways(some(rng), span(rng, 0.1, 5.0)),
+        6 => Event::SuspendGateways(some(rng), span(rng, 0.1, 5.0)),
         7 => Event::SlowGateways(some(rng), times(rng, 20, 60), span(rng, 1.0, 5.0)),
-        8 => Event::LoseBuilding(building, span(rng, 1.0, 5.0)),
-        9 => Event::CutOff(building, span(rng, 0.5, 5.0)),
+        8 => Event::PowerLoss(building, span(rng, 1.0, 5.0)),
+        9 => Event::IsolateBuilding(building, span(rng, 0.5, 5.0)),
         _ => cut(rng, site.gateways, site.hosts, site.buildings),
     }
 }
 
 fn links(rng: &mut Rng) -> Event {
-    let gateways = if rng.chance(0.3) { Which::All } else { some(rng) };
+    let gateways = if rng.chance(0.3) { Selector::All } else { some(rng) };
     let end = match rng.below(5) {
         0 => LinkEnd::Clients,
         1 => LinkEnd::Discovery,
         2 => LinkEnd::Counter,
-        3 => LinkEnd::Hosts(Which::All),
+        3 => LinkEnd::Hosts(Selector::All),
         _ => LinkEnd::Hosts(some(rng)),
     };
-    let way = [LinkWay::Both, LinkWay::Calls, LinkWay::Answers][rng.below(3) as usize];
+    let way = [LinkDirection::Both, LinkDirection::FromInitiator, LinkDirection::ToInitiator]
+        [rng.below(3) as usize];
     let from = rng.below(200) * MS;
     let fault = match rng.below(7) {
         0 | 1 => LinkFault::Hold(way),
-        2 | 3 => LinkFault::Cut(way),
-        4 => LinkFault::Slow(from, from + rng.below(300) * MS),
-        5 => LinkFault::Narrow((1 + rng.below(40)) as f64 / 2.0),
+        2 | 3 => LinkFault::Blackhole(way),
+        4 => LinkFault::Delay(from, from + rng.below(300) * MS),
+        5 => LinkFault::RateLimit((1 + rng.below(40)) as f64 / 2.0),
         _ if rng.chance(0.5) => return Event::Links(gateways, end, LinkFault::Reset, 0),
         _ => LinkFault::Flap((1 + rng.below(10)) * 100 * MS),
     };
@@ -112,20 +113,20 @@
             }
         }
         let wanted = [
+            "Blackhole",
             "Clients",
             "Counter",
-            "Cut",
-            "CutOff",
+            "Delay",
             "Discovery",
             "Flap",
             "Hold",
             "Hosts",
-            "LoseBuilding",
-            "Narrow",
+            "IsolateBuilding",
+            "PowerLoss",
+            "RateLimit",
             "Reset",
-            "Slow",
             "SlowGateways",
-            "StopGateways",
+            "SuspendGateways",
         ];
         wanted.iter().for_each(|kind| assert!(seen.contains(*kind), "{kind}: {seen:?}"));
     }
--- a/crates/cluster-emulator/src/trace.rs
+++ b/crates/cluster-emulator/src/trace.rs
@@ -156,8 +156,9 @@
         let mut scenario = self.scenario.clone();
         for (at, place) in &self.events {
             let Some(timed) = scenario.events.get_mut(*place) else { continue };
-            timed.sign = None;
-            let sooner = matches!(timed.event, Event::Links(..) | Event::Cut(..) | Event::CutOff(..));
+            timed.trigger = None;
+            let sooner =
+                matches!(timed.event, Event::Links(..) | Event::Partition(..) | Event::IsolateBuilding(..));
             let at = u64::try_from(*at).unwrap_or(0).min(scenario.length);
             timed.at = at.saturating_sub(if sooner { WAIT / 2 } else { 0 });
         }
@@ -256,8 +257,12 @@
         read.scenario.events = trace.scenario.events.clone();
         assert_eq!(read, trace);
         let timed = trace.timed();
-        assert!(timed.events[1].sign.is_none() && timed.events[1].at == 2_000_000_000, "{:?}", timed.events);
-        assert!(timed.events[2].sign.is_some(), "a sign that never came is waited for");
+        assert!(
+            timed.events[1].trigger.is_none() && timed.events[1].at == 2_000_000_000,
+            "{:?}",
+            timed.events
+        );
+        assert!(timed.events[2].trigger.is_some(), "a sign that never came is waited for");
     }
 
     #[test]
--- a/crates/cluster-emulator/src/virtual_time.rs
+++ b/crates/cluster-emulator/src/virtual_time.rs
@@ -104,7 +104,7 @@
             operators: Operators::default(),
             buildings: site.buildings.max(1),
             counter: site.counter.building - 1,
-            descriptors: site.sockets as usize,
+            descriptors: site.file_descriptors as usize,
             machines: Arc::default(),
             running: BTreeMap::new(),
             clocks: BTreeMap::new(),
@@ -263,9 +263,9 @@
     fn fail_links(&mut self, pairs: &[(Post, Post)], fault: &LinkFault, span: Span) -> io::Result<()> {
         let fault = match fault {
             LinkFault::Hold(way) => simulated_runtime::LinkFault::Hold(*way),
-            LinkFault::Cut(way) => simulated_runtime::LinkFault::Cut(*way),
-            LinkFault::Slow(from, to) => simulated_runtime::LinkFault::Slow(*from, *to),
-            LinkFault::Narrow(rate) => simulated_runtime::LinkFault::Narrow(rate * KIB),
+            LinkFault::Blackhole(way) => simulated_runtime::LinkFault::Cut(*way),
+            LinkFault::Delay(from, to) => simulated_runtime::LinkFault::Slow(*from, *to),
+            LinkFault::RateLimit(rate) => simulated_runtime::LinkFault::Narrow(rate * KIB),
             LinkFault::Reset | LinkFault::Flap(_) => return Ok(()),
         };
         let id = self.sim.begin_link(self.machines(pairs), fault);
--- a/crates/cluster-emulator/tests/fleet.rs
+++ b/crates/cluster-emulator/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use cluster_emulator::{play_virtual, GatewayMaker, Played, VirtualOptions};
 use cluster_model::file;
-use cluster_model::scenario::{Scenario, Timed};
+use cluster_model::scenario::{Scenario, ScheduledEvent};
 use cluster_model::{MS, SECOND};
 use gateway::Signal;
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 /// A day whose events come four times as fast, each as long as ever.
 fn short(name: &str) -> Scenario {
     let day = file::parse(name, file::find(name).unwrap()).unwrap().with_gateways(GATEWAYS);
-    let events = day.events.into_iter().map(|timed| Timed { at: timed.at / 4, ..timed });
+    let events = day.events.into_iter().map(|timed| ScheduledEvent { at: timed.at / 4, ..timed });
     Scenario { events: events.collect(), length: day.length / 4, ..day }
 }
 
--- a/crates/cluster-emulator/tests/quota/mix.rs
+++ b/crates/cluster-emulator/tests/quota/mix.rs
@@ -147,7 +147,7 @@
 /// The quotas of the site's plans.
 fn quotas() -> Vec<Quota> {
     let Scenario { site, traffic, .. } = scenario("");
-    let most_units = f64::from(traffic.most_units);
+    let most_units = f64::from(traffic.max_units);
     let quota = |plan: &PlanSpec| Quota {
         rate: plan.rate,
         burst: plan.burst,
--- a/crates/cluster-model/src/agent.rs
+++ b/crates/cluster-model/src/agent.rs
@@ -162,14 +162,14 @@
 
     /// Until when agents are sent nothing and say nothing, if that is so now.
     pub fn silent_until(&self, now: Time) -> Option<Time> {
-        let silences = self.active(now).filter(|active| matches!(active.fault, DiscoveryFault::Silent));
+        let silences = self.active(now).filter(|active| matches!(active.fault, DiscoveryFault::Stalled));
         silences.map(|active| active.until).max()
     }
 
     /// When a watch opened then is reset, as things are.
     pub fn cut_at(&self, now: Time, opened: Time) -> Option<Time> {
         let cut = |active: &Active| match active.fault {
-            DiscoveryFault::Cut(every) => Some(opened.saturating_add(every)),
+            DiscoveryFault::WatchReset(every) => Some(opened.saturating_add(every)),
             _ => None,
         };
         self.active(now).filter_map(cut).min()
@@ -209,7 +209,7 @@
         if self.silent_until(now).is_some() {
             return;
         }
-        let repeats = self.fails(now, |fault| matches!(fault, DiscoveryFault::Repeats));
+        let repeats = self.fails(now, |fault| matches!(fault, DiscoveryFault::Duplicated));
         let agent = &mut self.agents[agent as usize];
         while agent.waiting.front().is_some_and(|waiting| waiting.due <= now) {
             if let Some(waiting) = agent.waiting.pop_front() {
@@ -239,7 +239,7 @@
 
     fn late(&self, now: Time) -> Span {
         let late = self.active(now).filter_map(|active| match active.fault {
-            DiscoveryFault::Late(by) => Some(by),
+            DiscoveryFault::Delayed(by) => Some(by),
             _ => None,
         });
         late.max().unwrap_or(0)
@@ -247,8 +247,8 @@
 
     fn delay(&self, agent: usize, notice: Notice) -> Span {
         let (from, to) = match notice {
-            Notice::Given => self.spec.notice,
-            Notice::Missed => self.spec.silent_notice,
+            Notice::Given => self.spec.update_delay,
+            Notice::Missed => self.spec.crash_detection_delay,
         };
         let mut rng = Rng::stream(self.seed, "notice", self.generation << 32 | agent as u64);
         from + rng.below(to.saturating_sub(from).saturating_add(1))
--- a/crates/cluster-model/src/counter.rs
+++ b/crates/cluster-model/src/counter.rs
@@ -123,14 +123,14 @@
 impl Counter {
     /// A counter that knows no names yet.
     pub fn new(spec: &CounterSpec, seed: u64) -> Counter {
-        let parts = f64::from(spec.parts.max(1));
+        let parts = f64::from(spec.shards.max(1));
         let slot = parts / spec.calls_per_s.max(1e-3) * SECOND as f64;
         Counter {
             slot: libm::round(slot) as Span,
-            call: spec.call,
+            call: spec.service_time,
             room: spec.queue,
             rng: Rng::stream(seed, "counter", 0),
-            whole: Side::new(spec.parts),
+            whole: Side::new(spec.shards),
             split: None,
             faults: Vec::new(),
             steps: BTreeMap::new(),
@@ -150,11 +150,11 @@
             return Taken::Lost;
         }
         let ticket = Ticket(self.number());
-        if self.fails(|fault| matches!(fault, CounterFault::Silent)) {
+        if self.fails(|fault| matches!(fault, CounterFault::DropCalls)) {
             self.settle(ticket, now, End::Dropped);
             return Taken::Waiting(ticket);
         }
-        if self.fails(|fault| matches!(fault, CounterFault::Full)) {
+        if self.fails(|fault| matches!(fault, CounterFault::Overloaded)) {
             return Taken::Refused;
         }
         let (slot, room) = (self.slot, self.room);
@@ -187,16 +187,16 @@
     /// [`CounterFault::Fresh`] is done with at once.
     pub fn fail(&mut self, now: Time, fault: CounterFault, until: Time) {
         self.run(now, now);
-        if matches!(fault, CounterFault::Fresh) {
+        if matches!(fault, CounterFault::Reset) {
             self.forget();
             return;
         }
         if until <= now {
             return;
         }
-        if let CounterFault::Split(groups) = &fault {
+        if let CounterFault::SplitBrain(groups) = &fault {
             self.join(now);
-            self.faults.retain(|active| !matches!(active.fault, CounterFault::Split(_)));
+            self.faults.retain(|active| !matches!(active.fault, CounterFault::SplitBrain(_)));
             self.whole.share();
             self.split = Some(Split { groups: groups.clone(), sides: BTreeMap::new() });
         }
@@ -293,12 +293,12 @@
     }
 
     fn mute(&self) -> bool {
-        self.fails(|fault| matches!(fault, CounterFault::Mute | CounterFault::Silent))
+        self.fails(|fault| matches!(fault, CounterFault::DropReplies | CounterFault::DropCalls))
     }
 
     /// A call has its turn.
     fn turn(&mut self, at: Time, call: Call) {
-        if self.fails(|fault| matches!(fault, CounterFault::Silent)) {
+        if self.fails(|fault| matches!(fault, CounterFault::DropCalls)) {
             return self.settle(call.ticket, at, End::Dropped);
         }
         let total = self.side(call.gateway).add(at, &call.name, call.amount, call.keep);
@@ -312,7 +312,7 @@
 
     fn answer_takes(&mut self) -> Span {
         let slow = self.faults.iter().rev().find_map(|active| match active.fault {
-            CounterFault::Slow(from, to) => Some((from, to)),
+            CounterFault::DelayReplies(from, to) => Some((from, to)),
             _ => None,
         });
         match slow {
@@ -375,7 +375,7 @@
     fn shift(&mut self, at: Time) {
         self.clock = self.clock.max(at);
         let ended = |active: &Active| active.until <= at;
-        let joins = |active: &Active| ended(active) && matches!(active.fault, CounterFault::Split(_));
+        let joins = |active: &Active| ended(active) && matches!(active.fault, CounterFault::SplitBrain(_));
         if self.faults.iter().any(joins) {
             self.join(at);
         }
@@ -395,7 +395,7 @@
 impl Active {
     fn is_lost(&self, now: Time) -> bool {
         match self.fault {
-            CounterFault::Lost => true,
+            CounterFault::Unreachable => true,
             CounterFault::Flapping(period) => self.turns(now, period) % 2 == 0,
             _ => false,
         }
--- a/crates/cluster-model/src/draw.rs
+++ b/crates/cluster-model/src/draw.rs
@@ -35,9 +35,9 @@
 impl Draws {
     /// For this traffic.
     pub fn new(seed: u64, traffic: &Traffic) -> Draws {
-        let most = traffic.most_units.max(1);
+        let most = traffic.max_units.max(1);
         let mean_units = f64::from(most) / (1..=most).map(|n| 1.0 / f64::from(n)).sum::<f64>();
-        Draws { seed, most_units: most, guess_cv: traffic.guess_cv, mean_units }
+        Draws { seed, most_units: most, guess_cv: traffic.estimate_cv, mean_units }
     }
 
     fn rng(&self, id: u64) -> Rng {
--- a/crates/cluster-model/src/file/check.rs
+++ b/crates/cluster-model/src/file/check.rs
@@ -7,9 +7,9 @@
 use super::near::nearest;
 use super::parser::{EventPlaces, Places};
 use super::signs;
-use super::{MOST_CUSTOMERS, MOST_HOSTS};
+use super::{MAX_CUSTOMERS, MAX_HOSTS};
 use crate::draw::Draws;
-use crate::scenario::{CounterFault, Event, LinkEnd, Scenario, Side, Sign, Site, Timed};
+use crate::scenario::{CounterFault, Event, LinkEnd, PartitionSide, Scenario, ScheduledEvent, Site, Trigger};
 
 /// How far shares may miss the whole: three thirds written as 33.3 % are meant as one.
 const SHARES_MISS: f64 = 0.002;
@@ -58,9 +58,9 @@
             if !usual.iter().any(|usual| usual.name == class.name) {
                 self.complete("class", &class.name, CLASS_NEEDS);
             }
-            if class.deadline < class.aim {
+            if class.deadline < class.latency_objective {
                 let keys = ["aim", "deadline"].map(|key| format!("class {} {key}", class.name));
-                let (deadline, aim) = (span_text(class.deadline), span_text(class.aim));
+                let (deadline, aim) = (span_text(class.deadline), span_text(class.latency_objective));
                 self.fault_at(&keys, Reason::Deadline { class: class.name.clone(), deadline, aim });
             }
         }
@@ -105,7 +105,7 @@
         for plan in self.scenario.site.plans.iter().filter(|plan| plan.rate > 0.0) {
             // As few as could be: each asks for all of its rate.
             let customers = libm::round(units * plan.share / plan.rate) as u64;
-            if customers > MOST_CUSTOMERS {
+            if customers > MAX_CUSTOMERS {
                 let (rate, share) = (format!("plan {} rate", plan.name), format!("plan {} share", plan.name));
                 let paths = [rate, share, "traffic rate".into(), "traffic most-units".into()];
                 let reason = Reason::ManyCustomers(plan.name.clone(), customers);
@@ -135,7 +135,7 @@
 
     fn customer_kinds(&mut self) {
         let traffic = &self.scenario.traffic;
-        let sum = traffic.full + traffic.heavy.0 + traffic.spiky.0 + traffic.greedy.0;
+        let sum = traffic.near_quota + traffic.heavy.0 + traffic.bursty.0 + traffic.greedy.0;
         if sum > 1.0 + SHARES_MISS {
             let paths = ["full", "heavy", "spiky", "greedy"].map(|key| format!("traffic {key}"));
             self.fault_at(&paths, Reason::Customers(rounded(sum)));
@@ -144,7 +144,8 @@
 
     fn events(&mut self) {
         let (scenario, places) = (self.scenario, self.places);
-        let mut in_time: Vec<(&Timed, &EventPlaces)> = scenario.events.iter().zip(&places.events).collect();
+        let mut in_time: Vec<(&ScheduledEvent, &EventPlaces)> =
+            scenario.events.iter().zip(&places.events).collect();
         // At the same instant, earlier lines come first.
         in_time.sort_by_key(|(timed, _)| timed.at);
         let mut hosts = scenario.site.hosts;
@@ -152,16 +153,16 @@
             if timed.at > scenario.length {
                 self.fault(places.at, Reason::AfterEnd(span_text(scenario.length)));
             }
-            if let Some(sign) = &timed.sign {
+            if let Some(sign) = &timed.trigger {
                 self.named(&signs::named(sign), &places.sign, hosts, false);
                 self.signed(sign, timed, places);
             }
-            let may_repeat = matches!(timed.event, Event::Cut(..));
+            let may_repeat = matches!(timed.event, Event::Partition(..));
             self.named(&named(&timed.event), &places.marks, hosts, may_repeat);
             self.fits(&timed.event, places.event);
             let come = hosts.saturating_add(come(&timed.event, hosts));
-            if come > MOST_HOSTS && hosts <= MOST_HOSTS {
-                self.fault(places.event, Reason::ManyHosts(come, MOST_HOSTS));
+            if come > MAX_HOSTS && hosts <= MAX_HOSTS {
+                self.fault(places.event, Reason::ManyHosts(come, MAX_HOSTS));
             }
             hosts = come;
         }
@@ -189,13 +190,13 @@
     }
 
     /// An event may begin by this sign.
-    fn signed(&mut self, sign: &Sign, timed: &Timed, places: &EventPlaces) {
-        if matches!(sign, Sign::CounterCall(..)) && !self.scenario.site.counter.on {
+    fn signed(&mut self, sign: &Trigger, timed: &ScheduledEvent, places: &EventPlaces) {
+        if matches!(sign, Trigger::CounterCall(..)) && !self.scenario.site.counter.enabled {
             self.fault(places.sign.0[0], Reason::NoCounter);
         }
         match timed.event {
             Event::Traffic(..) => self.fault(places.event, Reason::Planned("traffic")),
-            Event::Lean(..) => self.fault(places.event, Reason::Planned("lean")),
+            Event::SkewTraffic(..) => self.fault(places.event, Reason::Planned("lean")),
             _ => {}
         }
     }
@@ -204,15 +205,20 @@
     fn fits(&mut self, event: &Event, place: Place) {
         let site = &self.scenario.site;
         let reason = match event {
-            Event::Counter(..) | Event::GarbleCounter(..) | Event::StopCounter(_) if !site.counter.on => {
+            Event::Counter(..) | Event::CorruptCounterReplies(..) | Event::SuspendCounter(_)
+                if !site.counter.enabled =>
+            {
                 Some(Reason::NoCounter)
             }
-            Event::Links(_, LinkEnd::Counter, ..) if !site.counter.on => Some(Reason::NoCounter),
-            Event::Cut(Side::Counter, ..) | Event::Cut(_, Side::Counter, ..) if !site.counter.on => {
+            Event::Links(_, LinkEnd::Counter, ..) if !site.counter.enabled => Some(Reason::NoCounter),
+            Event::Partition(PartitionSide::Counter, ..)
+            | Event::Partition(_, PartitionSide::Counter, ..)
+                if !site.counter.enabled =>
+            {
                 Some(Reason::NoCounter)
             }
-            Event::Counter(CounterFault::Split(groups), _) => left_out(groups, site.gateways),
-            Event::Cut(one, other, ..) if one == other => Some(Reason::SameSides),
+            Event::Counter(CounterFault::SplitBrain(groups), _) => left_out(groups, site.gateways),
+            Event::Partition(one, other, ..) if one == other => Some(Reason::SameSides),
             Event::Traffic(_, whole, rise) if rise.saturating_mul(2) > *whole => {
                 Some(Reason::Rise { rise: span_text(*rise), whole: span_text(*whole) })
             }
--- a/crates/cluster-model/src/file/errors.rs
+++ b/crates/cluster-model/src/file/errors.rs
@@ -1,6 +1,9 @@
 //! What is wrong with a file, where, in one line.
 
-use super::{MOST_BYTES, MOST_CUSTOMERS, MOST_LINE_BYTES, MOST_NAMES, MOST_NUMBERS, MOST_SIGN, MOST_TITLE};
+use super::{
+    MAX_CUSTOMERS, MAX_FILE_BYTES, MAX_LINE_BYTES, MAX_LISTED_MACHINES, MAX_LOG_TEXT_CHARS, MAX_NAMES,
+    MAX_TITLE_CHARS,
+};
 
 /// A place in a file; lines and columns count from 1, columns in characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,10 +53,10 @@
 #[non_exhaustive]
 pub enum Reason {
     /// The file is too large.
-    #[error("the file has {0} bytes, and {MOST_BYTES} is the most")]
+    #[error("the file has {0} bytes, and {MAX_FILE_BYTES} is the most")]
     LargeFile(usize),
     /// A line is too long.
-    #[error("the line has {0} bytes, and {MOST_LINE_BYTES} is the most")]
+    #[error("the line has {0} bytes, and {MAX_LINE_BYTES} is the most")]
     LongLine(usize),
     /// A character that a terminal would act on.
     #[error("the character U+{:04X} is not allowed", u32::from(*.0))]
@@ -97,7 +100,7 @@
     #[error("a file begins with `scenario` and a title in quotes")]
     NoTitle,
     /// The title is empty or too long.
-    #[error("a title has 1 to {MOST_TITLE} letters, and this one has {0}")]
+    #[error("a title has 1 to {MAX_TITLE_CHARS} letters, and this one has {0}")]
     Title(usize),
     /// A name of a class or plan has other characters, or too many.
     #[error("`{0}` is no name: a name has 1 to 32 letters, digits, `-` and `_`, and begins with a letter")]
@@ -198,7 +201,7 @@
         line: u32,
     },
     /// Too many classes or plans.
-    #[error("these are {0} {1}, and {MOST_NAMES} is the most")]
+    #[error("these are {0} {1}, and {MAX_NAMES} is the most")]
     ManyNames(usize, &'static str),
     /// Shares do not add up.
     #[error("the shares of the {what} come to {sum}, not to 100 %")]
@@ -213,7 +216,7 @@
     Customers(String),
     /// A plan whose rate is next to nothing beside what its customers ask for together.
     #[error(
-        "plan `{0}` would have {1} customers or more to come to its share, and {MOST_CUSTOMERS} is the most"
+        "plan `{0}` would have {1} customers or more to come to its share, and {MAX_CUSTOMERS} is the most"
     )]
     ManyCustomers(String, u64),
     /// Wanted later than given up.
@@ -258,7 +261,7 @@
         there: String,
     },
     /// Too many numbers.
-    #[error("an event names {MOST_NUMBERS} machines at the most, a share or a count any number")]
+    #[error("an event names {MAX_LISTED_MACHINES} machines at the most, a share or a count any number")]
     ManyNumbers,
     /// Hosts came beyond all measure.
     #[error("with these, {0} hosts have come in all, and {1} is the most")]
@@ -270,7 +273,7 @@
     #[error("the site has no counter")]
     NoCounter,
     /// A part of a log's line that is empty or too long.
-    #[error("what a log says has 1 to {MOST_SIGN} letters, and this has {0}")]
+    #[error("what a log says has 1 to {MAX_LOG_TEXT_CHARS} letters, and this has {0}")]
     Sign(usize),
     /// Clients plan ahead, so nothing seen on the way can change what they will ask.
     #[error("`{0}` stands only behind `at`: clients know of it from the start")]
--- a/crates/cluster-model/src/file/events.rs
+++ b/crates/cluster-model/src/file/events.rs
@@ -4,16 +4,17 @@
 use super::figure::{number_text, share_text, span_text};
 use super::lexer::Kind;
 use super::line::{Bounds, Line};
-use super::{MOST_BUILDINGS, MOST_GATEWAYS, MOST_HOSTS, MOST_LENGTH, MOST_NUMBERS};
+use super::{MAX_BUILDINGS, MAX_GATEWAYS, MAX_HOSTS, MAX_LENGTH, MAX_LISTED_MACHINES};
 use crate::scenario::{
-    CounterFault, DiscoveryFault, Event, LinkEnd, LinkFault, LinkWay, Mishap, Side, Which,
+    CounterFault, DiscoveryFault, Event, LinkDirection, LinkEnd, LinkFault, PartitionSide, RequestFault,
+    Selector,
 };
 use crate::{Span, MS};
 use std::fmt;
 
 /// The words that events begin with. The one without a verb begins with its share: `10 % of the clients leave
 /// early for 10 s`.
-pub const VERBS: [&str; 23] = [
+pub const EVENT_KEYWORDS: [&str; 23] = [
     "kill",
     "restart",
     "reload",
@@ -43,9 +44,9 @@
 const LINK_FAULTS: [&str; 6] = ["hold", "cut", "slow", "narrow", "reset", "flap"];
 
 /// How long something lasts.
-const LASTING: Bounds<Span> = (MS, MOST_LENGTH);
+const LASTING: Bounds<Span> = (MS, MAX_LENGTH);
 /// A span that may be nothing.
-const WITHIN: Bounds<Span> = (0, MOST_LENGTH);
+const WITHIN: Bounds<Span> = (0, MAX_LENGTH);
 /// A share that hits something.
 const SHARE: Bounds<f64> = (0.0001, 1.0);
 /// How many times its part a building gets.
@@ -113,7 +114,7 @@
         if self.line.is_at_figure() {
             return self.leaving();
         }
-        match self.line.one_of("event", &VERBS)? {
+        match self.line.one_of("event", &EVENT_KEYWORDS)? {
             "kill" => self.kill(),
             "restart" => Ok(match self.machines()? {
                 (Machines::Gateways, which) => Event::RestartGateways(which, self.over()?),
@@ -137,8 +138,8 @@
             "heavy" => self.heavy(),
             "garble" => self.garble(),
             "cut" => self.cut(),
-            "reset" => self.mishap(Mishap::Reset),
-            "swallow" => self.mishap(Mishap::Swallowed),
+            "reset" => self.mishap(RequestFault::ConnectionReset),
+            "swallow" => self.mishap(RequestFault::Dropped),
             "stale" => self.stale(),
             "counter" => self.counter(),
             "links" => self.links(),
@@ -147,7 +148,7 @@
             "clock" => self.clock(),
             "lose" => {
                 let building = self.building()?;
-                Ok(Event::LoseBuilding(building, self.lasting()?))
+                Ok(Event::PowerLoss(building, self.lasting()?))
             }
             _ => self.discovery(),
         }
@@ -157,13 +158,13 @@
     fn stop(&mut self) -> Parsed<Event> {
         self.line.accept("the");
         if self.line.accept("counter") {
-            return Ok(Event::StopCounter(self.lasting()?));
+            return Ok(Event::SuspendCounter(self.lasting()?));
         }
         let (machines, which) = self.machines()?;
         let lasting = self.lasting()?;
         Ok(match machines {
-            Machines::Gateways => Event::StopGateways(which, lasting),
-            Machines::Hosts => Event::StopHosts(which, lasting),
+            Machines::Gateways => Event::SuspendGateways(which, lasting),
+            Machines::Hosts => Event::SuspendHosts(which, lasting),
         })
     }
 
@@ -173,7 +174,7 @@
         let which = self.only(Machines::Gateways)?;
         let is_ahead = self.line.one_of("direction", &["ahead", "behind"])? == "ahead";
         let by = self.line.span("clock", WITHIN)? as i64;
-        Ok(Event::Clock(which, if is_ahead { by } else { -by }))
+        Ok(Event::ClockOffset(which, if is_ahead { by } else { -by }))
     }
 
     fn leaving(&mut self) -> Parsed<Event> {
@@ -181,7 +182,7 @@
         for word in ["of", "the", "clients", "leave", "early"] {
             self.line.require(word)?;
         }
-        Ok(Event::Impatient(share, self.lasting()?))
+        Ok(Event::EarlyDisconnects(share, self.lasting()?))
     }
 
     fn kill(&mut self) -> Parsed<Event> {
@@ -209,7 +210,7 @@
     fn lean(&mut self) -> Parsed<Event> {
         self.line.require("to")?;
         let building = self.building()?;
-        Ok(Event::Lean(building, self.line.times("x", LEANING)?, self.lasting()?))
+        Ok(Event::SkewTraffic(building, self.line.times("x", LEANING)?, self.lasting()?))
     }
 
     /// `over 10 s`, or nothing.
@@ -230,7 +231,7 @@
     }
 
     fn add(&mut self) -> Parsed<Event> {
-        let count = self.line.count("add", (1, MOST_HOSTS), "hosts")?;
+        let count = self.line.count("add", (1, MAX_HOSTS), "hosts")?;
         Ok(Event::AddHosts(count))
     }
 
@@ -250,7 +251,7 @@
         self.line.require("of")?;
         self.mark();
         let class = self.line.name("class")?.to_owned();
-        Ok(Event::Heavy(class, share, self.line.times("x", WORSE)?, self.lasting()?))
+        Ok(Event::ExpensiveRequests(class, share, self.line.times("x", WORSE)?, self.lasting()?))
     }
 
     fn garble(&mut self) -> Parsed<Event> {
@@ -261,18 +262,18 @@
         self.line.require("answers")?;
         let lasting = self.lasting()?;
         Ok(match whose {
-            "hosts'" => Event::GarbleHosts(share, lasting),
-            _ => Event::GarbleCounter(share, lasting),
+            "hosts'" => Event::CorruptHostResponses(share, lasting),
+            _ => Event::CorruptCounterReplies(share, lasting),
         })
     }
 
     /// `3 % of requests at all hosts for 20 s`.
-    fn mishap(&mut self, mishap: Mishap) -> Parsed<Event> {
+    fn mishap(&mut self, mishap: RequestFault) -> Parsed<Event> {
         let share = self.line.share("share", SHARE)?;
         for word in ["of", "requests", "at"] {
             self.line.require(word)?;
         }
-        Ok(Event::Mishaps(mishap, share, self.only(Machines::Hosts)?, self.lasting()?))
+        Ok(Event::RequestFaults(mishap, share, self.only(Machines::Hosts)?, self.lasting()?))
     }
 
     /// `connections after 300 ms at all hosts for 20 s`.
@@ -281,12 +282,12 @@
         self.line.require("after")?;
         let after = self.line.span("after", WITHIN)?;
         self.line.require("at")?;
-        Ok(Event::Stale(after, self.only(Machines::Hosts)?, self.lasting()?))
+        Ok(Event::StaleConnections(after, self.only(Machines::Hosts)?, self.lasting()?))
     }
 
     fn cut(&mut self) -> Parsed<Event> {
         if self.line.accept("off") {
-            return Ok(Event::CutOff(self.building()?, self.lasting()?));
+            return Ok(Event::IsolateBuilding(self.building()?, self.lasting()?));
         }
         let one = self.side()?;
         self.line.require("from")?;
@@ -297,7 +298,7 @@
             self.line.require("with")?;
             self.line.require("resets")?;
         }
-        Ok(Event::Cut(one, other, lasting, resets))
+        Ok(Event::Partition(one, other, lasting, resets))
     }
 
     /// `gateways 1, 2 to the counter cut answers for 5 s`.
@@ -307,12 +308,12 @@
         let end = self.link_end()?;
         let fault = match self.line.one_of("link fault", &LINK_FAULTS)? {
             "hold" => LinkFault::Hold(self.way()),
-            "cut" => LinkFault::Cut(self.way()),
+            "cut" => LinkFault::Blackhole(self.way()),
             "slow" => {
                 let (from, to) = self.line.spans("slow", WITHIN)?;
-                LinkFault::Slow(from, to)
+                LinkFault::Delay(from, to)
             }
-            "narrow" => LinkFault::Narrow(self.line.number("narrow", RATE, "KiB/s")?),
+            "narrow" => LinkFault::RateLimit(self.line.number("narrow", RATE, "KiB/s")?),
             "reset" => return Ok(Event::Links(gateways, end, LinkFault::Reset, 0)),
             _ => {
                 self.line.require("every")?;
@@ -336,42 +337,42 @@
         })
     }
 
-    fn way(&mut self) -> LinkWay {
+    fn way(&mut self) -> LinkDirection {
         match (self.line.accept("calls"), self.line.accept("answers")) {
-            (true, _) => LinkWay::Calls,
-            (_, true) => LinkWay::Answers,
-            _ => LinkWay::Both,
+            (true, _) => LinkDirection::FromInitiator,
+            (_, true) => LinkDirection::ToInitiator,
+            _ => LinkDirection::Both,
         }
     }
 
-    fn side(&mut self) -> Parsed<Side> {
+    fn side(&mut self) -> Parsed<PartitionSide> {
         self.line.accept("the");
         Ok(match self.line.one_of("side", &["building", "gateway", "host", "counter", "clients"])? {
-            "building" => Side::Building(self.numbered("building", MOST_BUILDINGS)?),
-            "gateway" => Side::Gateway(self.numbered("gateway", MOST_GATEWAYS)?),
-            "host" => Side::Host(self.numbered("host", MOST_HOSTS)?),
-            "counter" => Side::Counter,
-            _ => Side::Clients,
+            "building" => PartitionSide::Building(self.numbered("building", MAX_BUILDINGS)?),
+            "gateway" => PartitionSide::Gateway(self.numbered("gateway", MAX_GATEWAYS)?),
+            "host" => PartitionSide::Host(self.numbered("host", MAX_HOSTS)?),
+            "counter" => PartitionSide::Counter,
+            _ => PartitionSide::Clients,
         })
     }
 
     fn counter(&mut self) -> Parsed<Event> {
         let faults = ["lost", "silent", "mute", "slow", "split", "fresh", "flapping", "full"];
         let fault = match self.line.one_of("counter fault", &faults)? {
-            "lost" => CounterFault::Lost,
-            "silent" => CounterFault::Silent,
-            "mute" => CounterFault::Mute,
+            "lost" => CounterFault::Unreachable,
+            "silent" => CounterFault::DropCalls,
+            "mute" => CounterFault::DropReplies,
             "slow" => {
                 let (from, to) = self.line.spans("slow", WITHIN)?;
-                CounterFault::Slow(from, to)
+                CounterFault::DelayReplies(from, to)
             }
-            "split" => CounterFault::Split(self.groups()?),
-            "fresh" => return Ok(Event::Counter(CounterFault::Fresh, 0)),
+            "split" => CounterFault::SplitBrain(self.groups()?),
+            "fresh" => return Ok(Event::Counter(CounterFault::Reset, 0)),
             "flapping" => {
                 self.line.require("every")?;
                 CounterFault::Flapping(self.line.span("every", LASTING)?)
             }
-            _ => CounterFault::Full,
+            _ => CounterFault::Overloaded,
         };
         Ok(Event::Counter(fault, self.lasting()?))
     }
@@ -380,9 +381,9 @@
     fn groups(&mut self) -> Parsed<Vec<Vec<u32>>> {
         let mut groups = Vec::new();
         loop {
-            let mut group = vec![self.numbered("gateway", MOST_GATEWAYS)?];
+            let mut group = vec![self.numbered("gateway", MAX_GATEWAYS)?];
             while self.line.is_at_figure() {
-                group.push(self.numbered("gateway", MOST_GATEWAYS)?);
+                group.push(self.numbered("gateway", MAX_GATEWAYS)?);
             }
             groups.push(group);
             if !self.line.accept_mark('|') {
@@ -398,15 +399,15 @@
     fn discovery(&mut self) -> Parsed<Event> {
         let faults = ["silent", "late", "repeats", "reordered", "cut"];
         let fault = match self.line.one_of("discovery fault", &faults)? {
-            "silent" => DiscoveryFault::Silent,
+            "silent" => DiscoveryFault::Stalled,
             "late" => {
                 self.line.require("by")?;
-                DiscoveryFault::Late(self.line.span("late by", LASTING)?)
+                DiscoveryFault::Delayed(self.line.span("late by", LASTING)?)
             }
-            "repeats" => DiscoveryFault::Repeats,
+            "repeats" => DiscoveryFault::Duplicated,
             "cut" => {
                 self.line.require("every")?;
-                DiscoveryFault::Cut(self.line.span("every", LASTING)?)
+                DiscoveryFault::WatchReset(self.line.span("every", LASTING)?)
             }
             _ => DiscoveryFault::Reordered,
         };
@@ -429,34 +430,35 @@
     }
 
     /// Machines of this kind alone.
-    fn only(&mut self, wanted: Machines) -> Parsed<Which> {
+    fn only(&mut self, wanted: Machines) -> Parsed<Selector> {
         self.which(&[wanted]).map(|(_, which)| which)
     }
 
-    fn machines(&mut self) -> Parsed<(Machines, Which)> {
+    fn machines(&mut self) -> Parsed<(Machines, Selector)> {
         self.which(&[Machines::Gateways, Machines::Hosts])
     }
 
     /// `all hosts`, `all hosts of building 2`, `20 % of the hosts`, `2 hosts` or `hosts 2, 5`, of one of these kinds.
-    fn which(&mut self, kinds: &[Machines]) -> Parsed<(Machines, Which)> {
+    fn which(&mut self, kinds: &[Machines]) -> Parsed<(Machines, Selector)> {
         if self.line.accept("all") {
             let kind = self.kind(kinds)?;
-            let which = if self.line.accept("of") { Which::Building(self.building()?) } else { Which::All };
+            let which =
+                if self.line.accept("of") { Selector::Building(self.building()?) } else { Selector::All };
             return Ok((kind, which));
         }
         if self.line.is_at_share() {
             let share = self.line.share("share", SHARE)?;
             self.line.require("of")?;
             self.line.accept("the");
-            return Ok((self.kind(kinds)?, Which::Share(share)));
+            return Ok((self.kind(kinds)?, Selector::Share(share)));
         }
         if self.line.is_at_figure() {
             self.mark();
-            let count = self.line.count("count", (1, MOST_HOSTS), "")?;
-            return Ok((self.kind(kinds)?, Which::Count(count)));
+            let count = self.line.count("count", (1, MAX_HOSTS), "")?;
+            return Ok((self.kind(kinds)?, Selector::Count(count)));
         }
         let kind = self.kind(kinds)?;
-        Ok((kind, Which::These(self.numbers(kind)?)))
+        Ok((kind, Selector::Numbers(self.numbers(kind)?)))
     }
 
     fn kind(&mut self, kinds: &[Machines]) -> Parsed<Machines> {
@@ -472,12 +474,12 @@
     /// `2, 5 and 7`.
     fn numbers(&mut self, kind: Machines) -> Parsed<Vec<u32>> {
         let most = match kind {
-            Machines::Gateways => MOST_GATEWAYS,
-            Machines::Hosts => MOST_HOSTS,
+            Machines::Gateways => MAX_GATEWAYS,
+            Machines::Hosts => MAX_HOSTS,
         };
         let mut numbers = vec![self.numbered(kind.singular(), most)?];
         while self.line.accept_comma_before_figure() || self.line.accept("and") {
-            if numbers.len() == MOST_NUMBERS {
+            if numbers.len() == MAX_LISTED_MACHINES {
                 return self.line.fault(Reason::ManyNumbers);
             }
             numbers.push(self.numbered(kind.singular(), most)?);
@@ -488,7 +490,7 @@
     /// `building 2`.
     fn building(&mut self) -> Parsed<u32> {
         self.line.require("building")?;
-        self.numbered("building", MOST_BUILDINGS)
+        self.numbered("building", MAX_BUILDINGS)
     }
 
     /// The number of a machine or building.
@@ -508,9 +510,9 @@
         Event::KillGateways(which, _)
         | Event::RestartGateways(which, _)
         | Event::ReloadGateways(which)
-        | Event::StopGateways(which, _)
+        | Event::SuspendGateways(which, _)
         | Event::FreezeGateways(which, _)
-        | Event::Clock(which, _)
+        | Event::ClockOffset(which, _)
         | Event::SlowGateways(which, _, _) => named_machines(which, Named::Gateway, Named::Gateways),
         Event::Links(which, end, ..) => {
             let mut named = named_machines(which, Named::Gateway, Named::Gateways);
@@ -519,53 +521,55 @@
             }
             named
         }
-        Event::LoseBuilding(building, _) | Event::CutOff(building, _) => vec![Named::Building(*building)],
+        Event::PowerLoss(building, _) | Event::IsolateBuilding(building, _) => {
+            vec![Named::Building(*building)]
+        }
         Event::SlowHosts(which, _, _)
         | Event::PauseHosts(which, _)
-        | Event::StopHosts(which, _)
+        | Event::SuspendHosts(which, _)
         | Event::DrainHosts(which, _, _)
         | Event::KillHosts(which, _)
         | Event::RestartHosts(which)
         | Event::ReplaceHosts(which, _) => named_machines(which, Named::Host, Named::Hosts),
-        Event::Mishaps(_, _, which, _) | Event::Stale(_, which, _) => {
+        Event::RequestFaults(_, _, which, _) | Event::StaleConnections(_, which, _) => {
             named_machines(which, Named::Host, Named::Hosts)
         }
-        Event::Lean(building, ..) => vec![Named::Building(*building)],
-        Event::Heavy(class, ..) => vec![Named::Class(class)],
-        Event::Cut(one, other, ..) => [one, other].into_iter().filter_map(named_side).collect(),
-        Event::Counter(CounterFault::Split(groups), _) => {
+        Event::SkewTraffic(building, ..) => vec![Named::Building(*building)],
+        Event::ExpensiveRequests(class, ..) => vec![Named::Class(class)],
+        Event::Partition(one, other, ..) => [one, other].into_iter().filter_map(named_side).collect(),
+        Event::Counter(CounterFault::SplitBrain(groups), _) => {
             groups.iter().flatten().map(|gateway| Named::Gateway(*gateway)).collect()
         }
         Event::Traffic(..)
         | Event::AddHosts(_)
-        | Event::GarbleHosts(..)
-        | Event::GarbleCounter(..)
+        | Event::CorruptHostResponses(..)
+        | Event::CorruptCounterReplies(..)
         | Event::Counter(..)
-        | Event::StopCounter(_)
+        | Event::SuspendCounter(_)
         | Event::Discovery(..)
-        | Event::Impatient(..) => Vec::new(),
+        | Event::EarlyDisconnects(..) => Vec::new(),
     }
 }
 
 fn named_machines(
-    which: &Which,
+    which: &Selector,
     one: fn(u32) -> Named<'static>,
     many: fn(u32) -> Named<'static>,
 ) -> Vec<Named<'static>> {
     match which {
-        Which::All | Which::Share(_) => Vec::new(),
-        Which::Count(count) => vec![many(*count)],
-        Which::These(these) => these.iter().copied().map(one).collect(),
-        Which::Building(number) => vec![Named::Building(*number)],
+        Selector::All | Selector::Share(_) => Vec::new(),
+        Selector::Count(count) => vec![many(*count)],
+        Selector::Numbers(these) => these.iter().copied().map(one).collect(),
+        Selector::Building(number) => vec![Named::Building(*number)],
     }
 }
 
-fn named_side(side: &Side) -> Option<Named<'static>> {
+fn named_side(side: &PartitionSide) -> Option<Named<'static>> {
     match side {
-        Side::Building(number) => Some(Named::Building(*number)),
-        Side::Gateway(number) => Some(Named::Gateway(*number)),
-        Side::Host(number) => Some(Named::Host(*number)),
-        Side::Counter | Side::Clients => None,
+        PartitionSide::Building(number) => Some(Named::Building(*number)),
+        PartitionSide::Gateway(number) => Some(Named::Gateway(*number)),
+        PartitionSide::Host(number) => Some(Named::Host(*number)),
+        PartitionSide::Counter | PartitionSide::Clients => None,
     }
 }
 
@@ -585,7 +589,7 @@
                 write!(f, "traffic x {} for {}", number_text(*times), span_text(*span))?;
                 write_if(f, *rise > 0, format_args!(", rising in {}", span_text(*rise)))
             }
-            Event::Lean(building, times, span) => {
+            Event::SkewTraffic(building, times, span) => {
                 let (times, span) = (number_text(*times), span_text(*span));
                 write!(f, "lean to building {building} x {times} for {span}")
             }
@@ -601,35 +605,35 @@
             Event::KillHosts(which, back) => write!(f, "kill {} {}", hosts(which), back_text(*back)),
             Event::RestartHosts(which) => write!(f, "restart {}", hosts(which)),
             Event::AddHosts(count) => {
-                write!(f, "add {}", machines_text(Machines::Hosts, &Which::Count(*count)))
+                write!(f, "add {}", machines_text(Machines::Hosts, &Selector::Count(*count)))
             }
             Event::ReplaceHosts(which, same) => {
                 write!(f, "replace {}", hosts(which))?;
                 write_if(f, *same, format_args!(", at the same addresses"))
             }
-            Event::Heavy(class, share, times, span) => {
+            Event::ExpensiveRequests(class, share, times, span) => {
                 let (share, times, span) = (share_text(*share), number_text(*times), span_text(*span));
                 write!(f, "heavy {share} of {class} x {times} for {span}")
             }
-            Event::GarbleHosts(share, span) => {
+            Event::CorruptHostResponses(share, span) => {
                 write!(f, "garble {} of the hosts' answers for {}", share_text(*share), span_text(*span))
             }
-            Event::Mishaps(mishap, share, which, span) => {
+            Event::RequestFaults(mishap, share, which, span) => {
                 let verb = match mishap {
-                    Mishap::Swallowed => "swallow",
-                    Mishap::Reset => "reset",
+                    RequestFault::Dropped => "swallow",
+                    RequestFault::ConnectionReset => "reset",
                 };
                 let (share, span) = (share_text(*share), span_text(*span));
                 write!(f, "{verb} {share} of requests at {} for {span}", hosts(which))
             }
-            Event::Stale(after, which, span) => {
+            Event::StaleConnections(after, which, span) => {
                 let (after, span) = (span_text(*after), span_text(*span));
                 write!(f, "stale connections after {after} at {} for {span}", hosts(which))
             }
-            Event::GarbleCounter(share, span) => {
+            Event::CorruptCounterReplies(share, span) => {
                 write!(f, "garble {} of the counter's answers for {}", share_text(*share), span_text(*span))
             }
-            Event::Cut(one, other, span, resets) => {
+            Event::Partition(one, other, span, resets) => {
                 write!(f, "cut {} from {} for {}", side_text(one), side_text(other), span_text(*span))?;
                 write_if(f, *resets, format_args!(", with resets"))
             }
@@ -642,28 +646,28 @@
                 write!(f, "links {} to {} ", gateways(which), link_end_text(end))?;
                 link_text(f, fault, *span)
             }
-            Event::StopGateways(which, span) => {
+            Event::SuspendGateways(which, span) => {
                 write!(f, "stop {} for {}", gateways(which), span_text(*span))
             }
             Event::FreezeGateways(which, span) => {
                 write!(f, "freeze {} for {}", gateways(which), span_text(*span))
             }
-            Event::StopHosts(which, span) => write!(f, "stop {} for {}", hosts(which), span_text(*span)),
-            Event::StopCounter(span) => write!(f, "stop the counter for {}", span_text(*span)),
-            Event::Clock(which, by) => {
+            Event::SuspendHosts(which, span) => write!(f, "stop {} for {}", hosts(which), span_text(*span)),
+            Event::SuspendCounter(span) => write!(f, "stop the counter for {}", span_text(*span)),
+            Event::ClockOffset(which, by) => {
                 let way = if *by < 0 { "behind" } else { "ahead" };
                 write!(f, "clock of {} {way} {}", gateways(which), span_text(by.unsigned_abs()))
             }
             Event::SlowGateways(which, times, span) => {
                 write!(f, "slow {} x {} for {}", gateways(which), number_text(*times), span_text(*span))
             }
-            Event::LoseBuilding(building, span) => {
+            Event::PowerLoss(building, span) => {
                 write!(f, "lose building {building} for {}", span_text(*span))
             }
-            Event::CutOff(building, span) => {
+            Event::IsolateBuilding(building, span) => {
                 write!(f, "cut off building {building} for {}", span_text(*span))
             }
-            Event::Impatient(share, span) => {
+            Event::EarlyDisconnects(share, span) => {
                 write!(f, "{} of the clients leave early for {}", share_text(*share), span_text(*span))
             }
         }
@@ -677,16 +681,16 @@
     Ok(())
 }
 
-fn machines_text(kind: Machines, which: &Which) -> String {
+fn machines_text(kind: Machines, which: &Selector) -> String {
     let numbers = |these: &[u32]| these.iter().map(u32::to_string).collect::<Vec<_>>().join(", ");
     match which {
-        Which::All => format!("all {}", kind.plural()),
-        Which::Share(share) => format!("{} of the {}", share_text(*share), kind.plural()),
-        Which::Building(number) => format!("all {} of building {number}", kind.plural()),
-        Which::Count(1) => format!("1 {}", kind.singular()),
-        Which::Count(count) => format!("{count} {}", kind.plural()),
-        Which::These(these) if these.len() == 1 => format!("{} {}", kind.singular(), numbers(these)),
-        Which::These(these) => format!("{} {}", kind.plural(), numbers(these)),
+        Selector::All => format!("all {}", kind.plural()),
+        Selector::Share(share) => format!("{} of the {}", share_text(*share), kind.plural()),
+        Selector::Building(number) => format!("all {} of building {number}", kind.plural()),
+        Selector::Count(1) => format!("1 {}", kind.singular()),
+        Selector::Count(count) => format!("{count} {}", kind.plural()),
+        Selector::Numbers(these) if these.len() == 1 => format!("{} {}", kind.singular(), numbers(these)),
+        Selector::Numbers(these) => format!("{} {}", kind.plural(), numbers(these)),
     }
 }
 
@@ -694,13 +698,13 @@
     back.map_or("for good".into(), |span| format!("for {}", span_text(span)))
 }
 
-fn side_text(side: &Side) -> String {
+fn side_text(side: &PartitionSide) -> String {
     match side {
-        Side::Building(number) => format!("building {number}"),
-        Side::Gateway(number) => format!("gateway {number}"),
-        Side::Host(number) => format!("host {number}"),
-        Side::Counter => "the counter".into(),
-        Side::Clients => "the clients".into(),
+        PartitionSide::Building(number) => format!("building {number}"),
+        PartitionSide::Gateway(number) => format!("gateway {number}"),
+        PartitionSide::Host(number) => format!("host {number}"),
+        PartitionSide::Counter => "the counter".into(),
+        PartitionSide::Clients => "the clients".into(),
     }
 }
 
@@ -714,16 +718,16 @@
 }
 
 fn link_text(f: &mut fmt::Formatter<'_>, fault: &LinkFault, span: Span) -> fmt::Result {
-    let way = |way: &LinkWay| match way {
-        LinkWay::Both => "",
-        LinkWay::Calls => " calls",
-        LinkWay::Answers => " answers",
+    let way = |way: &LinkDirection| match way {
+        LinkDirection::Both => "",
+        LinkDirection::FromInitiator => " calls",
+        LinkDirection::ToInitiator => " answers",
     };
     match fault {
         LinkFault::Hold(held) => write!(f, "hold{}", way(held))?,
-        LinkFault::Cut(cut) => write!(f, "cut{}", way(cut))?,
-        LinkFault::Slow(from, to) => write!(f, "slow {} to {}", span_text(*from), span_text(*to))?,
-        LinkFault::Narrow(rate) => write!(f, "narrow {} KiB/s", number_text(*rate))?,
+        LinkFault::Blackhole(cut) => write!(f, "cut{}", way(cut))?,
+        LinkFault::Delay(from, to) => write!(f, "slow {} to {}", span_text(*from), span_text(*to))?,
+        LinkFault::RateLimit(rate) => write!(f, "narrow {} KiB/s", number_text(*rate))?,
         // It happens at one moment: there is nothing to last.
         LinkFault::Reset => return f.write_str("reset"),
         LinkFault::Flap(every) => write!(f, "flap every {}", span_text(*every))?,
@@ -734,28 +738,28 @@
 fn counter_text(f: &mut fmt::Formatter<'_>, fault: &CounterFault, span: Span) -> fmt::Result {
     f.write_str("counter ")?;
     match fault {
-        CounterFault::Lost => f.write_str("lost")?,
-        CounterFault::Silent => f.write_str("silent")?,
-        CounterFault::Mute => f.write_str("mute")?,
-        CounterFault::Slow(from, to) => write!(f, "slow {} to {}", span_text(*from), span_text(*to))?,
-        CounterFault::Split(groups) => {
+        CounterFault::Unreachable => f.write_str("lost")?,
+        CounterFault::DropCalls => f.write_str("silent")?,
+        CounterFault::DropReplies => f.write_str("mute")?,
+        CounterFault::DelayReplies(from, to) => write!(f, "slow {} to {}", span_text(*from), span_text(*to))?,
+        CounterFault::SplitBrain(groups) => {
             let group = |group: &Vec<u32>| group.iter().map(u32::to_string).collect::<Vec<_>>().join(" ");
             write!(f, "split {}", groups.iter().map(group).collect::<Vec<_>>().join(" | "))?;
         }
         // It forgets at one moment: there is nothing to last.
-        CounterFault::Fresh => return f.write_str("fresh"),
+        CounterFault::Reset => return f.write_str("fresh"),
         CounterFault::Flapping(every) => write!(f, "flapping every {}", span_text(*every))?,
-        CounterFault::Full => f.write_str("full")?,
+        CounterFault::Overloaded => f.write_str("full")?,
     }
     write!(f, " for {}", span_text(span))
 }
 
 fn discovery_text(fault: &DiscoveryFault) -> String {
     match fault {
-        DiscoveryFault::Silent => "silent".into(),
-        DiscoveryFault::Late(by) => format!("late by {}", span_text(*by)),
-        DiscoveryFault::Repeats => "repeats".into(),
+        DiscoveryFault::Stalled => "silent".into(),
+        DiscoveryFault::Delayed(by) => format!("late by {}", span_text(*by)),
+        DiscoveryFault::Duplicated => "repeats".into(),
         DiscoveryFault::Reordered => "reordered".into(),
-        DiscoveryFault::Cut(every) => format!("cut every {}", span_text(*every)),
+        DiscoveryFault::WatchReset(every) => format!("cut every {}", span_text(*every)),
     }
 }
--- a/crates/cluster-model/src/file/fields.rs
+++ b/crates/cluster-model/src/file/fields.rs
@@ -3,7 +3,7 @@
 use super::errors::Parsed;
 use super::figure::{number_text, share_text, size_text, span_text};
 use super::line::{Bounds, Line};
-use super::{MOST_BUILDINGS, MOST_GATEWAYS, MOST_HOSTS};
+use super::{MAX_BUILDINGS, MAX_GATEWAYS, MAX_HOSTS};
 use crate::scenario::*;
 use crate::{Span, MS, SECOND};
 
@@ -49,7 +49,7 @@
     /// `on` or `off`, announced by itself.
     OnOff(&'a mut bool),
     /// `safe`, `unsafe` or `keyed for 5 s`, announced by itself.
-    Effect(&'a mut Effect),
+    Effect(&'a mut Idempotency),
     /// Two values with a word between them, which may be empty.
     Both(Box<Slot<'a>>, &'static str, Box<Slot<'a>>),
 }
@@ -98,9 +98,9 @@
             Slot::YesNo(slot) => if **slot { "yes" } else { "no" }.into(),
             Slot::OnOff(slot) => if **slot { "on" } else { "off" }.into(),
             Slot::Effect(slot) => match slot {
-                Effect::Safe => "safe".into(),
-                Effect::Keyed(window) => format!("keyed for {}", span_text(*window)),
-                Effect::Unsafe => "unsafe".into(),
+                Idempotency::Idempotent => "safe".into(),
+                Idempotency::Keyed(window) => format!("keyed for {}", span_text(*window)),
+                Idempotency::NonIdempotent => "unsafe".into(),
             },
             Slot::Both(first, "", second) => format!("{} {}", first.text(), second.text()),
             Slot::Both(first, between, second) => format!("{} {between} {}", first.text(), second.text()),
@@ -138,14 +138,14 @@
 /// For how long hosts may drop repeats.
 const WINDOW: Bounds<Span> = (MS, HOUR);
 
-fn read_effect(line: &mut Line<'_>, word: &str) -> Parsed<Effect> {
+fn read_effect(line: &mut Line<'_>, word: &str) -> Parsed<Idempotency> {
     Ok(match word {
-        "safe" => Effect::Safe,
+        "safe" => Idempotency::Idempotent,
         "keyed" => {
             line.require("for")?;
-            Effect::Keyed(line.span("keyed", WINDOW)?)
+            Idempotency::Keyed(line.span("keyed", WINDOW)?)
         }
-        _ => Effect::Unsafe,
+        _ => Idempotency::NonIdempotent,
     })
 }
 
@@ -166,15 +166,15 @@
 }
 
 fields!(SITE: Site {
-    "gateways" => |s| Slot::Count(&mut s.gateways, (1, MOST_GATEWAYS), "");
-    "hosts" => |s| Slot::Count(&mut s.hosts, (1, MOST_HOSTS), "");
-    "buildings" => |s| Slot::Count(&mut s.buildings, (1, MOST_BUILDINGS), "");
-    "sockets" => |s| Slot::Count(&mut s.sockets, (64, 1_000_000), "");
+    "gateways" => |s| Slot::Count(&mut s.gateways, (1, MAX_GATEWAYS), "");
+    "hosts" => |s| Slot::Count(&mut s.hosts, (1, MAX_HOSTS), "");
+    "buildings" => |s| Slot::Count(&mut s.buildings, (1, MAX_BUILDINGS), "");
+    "sockets" => |s| Slot::Count(&mut s.file_descriptors, (64, 1_000_000), "");
     "memory" => |s| Slot::Count(&mut s.memory_mb, (16, 1_000_000), "MB");
     "retry-after" => |s| Slot::MaybeSpan(&mut s.retry_after, (MS, MINUTE));
     "max-attempts" => |s| Slot::Count(&mut s.max_attempts, (1, 16), "");
-    "start-within" => |s| Slot::Span(&mut s.start_within, (0, 1500 * MS));
-    "second-copies" => |s| Slot::YesNo(&mut s.second_copies);
+    "start-within" => |s| Slot::Span(&mut s.start_jitter, (0, 1500 * MS));
+    "second-copies" => |s| Slot::YesNo(&mut s.hedging);
 });
 
 fields!(HOST: HostSpec {
@@ -183,34 +183,34 @@
     "speed-spread" => |h| Slot::Share(&mut h.speed_spread, (0.0, 0.9));
     "slots" => |h| Slot::Count(&mut h.slots, (1, 10_000), "");
     "queue" => |h| Slot::Count(&mut h.queue, (0, 100_000), "");
-    "thrash-at" => |h| Slot::Number(&mut h.thrash_at, (0.1, 1000.0), "requests/core");
-    "thrash" => |h| Slot::Share(&mut h.thrash, ANY_SHARE);
+    "thrash-at" => |h| Slot::Number(&mut h.thrash_threshold, (0.1, 1000.0), "requests/core");
+    "thrash" => |h| Slot::Share(&mut h.thrash_loss, ANY_SHARE);
     "cold" => |h| both(
-        Slot::Share(&mut h.cold_share, (0.01, 1.0)), "for", Slot::Span(&mut h.cold, (0, HOUR)));
+        Slot::Share(&mut h.warmup_share, (0.01, 1.0)), "for", Slot::Span(&mut h.warmup, (0, HOUR)));
     "connections" => |h| Slot::Count(&mut h.connections, (1, 1_000_000), "");
     "handshake" => |h| Slot::Span(&mut h.handshake, (0, 10 * SECOND));
     "error-rate" => |h| Slot::Share(&mut h.error_rate, ANY_SHARE);
-    "idle" => |h| Slot::Span(&mut h.idle, (10 * MS, HOUR));
+    "idle" => |h| Slot::Span(&mut h.idle_timeout, (10 * MS, HOUR));
 });
 
 fields!(COUNTER: CounterSpec {
-    "on" ("on", "off") => |c| Slot::OnOff(&mut c.on);
-    "parts" => |c| Slot::Count(&mut c.parts, (1, 100), "");
+    "on" ("on", "off") => |c| Slot::OnOff(&mut c.enabled);
+    "parts" => |c| Slot::Count(&mut c.shards, (1, 100), "");
     "rate" => |c| Slot::Number(&mut c.calls_per_s, (1.0, 1e6), "calls/s");
-    "call" => |c| Slot::Span(&mut c.call, (0, 10 * SECOND));
+    "call" => |c| Slot::Span(&mut c.service_time, (0, 10 * SECOND));
     "queue" => |c| Slot::Count(&mut c.queue, (0, 1_000_000), "");
     "timeout" => |c| Slot::Span(&mut c.timeout, (MS, 10 * SECOND));
     "building" => |c| Slot::Count(&mut c.building, (1, 100), "");
 });
 
 fields!(DISCOVERY: DiscoverySpec {
-    "notice" => |d| Slot::Spans(&mut d.notice, (0, 10 * MINUTE));
-    "silent-notice" => |d| Slot::Spans(&mut d.silent_notice, (0, 10 * MINUTE));
+    "notice" => |d| Slot::Spans(&mut d.update_delay, (0, 10 * MINUTE));
+    "silent-notice" => |d| Slot::Spans(&mut d.crash_detection_delay, (0, 10 * MINUTE));
 });
 
 fields!(NETWORK: NetworkSpec {
-    "same" => |n| Slot::Span(&mut n.same, (1_000, SECOND));
-    "cross" => |n| Slot::Span(&mut n.cross, (1_000, SECOND));
+    "same" => |n| Slot::Span(&mut n.intra_building, (1_000, SECOND));
+    "cross" => |n| Slot::Span(&mut n.inter_building, (1_000, SECOND));
     "client" => |n| Slot::Span(&mut n.client, (1_000, SECOND));
     "jitter" => |n| Slot::Share(&mut n.jitter, ANY_SHARE);
     "window" => |n| Slot::Size(&mut n.window, (1024, 16 << 20));
@@ -219,57 +219,57 @@
 fields!(RULES: RulesSpec {
     "drain-grace" => |r| Slot::Span(&mut r.drain_grace, (0, MINUTE));
     "fall" => |r| both(
-        Slot::Times(&mut r.fall_multiple, (0.1, 1000.0)), "for", Slot::Span(&mut r.fall, (MS, 10 * MINUTE)));
-    "answer-slack" => |r| Slot::Span(&mut r.answer_slack, (0, 10 * SECOND));
+        Slot::Times(&mut r.overload_factor, (0.1, 1000.0)), "for", Slot::Span(&mut r.overload_span, (MS, 10 * MINUTE)));
+    "answer-slack" => |r| Slot::Span(&mut r.deadline_slack, (0, 10 * SECOND));
 });
 
 fields!(CLASS: ClassSpec {
     "share" => |c| Slot::Share(&mut c.share, ANY_SHARE);
     "work" => |c| Slot::Span(&mut c.work, (1_000, MINUTE));
     "work-cv" => |c| Slot::Number(&mut c.work_cv, (0.0, 10.0), "");
-    "aim" => |c| Slot::Span(&mut c.aim, (MS, 10 * MINUTE));
+    "aim" => |c| Slot::Span(&mut c.latency_objective, (MS, 10 * MINUTE));
     "deadline" => |c| Slot::Span(&mut c.deadline, (MS, 10 * MINUTE));
-    "worth" => |c| Slot::Number(&mut c.worth, (0.0, 1e6), "");
-    "late-worth" => |c| Slot::Share(&mut c.late_worth, ANY_SHARE);
-    "effect" ("safe", "unsafe", "keyed") => |c| Slot::Effect(&mut c.effect);
+    "worth" => |c| Slot::Number(&mut c.priority_weight, (0.0, 1e6), "");
+    "late-worth" => |c| Slot::Share(&mut c.late_weight_share, ANY_SHARE);
+    "effect" ("safe", "unsafe", "keyed") => |c| Slot::Effect(&mut c.idempotency);
 });
 
 fields!(PLAN: PlanSpec {
     "share" => |p| Slot::Share(&mut p.share, ANY_SHARE);
     "rate" => |p| Slot::Number(&mut p.rate, (0.01, 1e6), "units/s");
     "burst" => |p| Slot::Number(&mut p.burst, (0.1, 1e6), "units");
-    "open" => |p| Slot::Count(&mut p.open, (0, 100_000), "");
-    "price" => |p| Slot::Number(&mut p.price, (0.0, 1e6), "");
-    "extra-worth" => |p| Slot::Share(&mut p.extra_worth, ANY_SHARE);
-    "overrun-cost" => |p| Slot::Share(&mut p.overrun_cost, (0.0, 10.0));
+    "open" => |p| Slot::Count(&mut p.max_in_flight, (0, 100_000), "");
+    "price" => |p| Slot::Number(&mut p.weight_factor, (0.0, 1e6), "");
+    "extra-worth" => |p| Slot::Share(&mut p.over_quota_weight_share, ANY_SHARE);
+    "overrun-cost" => |p| Slot::Share(&mut p.over_quota_cost, (0.0, 10.0));
     "ceiling-rate" => |p| Slot::Number(&mut p.ceiling_rate, (0.0, 1e6), "units/s");
     "ceiling-burst" => |p| Slot::Number(&mut p.ceiling_burst, (0.0, 1e6), "units");
     "ceiling-slack" => |p| Slot::Number(&mut p.ceiling_slack, (0.0, 1e6), "units");
-    "spread" => |p| Slot::Count(&mut p.spread, (1, MOST_GATEWAYS), "gateways");
+    "spread" => |p| Slot::Count(&mut p.spread, (1, MAX_GATEWAYS), "gateways");
 });
 
 fields!(TRAFFIC: Traffic {
     "rate" => |t| Slot::Number(&mut t.rate, (0.1, 100_000.0), "requests/s");
-    "most-units" => |t| Slot::Count(&mut t.most_units, (1, 1000), "units");
-    "guess-cv" => |t| Slot::Number(&mut t.guess_cv, (0.0, 10.0), "");
-    "calm-use" => |t| Slot::Shares(&mut t.calm_use, ANY_SHARE);
-    "full" => |t| Slot::Share(&mut t.full, ANY_SHARE);
+    "most-units" => |t| Slot::Count(&mut t.max_units, (1, 1000), "units");
+    "guess-cv" => |t| Slot::Number(&mut t.estimate_cv, (0.0, 10.0), "");
+    "calm-use" => |t| Slot::Shares(&mut t.normal_use, ANY_SHARE);
+    "full" => |t| Slot::Share(&mut t.near_quota, ANY_SHARE);
     "heavy" => |t| both(
         Slot::Share(&mut t.heavy.0, ANY_SHARE), "", Slot::Times(&mut t.heavy.1, (1.0, 100.0)));
     "spiky" => |t| both(
-        Slot::Share(&mut t.spiky.0, ANY_SHARE), "", Slot::Times(&mut t.spiky.1, (1.0, 100.0)));
+        Slot::Share(&mut t.bursty.0, ANY_SHARE), "", Slot::Times(&mut t.bursty.1, (1.0, 100.0)));
     "greedy" => |t| both(
         Slot::Share(&mut t.greedy.0, ANY_SHARE), "", Slot::Times(&mut t.greedy.1, (1.0, 100.0)));
-    "most-excess" => |t| Slot::Share(&mut t.most_excess, (0.0, 10.0));
+    "most-excess" => |t| Slot::Share(&mut t.max_excess, (0.0, 10.0));
     "skew" => |t| Slot::Number(&mut t.skew, (0.0, 10.0), "");
-    "uneven" => |t| Slot::Number(&mut t.uneven, (0.0, 10.0), "");
-    "shift" => |t| Slot::Span(&mut t.shift, (100 * MS, HOUR));
+    "uneven" => |t| Slot::Number(&mut t.gateway_imbalance, (0.0, 10.0), "");
+    "shift" => |t| Slot::Span(&mut t.imbalance_interval, (100 * MS, HOUR));
     "retries" => |t| Slot::Count(&mut t.retries, (0, 10), "");
     "backoff" => |t| Slot::Span(&mut t.backoff, (0, MINUTE));
-    "honour" => |t| Slot::Share(&mut t.honour, ANY_SHARE);
-    "try-share" => |t| Slot::Shares(&mut t.try_share, (0.01, 1.0));
-    "impatient" => |t| Slot::Share(&mut t.impatient, ANY_SHARE);
-    "front-notice" => |t| Slot::Span(&mut t.front_notice, (0, MINUTE));
+    "honour" => |t| Slot::Share(&mut t.follows_retry_after, ANY_SHARE);
+    "try-share" => |t| Slot::Shares(&mut t.request_timeout_share, (0.01, 1.0));
+    "impatient" => |t| Slot::Share(&mut t.early_disconnects, ANY_SHARE);
+    "front-notice" => |t| Slot::Span(&mut t.front_detection_delay, (0, MINUTE));
 });
 
 /// A class before its lines are read. The keys of [`CLASS_NEEDS`] have no default.
@@ -279,11 +279,11 @@
         share: 0.0,
         work: 0,
         work_cv: 0.8,
-        aim: 0,
+        latency_objective: 0,
         deadline: 0,
-        worth: 0.0,
-        late_worth: 0.0,
-        effect: Effect::Unsafe,
+        priority_weight: 0.0,
+        late_weight_share: 0.0,
+        idempotency: Idempotency::NonIdempotent,
     }
 }
 
@@ -297,10 +297,10 @@
         share: 0.0,
         rate: 0.0,
         burst: 0.0,
-        open: 0,
-        price: 0.0,
-        extra_worth: 0.0,
-        overrun_cost: 0.0,
+        max_in_flight: 0,
+        weight_factor: 0.0,
+        over_quota_weight_share: 0.0,
+        over_quota_cost: 0.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -322,7 +322,7 @@
     }
     let homes = [
         (has(SITE, word) || GROUPS.contains(&word), "in the section `site`"),
-        (super::VERBS.contains(&word), "behind `at` and a time, as in `at 10 s: ...`"),
+        (super::EVENT_KEYWORDS.contains(&word), "behind `at` and a time, as in `at 10 s: ...`"),
         (has(TRAFFIC, word), "in the section `traffic`"),
         (has(HOST, word), "in a line `host` of the section `site`"),
         (has(COUNTER, word), "in a line `counter` of the section `site`"),
--- a/crates/cluster-model/src/file/mod.rs
+++ b/crates/cluster-model/src/file/mod.rs
@@ -19,7 +19,7 @@
 mod writer;
 
 pub use errors::{FileError, Reason};
-pub use events::VERBS;
+pub use events::EVENT_KEYWORDS;
 pub use fields::{reference, Entry};
 pub use shipped::{find, shipped};
 pub use writer::to_text;
@@ -28,27 +28,27 @@
 use crate::Span;
 
 /// Bytes of a file.
-pub const MOST_BYTES: usize = 256 * 1024;
+pub const MAX_FILE_BYTES: usize = 256 * 1024;
 /// Bytes of a line.
-pub const MOST_LINE_BYTES: usize = 1000;
+pub const MAX_LINE_BYTES: usize = 1000;
 /// Gateways of a site.
-pub const MOST_GATEWAYS: u32 = 1000;
+pub const MAX_GATEWAYS: u32 = 1000;
 /// Hosts that a site has in the course of a rehearsal.
-pub const MOST_HOSTS: u32 = 1000;
+pub const MAX_HOSTS: u32 = 1000;
 /// Customers of a plan.
-pub const MOST_CUSTOMERS: u64 = 100_000;
+pub const MAX_CUSTOMERS: u64 = 100_000;
 /// Classes or plans of a site.
-pub const MOST_NAMES: usize = 20;
+pub const MAX_NAMES: usize = 20;
 /// Buildings of a site.
-pub const MOST_BUILDINGS: u32 = 100;
+pub const MAX_BUILDINGS: u32 = 100;
 /// Machines that one event names by number.
-pub const MOST_NUMBERS: usize = 100;
+pub const MAX_LISTED_MACHINES: usize = 100;
 /// Letters of a title.
-pub const MOST_TITLE: usize = 200;
+pub const MAX_TITLE_CHARS: usize = 200;
 /// Letters of a part of a log's line.
-pub const MOST_SIGN: usize = 200;
+pub const MAX_LOG_TEXT_CHARS: usize = 200;
 /// The longest rehearsal, in nanoseconds: two hours.
-pub const MOST_LENGTH: Span = 2 * 3600 * crate::SECOND;
+pub const MAX_LENGTH: Span = 2 * 3600 * crate::SECOND;
 
 /// Reads a scenario. `name` is the file's name: it stands in messages, and without folders and the ending
 /// `.scenario` it becomes the scenario's name.
--- a/crates/cluster-model/src/file/parser.rs
+++ b/crates/cluster-model/src/file/parser.rs
@@ -2,14 +2,14 @@
 
 use super::check::check;
 use super::errors::{Fault, Parsed, Place, Reason};
-use super::events::{self, Marks, VERBS};
+use super::events::{self, Marks, EVENT_KEYWORDS};
 use super::fields::*;
 use super::lexer::Kind;
 use super::line::Line;
 use super::near::nearest;
 use super::signs;
-use super::{MOST_BYTES, MOST_LENGTH, MOST_LINE_BYTES, MOST_NAMES, MOST_TITLE};
-use crate::scenario::{Scenario, Sign, Site, Timed};
+use super::{MAX_FILE_BYTES, MAX_LENGTH, MAX_LINE_BYTES, MAX_NAMES, MAX_TITLE_CHARS};
+use crate::scenario::{Scenario, ScheduledEvent, Site, Trigger};
 use crate::{Span, MS};
 use std::collections::BTreeMap;
 
@@ -79,7 +79,7 @@
 /// Reads a scenario, all but its name.
 pub(super) fn parse(text: &str) -> Parsed<Scenario> {
     let start = Place { line: 1, column: 1 };
-    if text.len() > MOST_BYTES {
+    if text.len() > MAX_FILE_BYTES {
         return Err(Fault::new(start, Reason::LargeFile(text.len())));
     }
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
@@ -101,7 +101,7 @@
 
 impl Parser {
     fn line(&mut self, number: u32, text: &str) -> Parsed<()> {
-        if text.len() > MOST_LINE_BYTES {
+        if text.len() > MAX_LINE_BYTES {
             return Err(Fault::new(Place { line: number, column: 1 }, Reason::LongLine(text.len())));
         }
         let mut line = Line::new(number, text)?;
@@ -143,7 +143,7 @@
     fn top(&mut self, word: &str, line: &mut Line<'_>) -> Parsed<()> {
         match word {
             "scenario" => self.scenario.title = title(line)?,
-            "length" => self.scenario.length = line.span("length", (MS, MOST_LENGTH))?,
+            "length" => self.scenario.length = line.span("length", (MS, MAX_LENGTH))?,
             "site" => self.section = Section::Site,
             _ => self.section = Section::Traffic,
         }
@@ -153,7 +153,7 @@
     fn event(&mut self, line: &mut Line<'_>) -> Parsed<()> {
         line.require("at")?;
         let at_place = line.place();
-        let at = line.span("at", (0, MOST_LENGTH))?;
+        let at = line.span("at", (0, MAX_LENGTH))?;
         self.behind(line, (at, at_place), None)
     }
 
@@ -166,7 +166,7 @@
         if line.accept_mark(',') {
             line.require("by")?;
             at_place = line.place();
-            at = line.span("by", (0, MOST_LENGTH))?;
+            at = line.span("by", (0, MAX_LENGTH))?;
         }
         self.behind(line, (at, at_place), Some((sign, marks)))
     }
@@ -176,13 +176,13 @@
         &mut self,
         line: &mut Line<'_>,
         (at, at_place): (Span, Place),
-        sign: Option<(Sign, Marks)>,
+        sign: Option<(Trigger, Marks)>,
     ) -> Parsed<()> {
         line.require_mark(':')?;
         let event_place = line.place();
         let (event, marks) = events::read(line)?;
         let (sign, sign_marks) = sign.unzip();
-        self.scenario.events.push(Timed { at, sign, line: line.number, event });
+        self.scenario.events.push(ScheduledEvent { at, trigger: sign, line: line.number, event });
         let sign = sign_marks.unwrap_or_default();
         self.places.events.push(EventPlaces { at: at_place, sign, event: event_place, marks });
         Ok(())
@@ -261,7 +261,7 @@
     let place = line.place();
     let title = line.text("a title in quotes")?;
     let letters = title.chars().count();
-    if (1..=MOST_TITLE).contains(&letters) {
+    if (1..=MAX_TITLE_CHARS).contains(&letters) {
         return Ok(title);
     }
     Err(Fault::new(place, Reason::Title(letters)))
@@ -300,7 +300,7 @@
     match home(word) {
         Some(home) => line.fault(Reason::Elsewhere { word: word.into(), home }),
         None => {
-            let all: Vec<&str> = known.iter().chain(&TOP).chain(&VERBS).copied().collect();
+            let all: Vec<&str> = known.iter().chain(&TOP).chain(&EVENT_KEYWORDS).copied().collect();
             line.unknown("key", word, &all)
         }
     }
@@ -336,7 +336,7 @@
         }
         *list = left;
     }
-    if list.len() > MOST_NAMES {
+    if list.len() > MAX_NAMES {
         let plural = if what == "class" { "classes" } else { "plans" };
         let last = list.iter().filter_map(described).max();
         let place = last.unwrap_or(Place { line: 1, column: 1 });
--- a/crates/cluster-model/src/file/signs.rs
+++ b/crates/cluster-model/src/file/signs.rs
@@ -3,8 +3,8 @@
 use super::errors::{Parsed, Place};
 use super::events::{Marks, Named};
 use super::line::Line;
-use super::{MOST_GATEWAYS, MOST_HOSTS, MOST_SIGN};
-use crate::scenario::Sign;
+use super::{MAX_GATEWAYS, MAX_HOSTS, MAX_LOG_TEXT_CHARS};
+use crate::scenario::Trigger;
 use crate::seen::Told;
 use std::fmt;
 
@@ -20,14 +20,14 @@
 }
 
 /// Reads a sign, up to what stands behind it.
-pub(super) fn read(line: &mut Line<'_>) -> Parsed<(Sign, Marks)> {
+pub(super) fn read(line: &mut Line<'_>) -> Parsed<(Trigger, Marks)> {
     let mut reader = Reader { line, marks: Marks::default() };
     let sign = reader.sign()?;
     Ok((sign, reader.marks))
 }
 
 impl Reader<'_, '_> {
-    fn sign(&mut self) -> Parsed<Sign> {
+    fn sign(&mut self) -> Parsed<Trigger> {
         match self.line.one_of("sign", &["call", "answer", "gateway", "host"])? {
             "call" => self.call(),
             "answer" => {
@@ -35,7 +35,7 @@
                 self.line.require("from")?;
                 let gateway = self.named_gateway()?;
                 self.words(&["to", "the", "clients"])?;
-                Ok(Sign::Answer(gateway, n))
+                Ok(Trigger::Response(gateway, n))
             }
             "gateway" => self.of_gateway(),
             _ => {
@@ -43,46 +43,46 @@
                 Ok(match self.line.one_of("sign of a host", &["is", "starts", "ends"])? {
                     "is" => {
                         self.words(&["told", "to", "drain"])?;
-                        Sign::Drains(host)
+                        Trigger::HostDrain(host)
                     }
-                    word => Sign::Host(host, word == "starts"),
+                    word => Trigger::HostProcess(host, word == "starts"),
                 })
             }
         }
     }
 
     /// `100 from gateway 1 to the counter`.
-    fn call(&mut self) -> Parsed<Sign> {
+    fn call(&mut self) -> Parsed<Trigger> {
         let n = self.line.count("call", NTH, "")?;
         self.line.require("from")?;
         if self.line.accept("the") {
             self.words(&["clients", "to"])?;
-            return Ok(Sign::Request(self.named_gateway()?, n));
+            return Ok(Trigger::Request(self.named_gateway()?, n));
         }
         let gateway = self.named_gateway()?;
         self.line.require("to")?;
         if self.line.accept("the") {
             self.line.require("counter")?;
-            return Ok(Sign::CounterCall(gateway, n));
+            return Ok(Trigger::CounterCall(gateway, n));
         }
         if self.line.accept("any") {
             self.line.require("host")?;
-            return Ok(Sign::HostCall(gateway, None, n));
+            return Ok(Trigger::HostAttempt(gateway, None, n));
         }
         self.line.require("host")?;
-        Ok(Sign::HostCall(gateway, Some(self.host()?), n))
+        Ok(Trigger::HostAttempt(gateway, Some(self.host()?), n))
     }
 
     /// `2 logs "counter is degraded"`.
-    fn of_gateway(&mut self) -> Parsed<Sign> {
+    fn of_gateway(&mut self) -> Parsed<Trigger> {
         let gateway = self.gateway()?;
         Ok(match self.line.one_of("sign of a gateway", &["logs", "is", "starts", "ends"])? {
-            "logs" => Sign::Log(gateway, self.logged()?),
+            "logs" => Trigger::LogLine(gateway, self.logged()?),
             "is" => {
                 self.words(&["told", "that", "host"])?;
-                Sign::Told(gateway, self.host()?, self.state()?)
+                Trigger::DiscoveryUpdate(gateway, self.host()?, self.state()?)
             }
-            word => Sign::Gateway(gateway, word == "starts"),
+            word => Trigger::GatewayProcess(gateway, word == "starts"),
         })
     }
 
@@ -90,7 +90,7 @@
         let place = self.line.place();
         let text = self.line.text("a part of a line of the log, in quotes")?;
         let letters = text.chars().count();
-        if (1..=MOST_SIGN).contains(&letters) {
+        if (1..=MAX_LOG_TEXT_CHARS).contains(&letters) {
             return Ok(text);
         }
         Err(super::errors::Fault::new(place, super::Reason::Sign(letters)))
@@ -115,12 +115,12 @@
 
     fn gateway(&mut self) -> Parsed<u32> {
         self.mark();
-        self.line.count("gateway", (1, MOST_GATEWAYS), "")
+        self.line.count("gateway", (1, MAX_GATEWAYS), "")
     }
 
     fn host(&mut self) -> Parsed<u32> {
         self.mark();
-        self.line.count("host", (1, MOST_HOSTS), "")
+        self.line.count("host", (1, MAX_HOSTS), "")
     }
 
     fn mark(&mut self) {
@@ -130,41 +130,43 @@
 }
 
 /// What a sign names, as its marks stand.
-pub(super) fn named(sign: &Sign) -> Vec<Named<'static>> {
+pub(super) fn named(sign: &Trigger) -> Vec<Named<'static>> {
     match *sign {
-        Sign::HostCall(gateway, Some(host), _) | Sign::Told(gateway, host, _) => {
+        Trigger::HostAttempt(gateway, Some(host), _) | Trigger::DiscoveryUpdate(gateway, host, _) => {
             vec![Named::Gateway(gateway), Named::Host(host)]
         }
-        Sign::Drains(host) | Sign::Host(host, _) => vec![Named::Host(host)],
-        Sign::CounterCall(gateway, _)
-        | Sign::HostCall(gateway, None, _)
-        | Sign::Request(gateway, _)
-        | Sign::Answer(gateway, _)
-        | Sign::Gateway(gateway, _)
-        | Sign::Log(gateway, _) => vec![Named::Gateway(gateway)],
+        Trigger::HostDrain(host) | Trigger::HostProcess(host, _) => vec![Named::Host(host)],
+        Trigger::CounterCall(gateway, _)
+        | Trigger::HostAttempt(gateway, None, _)
+        | Trigger::Request(gateway, _)
+        | Trigger::Response(gateway, _)
+        | Trigger::GatewayProcess(gateway, _)
+        | Trigger::LogLine(gateway, _) => vec![Named::Gateway(gateway)],
     }
 }
 
 /// The words of a scenario file.
-impl fmt::Display for Sign {
+impl fmt::Display for Trigger {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let does = |starts: bool| if starts { "starts" } else { "ends" };
         match self {
-            Sign::CounterCall(gateway, n) => write!(f, "call {n} from gateway {gateway} to the counter"),
-            Sign::HostCall(gateway, None, n) => write!(f, "call {n} from gateway {gateway} to any host"),
-            Sign::HostCall(gateway, Some(host), n) => {
+            Trigger::CounterCall(gateway, n) => write!(f, "call {n} from gateway {gateway} to the counter"),
+            Trigger::HostAttempt(gateway, None, n) => {
+                write!(f, "call {n} from gateway {gateway} to any host")
+            }
+            Trigger::HostAttempt(gateway, Some(host), n) => {
                 write!(f, "call {n} from gateway {gateway} to host {host}")
             }
-            Sign::Request(gateway, n) => write!(f, "call {n} from the clients to gateway {gateway}"),
-            Sign::Answer(gateway, n) => write!(f, "answer {n} from gateway {gateway} to the clients"),
-            Sign::Told(gateway, host, told) => {
+            Trigger::Request(gateway, n) => write!(f, "call {n} from the clients to gateway {gateway}"),
+            Trigger::Response(gateway, n) => write!(f, "answer {n} from gateway {gateway} to the clients"),
+            Trigger::DiscoveryUpdate(gateway, host, told) => {
                 let state = STATES.iter().find(|(_, state)| state == told).map_or("", |(words, _)| words);
                 write!(f, "gateway {gateway} is told that host {host} {state}")
             }
-            Sign::Drains(host) => write!(f, "host {host} is told to drain"),
-            Sign::Gateway(gateway, starts) => write!(f, "gateway {gateway} {}", does(*starts)),
-            Sign::Host(host, starts) => write!(f, "host {host} {}", does(*starts)),
-            Sign::Log(gateway, text) => {
+            Trigger::HostDrain(host) => write!(f, "host {host} is told to drain"),
+            Trigger::GatewayProcess(gateway, starts) => write!(f, "gateway {gateway} {}", does(*starts)),
+            Trigger::HostProcess(host, starts) => write!(f, "host {host} {}", does(*starts)),
+            Trigger::LogLine(gateway, text) => {
                 write!(f, "gateway {gateway} logs \"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""))
             }
         }
--- a/crates/cluster-model/src/file/writer.rs
+++ b/crates/cluster-model/src/file/writer.rs
@@ -24,7 +24,7 @@
     }
     for timed in &scenario.events {
         let at = span_text(timed.at);
-        text += &match &timed.sign {
+        text += &match &timed.trigger {
             None => format!("at {at}: {}\n", timed.event),
             Some(sign) if timed.at == scenario.length => format!("when {sign}: {}\n", timed.event),
             Some(sign) => format!("when {sign}, by {at}: {}\n", timed.event),
--- a/crates/cluster-model/src/host.rs
+++ b/crates/cluster-model/src/host.rs
@@ -9,7 +9,7 @@
 mod processor;
 
 use crate::rng::Rng;
-use crate::scenario::{Effect, HostSpec, RulesSpec};
+use crate::scenario::{HostSpec, Idempotency, RulesSpec};
 use crate::{Span, Time};
 use budget::Budget;
 use memory::Memory;
@@ -53,7 +53,7 @@
     /// When nobody waits for it any more.
     pub deadline: Time,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 /// What a host does with a request that has come.
@@ -153,7 +153,7 @@
     /// A request has come whole.
     pub fn offer(&mut self, now: Time, request: Request) -> Offer {
         self.run_to(now);
-        let keyed = matches!(request.effect, Effect::Keyed(_));
+        let keyed = matches!(request.effect, Idempotency::Keyed(_));
         if keyed && !self.down && self.memory.holds(now, request.id) {
             return Offer::Remembered;
         }
@@ -315,7 +315,7 @@
         for job in self.processor.through() {
             let Some(request) = self.jobs.get(&job).copied() else { continue };
             let failed = Rng::stream(self.seed, "error", request.id).chance(self.spec.error_rate);
-            if let (Effect::Keyed(window), false) = (request.effect, failed) {
+            if let (Idempotency::Keyed(window), false) = (request.effect, failed) {
                 self.memory.keep(at, request.id, window);
             }
             let ending = if failed { Ending::Failed } else { Ending::Served };
--- a/crates/cluster-model/src/host/budget.rs
+++ b/crates/cluster-model/src/host/budget.rs
@@ -19,7 +19,13 @@
 
 impl Budget {
     pub(super) fn new(rules: &RulesSpec, slack: f64) -> Budget {
-        Budget { multiple: rules.fall_multiple, window: rules.fall, slack, recent: VecDeque::new(), sum: 0 }
+        Budget {
+            multiple: rules.overload_factor,
+            window: rules.overload_span,
+            slack,
+            recent: VecDeque::new(),
+            sum: 0,
+        }
     }
 
     /// Adds work; false: with it the window holds more than the host bears at `capacity` (work per nanosecond).
--- a/crates/cluster-model/src/resize.rs
+++ b/crates/cluster-model/src/resize.rs
@@ -1,6 +1,6 @@
 //! The same day at a site of another size.
 
-use crate::scenario::{CounterSpec, Event, LinkEnd, Scenario, Which};
+use crate::scenario::{CounterSpec, Event, LinkEnd, Scenario, Selector};
 
 /// A customer's set is not scaled below this: fewer gateways would be another kind of customer.
 const LEAST_SPREAD: u32 = 3;
@@ -36,7 +36,7 @@
                 *count = scaled(*count);
             }
             for which in whiches(&mut timed.event) {
-                if let Which::Count(count) = which {
+                if let Selector::Count(count) = which {
                     *count = scaled(*count);
                 }
             }
@@ -46,36 +46,36 @@
 }
 
 fn resize_counter(counter: &mut CounterSpec, times: f64) {
-    let before = counter.calls_per_s / f64::from(counter.parts.max(1));
-    let parts = libm::round(f64::from(counter.parts) * times).max(1.0);
+    let before = counter.calls_per_s / f64::from(counter.shards.max(1));
+    let parts = libm::round(f64::from(counter.shards) * times).max(1.0);
     let each = (counter.calls_per_s * times / parts).max(before.min(LEAST_CALLS));
-    counter.parts = parts as u32;
+    counter.shards = parts as u32;
     counter.calls_per_s = each * parts;
     let queue = libm::round(f64::from(counter.queue) * each / before);
     counter.queue = (queue as u32).max(counter.queue.min(1));
 }
 
 /// The machines that an event hits, where it hits some; of links, those at both ends.
-fn whiches(event: &mut Event) -> Vec<&mut Which> {
+fn whiches(event: &mut Event) -> Vec<&mut Selector> {
     match event {
         Event::Links(gateways, LinkEnd::Hosts(hosts), ..) => vec![gateways, hosts],
         Event::Links(which, ..)
-        | Event::StopGateways(which, _)
+        | Event::SuspendGateways(which, _)
         | Event::FreezeGateways(which, _)
-        | Event::Clock(which, _)
+        | Event::ClockOffset(which, _)
         | Event::SlowGateways(which, _, _)
         | Event::KillGateways(which, _)
         | Event::RestartGateways(which, _)
         | Event::ReloadGateways(which)
         | Event::SlowHosts(which, _, _)
         | Event::PauseHosts(which, _)
-        | Event::StopHosts(which, _)
+        | Event::SuspendHosts(which, _)
         | Event::DrainHosts(which, _, _)
         | Event::KillHosts(which, _)
         | Event::RestartHosts(which)
         | Event::ReplaceHosts(which, _)
-        | Event::Mishaps(_, _, which, _)
-        | Event::Stale(_, which, _) => vec![which],
+        | Event::RequestFaults(_, _, which, _)
+        | Event::StaleConnections(_, which, _) => vec![which],
         _ => Vec::new(),
     }
 }
@@ -83,25 +83,30 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::scenario::{LinkFault, Site, Timed};
+    use crate::scenario::{LinkFault, ScheduledEvent, Site};
 
     #[test]
     fn what_counts_goes_with_the_gateways_and_the_rest_stays() {
         let mut site = Site { gateways: 300, hosts: 150, ..Site::default() };
-        site.counter = CounterSpec { parts: 3, calls_per_s: 3000.0, queue: 20, ..CounterSpec::default() };
+        site.counter = CounterSpec { shards: 3, calls_per_s: 3000.0, queue: 20, ..CounterSpec::default() };
         (site.plans[0].spread, site.plans[1].spread) = (3, 100);
-        let timed = |event| Timed { at: 0, sign: None, event, line: 1 };
+        let timed = |event| ScheduledEvent { at: 0, trigger: None, event, line: 1 };
         let events = vec![
             timed(Event::AddHosts(15)),
-            timed(Event::PauseHosts(Which::Count(10), 1)),
-            timed(Event::ReloadGateways(Which::Share(0.1))),
-            timed(Event::Links(Which::Count(50), LinkEnd::Hosts(Which::Count(10)), LinkFault::Reset, 0)),
+            timed(Event::PauseHosts(Selector::Count(10), 1)),
+            timed(Event::ReloadGateways(Selector::Share(0.1))),
+            timed(Event::Links(
+                Selector::Count(50),
+                LinkEnd::Hosts(Selector::Count(10)),
+                LinkFault::Reset,
+                0,
+            )),
         ];
         let scenario = Scenario { site, events, ..Scenario::default() };
         let small = scenario.clone().with_gateways(60);
         assert_eq!((small.site.gateways, small.site.hosts, small.traffic.rate), (60, 30, 26.0));
         let counter = |day: &Scenario| {
-            let CounterSpec { parts, calls_per_s, queue, .. } = day.site.counter;
+            let CounterSpec { shards: parts, calls_per_s, queue, .. } = day.site.counter;
             (parts, calls_per_s, queue)
         };
         assert_eq!(counter(&small), (1, 600.0, 12));
@@ -109,16 +114,17 @@
         assert_eq!(counter(&scenario.clone().with_gateways(3)), (1, 100.0, 2));
         assert_eq!(small.site.plans.iter().map(|plan| plan.spread).collect::<Vec<_>>(), [3, 20]);
         assert_eq!(small.events[0].event, Event::AddHosts(3));
-        assert_eq!(small.events[1].event, Event::PauseHosts(Which::Count(2), 1));
+        assert_eq!(small.events[1].event, Event::PauseHosts(Selector::Count(2), 1));
         assert_eq!(small.events[2].event, scenario.events[2].event);
-        let links = Event::Links(Which::Count(10), LinkEnd::Hosts(Which::Count(2)), LinkFault::Reset, 0);
+        let links =
+            Event::Links(Selector::Count(10), LinkEnd::Hosts(Selector::Count(2)), LinkFault::Reset, 0);
         assert_eq!(small.events[3].event, links);
         assert_eq!(small.site.host, scenario.site.host);
         let smallest = scenario.with_gateways(2);
         assert_eq!(smallest.site.plans.iter().map(|plan| plan.spread).collect::<Vec<_>>(), [2, 2]);
         assert_eq!(
             (smallest.site.hosts, &smallest.events[1].event),
-            (1, &Event::PauseHosts(Which::Count(1), 1))
+            (1, &Event::PauseHosts(Selector::Count(1), 1))
         );
     }
 }
--- a/crates/cluster-model/src/scenario.rs
+++ b/crates/cluster-model/src/scenario.rs
@@ -1,315 +1,318 @@
-//! A scenario: a site, its traffic, and what happens to it when.
+//! Scenarios: the description of a site, its traffic, and the events that happen to it during a run.
 
 use crate::seen::Told;
 use crate::{Span, Time, MS, SECOND};
 
-/// A whole rehearsal.
+/// The description of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its short name, as given on the command line.
+    /// Short name, as given on the command line.
     pub name: String,
-    /// One line for people.
+    /// One-line description for people.
     pub title: String,
-    /// For how long clients ask.
+    /// How long clients send requests.
     pub length: Span,
-    /// The site.
+    /// The machines and services.
     pub site: Site,
-    /// What clients ask.
+    /// The load that clients generate.
     pub traffic: Traffic,
-    /// What happens, in the order of the file; at the same instant, earlier lines first and all of them
-    /// before any message that is due then.
-    pub events: Vec<Timed>,
+    /// Events in the order of the file. Events scheduled for the same instant are applied in this order, and
+    /// all of them before any message that is delivered at that instant.
+    pub events: Vec<ScheduledEvent>,
 }
 
-/// An event and when it happens.
+/// An event and the time or condition at which it begins.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Timed {
-    /// Counted from the first request. Behind a sign, the latest at which that may come.
+pub struct ScheduledEvent {
+    /// Time since the first request. For an event with a trigger: the latest time at which the trigger may fire.
     pub at: Span,
-    /// By what it begins, if by something seen and not by the clock.
-    pub sign: Option<Sign>,
-    /// Line of the file; 0 where there is none.
+    /// The condition that starts the event; `None` if the event starts at a fixed time.
+    pub trigger: Option<Trigger>,
+    /// Line number in the scenario file; 0 for an event that was not read from a file.
     pub line: u32,
-    /// What happens.
+    /// The event itself.
     pub event: Event,
 }
 
-/// Something seen by which an event begins, the first time or the n-th. Machines are numbered from 1.
+/// An observable condition that starts an event when it occurs for the first or the n-th time. Machines are
+/// numbered from 1.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sign {
-    /// The counter is through with the n-th call of this gateway.
+pub enum Trigger {
+    /// The counter has processed the n-th call of this gateway.
     CounterCall(u32, u32),
-    /// The n-th call of this gateway has come whole to this host, or to any.
-    HostCall(u32, Option<u32>, u32),
-    /// Clients have written their n-th request to this gateway.
+    /// The n-th attempt of this gateway has been received completely by this host, or by any host if `None`.
+    HostAttempt(u32, Option<u32>, u32),
+    /// Clients have written the n-th request to this gateway.
     Request(u32, u32),
-    /// Clients have got their n-th whole answer from this gateway.
-    Answer(u32, u32),
+    /// Clients have received the n-th complete response from this gateway.
+    Response(u32, u32),
     /// Discovery has written to this gateway that this host is in this state.
-    Told(u32, u32, Told),
-    /// This host is told to drain.
-    Drains(u32),
-    /// A process of this gateway has started (true), or ended.
-    Gateway(u32, bool),
-    /// This host has started (true), or is gone.
-    Host(u32, bool),
-    /// A line of this gateway's log holds this text.
-    Log(u32, String),
-}
-
-/// The machines of a site. The values of [`Site::default`] are those of `iasi-park`, in the middle of their
+    DiscoveryUpdate(u32, u32, Told),
+    /// This host is ordered to drain.
+    HostDrain(u32),
+    /// A process of this gateway has started (`true`) or ended (`false`).
+    GatewayProcess(u32, bool),
+    /// This host has started (`true`) or stopped (`false`).
+    HostProcess(u32, bool),
+    /// A log line of this gateway contains this text.
+    LogLine(u32, String),
+}
+
+/// The machines and services of a site. [`Site::default`] has the values of `iasi-park`, in the middle of their
 /// ranges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u32,
-    /// Hosts in service at the start.
+    /// Number of hosts in service at the start.
     pub hosts: u32,
-    /// Buildings; gateways and hosts are dealt out to them in turn.
+    /// Number of buildings; gateways and hosts are assigned to them round-robin.
     pub buildings: u32,
-    /// What a host is like.
+    /// Properties of each host.
     pub host: HostSpec,
-    /// The counter.
+    /// The counter service.
     pub counter: CounterSpec,
-    /// Discovery.
+    /// The discovery service.
     pub discovery: DiscoverySpec,
     /// The network.
     pub network: NetworkSpec,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<ClassSpec>,
-    /// Plans of customers.
+    /// Customer plans.
     pub plans: Vec<PlanSpec>,
-    /// Figures of the five rules.
+    /// Limits of the five rules that a run is checked against.
     pub rules: RulesSpec,
-    /// Descriptors of a gateway.
-    pub sockets: u32,
+    /// File descriptors that a gateway may have open.
+    pub file_descriptors: u32,
     /// Memory of a gateway in MB.
     pub memory_mb: u32,
-    /// Refusals may carry advice when to come back: the longest that clients follow.
+    /// Longest retry-after hint that clients follow; `None` if rejections carry no such hint.
     pub retry_after: Option<Span>,
-    /// Attempts that a request may have.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Gateways that start at the same time do so within this, each at its own moment; 0: at one instant.
-    pub start_within: Span,
-    /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    /// Gateways that are started together start at random times within this span; 0: all at the same instant.
+    pub start_jitter: Span,
+    /// Whether a request may be hedged: two attempts of one request in flight at the same time.
+    pub hedging: bool,
 }
 
-/// A host. Work is counted in nanoseconds of one core at speed 1.
+/// A host. Work is measured in nanoseconds of one core at speed 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSpec {
-    /// Cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Speed of a core; each host draws its own from `speed` times 1 +- `speed_spread`.
+    /// Mean speed of a core; each host draws its own between `speed * (1 - speed_spread)` and
+    /// `speed * (1 + speed_spread)`.
     pub speed: f64,
-    /// See `speed`.
+    /// Relative spread of `speed`.
     pub speed_spread: f64,
-    /// Requests in work at once.
+    /// Concurrency slots: requests that are processed at the same time.
     pub slots: u32,
-    /// Requests that may wait beyond those; more are turned away.
+    /// Requests that may wait for a slot; the host rejects further ones.
     pub queue: u32,
-    /// Requests held, per core, above which a host works less well.
-    pub thrash_at: f64,
-    /// Share of its capacity that it loses for each further one held per core, down to a quarter.
-    pub thrash: f64,
-    /// Share of its capacity at the start.
-    pub cold_share: f64,
-    /// It is warm after this.
-    pub cold: Span,
-    /// Connections it holds; further ones are reset.
+    /// Admitted requests per core above which the host loses capacity.
+    pub thrash_threshold: f64,
+    /// Share of capacity lost for each admitted request per core beyond the threshold; capacity never falls below
+    /// a quarter.
+    pub thrash_loss: f64,
+    /// Share of its capacity that a host has when it starts.
+    pub warmup_share: f64,
+    /// Time from the start of a host until it has its full capacity.
+    pub warmup: Span,
+    /// Connections that a host accepts; further ones are reset.
     pub connections: u32,
     /// Work that a new connection costs.
     pub handshake: Span,
     /// Share of requests that end in an error after they have run.
     pub error_rate: f64,
-    /// It closes connections that have stood idle for this long.
-    pub idle: Span,
+    /// Idle time after which a host closes a connection.
+    pub idle_timeout: Span,
 }
 
 /// The counter service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterSpec {
-    /// Whether there is one.
-    pub on: bool,
-    /// Parts, among which names are split.
-    pub parts: u32,
-    /// Calls a second that all parts together take.
+    /// Whether the site has a counter.
+    pub enabled: bool,
+    /// Number of shards among which counter names are divided.
+    pub shards: u32,
+    /// Calls per second that all shards together can process.
     pub calls_per_s: f64,
-    /// What a call takes beside the way there and back.
-    pub call: Span,
-    /// Calls that may wait at a part; more are turned away.
+    /// Duration of a call without the network delay.
+    pub service_time: Span,
+    /// Calls that may wait at a shard; further ones are rejected.
     pub queue: u32,
-    /// Gateways give a call up after this.
+    /// Time after which gateways abandon a call.
     pub timeout: Span,
-    /// The building that it stands in, numbered from 1.
+    /// Building of the counter, numbered from 1.
     pub building: u32,
 }
 
-/// Discovery.
+/// The discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoverySpec {
-    /// How long until agents hear of a change: each agent draws its own delay for each change from here.
-    pub notice: (Span, Span),
-    /// How long until agents hear of a host that died without a word.
-    pub silent_notice: (Span, Span),
+    /// Range of the delay until an agent learns of a change. Each agent draws a delay for each change.
+    pub update_delay: (Span, Span),
+    /// Range of the delay until an agent learns that a host has crashed without deregistering.
+    pub crash_detection_delay: (Span, Span),
 }
 
-/// One way, in nanoseconds.
+/// One-way network delays in nanoseconds, and buffer sizes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkSpec {
-    /// Within a building.
-    pub same: Span,
-    /// Between buildings.
-    pub cross: Span,
-    /// From a client to any gateway.
+    /// Delay between machines in the same building.
+    pub intra_building: Span,
+    /// Delay between machines in different buildings.
+    pub inter_building: Span,
+    /// Delay between a client and any gateway.
     pub client: Span,
-    /// Each message takes up to this share more.
+    /// Maximum random increase of the delay of each message, as a share of the delay.
     pub jitter: f64,
-    /// Bytes that may be on their way and unread on a connection in one direction.
+    /// Bytes per direction of a connection that may be in transit or received but unread.
     pub window: u32,
 }
 
-/// What may happen again once it may have run.
+/// Whether a request may run again once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Repeated at will.
-    Safe,
-    /// Hosts drop repeats for this long.
+pub enum Idempotency {
+    /// May be repeated without limit.
+    Idempotent,
+    /// Carries an idempotency key; hosts drop duplicates for this long.
     Keyed(Span),
-    /// Never again.
-    Unsafe,
+    /// Must never run twice.
+    NonIdempotent,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
     /// Share of all requests.
     pub share: f64,
-    /// Mean work of a unit-free request.
+    /// Mean work of a request, before its units are taken into account.
     pub work: Span,
     /// Coefficient of variation of the work (lognormal).
     pub work_cv: f64,
-    /// Wanted within this.
-    pub aim: Span,
-    /// Given up after this.
+    /// Latency within which a response earns the full priority weight.
+    pub latency_objective: Span,
+    /// Time after which clients abandon a request.
     pub deadline: Span,
-    /// Worth, before units and plan.
-    pub worth: f64,
-    /// Share of the worth of a late answer.
-    pub late_worth: f64,
-    /// Whether it may run again.
-    pub effect: Effect,
+    /// Priority weight, before units and plan are taken into account.
+    pub priority_weight: f64,
+    /// Share of the priority weight that a response after the latency objective still earns.
+    pub late_weight_share: f64,
+    /// Whether a request may run again.
+    pub idempotency: Idempotency,
 }
 
-/// A plan.
+/// A customer plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSpec {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// Share of what is asked inside quotas, in units.
+    /// Share of the load within quotas, in units.
     pub share: f64,
-    /// Units a second.
+    /// Refill rate of the token bucket in units per second.
     pub rate: f64,
-    /// Units the store holds.
+    /// Size of the token bucket in units.
     pub burst: f64,
-    /// Attempts out at once; 0: no such limit.
-    pub open: u32,
-    /// Factor on the worth.
-    pub price: f64,
-    /// Share of the worth earned beyond the quota.
-    pub extra_worth: f64,
-    /// Share of the worth that sending beyond the quota costs.
-    pub overrun_cost: f64,
-    /// Units a second of a hard ceiling; 0: none.
+    /// Maximum attempts in flight; 0: no limit.
+    pub max_in_flight: u32,
+    /// Factor on the priority weight.
+    pub weight_factor: f64,
+    /// Share of the priority weight earned for responses beyond the quota.
+    pub over_quota_weight_share: f64,
+    /// Cost of forwarding a request beyond the quota, as a share of its priority weight.
+    pub over_quota_cost: f64,
+    /// Refill rate of the hard ceiling in units per second; 0: no ceiling.
     pub ceiling_rate: f64,
-    /// Units that its store holds.
+    /// Token bucket size of the hard ceiling in units.
     pub ceiling_burst: f64,
-    /// Units that its store may go below nothing.
+    /// Units by which the ceiling's token bucket may become negative.
     pub ceiling_slack: f64,
-    /// Gateways that a customer comes through; the site's number of gateways at the most.
+    /// Number of gateways that a customer uses; at most the number of gateways of the site.
     pub spread: u32,
 }
 
-/// Figures of the rules.
+/// Limits of the rules that a run is checked against.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RulesSpec {
-    /// Nothing new to a host later than this after the news that it drains or is gone.
+    /// Time after a host's drain or removal is announced, beyond which no new attempt may be sent to it.
     pub drain_grace: Span,
-    /// A cold host falls when sent more than this many times what it can do...
-    pub fall_multiple: f64,
+    /// A warming-up host fails if it receives more than this multiple of its current capacity...
+    pub overload_factor: f64,
     /// ... for this long.
-    pub fall: Span,
-    /// An answer counts until this long after the client's time.
-    pub answer_slack: Span,
+    pub overload_span: Span,
+    /// Time after a client's deadline within which a response still counts.
+    pub deadline_slack: Span,
 }
 
-/// What clients ask.
+/// The load that clients generate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Traffic {
-    /// Requests a second inside the quotas, on average.
+    /// Mean requests per second within the quotas.
     pub rate: f64,
-    /// Units of a request: 1 up to this, small ones more often.
-    pub most_units: u32,
-    /// Requests carry a guess of their units that is off by this coefficient of variation; 0: the truth.
-    pub guess_cv: f64,
-    /// Share of its rate that a usual customer asks for, from and to.
-    pub calm_use: (f64, f64),
-    /// Share of the customers that use nearly all.
-    pub full: f64,
-    /// Share of the customers that ask for more for long spells, and up to how many times their rate.
+    /// Maximum units of a request; requests have 1 or more units, and small requests are more frequent.
+    pub max_units: u32,
+    /// Coefficient of variation of the error of the unit estimate that a request carries; 0: exact.
+    pub estimate_cv: f64,
+    /// Range of the share of its rate that a typical customer uses.
+    pub normal_use: (f64, f64),
+    /// Share of the customers that use nearly all of their rate.
+    pub near_quota: f64,
+    /// Share of the customers that exceed their rate for long periods, and the maximum multiple of their rate.
     pub heavy: (f64, f64),
-    /// Share of the customers that ask for more now and then, and up to how many times their rate.
-    pub spiky: (f64, f64),
-    /// Share of the customers that always ask for this many times their rate.
+    /// Share of the customers that exceed their rate in short bursts, and the maximum multiple of their rate.
+    pub bursty: (f64, f64),
+    /// Share of the customers that always exceed their rate, and the multiple of their rate.
     pub greedy: (f64, f64),
-    /// All that is asked beyond quotas is at most this share of what is asked inside.
-    pub most_excess: f64,
-    /// How unevenly a customer's requests come in over its gateways: 0 evenly.
+    /// Maximum load beyond quotas, as a share of the load within quotas.
+    pub max_excess: f64,
+    /// Imbalance of a customer's requests across its gateways; 0: even.
     pub skew: f64,
-    /// How unevenly all requests come in over the gateways, whoever asks: 0 evenly; at `u` the busiest get up to
-    /// 1 + `u` times the mean, as far as customers' sets allow.
-    pub uneven: f64,
-    /// The gateways that get most change this often.
-    pub shift: Span,
-    /// Times that a client tries again by itself.
+    /// Imbalance of all requests across the gateways, over all customers; 0: even. At `u` the busiest gateways
+    /// receive up to 1 + `u` times the mean, as far as the customers' gateway sets allow.
+    pub gateway_imbalance: f64,
+    /// Interval at which the set of busiest gateways changes.
+    pub imbalance_interval: Span,
+    /// Number of times that a client retries an operation.
     pub retries: u32,
-    /// How long it waits before (doubled each time).
+    /// Client backoff before the first retry; it doubles with each retry.
     pub backoff: Span,
-    /// Share of the clients that follow advice when to come back.
-    pub honour: f64,
-    /// Share of its class's time that a client gives a try, from and to.
-    pub try_share: (f64, f64),
-    /// Share of the clients that leave before their time is up.
-    pub impatient: f64,
-    /// How long requests go on coming to a gateway that has died, before the front notices.
-    pub front_notice: Span,
+    /// Share of the clients that follow retry-after hints.
+    pub follows_retry_after: f64,
+    /// Range of the client's timeout for a single request, as a share of the deadline of its class.
+    pub request_timeout_share: (f64, f64),
+    /// Share of the clients that disconnect before their deadline.
+    pub early_disconnects: f64,
+    /// How long requests keep arriving at a crashed gateway until the front end detects the crash.
+    pub front_detection_delay: Span,
 }
 
-/// Which machines.
+/// Selects the machines that an event affects.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Which {
-    /// All.
+pub enum Selector {
+    /// All machines.
     All,
-    /// This share of those there are: rounded to the nearest whole number, one at the least.
+    /// This share of the existing machines, rounded to the nearest integer but at least one.
     Share(f64),
-    /// So many, drawn by chance.
+    /// This number of machines, chosen at random.
     Count(u32),
-    /// These, numbered from 1.
-    These(Vec<u32>),
-    /// All of this building, numbered from 1.
+    /// The machines with these numbers, counted from 1.
+    Numbers(Vec<u32>),
+    /// All machines of this building, numbered from 1.
     Building(u32),
 }
 
-/// A side of a cut.
+/// One side of a network partition.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Side {
+pub enum PartitionSide {
     /// All machines of a building, numbered from 1.
     Building(u32),
     /// A gateway, numbered from 1.
     Gateway(u32),
-    /// A host, numbered from 1 in the order of their coming.
+    /// A host, numbered from 1 in the order in which hosts join.
     Host(u32),
     /// The counter.
     Counter,
@@ -317,171 +320,178 @@
     Clients,
 }
 
-/// The far end of the links of a gateway.
+/// The remote end of the links of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkEnd {
-    /// All clients, who call the gateway.
+    /// All clients, which connect to the gateway.
     Clients,
-    /// Hosts, which the gateway calls.
-    Hosts(Which),
-    /// The counter, which the gateway calls.
+    /// Hosts, to which the gateway connects.
+    Hosts(Selector),
+    /// The counter, to which the gateway connects.
     Counter,
-    /// The gateway's agent of discovery, which it calls.
+    /// The gateway's discovery agent, to which the gateway connects.
     Discovery,
 }
 
-/// Directions of a link.
+/// The direction of a link that a fault affects. The initiator is the end that opened the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkWay {
-    /// Both.
+pub enum LinkDirection {
+    /// Both directions.
     Both,
-    /// From the one that connected.
-    Calls,
-    /// To the one that connected.
-    Answers,
+    /// From the initiator.
+    FromInitiator,
+    /// To the initiator.
+    ToInitiator,
 }
 
-/// How links fail.
+/// A fault of network links.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkFault {
-    /// Bytes wait and pass all at once when it is over, also those of a process that has died meanwhile.
-    Hold(LinkWay),
-    /// Nothing passes.
-    Cut(LinkWay),
-    /// Each message takes this much longer, from and to, each way.
-    Slow(Span, Span),
-    /// So many KiB a second pass on a connection in each direction.
-    Narrow(f64),
-    /// All connections are reset, at that moment.
+    /// Bytes are held back and delivered all at once when the fault ends, including those of a process that has
+    /// died in the meantime.
+    Hold(LinkDirection),
+    /// Nothing is delivered.
+    Blackhole(LinkDirection),
+    /// Each message is delayed by an additional time from this range, in each direction.
+    Delay(Span, Span),
+    /// Each connection is limited to this many KiB per second in each direction.
+    RateLimit(f64),
+    /// All connections are reset once, when the event occurs.
     Reset,
-    /// Cut for so long, then whole for as long, and so on.
+    /// The link alternates between down and up, each for this long.
     Flap(Span),
 }
 
-/// How the counter fails.
+/// A fault of the counter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CounterFault {
-    /// No connection comes up, open ones are reset; it keeps its counts.
-    Lost,
-    /// It takes calls in and says nothing; the calls are not added.
-    Silent,
-    /// It adds and does not answer.
-    Mute,
-    /// Each answer takes this long, from and to; the call is added at once.
-    Slow(Span, Span),
-    /// Each group of gateways (numbered from 1) speaks to a counter of its own, which starts from what there
-    /// was. When it is over the groups' additions are summed.
-    Split(Vec<Vec<u32>>),
-    /// It has forgotten everything, at that moment; connections are reset.
-    Fresh,
-    /// Lost and back by turns of this length.
+    /// Connections are refused and open ones are reset; the counter keeps its values.
+    Unreachable,
+    /// Calls are received but neither applied nor answered.
+    DropCalls,
+    /// Calls are applied but not answered.
+    DropReplies,
+    /// Calls are applied at once, and each reply is delayed by a time from this range.
+    DelayReplies(Span, Span),
+    /// Each group of gateways (numbered from 1) uses its own copy of the counter, which starts from the current
+    /// values. When the fault ends, the additions of all groups are summed.
+    SplitBrain(Vec<Vec<u32>>),
+    /// The counter loses all values once, when the event occurs, and resets all connections.
+    Reset,
+    /// The counter alternates between unreachable and reachable, each for this long.
     Flapping(Span),
-    /// It refuses all calls as if it was full.
-    Full,
+    /// The counter rejects all calls as if its queue were full.
+    Overloaded,
 }
 
-/// How discovery fails.
+/// A fault of discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryFault {
-    /// Agents are sent nothing and their watches fall silent.
-    Silent,
-    /// All news comes this much later.
-    Late(Span),
-    /// Each change is told twice or more.
-    Repeats,
-    /// Changes are told in another order than they came in.
+    /// Agents receive no updates, and their watches send no events.
+    Stalled,
+    /// All updates are delayed by this much.
+    Delayed(Span),
+    /// Each change is delivered at least twice.
+    Duplicated,
+    /// Changes are delivered out of order.
     Reordered,
-    /// Watches are reset each time so long has passed.
-    Cut(Span),
+    /// Watches are reset at this interval.
+    WatchReset(Span),
 }
 
-/// What a host does to a request, without a word.
+/// A fault that affects single requests at a host, without an error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mishap {
-    /// It takes it in and never answers.
-    Swallowed,
-    /// Its connection is reset: before it runs, when it has run, or within its answer, as chance has it.
-    Reset,
+pub enum RequestFault {
+    /// The host receives the request and never answers it.
+    Dropped,
+    /// The connection of the request is reset at a random stage: before it runs, after it has run, or in the
+    /// middle of the response.
+    ConnectionReset,
 }
 
-/// What happens.
+/// An event of a scenario. Unless stated otherwise, the last [`Span`] is how long it lasts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Gateways die, and come back after a while with nothing but their last list of hosts.
-    KillGateways(Which, Option<Span>),
-    /// Planned restarts, one after another within the span: SIGTERM, SIGKILL when it may come, a fresh start.
-    RestartGateways(Which, Span),
+    /// Gateways crash. They restart after this time (`None`: never), with only their last endpoint list.
+    KillGateways(Selector, Option<Span>),
+    /// Planned restarts, one after another within the span: SIGTERM, then SIGKILL when it is permitted, then a
+    /// new process.
+    RestartGateways(Selector, Span),
     /// SIGHUP with a new configuration file.
-    ReloadGateways(Which),
-    /// Traffic is this many times the usual for a while; it rises and falls over the last span.
+    ReloadGateways(Selector),
+    /// Traffic is multiplied by this factor. It rises and falls over the last span; the first span is the
+    /// duration of the whole event.
     Traffic(f64, Span, Span),
-    /// Gateways of this building (numbered from 1) get this many times their part of the traffic for a while.
-    Lean(u32, f64, Span),
-    /// Hosts work this many times slower for a while.
-    SlowHosts(Which, f64, Span),
-    /// Hosts do nothing for a while, connections stay open.
-    PauseHosts(Which, Span),
-    /// Hosts drain (one after another over the first span), finish what they have, and go after the second.
-    DrainHosts(Which, Span, Span),
-    /// Hosts die without a word and come back cold after a while, or never.
-    KillHosts(Which, Option<Span>),
-    /// Processes of hosts start anew at once: connections are reset, they are cold.
-    RestartHosts(Which),
-    /// So many new hosts come into service, cold.
+    /// The share of the traffic of the gateways in this building (numbered from 1) is multiplied by this factor.
+    SkewTraffic(u32, f64, Span),
+    /// Hosts work slower by this factor.
+    SlowHosts(Selector, f64, Span),
+    /// Hosts process nothing; connections stay open.
+    PauseHosts(Selector, Span),
+    /// Hosts drain one after another over the first span, finish their requests in flight, and stop after the
+    /// second span.
+    DrainHosts(Selector, Span, Span),
+    /// Hosts crash without deregistering, and return after this time (`None`: never), warming up.
+    KillHosts(Selector, Option<Span>),
+    /// Processes of hosts restart at once: their connections are reset, and they are warming up.
+    RestartHosts(Selector),
+    /// This number of new hosts joins, warming up.
     AddHosts(u32),
-    /// Hosts go and others come under new ids; true: at the addresses of those that went.
-    ReplaceHosts(Which, bool),
-    /// This share of a class's requests costs so many times the usual work for a while.
-    Heavy(String, f64, f64, Span),
-    /// This share of hosts' answers comes spoilt for a while.
-    GarbleHosts(f64, Span),
-    /// This happens to a share of the requests at hosts for a while.
-    Mishaps(Mishap, f64, Which, Span),
-    /// Connections to hosts that have stood idle for longer are dead, and nobody tells, for a while: what is written
-    /// to one is lost, and then it is reset.
-    Stale(Span, Which, Span),
-    /// This share of the counter's answers comes spoilt for a while.
-    GarbleCounter(f64, Span),
-    /// Nothing passes between two sides for a while; true: connections are reset, else silence.
-    Cut(Side, Side, Span, bool),
-    /// The counter fails for a while.
+    /// Hosts are replaced by hosts with new ids; `true`: at the addresses of the removed hosts.
+    ReplaceHosts(Selector, bool),
+    /// For this share of a class's requests, the work is multiplied by this factor.
+    ExpensiveRequests(String, f64, f64, Span),
+    /// This share of the hosts' responses is corrupted.
+    CorruptHostResponses(f64, Span),
+    /// A share of the requests at hosts is affected by this fault.
+    RequestFaults(RequestFault, f64, Selector, Span),
+    /// Connections to hosts that have been idle for longer than the first span are dead without notice: data
+    /// written to one is lost, and then the connection is reset.
+    StaleConnections(Span, Selector, Span),
+    /// This share of the counter's replies is corrupted.
+    CorruptCounterReplies(f64, Span),
+    /// Nothing is delivered between the two sides; `true`: connections are reset, `false`: they are silent.
+    Partition(PartitionSide, PartitionSide, Span, bool),
+    /// The counter has this fault.
     Counter(CounterFault, Span),
-    /// Discovery fails for a while.
+    /// Discovery has this fault.
     Discovery(DiscoveryFault, Span),
-    /// This share of the clients leaves early for a while.
-    Impatient(f64, Span),
-    /// Links between gateways and others fail for a while.
-    Links(Which, LinkEnd, LinkFault, Span),
-    /// Processes of gateways do not run for a while (SIGSTOP, SIGCONT); the clock goes on.
-    StopGateways(Which, Span),
-    /// Gateways' whole machines stand still for a while, their clocks too: they go on where they were, and believe
-    /// that it is that long ago.
-    FreezeGateways(Which, Span),
-    /// Processes of hosts do not run for a while; their systems still take connections and bytes in.
-    StopHosts(Which, Span),
-    /// The counter's process does not run for a while; its system still takes connections and bytes in.
-    StopCounter(Span),
-    /// Gateways whose processes start from now on (at 0: from the beginning) have clocks that are ahead by so many
-    /// nanoseconds, or behind.
-    Clock(Which, i64),
-    /// Processes of gateways run one part of so many of the time, in slices, for a while.
-    SlowGateways(Which, f64, Span),
-    /// A building loses power for a while: its gateways, its hosts, and its counter if it has that.
-    LoseBuilding(u32, Span),
-    /// Nothing passes between a building and all that is not in it for a while.
-    CutOff(u32, Span),
-}
-
-impl Which {
-    /// How many of `all` machines are meant, at the most for those of a building. A share is rounded to the nearest whole number, since that is the
-    /// closest that a small site comes to it; one at the least, since an event that hits nothing rehearses
-    /// nothing: 41 % of 3 gateways is 1, of 10 it is 4.
+    /// This share of the clients disconnects before the deadline.
+    EarlyDisconnects(f64, Span),
+    /// Links between gateways and a remote end have this fault.
+    Links(Selector, LinkEnd, LinkFault, Span),
+    /// Processes of gateways are suspended (SIGSTOP, SIGCONT); their clocks keep running.
+    SuspendGateways(Selector, Span),
+    /// The machines of gateways are frozen including their clocks, as a paused virtual machine is: on return,
+    /// they continue from the old time.
+    FreezeGateways(Selector, Span),
+    /// Processes of hosts are suspended; their kernels still accept connections and bytes.
+    SuspendHosts(Selector, Span),
+    /// The process of the counter is suspended; its kernel still accepts connections and bytes.
+    SuspendCounter(Span),
+    /// The clocks of gateway processes that start from now on (at 0: from the beginning) are ahead by this many
+    /// nanoseconds, or behind if negative.
+    ClockOffset(Selector, i64),
+    /// Processes of gateways receive CPU time, in slices, for only one part in this many.
+    SlowGateways(Selector, f64, Span),
+    /// A building loses power: its gateways, its hosts, and the counter if it is in that building.
+    PowerLoss(u32, Span),
+    /// Nothing is delivered between a building and everything outside it.
+    IsolateBuilding(u32, Span),
+}
+
+impl Selector {
+    /// Returns how many of `all` machines are selected; for a building, an upper bound. A share is rounded to the
+    /// nearest integer, the closest that a small site can get, and is at least one, since an event that affects
+    /// no machine tests nothing: 41 % of 3 gateways is 1, of 10 it is 4.
     pub fn count(&self, all: u32) -> u32 {
         match self {
-            Which::All | Which::Building(_) => all,
-            Which::Share(share) => (libm::round(share * f64::from(all)) as u32).clamp(1, all.max(1)).min(all),
-            Which::Count(count) => (*count).min(all),
-            Which::These(these) => these.iter().filter(|n| (1..=all).contains(*n)).count() as u32,
+            Selector::All | Selector::Building(_) => all,
+            Selector::Share(share) => {
+                (libm::round(share * f64::from(all)) as u32).clamp(1, all.max(1)).min(all)
+            }
+            Selector::Count(count) => (*count).min(all),
+            Selector::Numbers(numbers) => numbers.iter().filter(|n| (1..=all).contains(*n)).count() as u32,
         }
     }
 }
@@ -494,14 +504,14 @@
             speed_spread: 0.15,
             slots: 8,
             queue: 40,
-            thrash_at: 6.0,
-            thrash: 0.05,
-            cold_share: 0.25,
-            cold: 10 * SECOND,
+            thrash_threshold: 6.0,
+            thrash_loss: 0.05,
+            warmup_share: 0.25,
+            warmup: 10 * SECOND,
             connections: 1200,
             handshake: 900_000,
             error_rate: 0.001,
-            idle: 15 * SECOND,
+            idle_timeout: 15 * SECOND,
         }
     }
 }
@@ -509,10 +519,10 @@
 impl Default for CounterSpec {
     fn default() -> Self {
         CounterSpec {
-            on: true,
-            parts: 2,
+            enabled: true,
+            shards: 2,
             calls_per_s: 870.0,
-            call: MS,
+            service_time: MS,
             queue: 40,
             timeout: 50 * MS,
             building: 1,
@@ -522,19 +532,33 @@
 
 impl Default for DiscoverySpec {
     fn default() -> Self {
-        DiscoverySpec { notice: (500 * MS, 3 * SECOND), silent_notice: (6 * SECOND, 11 * SECOND) }
+        DiscoverySpec {
+            update_delay: (500 * MS, 3 * SECOND),
+            crash_detection_delay: (6 * SECOND, 11 * SECOND),
+        }
     }
 }
 
 impl Default for NetworkSpec {
     fn default() -> Self {
-        NetworkSpec { same: 200_000, cross: MS, client: 600_000, jitter: 0.15, window: 64 * 1024 }
+        NetworkSpec {
+            intra_building: 200_000,
+            inter_building: MS,
+            client: 600_000,
+            jitter: 0.15,
+            window: 64 * 1024,
+        }
     }
 }
 
 impl Default for RulesSpec {
     fn default() -> Self {
-        RulesSpec { drain_grace: 250 * MS, fall_multiple: 3.0, fall: 1500 * MS, answer_slack: 66 * MS }
+        RulesSpec {
+            drain_grace: 250 * MS,
+            overload_factor: 3.0,
+            overload_span: 1500 * MS,
+            deadline_slack: 66 * MS,
+        }
     }
 }
 
@@ -545,19 +569,19 @@
             share: 0.84,
             work: 75 * MS,
             work_cv: 0.8,
-            aim: 600 * MS,
+            latency_objective: 600 * MS,
             deadline: 1500 * MS,
-            worth: 3.0,
-            late_worth: 0.2,
-            effect: Effect::Safe,
+            priority_weight: 3.0,
+            late_weight_share: 0.2,
+            idempotency: Idempotency::Idempotent,
         };
         let order = ClassSpec {
             name: "unit-order".into(),
             share: 0.16,
             deadline: 2 * SECOND,
-            worth: 9.0,
-            late_worth: 0.0,
-            effect: Effect::Unsafe,
+            priority_weight: 9.0,
+            late_weight_share: 0.0,
+            idempotency: Idempotency::NonIdempotent,
             ..read.clone()
         };
         let standard = PlanSpec {
@@ -565,10 +589,10 @@
             share: 0.48,
             rate: 4.5,
             burst: 23.0,
-            open: 4,
-            price: 1.3,
-            extra_worth: 0.3,
-            overrun_cost: 0.0,
+            max_in_flight: 4,
+            weight_factor: 1.3,
+            over_quota_weight_share: 0.3,
+            over_quota_cost: 0.0,
             ceiling_rate: 0.0,
             ceiling_burst: 0.0,
             ceiling_slack: 0.0,
@@ -579,10 +603,10 @@
             share: 0.52,
             rate: 30.0,
             burst: 65.0,
-            open: 0,
-            price: 1.6,
-            extra_worth: 0.0,
-            overrun_cost: 0.6,
+            max_in_flight: 0,
+            weight_factor: 1.6,
+            over_quota_weight_share: 0.0,
+            over_quota_cost: 0.6,
             spread: 3,
             ..standard.clone()
         };
@@ -597,12 +621,12 @@
             classes: vec![read, order],
             plans: vec![standard, premium],
             rules: RulesSpec::default(),
-            sockets: 1024,
+            file_descriptors: 1024,
             memory_mb: 192,
             retry_after: None,
             max_attempts: 4,
-            start_within: 0,
-            second_copies: true,
+            start_jitter: 0,
+            hedging: true,
         }
     }
 }
@@ -611,23 +635,23 @@
     fn default() -> Self {
         Traffic {
             rate: 130.0,
-            most_units: 6,
-            guess_cv: 0.4,
-            calm_use: (0.15, 0.5),
-            full: 0.2,
+            max_units: 6,
+            estimate_cv: 0.4,
+            normal_use: (0.15, 0.5),
+            near_quota: 0.2,
             heavy: (0.1, 4.9),
-            spiky: (0.15, 7.9),
+            bursty: (0.15, 7.9),
             greedy: (0.0, 5.0),
-            most_excess: 0.9,
+            max_excess: 0.9,
             skew: 0.8,
-            uneven: 0.0,
-            shift: 12 * SECOND,
+            gateway_imbalance: 0.0,
+            imbalance_interval: 12 * SECOND,
             retries: 1,
             backoff: 100 * MS,
-            honour: 0.7,
-            try_share: (0.5, 1.0),
-            impatient: 0.0,
-            front_notice: 2 * SECOND,
+            follows_retry_after: 0.7,
+            request_timeout_share: (0.5, 1.0),
+            early_disconnects: 0.0,
+            front_detection_delay: 2 * SECOND,
         }
     }
 }
@@ -646,7 +670,7 @@
 }
 
 impl Scenario {
-    /// When the last request comes, for a first one at `start`.
+    /// Returns the time of the last request if the first one is sent at `start`.
     pub fn end(&self, start: Time) -> Time {
         start + self.length
     }
@@ -657,8 +681,8 @@
     use super::*;
 
     #[test]
-    fn a_share_is_rounded_to_the_nearest_and_hits_one_at_the_least() {
-        let count = |share: f64, all: u32| Which::Share(share).count(all);
+    fn a_share_selects_the_nearest_number_of_machines_but_at_least_one() {
+        let count = |share: f64, all: u32| Selector::Share(share).count(all);
         assert_eq!(
             [count(0.41, 3), count(0.41, 10), count(0.01, 3), count(1.0, 3), count(0.5, 0)],
             [1, 4, 1, 3, 0]
--- a/crates/cluster-model/src/settings.rs
+++ b/crates/cluster-model/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a gateway of this site at its start: the settings, and the configuration document
 //! around them. Times are whole nanoseconds, work and worth as in the scenario.
 
-use crate::scenario::{ClassSpec, Effect, PlanSpec, Scenario};
+use crate::scenario::{ClassSpec, Idempotency, PlanSpec, Scenario};
 use crate::{Span, MS, SECOND};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -30,9 +30,9 @@
             "counter-timeout": site.counter.timeout,
             "metering": 0,
             "peer-intake": 0.0,
-            "post-paid": traffic.guess_cv > 0.0,
-            "shared-counter": site.counter.on,
-            "units-top": traffic.most_units,
+            "post-paid": traffic.estimate_cv > 0.0,
+            "shared-counter": site.counter.enabled,
+            "units-top": traffic.max_units,
         },
         "family": "gate",
         "feedback": {"fields": [], "how": "none"},
@@ -42,12 +42,12 @@
         "me": gateway,
         "prices": prices(),
         "rules": {
-            "answer-slack": site.rules.answer_slack,
-            "cold": site.host.cold,
-            "cold-share": site.host.cold_share,
+            "answer-slack": site.rules.deadline_slack,
+            "cold": site.host.warmup,
+            "cold-share": site.host.warmup_share,
             "drain-grace": site.rules.drain_grace,
-            "fall": site.rules.fall,
-            "fall-multiple": site.rules.fall_multiple,
+            "fall": site.rules.overload_span,
+            "fall-multiple": site.rules.overload_factor,
             "must-ask-in": 10 * SECOND,
         },
         "services": classes,
@@ -74,7 +74,7 @@
     let site = &scenario.site;
     json!({
         "cancel": true,
-        "conn-idle": site.host.idle,
+        "conn-idle": site.host.idle_timeout,
         "cpu-us-per-request": 0.0,
         "cpu-us-per-s": 400_000,
         "dial-timeout": DIAL_TIMEOUT,
@@ -82,7 +82,7 @@
         "max-open": 20_000,
         "max-retry-after": site.retry_after.unwrap_or(0),
         "max-streams": STREAMS,
-        "may-duplicate": site.second_copies,
+        "may-duplicate": site.hedging,
         "peer-messages": false,
         "probes": false,
         "retry-after": site.retry_after.is_some(),
@@ -97,21 +97,21 @@
 }
 
 fn class(class: &ClassSpec) -> Value {
-    let (semantics, key_ttl) = match class.effect {
-        Effect::Safe => ("safe", 0),
-        Effect::Keyed(window) => ("keyed", window),
-        Effect::Unsafe => ("unsafe", 0),
+    let (semantics, key_ttl) = match class.idempotency {
+        Idempotency::Idempotent => ("safe", 0),
+        Idempotency::Keyed(window) => ("keyed", window),
+        Idempotency::NonIdempotent => ("unsafe", 0),
     };
     json!({
-        "aim": class.aim,
+        "aim": class.latency_objective,
         "dedup-scope": "all",
         "hard-limit": class.deadline,
         "key-ttl": key_ttl,
-        "late-worth": class.late_worth,
+        "late-worth": class.late_weight_share,
         "name": class.name,
         "semantics": semantics,
         "stream": false,
-        "worth": class.worth,
+        "worth": class.priority_weight,
     })
 }
 
@@ -120,13 +120,13 @@
         "burst": plan.burst,
         "cap-slack": plan.ceiling_slack,
         "ceiling-rate": plan.ceiling_rate,
-        "concurrency": plan.open,
-        "extra-worth": plan.extra_worth,
+        "concurrency": plan.max_in_flight,
+        "extra-worth": plan.over_quota_weight_share,
         "name": plan.name,
         "never-over-depth": plan.ceiling_burst,
-        "overrun-cost": plan.overrun_cost,
+        "overrun-cost": plan.over_quota_cost,
         "refill": plan.rate,
-        "worth-factor": plan.price,
+        "worth-factor": plan.weight_factor,
     })
 }
 
@@ -155,11 +155,11 @@
         "listen": start.listen.to_string(),
         "discovery": start.discovery.to_string(),
         "seed": format!("{:016x}", start.seed),
-        "limits": {"cores": 1.0, "memory_mb": site.memory_mb, "sockets": site.sockets},
+        "limits": {"cores": 1.0, "memory_mb": site.memory_mb, "sockets": site.file_descriptors},
         "known": start.known,
         "settings": settings(scenario, gateway),
     });
-    if site.counter.on {
+    if site.counter.enabled {
         document["counter"] = start.counter.to_string().into();
     }
     document
--- a/crates/cluster-model/src/traffic/behaviour.rs
+++ b/crates/cluster-model/src/traffic/behaviour.rs
@@ -2,7 +2,7 @@
 
 use crate::draw::{self, TRY_BITS};
 use crate::rng::Rng;
-use crate::scenario::{Effect, Site, Traffic};
+use crate::scenario::{Idempotency, Site, Traffic};
 use crate::seen::Got;
 use crate::{Span, MS};
 
@@ -45,7 +45,7 @@
 pub struct Behaviour {
     seed: u64,
     /// Deadlines and effects of the classes.
-    classes: Vec<(Span, Effect)>,
+    classes: Vec<(Span, Idempotency)>,
     retries: u32,
     backoff: Span,
     honour: f64,
@@ -58,18 +58,18 @@
     pub fn new(site: &Site, traffic: &Traffic, seed: u64) -> Behaviour {
         Behaviour {
             seed,
-            classes: site.classes.iter().map(|class| (class.deadline, class.effect)).collect(),
+            classes: site.classes.iter().map(|class| (class.deadline, class.idempotency)).collect(),
             // More would not fit into an id.
             retries: traffic.retries.min((1 << TRY_BITS) - 1),
             backoff: traffic.backoff,
-            honour: traffic.honour,
+            honour: traffic.follows_retry_after,
             longest_advice: site.retry_after,
-            try_share: traffic.try_share,
+            try_share: traffic.request_timeout_share,
         }
     }
 
-    fn class(&self, class: u32) -> (Span, Effect) {
-        self.classes.get(class as usize).copied().unwrap_or((0, Effect::Unsafe))
+    fn class(&self, class: u32) -> (Span, Idempotency) {
+        self.classes.get(class as usize).copied().unwrap_or((0, Idempotency::NonIdempotent))
     }
 
     /// How long a client waits for the answer to its first try: whole milliseconds, as on the wire.
@@ -86,7 +86,7 @@
         let allowed = match ended {
             Ended::Done => false,
             Ended::Busy(_) | Ended::Unreached => true,
-            Ended::Failed => effect == Effect::Safe,
+            Ended::Failed => effect == Idempotency::Idempotent,
         };
         if !allowed || tries == 0 || tries > self.retries {
             return None;
--- a/crates/cluster-model/src/traffic/customers.rs
+++ b/crates/cluster-model/src/traffic/customers.rs
@@ -91,7 +91,7 @@
         sum.inside += rate * draft.inside();
         sum.beyond += rate * draft.beyond();
     }
-    let excess = excess_kept(&rates, traffic.most_excess);
+    let excess = excess_kept(&rates, traffic.max_excess);
     rates.iter_mut().for_each(|sum| sum.beyond *= excess);
     (finish(site, &drafts, excess, mean_units, seed), rates)
 }
@@ -140,8 +140,8 @@
     let mut left = place;
     let shares = [
         (Kind::Heavy, traffic.heavy.0),
-        (Kind::Spiky, traffic.spiky.0),
-        (Kind::Full, traffic.full),
+        (Kind::Spiky, traffic.bursty.0),
+        (Kind::Full, traffic.near_quota),
         (Kind::Greedy, traffic.greedy.0),
     ];
     for (kind, share) in shares {
@@ -154,12 +154,12 @@
 }
 
 fn draft(plan: usize, kind: Kind, traffic: &Traffic, rng: &mut Rng) -> Draft {
-    let (from, to) = if kind == Kind::Full { (0.9, 1.0) } else { traffic.calm_use };
+    let (from, to) = if kind == Kind::Full { (0.9, 1.0) } else { traffic.normal_use };
     let calm = rng.between(from, to).clamp(LEAST_USE, 1.0);
     let most = match kind {
         Kind::Usual | Kind::Full => 1.0,
         Kind::Heavy => traffic.heavy.1.max(1.0),
-        Kind::Spiky => traffic.spiky.1.max(1.0),
+        Kind::Spiky => traffic.bursty.1.max(1.0),
         Kind::Greedy => traffic.greedy.1.max(1.0),
     };
     // "Up to" so many times: the upper half, or the word would mean little.
--- a/crates/cluster-model/src/traffic/deal.rs
+++ b/crates/cluster-model/src/traffic/deal.rs
@@ -2,7 +2,7 @@
 
 use super::Arrival;
 use crate::rng::Rng;
-use crate::scenario::{Event, Site, Timed, Traffic};
+use crate::scenario::{Event, ScheduledEvent, Site, Traffic};
 use crate::Span;
 
 /// A while in which the gateways of a building get another part of the traffic than usual.
@@ -20,9 +20,9 @@
 
 impl Lean {
     /// All that a scenario's events speak of.
-    pub fn of(events: &[Timed]) -> Vec<Lean> {
-        let lean = |timed: &Timed| match timed.event {
-            Event::Lean(building, times, span) => {
+    pub fn of(events: &[ScheduledEvent]) -> Vec<Lean> {
+        let lean = |timed: &ScheduledEvent| match timed.event {
+            Event::SkewTraffic(building, times, span) => {
                 let until = timed.at.saturating_add(span);
                 Some(Lean { from: timed.at, until, building: building.saturating_sub(1), times })
             }
@@ -51,10 +51,11 @@
         let gateways = site.gateways.max(1);
         let weight = |gateway: u32| {
             let place = Rng::stream(seed, "uneven", u64::from(gateway)).unit();
-            libm::pow(1.0 - place, traffic.uneven)
+            libm::pow(1.0 - place, traffic.gateway_imbalance)
         };
-        let uneven = (0..gateways).filter(|_| traffic.uneven > 0.0).map(weight).collect();
-        let (skew, shift, buildings) = (traffic.skew.max(0.0), traffic.shift, site.buildings.max(1));
+        let uneven = (0..gateways).filter(|_| traffic.gateway_imbalance > 0.0).map(weight).collect();
+        let (skew, shift, buildings) =
+            (traffic.skew.max(0.0), traffic.imbalance_interval, site.buildings.max(1));
         Deal { seed, gateways, buildings, skew, shift, uneven, leans: Vec::new() }
     }
 
--- a/crates/cluster-model/src/traffic/scale.rs
+++ b/crates/cluster-model/src/traffic/scale.rs
@@ -1,6 +1,6 @@
 //! Windows in which there is more or less traffic than usual.
 
-use crate::scenario::{Event, Timed};
+use crate::scenario::{Event, ScheduledEvent};
 use crate::Span;
 
 /// Traffic is `factor` times the usual in a window.
@@ -18,8 +18,8 @@
 
 impl Scale {
     /// The windows of a scenario.
-    pub fn of(events: &[Timed]) -> Vec<Scale> {
-        let window = |timed: &Timed| match timed.event {
+    pub fn of(events: &[ScheduledEvent]) -> Vec<Scale> {
+        let window = |timed: &ScheduledEvent| match timed.event {
             Event::Traffic(factor, length, rise) => {
                 Some(Scale { from: timed.at, until: timed.at.saturating_add(length), factor, rise })
             }
--- a/crates/cluster-model/tests/agent.rs
+++ b/crates/cluster-model/tests/agent.rs
@@ -173,7 +173,7 @@
     let mut registry = registry();
     let (mut watch, _) = Watch::open(&mut registry, START, 0, None).expect("it speaks");
     let over = START + 20 * SECOND;
-    registry.fail(START, DiscoveryFault::Silent, over);
+    registry.fail(START, DiscoveryFault::Stalled, over);
     registry.change(START, draining(0), Notice::Given);
     registry.change(START, gone(0), Notice::Given);
     assert_eq!(watch.next_due(&registry, START), over);
@@ -191,7 +191,7 @@
 #[test]
 fn late_news_comes_so_much_later() {
     let (mut usual, mut late) = (registry(), registry());
-    late.fail(START, DiscoveryFault::Late(20 * SECOND), START + SECOND);
+    late.fail(START, DiscoveryFault::Delayed(20 * SECOND), START + SECOND);
     for registry in [&mut usual, &mut late] {
         registry.change(START, draining(0), Notice::Given);
     }
@@ -202,7 +202,7 @@
 #[test]
 fn repeated_news_is_told_twice() {
     let mut registry = registry();
-    registry.fail(START, DiscoveryFault::Repeats, START + 30 * SECOND);
+    registry.fail(START, DiscoveryFault::Duplicated, START + 30 * SECOND);
     registry.change(START, draining(0), Notice::Given);
     registry.change(START, gone(0), Notice::Given);
     let told: Vec<u64> = hear(&mut registry, 0, START).iter().map(|(_, generation)| *generation).collect();
@@ -308,7 +308,7 @@
 #[test]
 fn healing_ends_a_silence() {
     let mut registry = registry();
-    registry.fail(START, DiscoveryFault::Silent, END);
+    registry.fail(START, DiscoveryFault::Stalled, END);
     assert!(registry.list(START, 0).is_none());
     registry.heal();
     assert!(registry.list(START, 0).is_some());
