--- a/crates/cluster-model/tests/counter.rs
+++ b/crates/cluster-model/tests/counter.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn at_twice_the_rate_the_line_fills_and_half_of_the_calls_are_turned_away() {
-    let spec = CounterSpec { parts: 1, calls_per_s: 100.0, queue: 10, ..CounterSpec::default() };
+    let spec = CounterSpec { shards: 1, calls_per_s: 100.0, queue: 10, ..CounterSpec::default() };
     let mut counter = Counter::new(&spec, 5);
     let taken: Vec<bool> = (0..400)
         .map(|n| counter.call(START + n * 5 * MS, 0, b"a", amount("1"), LIFE))
@@ -94,7 +94,7 @@
 
 #[test]
 fn parts_work_side_by_side() {
-    let spec = CounterSpec { parts: 4, calls_per_s: 400.0, queue: 1000, ..CounterSpec::default() };
+    let spec = CounterSpec { shards: 4, calls_per_s: 400.0, queue: 1000, ..CounterSpec::default() };
     let mut counter = Counter::new(&spec, 5);
     (0..400).for_each(|n| {
         call(&mut counter, START, 0, &format!("name {n}"), "1");
@@ -109,7 +109,7 @@
     call(&mut counter, START, 0, "a", "1");
     pass(&mut counter, START + SECOND);
     let (lost, back) = (START + SECOND, START + 3 * SECOND);
-    counter.fail(lost, CounterFault::Lost, back);
+    counter.fail(lost, CounterFault::Unreachable, back);
     assert!(counter.lost());
     assert_eq!(counter.resets(), 1);
     assert_eq!(counter.call(back - 1, 0, b"a", amount("1"), LIFE), Taken::Lost);
@@ -136,10 +136,10 @@
 
 #[test]
 fn a_silent_counter_adds_nothing_and_says_nothing() {
-    let mut counter = Counter::new(&CounterSpec { parts: 1, ..CounterSpec::default() }, 5);
+    let mut counter = Counter::new(&CounterSpec { shards: 1, ..CounterSpec::default() }, 5);
     let first = call(&mut counter, START, 0, "a", "1");
     let waits = call(&mut counter, START, 0, "a", "1");
-    counter.fail(START, CounterFault::Silent, START + SECOND);
+    counter.fail(START, CounterFault::DropCalls, START + SECOND);
     let within = call(&mut counter, START, 0, "a", "1");
     let ends: Vec<_> = pass(&mut counter, START + 2 * SECOND).iter().map(|s| (s.ticket, s.end)).collect();
     assert_eq!(ends, [(within, End::Dropped), (first, End::Unsaid), (waits, End::Dropped)]);
@@ -149,7 +149,7 @@
 #[test]
 fn a_mute_counter_adds_and_says_nothing() {
     let mut counter = counter();
-    counter.fail(START, CounterFault::Mute, START + SECOND);
+    counter.fail(START, CounterFault::DropReplies, START + SECOND);
     let ticket = call(&mut counter, START, 0, "a", "1");
     let settled = pass(&mut counter, START + 2 * SECOND);
     assert_eq!(settled, [Settled { ticket, at: START, end: End::Unsaid }]);
@@ -159,7 +159,7 @@
 #[test]
 fn a_slow_counter_adds_at_once_and_answers_in_the_order_of_the_calls() {
     let mut counter = counter();
-    counter.fail(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
+    counter.fail(START, CounterFault::DelayReplies(80 * MS, 500 * MS), START + 60 * SECOND);
     let calls: Vec<(Time, Ticket)> = (0..200)
         .map(|n| START + n * 10 * MS)
         .map(|at| (at, call(&mut counter, at, (at % 3) as u32, "a", "1")))
@@ -179,7 +179,7 @@
 #[test]
 fn a_slow_answer_holds_up_no_other_names() {
     let mut counter = counter();
-    counter.fail(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
+    counter.fail(START, CounterFault::DelayReplies(80 * MS, 500 * MS), START + 60 * SECOND);
     let calls = 0..100_u64;
     calls.for_each(|n| {
         call(&mut counter, START + n * 10 * MS, 0, &format!("{n}"), "1");
@@ -192,7 +192,7 @@
 fn a_full_counter_refuses_and_serves_what_waits() {
     let mut counter = counter();
     let ticket = call(&mut counter, START, 0, "a", "1");
-    counter.fail(START, CounterFault::Full, START + SECOND);
+    counter.fail(START, CounterFault::Overloaded, START + SECOND);
     assert_eq!(counter.call(START, 0, b"a", amount("1"), LIFE), Taken::Refused);
     let settled = pass(&mut counter, START + SECOND - 1);
     assert_eq!((settled.len(), settled[0].ticket), (1, ticket));
@@ -202,11 +202,11 @@
 
 #[test]
 fn a_fresh_counter_has_forgotten_everything() {
-    let mut counter = Counter::new(&CounterSpec { parts: 1, ..CounterSpec::default() }, 5);
+    let mut counter = Counter::new(&CounterSpec { shards: 1, ..CounterSpec::default() }, 5);
     let added = call(&mut counter, START, 0, "a", "1");
     let waits = call(&mut counter, START, 0, "a", "1");
     let now = START + MS / 2;
-    counter.fail(now, CounterFault::Fresh, START + SECOND);
+    counter.fail(now, CounterFault::Reset, START + SECOND);
     assert!(!counter.lost());
     assert_eq!((counter.resets(), counter.distinct(now)), (1, 0));
     let ends: Vec<_> = pass(&mut counter, now).iter().map(|s| (s.ticket, s.end)).collect();
@@ -232,7 +232,7 @@
     call(&mut counter, START, 0, "old", "10");
     call(&mut counter, START, 0, "untouched", "7");
     let (split, healed) = (START + SECOND, START + 5 * SECOND);
-    counter.fail(split, CounterFault::Split(vec![vec![1], vec![2, 3]]), healed);
+    counter.fail(split, CounterFault::SplitBrain(vec![vec![1], vec![2, 3]]), healed);
     let later = split + SECOND;
     assert_eq!(told(&mut counter, later, 0, "old", "1"), amount("11"));
     assert_eq!(told(&mut counter, later, 1, "old", "2"), amount("12"));
@@ -255,7 +255,7 @@
     let mut counter = counter();
     call(&mut counter, START, 0, "a", "10");
     let (split, healed) = (START + LIFE - SECOND, START + LIFE + 5 * SECOND);
-    counter.fail(split, CounterFault::Split(vec![vec![1], vec![2]]), healed);
+    counter.fail(split, CounterFault::SplitBrain(vec![vec![1], vec![2]]), healed);
     call(&mut counter, split, 0, "a", "1");
     call(&mut counter, START + LIFE, 0, "a", "2");
     call(&mut counter, START + LIFE + SECOND, 1, "a", "3");
@@ -267,14 +267,14 @@
 fn a_second_split_ends_the_first_and_healing_ends_all() {
     let mut counter = counter();
     let until = START + 60 * SECOND;
-    counter.fail(START, CounterFault::Split(vec![vec![1], vec![2]]), START + 10 * SECOND);
+    counter.fail(START, CounterFault::SplitBrain(vec![vec![1], vec![2]]), START + 10 * SECOND);
     call(&mut counter, START, 0, "a", "1");
     call(&mut counter, START, 1, "a", "2");
-    counter.fail(START + SECOND, CounterFault::Split(vec![vec![1, 2]]), until);
+    counter.fail(START + SECOND, CounterFault::SplitBrain(vec![vec![1, 2]]), until);
     assert_eq!(told(&mut counter, START + 11 * SECOND, 1, "a", "0"), amount("3"), "the first is over");
     assert_eq!(told(&mut counter, START + 12 * SECOND, 5, "a", "1"), amount("4"));
-    counter.fail(START + 13 * SECOND, CounterFault::Lost, until);
-    counter.fail(START + 13 * SECOND, CounterFault::Full, until);
+    counter.fail(START + 13 * SECOND, CounterFault::Unreachable, until);
+    counter.fail(START + 13 * SECOND, CounterFault::Overloaded, until);
     counter.heal(START + 14 * SECOND);
     assert!(!counter.lost());
     assert_eq!(told(&mut counter, START + 14 * SECOND, 0, "a", "0"), amount("4"));
@@ -283,11 +283,11 @@
 
 #[test]
 fn what_happens_at_an_instant_goes_before_the_calls_of_that_instant() {
-    let mut counter = Counter::new(&CounterSpec { parts: 1, ..CounterSpec::default() }, 5);
+    let mut counter = Counter::new(&CounterSpec { shards: 1, ..CounterSpec::default() }, 5);
     call(&mut counter, START, 0, "a", "1");
     let waits = call(&mut counter, START, 0, "a", "1");
     let turn = START + libm::round(1e9 / 870.0) as Time;
-    counter.fail(turn, CounterFault::Silent, turn + SECOND);
+    counter.fail(turn, CounterFault::DropCalls, turn + SECOND);
     let settled = pass(&mut counter, turn);
     assert!(settled.contains(&Settled { ticket: waits, at: turn, end: End::Dropped }), "{settled:?}");
 }
@@ -296,7 +296,7 @@
 fn the_same_seed_gives_the_same_answers() {
     let run = |seed| {
         let mut counter = Counter::new(&CounterSpec::default(), seed);
-        counter.fail(START, CounterFault::Slow(80 * MS, 500 * MS), START + SECOND);
+        counter.fail(START, CounterFault::DelayReplies(80 * MS, 500 * MS), START + SECOND);
         (0..50).for_each(|n| {
             call(&mut counter, START + n * MS * 10, 0, &format!("{n}"), "1");
         });
--- a/crates/cluster-model/tests/file.rs
+++ b/crates/cluster-model/tests/file.rs
@@ -1,6 +1,6 @@
 //! Scenario files: what is read, what is refused in which words, and what is written.
 
-use cluster_model::file::{find, parse, shipped, to_text, MOST_LENGTH};
+use cluster_model::file::{find, parse, shipped, to_text, MAX_LENGTH};
 use cluster_model::rng::Rng;
 use cluster_model::scenario::*;
 use cluster_model::{MS, SECOND};
@@ -72,49 +72,63 @@
             speed_spread: 0.1,
             slots: 6,
             queue: 30,
-            thrash_at: 5.5,
-            thrash: 0.04,
-            cold_share: 0.3,
-            cold: 12 * SECOND,
+            thrash_threshold: 5.5,
+            thrash_loss: 0.04,
+            warmup_share: 0.3,
+            warmup: 12 * SECOND,
             connections: 900,
             handshake: 1_200_000,
             error_rate: 0.002,
-            idle: 9 * SECOND,
+            idle_timeout: 9 * SECOND,
         },
         counter: CounterSpec {
-            on: false,
-            parts: 3,
+            enabled: false,
+            shards: 3,
             calls_per_s: 740.0,
-            call: 500_000,
+            service_time: 500_000,
             queue: 41,
             timeout: 60 * MS,
             building: 2,
         },
-        discovery: DiscoverySpec { notice: (SECOND, 2 * SECOND), silent_notice: (7 * SECOND, 8 * SECOND) },
-        network: NetworkSpec { same: 150_000, cross: 900_000, client: 500_000, jitter: 0.2, window: 32_768 },
+        discovery: DiscoverySpec {
+            update_delay: (SECOND, 2 * SECOND),
+            crash_detection_delay: (7 * SECOND, 8 * SECOND),
+        },
+        network: NetworkSpec {
+            intra_building: 150_000,
+            inter_building: 900_000,
+            client: 500_000,
+            jitter: 0.2,
+            window: 32_768,
+        },
         classes: vec![
             ClassSpec {
                 name: "bulk".into(),
                 share: 0.6,
                 work: 90 * MS,
                 work_cv: 1.1,
-                aim: SECOND,
+                latency_objective: SECOND,
                 deadline: 3 * SECOND,
-                worth: 1.5,
-                late_worth: 0.3,
-                effect: Effect::Keyed(5 * SECOND),
+                priority_weight: 1.5,
+                late_weight_share: 0.3,
+                idempotency: Idempotency::Keyed(5 * SECOND),
+            },
+            ClassSpec {
+                share: 0.4,
+                latency_objective: 500 * MS,
+                deadline: SECOND,
+                ..Site::default().classes[0].clone()
             },
-            ClassSpec { share: 0.4, aim: 500 * MS, deadline: SECOND, ..Site::default().classes[0].clone() },
         ],
         plans: vec![PlanSpec {
             name: "gold".into(),
             share: 1.0,
             rate: 12.5,
             burst: 1.0,
-            open: 5,
-            price: 2.0,
-            extra_worth: 0.1,
-            overrun_cost: 1.5,
+            max_in_flight: 5,
+            weight_factor: 2.0,
+            over_quota_weight_share: 0.1,
+            over_quota_cost: 1.5,
             ceiling_rate: 20.0,
             ceiling_burst: 30.0,
             ceiling_slack: 2.0,
@@ -122,36 +136,36 @@
         }],
         rules: RulesSpec {
             drain_grace: 300 * MS,
-            fall_multiple: 2.5,
-            fall: 2 * SECOND,
-            answer_slack: 70 * MS,
+            overload_factor: 2.5,
+            overload_span: 2 * SECOND,
+            deadline_slack: 70 * MS,
         },
-        sockets: 512,
+        file_descriptors: 512,
         memory_mb: 100,
         retry_after: Some(800 * MS),
         max_attempts: 3,
-        start_within: 700 * MS,
-        second_copies: false,
+        start_jitter: 700 * MS,
+        hedging: false,
     };
     let traffic = Traffic {
         rate: 55.5,
-        most_units: 1,
-        guess_cv: 0.0,
-        calm_use: (0.1, 0.2),
-        full: 0.3,
+        max_units: 1,
+        estimate_cv: 0.0,
+        normal_use: (0.1, 0.2),
+        near_quota: 0.3,
         heavy: (0.05, 2.0),
-        spiky: (0.06, 3.5),
+        bursty: (0.06, 3.5),
         greedy: (0.01, 4.0),
-        most_excess: 1.2,
+        max_excess: 1.2,
         skew: 0.5,
-        uneven: 3.0,
-        shift: 9 * SECOND,
+        gateway_imbalance: 3.0,
+        imbalance_interval: 9 * SECOND,
         retries: 2,
         backoff: 50 * MS,
-        honour: 0.6,
-        try_share: (0.4, 0.9),
-        impatient: 0.01,
-        front_notice: SECOND,
+        follows_retry_after: 0.6,
+        request_timeout_share: (0.4, 0.9),
+        early_disconnects: 0.01,
+        front_detection_delay: SECOND,
     };
     let wanted = Scenario {
         name: "test".into(),
@@ -229,71 +243,86 @@
         at 1 s: cut off building 2 for 10 s";
     use Event::*;
     let wanted = vec![
-        KillGateways(Which::Share(0.41), Some(6 * SECOND)),
-        KillGateways(Which::All, None),
-        KillGateways(Which::These(vec![1, 3]), None),
-        KillHosts(Which::These(vec![2, 5, 7]), Some(10 * SECOND)),
-        KillHosts(Which::Count(2), Some(60 * SECOND)),
-        RestartGateways(Which::These(vec![2]), 0),
-        RestartGateways(Which::All, 40 * SECOND),
-        KillGateways(Which::Building(2), Some(5 * SECOND)),
-        Lean(3, 1.8, 15 * SECOND),
-        RestartHosts(Which::All),
-        ReloadGateways(Which::Count(1)),
+        KillGateways(Selector::Share(0.41), Some(6 * SECOND)),
+        KillGateways(Selector::All, None),
+        KillGateways(Selector::Numbers(vec![1, 3]), None),
+        KillHosts(Selector::Numbers(vec![2, 5, 7]), Some(10 * SECOND)),
+        KillHosts(Selector::Count(2), Some(60 * SECOND)),
+        RestartGateways(Selector::Numbers(vec![2]), 0),
+        RestartGateways(Selector::All, 40 * SECOND),
+        KillGateways(Selector::Building(2), Some(5 * SECOND)),
+        SkewTraffic(3, 1.8, 15 * SECOND),
+        RestartHosts(Selector::All),
+        ReloadGateways(Selector::Count(1)),
         Traffic(1.8, 8 * SECOND, 500 * MS),
         Traffic(0.0, 8 * SECOND, 0),
-        SlowHosts(Which::Share(0.2), 6.0, 20 * SECOND),
-        PauseHosts(Which::These(vec![3]), 2 * SECOND),
-        DrainHosts(Which::Count(3), 10 * SECOND, 5 * SECOND),
-        DrainHosts(Which::All, 0, 0),
+        SlowHosts(Selector::Share(0.2), 6.0, 20 * SECOND),
+        PauseHosts(Selector::Numbers(vec![3]), 2 * SECOND),
+        DrainHosts(Selector::Count(3), 10 * SECOND, 5 * SECOND),
+        DrainHosts(Selector::All, 0, 0),
         AddHosts(4),
-        ReplaceHosts(Which::Count(3), false),
-        ReplaceHosts(Which::Count(3), true),
-        Heavy("price-read".into(), 0.02, 20.0, 20 * SECOND),
-        GarbleHosts(0.03, 20 * SECOND),
-        GarbleCounter(0.03, 10 * SECOND),
-        Cut(Side::Building(1), Side::Building(2), 5 * SECOND, false),
-        Cut(Side::Gateway(1), Side::Counter, 5 * SECOND, true),
-        Cut(Side::Clients, Side::Host(2), 5 * SECOND, false),
-        Counter(CounterFault::Lost, 120 * SECOND),
-        Counter(CounterFault::Silent, SECOND),
-        Counter(CounterFault::Mute, SECOND),
-        Counter(CounterFault::Slow(80 * MS, 500 * MS), SECOND),
-        Counter(CounterFault::Split(vec![vec![1, 2], vec![3]]), SECOND),
-        Counter(CounterFault::Fresh, 0),
+        ReplaceHosts(Selector::Count(3), false),
+        ReplaceHosts(Selector::Count(3), true),
+        ExpensiveRequests("price-read".into(), 0.02, 20.0, 20 * SECOND),
+        CorruptHostResponses(0.03, 20 * SECOND),
+        CorruptCounterReplies(0.03, 10 * SECOND),
+        Partition(PartitionSide::Building(1), PartitionSide::Building(2), 5 * SECOND, false),
+        Partition(PartitionSide::Gateway(1), PartitionSide::Counter, 5 * SECOND, true),
+        Partition(PartitionSide::Clients, PartitionSide::Host(2), 5 * SECOND, false),
+        Counter(CounterFault::Unreachable, 120 * SECOND),
+        Counter(CounterFault::DropCalls, SECOND),
+        Counter(CounterFault::DropReplies, SECOND),
+        Counter(CounterFault::DelayReplies(80 * MS, 500 * MS), SECOND),
+        Counter(CounterFault::SplitBrain(vec![vec![1, 2], vec![3]]), SECOND),
+        Counter(CounterFault::Reset, 0),
         Counter(CounterFault::Flapping(700 * MS), 10 * SECOND),
-        Counter(CounterFault::Full, SECOND),
-        Discovery(DiscoveryFault::Silent, SECOND),
-        Discovery(DiscoveryFault::Late(3 * SECOND), 10 * SECOND),
-        Discovery(DiscoveryFault::Repeats, SECOND),
+        Counter(CounterFault::Overloaded, SECOND),
+        Discovery(DiscoveryFault::Stalled, SECOND),
+        Discovery(DiscoveryFault::Delayed(3 * SECOND), 10 * SECOND),
+        Discovery(DiscoveryFault::Duplicated, SECOND),
         Discovery(DiscoveryFault::Reordered, SECOND),
-        Discovery(DiscoveryFault::Cut(700 * MS), 5 * SECOND),
-        Mishaps(Mishap::Swallowed, 0.037, Which::All, 20 * SECOND),
-        Mishaps(Mishap::Reset, 0.05, Which::These(vec![1, 2]), 20 * SECOND),
-        Stale(300 * MS, Which::Count(2), 20 * SECOND),
-        Impatient(0.1, 10 * SECOND),
-        Links(Which::These(vec![1, 2]), LinkEnd::Counter, LinkFault::Hold(LinkWay::Both), 5 * SECOND),
-        Links(Which::All, LinkEnd::Clients, LinkFault::Hold(LinkWay::Answers), 5 * SECOND),
+        Discovery(DiscoveryFault::WatchReset(700 * MS), 5 * SECOND),
+        RequestFaults(RequestFault::Dropped, 0.037, Selector::All, 20 * SECOND),
+        RequestFaults(RequestFault::ConnectionReset, 0.05, Selector::Numbers(vec![1, 2]), 20 * SECOND),
+        StaleConnections(300 * MS, Selector::Count(2), 20 * SECOND),
+        EarlyDisconnects(0.1, 10 * SECOND),
+        Links(
+            Selector::Numbers(vec![1, 2]),
+            LinkEnd::Counter,
+            LinkFault::Hold(LinkDirection::Both),
+            5 * SECOND,
+        ),
+        Links(Selector::All, LinkEnd::Clients, LinkFault::Hold(LinkDirection::ToInitiator), 5 * SECOND),
         Links(
-            Which::These(vec![2]),
-            LinkEnd::Hosts(Which::These(vec![3])),
-            LinkFault::Cut(LinkWay::Calls),
+            Selector::Numbers(vec![2]),
+            LinkEnd::Hosts(Selector::Numbers(vec![3])),
+            LinkFault::Blackhole(LinkDirection::FromInitiator),
             5 * SECOND,
         ),
-        Links(Which::Count(1), LinkEnd::Hosts(Which::Count(2)), LinkFault::Cut(LinkWay::Answers), 5 * SECOND),
-        Links(Which::All, LinkEnd::Hosts(Which::All), LinkFault::Slow(50 * MS, 200 * MS), 5 * SECOND),
-        Links(Which::All, LinkEnd::Hosts(Which::These(vec![1, 2])), LinkFault::Narrow(10.0), 5 * SECOND),
-        Links(Which::These(vec![1]), LinkEnd::Discovery, LinkFault::Reset, 0),
-        Links(Which::These(vec![1]), LinkEnd::Discovery, LinkFault::Flap(700 * MS), 10 * SECOND),
-        StopGateways(Which::These(vec![2]), 5 * SECOND),
-        SlowGateways(Which::These(vec![2]), 4.0, 10 * SECOND),
-        StopHosts(Which::These(vec![3]), 2 * SECOND),
-        StopCounter(5 * SECOND),
-        FreezeGateways(Which::These(vec![2]), 5 * SECOND),
-        Clock(Which::These(vec![1, 2]), -2_000_000_000),
-        Clock(Which::All, 1_500_000_000),
-        LoseBuilding(2, 30 * SECOND),
-        CutOff(2, 10 * SECOND),
+        Links(
+            Selector::Count(1),
+            LinkEnd::Hosts(Selector::Count(2)),
+            LinkFault::Blackhole(LinkDirection::ToInitiator),
+            5 * SECOND,
+        ),
+        Links(Selector::All, LinkEnd::Hosts(Selector::All), LinkFault::Delay(50 * MS, 200 * MS), 5 * SECOND),
+        Links(
+            Selector::All,
+            LinkEnd::Hosts(Selector::Numbers(vec![1, 2])),
+            LinkFault::RateLimit(10.0),
+            5 * SECOND,
+        ),
+        Links(Selector::Numbers(vec![1]), LinkEnd::Discovery, LinkFault::Reset, 0),
+        Links(Selector::Numbers(vec![1]), LinkEnd::Discovery, LinkFault::Flap(700 * MS), 10 * SECOND),
+        SuspendGateways(Selector::Numbers(vec![2]), 5 * SECOND),
+        SlowGateways(Selector::Numbers(vec![2]), 4.0, 10 * SECOND),
+        SuspendHosts(Selector::Numbers(vec![3]), 2 * SECOND),
+        SuspendCounter(5 * SECOND),
+        FreezeGateways(Selector::Numbers(vec![2]), 5 * SECOND),
+        ClockOffset(Selector::Numbers(vec![1, 2]), -2_000_000_000),
+        ClockOffset(Selector::All, 1_500_000_000),
+        PowerLoss(2, 30 * SECOND),
+        IsolateBuilding(2, 10 * SECOND),
     ];
     let read = events(lines);
     for (read, wanted) in read.iter().zip(&wanted) {
@@ -323,24 +352,25 @@
 fn signs_are_read_and_written_alike_and_come_by_the_end() {
     use cluster_model::seen::Told::{Draining, Gone, InService};
     let signs = [
-        ("call 100 from gateway 1 to the counter", Sign::CounterCall(1, 100)),
-        ("call 5 from gateway 1 to host 3", Sign::HostCall(1, Some(3), 5)),
-        ("call 5 from gateway 1 to any host", Sign::HostCall(1, None, 5)),
-        ("call 50 from the clients to gateway 2", Sign::Request(2, 50)),
-        ("answer 50 from gateway 2 to the clients", Sign::Answer(2, 50)),
-        ("gateway 1 is told that host 3 drains", Sign::Told(1, 3, Draining)),
-        ("gateway 1 is told that host 3 is gone", Sign::Told(1, 3, Gone)),
-        ("gateway 1 is told that host 3 is there", Sign::Told(1, 3, InService)),
-        ("host 3 is told to drain", Sign::Drains(3)),
-        ("gateway 2 ends", Sign::Gateway(2, false)),
-        ("host 3 starts", Sign::Host(3, true)),
-        ("gateway 2 logs \"a \\\"b\\\" \\\\\"", Sign::Log(2, "a \"b\" \\".into())),
+        ("call 100 from gateway 1 to the counter", Trigger::CounterCall(1, 100)),
+        ("call 5 from gateway 1 to host 3", Trigger::HostAttempt(1, Some(3), 5)),
+        ("call 5 from gateway 1 to any host", Trigger::HostAttempt(1, None, 5)),
+        ("call 50 from the clients to gateway 2", Trigger::Request(2, 50)),
+        ("answer 50 from gateway 2 to the clients", Trigger::Response(2, 50)),
+        ("gateway 1 is told that host 3 drains", Trigger::DiscoveryUpdate(1, 3, Draining)),
+        ("gateway 1 is told that host 3 is gone", Trigger::DiscoveryUpdate(1, 3, Gone)),
+        ("gateway 1 is told that host 3 is there", Trigger::DiscoveryUpdate(1, 3, InService)),
+        ("host 3 is told to drain", Trigger::HostDrain(3)),
+        ("gateway 2 ends", Trigger::GatewayProcess(2, false)),
+        ("host 3 starts", Trigger::HostProcess(3, true)),
+        ("gateway 2 logs \"a \\\"b\\\" \\\\\"", Trigger::LogLine(2, "a \"b\" \\".into())),
     ];
     for (words, sign) in signs {
         for (by, at) in [("", 9 * SECOND), (", by 4.5 s", 4500 * MS)] {
             // The length may stand behind it.
             let scenario = read(&format!("scenario \"x\"\nwhen {words}{by}: add 1 host\nlength 9 s"));
-            let timed = Timed { at, sign: Some(sign.clone()), line: 2, event: Event::AddHosts(1) };
+            let timed =
+                ScheduledEvent { at, trigger: Some(sign.clone()), line: 2, event: Event::AddHosts(1) };
             assert_eq!(scenario.events, [timed]);
             assert!(to_text(&scenario).ends_with(&format!("when {words}{by}: add 1 host\n")), "{words}");
         }
@@ -668,7 +698,7 @@
     let events: Vec<_> = night.events.into_iter().map(|timed| (timed.at / SECOND, timed.event)).collect();
     let wanted = [
         (20, Event::Traffic(1.8, 10 * SECOND, 500 * MS)),
-        (22, Event::KillGateways(Which::Share(0.41), Some(6 * SECOND))),
+        (22, Event::KillGateways(Selector::Share(0.41), Some(6 * SECOND))),
     ];
     assert_eq!(events, wanted);
     assert_eq!(find("no-such"), None);
@@ -678,7 +708,7 @@
 
 fn random(rng: &mut Rng) -> Scenario {
     let site = random_site(rng);
-    let length = span(rng, 10 * SECOND, MOST_LENGTH);
+    let length = span(rng, 10 * SECOND, MAX_LENGTH);
     let events = random_events(rng, &site, length);
     Scenario {
         name: format!("swarm-{}", rng.below(1000)),
@@ -745,18 +775,18 @@
         buildings: count(rng, 1, 100),
         host: random_host(rng),
         counter: CounterSpec {
-            on: rng.chance(0.8),
-            parts: count(rng, 1, 100),
+            enabled: rng.chance(0.8),
+            shards: count(rng, 1, 100),
             calls_per_s: number(rng, 1.0, 1e6),
-            call: span(rng, 0, SECOND),
+            service_time: span(rng, 0, SECOND),
             queue: count(rng, 0, 1000),
             timeout: span(rng, MS, SECOND),
             building: 1,
         },
-        discovery: DiscoverySpec { notice: spans(rng), silent_notice: spans(rng) },
+        discovery: DiscoverySpec { update_delay: spans(rng), crash_detection_delay: spans(rng) },
         network: NetworkSpec {
-            same: span(rng, 1_000, SECOND),
-            cross: span(rng, 1_000, SECOND),
+            intra_building: span(rng, 1_000, SECOND),
+            inter_building: span(rng, 1_000, SECOND),
             client: span(rng, 1_000, SECOND),
             jitter: share(rng),
             window: count(rng, 1024, 16 << 20),
@@ -765,16 +795,16 @@
         plans: random_plans(rng, gateways),
         rules: RulesSpec {
             drain_grace: span(rng, 0, SECOND),
-            fall_multiple: number(rng, 0.1, 1000.0),
-            fall: span(rng, MS, 10 * SECOND),
-            answer_slack: span(rng, 0, SECOND),
+            overload_factor: number(rng, 0.1, 1000.0),
+            overload_span: span(rng, MS, 10 * SECOND),
+            deadline_slack: span(rng, 0, SECOND),
         },
-        sockets: count(rng, 64, 1_000_000),
+        file_descriptors: count(rng, 64, 1_000_000),
         memory_mb: count(rng, 16, 1_000_000),
         retry_after: rng.chance(0.5).then(|| span(rng, MS, 60 * SECOND)),
         max_attempts: count(rng, 1, 16),
-        start_within: span(rng, 0, 1500 * MS),
-        second_copies: rng.chance(0.5),
+        start_jitter: span(rng, 0, 1500 * MS),
+        hedging: rng.chance(0.5),
     };
     if rng.chance(0.3) {
         site.host = HostSpec::default();
@@ -795,14 +825,14 @@
         speed_spread: number(rng, 0.0, 0.9),
         slots: count(rng, 1, 10_000),
         queue: count(rng, 0, 100_000),
-        thrash_at: number(rng, 0.1, 1000.0),
-        thrash: share(rng),
-        cold_share: some_share(rng),
-        cold: span(rng, 0, 60 * SECOND),
+        thrash_threshold: number(rng, 0.1, 1000.0),
+        thrash_loss: share(rng),
+        warmup_share: some_share(rng),
+        warmup: span(rng, 0, 60 * SECOND),
         connections: count(rng, 1, 1_000_000),
         handshake: span(rng, 0, SECOND),
         error_rate: share(rng),
-        idle: span(rng, 10 * MS, 60 * SECOND),
+        idle_timeout: span(rng, 10 * MS, 60 * SECOND),
     }
 }
 
@@ -825,17 +855,21 @@
     let shares = shares(rng, names.len());
     let class = |(name, share): (String, f64)| {
         let (aim, deadline) = ordered(span(rng, MS, 60 * SECOND), span(rng, MS, 60 * SECOND));
-        let effects = [Effect::Safe, Effect::Unsafe, Effect::Keyed(span(rng, MS, 60 * SECOND))];
+        let effects = [
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            Idempotency::Keyed(span(rng, MS, 60 * SECOND)),
+        ];
         ClassSpec {
             name,
             share,
             work: span(rng, 1_000, SECOND),
             work_cv: number(rng, 0.0, 10.0),
-            aim,
+            latency_objective: aim,
             deadline,
-            worth: number(rng, 0.0, 1e6),
-            late_worth: rng.unit(),
-            effect: effects[rng.below(3) as usize],
+            priority_weight: number(rng, 0.0, 1e6),
+            late_weight_share: rng.unit(),
+            idempotency: effects[rng.below(3) as usize],
         }
     };
     names.into_iter().zip(shares).map(class).collect()
@@ -851,10 +885,10 @@
             share,
             rate: number(rng, 10.0, 1e6),
             burst: number(rng, 0.1, 1e6),
-            open: count(rng, 0, 100),
-            price: number(rng, 0.0, 100.0),
-            extra_worth: rng.unit(),
-            overrun_cost: number(rng, 0.0, 10.0),
+            max_in_flight: count(rng, 0, 100),
+            weight_factor: number(rng, 0.0, 100.0),
+            over_quota_weight_share: rng.unit(),
+            over_quota_cost: number(rng, 0.0, 10.0),
             ceiling_rate: if ceiling { number(rng, 0.0, 1e6) } else { 0.0 },
             ceiling_burst: if ceiling { number(rng, 0.1, 1e6) } else { 0.0 },
             ceiling_slack: number(rng, 0.0, 100.0),
@@ -867,55 +901,55 @@
 fn random_traffic(rng: &mut Rng) -> Traffic {
     Traffic {
         rate: number(rng, 0.1, 5000.0),
-        most_units: count(rng, 1, 1000),
-        guess_cv: number(rng, 0.0, 10.0),
-        calm_use: ordered(share(rng), share(rng)),
-        full: rng.between(0.0, 0.3),
+        max_units: count(rng, 1, 1000),
+        estimate_cv: number(rng, 0.0, 10.0),
+        normal_use: ordered(share(rng), share(rng)),
+        near_quota: rng.between(0.0, 0.3),
         heavy: (rng.between(0.0, 0.3), number(rng, 1.0, 100.0)),
-        spiky: (rng.between(0.0, 0.3), number(rng, 1.0, 100.0)),
+        bursty: (rng.between(0.0, 0.3), number(rng, 1.0, 100.0)),
         greedy: (rng.between(0.0, 0.1), number(rng, 1.0, 100.0)),
-        most_excess: number(rng, 0.0, 10.0),
+        max_excess: number(rng, 0.0, 10.0),
         skew: number(rng, 0.0, 10.0),
-        uneven: number(rng, 0.0, 10.0),
-        shift: span(rng, 100 * MS, 3600 * SECOND),
+        gateway_imbalance: number(rng, 0.0, 10.0),
+        imbalance_interval: span(rng, 100 * MS, 3600 * SECOND),
         retries: count(rng, 0, 10),
         backoff: span(rng, 0, 60 * SECOND),
-        honour: share(rng),
-        try_share: ordered(some_share(rng), some_share(rng)),
-        impatient: share(rng),
-        front_notice: span(rng, 0, 60 * SECOND),
+        follows_retry_after: share(rng),
+        request_timeout_share: ordered(some_share(rng), some_share(rng)),
+        early_disconnects: share(rng),
+        front_detection_delay: span(rng, 0, 60 * SECOND),
     }
 }
 
-fn random_events(rng: &mut Rng, site: &Site, length: u64) -> Vec<Timed> {
+fn random_events(rng: &mut Rng, site: &Site, length: u64) -> Vec<ScheduledEvent> {
     let some = rng.below(12);
     let at = |rng: &mut Rng| if rng.chance(0.2) { length } else { span(rng, 0, length) };
-    let mut events: Vec<Timed> = (0..some)
-        .map(|_| Timed { at: at(rng), sign: None, line: 0, event: random_event(rng, site) })
+    let mut events: Vec<ScheduledEvent> = (0..some)
+        .map(|_| ScheduledEvent { at: at(rng), trigger: None, line: 0, event: random_event(rng, site) })
         .collect();
-    if !site.counter.on {
+    if !site.counter.enabled {
         events.retain(|timed| !format!("{}", timed.event).contains("counter"));
     }
     events
 }
 
 /// Machines of which there are `all`.
-fn which(rng: &mut Rng, all: u32) -> Which {
+fn which(rng: &mut Rng, all: u32) -> Selector {
     match rng.below(4) {
-        0 => Which::All,
-        1 => Which::Share(some_share(rng)),
-        2 => Which::Count(count(rng, 1, all)),
+        0 => Selector::All,
+        1 => Selector::Share(some_share(rng)),
+        2 => Selector::Count(count(rng, 1, all)),
         _ => {
             let mut these: Vec<u32> = (1..=all).collect();
             rng.shuffle(&mut these);
             these.truncate(count(rng, 1, 100) as usize);
-            Which::These(these)
+            Selector::Numbers(these)
         }
     }
 }
 
 fn lasting(rng: &mut Rng) -> u64 {
-    span(rng, MS, MOST_LENGTH)
+    span(rng, MS, MAX_LENGTH)
 }
 
 fn random_event(rng: &mut Rng, site: &Site) -> Event {
@@ -934,48 +968,49 @@
         8 => Event::RestartHosts(hosts),
         9 => Event::AddHosts(count(rng, 1, 10)),
         // A few only: hosts that have come in all are bounded.
-        10 => Event::ReplaceHosts(Which::Count(count(rng, 1, site.hosts.min(10))), rng.chance(0.5)),
-        11 => Event::Heavy(site.classes[0].name.clone(), part, times, lasts),
-        12 => Event::GarbleHosts(part, lasts),
-        13 => Event::GarbleCounter(part, lasts),
+        10 => Event::ReplaceHosts(Selector::Count(count(rng, 1, site.hosts.min(10))), rng.chance(0.5)),
+        11 => Event::ExpensiveRequests(site.classes[0].name.clone(), part, times, lasts),
+        12 => Event::CorruptHostResponses(part, lasts),
+        13 => Event::CorruptCounterReplies(part, lasts),
         14 => random_cut(rng, site),
         15 => random_counter_fault(rng, site.gateways),
-        17 => Event::Mishaps(Mishap::Swallowed, part, hosts, lasts),
-        18 => Event::Mishaps(Mishap::Reset, part, hosts, lasts),
-        25 => Event::Lean(count(rng, 1, site.buildings), number(rng, 0.01, 100.0), lasts),
-        19 => Event::Stale(lasts, hosts, lasting(rng)),
-        20 => Event::StopGateways(gateways, lasts),
+        17 => Event::RequestFaults(RequestFault::Dropped, part, hosts, lasts),
+        18 => Event::RequestFaults(RequestFault::ConnectionReset, part, hosts, lasts),
+        25 => Event::SkewTraffic(count(rng, 1, site.buildings), number(rng, 0.01, 100.0), lasts),
+        19 => Event::StaleConnections(lasts, hosts, lasting(rng)),
+        20 => Event::SuspendGateways(gateways, lasts),
         26 => Event::FreezeGateways(gateways, lasts),
-        27 => Event::StopHosts(hosts, lasts),
-        28 => Event::StopCounter(lasts),
-        29 => Event::Clock(gateways, if rng.chance(0.5) { lasts as i64 } else { -(lasts as i64) }),
+        27 => Event::SuspendHosts(hosts, lasts),
+        28 => Event::SuspendCounter(lasts),
+        29 => Event::ClockOffset(gateways, if rng.chance(0.5) { lasts as i64 } else { -(lasts as i64) }),
         21 => Event::SlowGateways(gateways, times, lasts),
-        22 => Event::LoseBuilding(count(rng, 1, site.buildings), lasts),
-        23 => Event::CutOff(count(rng, 1, site.buildings), lasts),
+        22 => Event::PowerLoss(count(rng, 1, site.buildings), lasts),
+        23 => Event::IsolateBuilding(count(rng, 1, site.buildings), lasts),
         24 => random_links(rng, gateways, site.hosts),
         16 => {
-            let late = DiscoveryFault::Late(lasting(rng));
-            let cut = DiscoveryFault::Cut(lasting(rng));
+            let late = DiscoveryFault::Delayed(lasting(rng));
+            let cut = DiscoveryFault::WatchReset(lasting(rng));
             let faults =
-                [DiscoveryFault::Silent, late, DiscoveryFault::Repeats, DiscoveryFault::Reordered, cut];
+                [DiscoveryFault::Stalled, late, DiscoveryFault::Duplicated, DiscoveryFault::Reordered, cut];
             Event::Discovery(faults[rng.below(5) as usize].clone(), lasts)
         }
-        _ => Event::Impatient(part, lasts),
+        _ => Event::EarlyDisconnects(part, lasts),
     }
 }
 
-fn random_links(rng: &mut Rng, gateways: Which, hosts: u32) -> Event {
+fn random_links(rng: &mut Rng, gateways: Selector, hosts: u32) -> Event {
     // Two long lists of numbers would not fit into a line.
-    let hosts = Which::Count(count(rng, 1, hosts));
+    let hosts = Selector::Count(count(rng, 1, hosts));
     let ends = [LinkEnd::Clients, LinkEnd::Hosts(hosts), LinkEnd::Counter, LinkEnd::Discovery];
     let end = ends[rng.below(4) as usize].clone();
-    let way = [LinkWay::Both, LinkWay::Calls, LinkWay::Answers][rng.below(3) as usize];
+    let way = [LinkDirection::Both, LinkDirection::FromInitiator, LinkDirection::ToInitiator]
+        [rng.below(3) as usize];
     let (from, to) = ordered(span(rng, 0, SECOND), span(rng, 0, SECOND));
     let fault = match rng.below(6) {
         0 => LinkFault::Hold(way),
-        1 => LinkFault::Cut(way),
-        2 => LinkFault::Slow(from, to),
-        3 => LinkFault::Narrow(number(rng, 0.1, 1e6)),
+        1 => LinkFault::Blackhole(way),
+        2 => LinkFault::Delay(from, to),
+        3 => LinkFault::RateLimit(number(rng, 0.1, 1e6)),
         4 => return Event::Links(gateways, end, LinkFault::Reset, 0),
         _ => LinkFault::Flap(lasting(rng)),
     };
@@ -983,31 +1018,35 @@
 }
 
 fn random_cut(rng: &mut Rng, site: &Site) -> Event {
-    let one = [Side::Building(count(rng, 1, site.buildings)), Side::Gateway(count(rng, 1, site.gateways))];
-    let other = [Side::Host(count(rng, 1, site.hosts)), Side::Counter, Side::Clients];
+    let one = [
+        PartitionSide::Building(count(rng, 1, site.buildings)),
+        PartitionSide::Gateway(count(rng, 1, site.gateways)),
+    ];
+    let other =
+        [PartitionSide::Host(count(rng, 1, site.hosts)), PartitionSide::Counter, PartitionSide::Clients];
     let (one, other) = (one[rng.below(2) as usize].clone(), other[rng.below(3) as usize].clone());
-    Event::Cut(one, other, lasting(rng), rng.chance(0.5))
+    Event::Partition(one, other, lasting(rng), rng.chance(0.5))
 }
 
 fn random_counter_fault(rng: &mut Rng, gateways: u32) -> Event {
     let lasts = lasting(rng);
     let fault = match rng.below(8) {
-        0 => CounterFault::Lost,
-        1 => CounterFault::Silent,
-        2 => CounterFault::Mute,
+        0 => CounterFault::Unreachable,
+        1 => CounterFault::DropCalls,
+        2 => CounterFault::DropReplies,
         3 => {
             let (from, to) = spans(rng);
-            CounterFault::Slow(from, to)
+            CounterFault::DelayReplies(from, to)
         }
         4 if gateways > 1 => {
             let mut all: Vec<u32> = (1..=gateways).collect();
             rng.shuffle(&mut all);
             let rest = all.split_off(count(rng, 1, gateways - 1) as usize);
-            CounterFault::Split(vec![all, rest])
+            CounterFault::SplitBrain(vec![all, rest])
         }
-        5 => return Event::Counter(CounterFault::Fresh, 0),
+        5 => return Event::Counter(CounterFault::Reset, 0),
         6 => CounterFault::Flapping(lasting(rng)),
-        _ => CounterFault::Full,
+        _ => CounterFault::Overloaded,
     };
     Event::Counter(fault, lasts)
 }
--- a/crates/cluster-model/tests/host.rs
+++ b/crates/cluster-model/tests/host.rs
@@ -2,7 +2,7 @@
 
 use cluster_model::host::{Ending, Finished, Host, JobId, Offer, Request, Setup, Stage};
 use cluster_model::rng::Rng;
-use cluster_model::scenario::{Effect, HostSpec, RulesSpec};
+use cluster_model::scenario::{HostSpec, Idempotency, RulesSpec};
 use cluster_model::{Span, Time, MS, SECOND};
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 /// Two plain cores: nothing is drawn by chance, nothing thrashes, connections cost nothing.
 fn plain() -> HostSpec {
-    HostSpec { speed_spread: 0.0, thrash: 0.0, handshake: 0, error_rate: 0.0, ..HostSpec::default() }
+    HostSpec { speed_spread: 0.0, thrash_loss: 0.0, handshake: 0, error_rate: 0.0, ..HostSpec::default() }
 }
 
 fn setup(spec: HostSpec, cold: bool) -> Setup {
@@ -23,7 +23,7 @@
 }
 
 fn request(id: u64, work: Span, deadline: Time) -> Request {
-    Request { id, work, usual: work, deadline, effect: Effect::Safe }
+    Request { id, work, usual: work, deadline, effect: Idempotency::Idempotent }
 }
 
 fn take(host: &mut Host, now: Time, id: u64, work: Span) -> JobId {
@@ -148,7 +148,7 @@
 
 #[test]
 fn holding_too_many_makes_it_less_efficient() {
-    let spec = HostSpec { cores: 2, slots: 40, thrash_at: 2.0, thrash: 0.1, ..plain() };
+    let spec = HostSpec { cores: 2, slots: 40, thrash_threshold: 2.0, thrash_loss: 0.1, ..plain() };
     let mut host = warm(spec);
     let capacity_with = |host: &mut Host, held: u64| {
         while (host.held() as u64) < held {
@@ -181,8 +181,8 @@
 
 #[test]
 fn a_cold_host_warms_up_evenly() {
-    let spec = HostSpec { cold_share: 0.25, cold: 10 * SECOND, cores: 1, ..plain() };
-    let sturdy = RulesSpec { fall_multiple: 100.0, ..RulesSpec::default() };
+    let spec = HostSpec { warmup_share: 0.25, warmup: 10 * SECOND, cores: 1, ..plain() };
+    let sturdy = RulesSpec { overload_factor: 100.0, ..RulesSpec::default() };
     let setup = Setup { rules: sturdy, ..setup(spec, true) };
     let mut host = Host::new(setup.clone(), 5 * SECOND);
     let share = |host: &Host, at: Time| host.capacity(5 * SECOND + at) / host.full();
@@ -237,7 +237,7 @@
 #[test]
 fn repeats_of_keyed_requests_do_not_run_again_within_their_window() {
     let mut host = warm(plain());
-    let keyed = |id| Request { effect: Effect::Keyed(SECOND), ..request(id, 50 * MS, LATE) };
+    let keyed = |id| Request { effect: Idempotency::Keyed(SECOND), ..request(id, 50 * MS, LATE) };
     assert!(matches!(host.offer(0, keyed(1)), Offer::Taken(_)));
     assert_eq!(host.offer(10 * MS, keyed(1)), Offer::TurnedAway);
     assert_eq!(host.offer(60 * MS, keyed(1)), Offer::Remembered);
@@ -364,7 +364,7 @@
 fn random_run(seed: u64) -> Vec<String> {
     let mut rng = Rng::stream(seed, "events", 0);
     let spec = HostSpec { slots: 3, queue: 5, error_rate: 0.1, ..HostSpec::default() };
-    let rules = RulesSpec { fall_multiple: rng.between(0.3, 3.0), ..RulesSpec::default() };
+    let rules = RulesSpec { overload_factor: rng.between(0.3, 3.0), ..RulesSpec::default() };
     let mut host = Host::new(Setup { seed, rules, ..setup(spec, rng.chance(0.5)) }, 0);
     let mut log = Vec::new();
     let mut open: Vec<JobId> = Vec::new();
--- a/crates/cluster-model/tests/page.rs
+++ b/crates/cluster-model/tests/page.rs
@@ -1,7 +1,7 @@
 //! The operators' page on scenario files says what the reader does.
 
-use cluster_model::file::{parse, reference, shipped, VERBS};
-use cluster_model::scenario::Which;
+use cluster_model::file::{parse, reference, shipped, EVENT_KEYWORDS};
+use cluster_model::scenario::Selector;
 
 const PAGE: &str = include_str!("../../../docs/rehearsal-scenarios.md");
 
@@ -36,8 +36,10 @@
     let news = ["silent", "late", "repeats", "reordered", "cut"];
     let counter = faults.map(|fault| format!("counter {fault}"));
     let discovery = news.map(|fault| format!("discovery {fault}"));
-    let plain =
-        VERBS.iter().filter(|verb| !["counter", "discovery"].contains(*verb)).map(|verb| verb.to_string());
+    let plain = EVENT_KEYWORDS
+        .iter()
+        .filter(|verb| !["counter", "discovery"].contains(*verb))
+        .map(|verb| verb.to_string());
     for words in plain.chain(counter).chain(discovery) {
         assert!(PAGE.contains(&format!("\n| `{words}` | ")), "{words} is not explained");
         let shown = read.events.iter().any(|timed| timed.event.to_string().starts_with(&words));
@@ -54,7 +56,7 @@
     // One of each kind, and the states and ends of machines both ways.
     assert_eq!(read.events.len(), 14);
     for timed in &read.events {
-        let sign = timed.sign.as_ref().map(ToString::to_string).unwrap_or_default();
+        let sign = timed.trigger.as_ref().map(ToString::to_string).unwrap_or_default();
         assert!(PAGE.contains(&format!("\n| `{sign}` | ")), "{sign} is not explained");
     }
 }
@@ -85,7 +87,7 @@
         PAGE.contains("**41 % of 3 gateways is 1**") && PAGE.contains("of 10 it is 4, and 1 % of 3 is 1")
     );
     assert_eq!(
-        [(0.41, 3), (0.41, 10), (0.01, 3)].map(|(share, all)| Which::Share(share).count(all)),
+        [(0.41, 3), (0.41, 10), (0.01, 3)].map(|(share, all)| Selector::Share(share).count(all)),
         [1, 4, 1]
     );
 }
--- a/crates/cluster-model/tests/settings.rs
+++ b/crates/cluster-model/tests/settings.rs
@@ -1,7 +1,7 @@
 //! What gateways of a scenario's site are told, as the gateway itself reads it.
 
 use cluster_model::file::parse;
-use cluster_model::scenario::{Effect, Scenario};
+use cluster_model::scenario::{Idempotency, Scenario};
 use cluster_model::settings::{building, document, machine_type, settings, Start};
 use cluster_model::{MS, SECOND};
 use platform_settings::PlatformSettings;
@@ -57,19 +57,27 @@
     assert_eq!(site.class_names, ["bulk", "unit-order"]);
     assert_eq!(site.plan_names, ["gold", "standard"]);
     for (told, class) in site.settings.classes.iter().zip(&scenario.site.classes) {
-        assert_eq!((told.latency_objective, told.deadline), (class.aim, class.deadline));
-        assert_eq!((told.priority_weight, told.late_fraction), (class.worth, class.late_worth));
-        let effect = match class.effect {
-            Effect::Safe => policy::api::Idempotency::Idempotent,
-            Effect::Keyed(window) => policy::api::Idempotency::WithKey(policy::api::DedupScope::All, window),
-            Effect::Unsafe => policy::api::Idempotency::NotIdempotent,
+        assert_eq!((told.latency_objective, told.deadline), (class.latency_objective, class.deadline));
+        assert_eq!(
+            (told.priority_weight, told.late_fraction),
+            (class.priority_weight, class.late_weight_share)
+        );
+        let effect = match class.idempotency {
+            Idempotency::Idempotent => policy::api::Idempotency::Idempotent,
+            Idempotency::Keyed(window) => {
+                policy::api::Idempotency::WithKey(policy::api::DedupScope::All, window)
+            }
+            Idempotency::NonIdempotent => policy::api::Idempotency::NotIdempotent,
         };
         assert_eq!(told.idempotency, effect);
     }
     for (told, plan) in site.settings.plans.iter().zip(&scenario.site.plans) {
-        assert_eq!((told.rate, told.burst, told.max_concurrent), (plan.rate, plan.burst, plan.open));
-        assert_eq!((told.weight_factor, told.over_quota_weight), (plan.price, plan.extra_worth));
-        assert_eq!(told.over_quota_cost, plan.overrun_cost);
+        assert_eq!((told.rate, told.burst, told.max_concurrent), (plan.rate, plan.burst, plan.max_in_flight));
+        assert_eq!(
+            (told.weight_factor, told.over_quota_weight),
+            (plan.weight_factor, plan.over_quota_weight_share)
+        );
+        assert_eq!(told.over_quota_cost, plan.over_quota_cost);
         let ceiling = (told.ceiling_rate, told.ceiling_burst, told.ceiling_slack);
         assert_eq!(ceiling, (plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack));
     }
@@ -79,7 +87,7 @@
 fn a_site_without_advice_or_counter_says_so() {
     let mut scenario = Scenario::default();
     assert_eq!(told(&scenario, 0).settings.max_retry_after, None);
-    scenario.site.counter.on = false;
+    scenario.site.counter.enabled = false;
     assert!(!told(&scenario, 0).settings.has_counter);
     assert_eq!(document(&scenario, 0, &start()).get("counter"), None);
 }
--- a/crates/cluster-model/tests/traffic.rs
+++ b/crates/cluster-model/tests/traffic.rs
@@ -1,7 +1,7 @@
 //! Clients as a scenario describes them: how much is asked for, when, where, and what follows an answer.
 
 use cluster_model::draw::{self, Draws};
-use cluster_model::scenario::{ClassSpec, Effect, Event, Site, Timed, Traffic};
+use cluster_model::scenario::{ClassSpec, Event, Idempotency, ScheduledEvent, Site, Traffic};
 use cluster_model::seen::Got;
 use cluster_model::traffic::{Again, Arrival, Arrivals, Behaviour, Deal, Ended, Lean, Scale};
 use cluster_model::{Span, MS, SECOND};
@@ -15,7 +15,7 @@
 
 /// Traffic in which nobody asks for more than its rate.
 fn modest() -> Traffic {
-    Traffic { heavy: (0.0, 1.0), spiky: (0.0, 1.0), ..Traffic::default() }
+    Traffic { heavy: (0.0, 1.0), bursty: (0.0, 1.0), ..Traffic::default() }
 }
 
 fn units(list: &[Arrival], traffic: &Traffic, plan: u32) -> f64 {
@@ -89,9 +89,9 @@
         let (beyond, all) = beyond(&list, &site, traffic);
         beyond / (all - beyond)
     };
-    let wild = Traffic { heavy: (0.3, 9.0), spiky: (0.3, 12.0), most_excess: 10.0, ..Traffic::default() };
+    let wild = Traffic { heavy: (0.3, 9.0), bursty: (0.3, 12.0), max_excess: 10.0, ..Traffic::default() };
     assert!(share(&wild) > 1.0, "{}", share(&wild));
-    let bounded = Traffic { most_excess: 0.3, ..wild.clone() };
+    let bounded = Traffic { max_excess: 0.3, ..wild.clone() };
     assert!((0.15..0.36).contains(&share(&bounded)), "{}", share(&bounded));
     assert!(share(&modest()) < 0.03, "{}", share(&modest()));
 
@@ -103,8 +103,8 @@
 #[test]
 fn spells_of_heavy_customers_are_long() {
     let site = Site::default();
-    let traffic = Traffic { heavy: (1.0, 9.0), spiky: (0.0, 1.0), full: 0.0, ..Traffic::default() };
-    let traffic = Traffic { most_excess: 100.0, ..traffic };
+    let traffic = Traffic { heavy: (1.0, 9.0), bursty: (0.0, 1.0), near_quota: 0.0, ..Traffic::default() };
+    let traffic = Traffic { max_excess: 100.0, ..traffic };
     let list = until(Arrivals::new(&site, &traffic, SEED), 300 * SECOND);
     let premium = list.iter().find(|arrival| arrival.plan == 1).map(|arrival| arrival.customer);
     let mut by_second = vec![0_u32; 300];
@@ -159,7 +159,7 @@
 
 #[test]
 fn windows_are_read_from_a_scenario_s_events() {
-    let timed = |event| Timed { at: 4 * SECOND, sign: None, line: 1, event };
+    let timed = |event| ScheduledEvent { at: 4 * SECOND, trigger: None, line: 1, event };
     let events = [timed(Event::AddHosts(1)), timed(Event::Traffic(2.0, 6 * SECOND, SECOND))];
     let window = Scale { from: 4 * SECOND, until: 10 * SECOND, factor: 2.0, rise: SECOND };
     assert_eq!(Scale::of(&events), [window]);
@@ -170,7 +170,7 @@
     let mut site = Site::default();
     site.plans.truncate(1);
     site.plans[0].spread = 3;
-    let traffic = Traffic { rate: 2000.0, skew, shift: 1000 * SECOND, ..modest() };
+    let traffic = Traffic { rate: 2000.0, skew, imbalance_interval: 1000 * SECOND, ..modest() };
     site.plans[0].rate = 400.0;
     let list = until(Arrivals::new(&site, &traffic, SEED), 40 * SECOND);
     let mut customers: BTreeMap<u64, [u32; 3]> = BTreeMap::new();
@@ -191,7 +191,8 @@
 #[test]
 fn weights_shift_now_and_then_and_a_gateway_that_is_down_leaves_the_others_requests_alone() {
     let site = Site { gateways: 5, ..Site::default() };
-    let deal = Deal::new(&site, &Traffic { skew: 3.0, shift: SECOND, ..Traffic::default() }, SEED);
+    let deal =
+        Deal::new(&site, &Traffic { skew: 3.0, imbalance_interval: SECOND, ..Traffic::default() }, SEED);
     let arrival =
         |thing| Arrival { at: 0, thing, customer: 5, plan: 0, class: 0, spread: 3, first: 4, gateway: 4 };
     let counts = |at: Span| {
@@ -216,7 +217,7 @@
 
 #[test]
 fn gateways_may_get_several_times_the_mean_and_buildings_their_times_the_usual() {
-    let traffic = |uneven| Traffic { skew: 0.0, uneven, ..Traffic::default() };
+    let traffic = |uneven| Traffic { skew: 0.0, gateway_imbalance: uneven, ..Traffic::default() };
     let counts = |uneven, leans: &[Lean], at: Span| {
         let site = Site { gateways: 60, buildings: 3, ..Site::default() };
         let deal = Deal::new(&site, &traffic(uneven), SEED).leaning(leans);
@@ -232,8 +233,8 @@
     assert!((100..150).contains(&most(0.0)), "{}", most(0.0));
     assert!((300..450).contains(&most(3.0)), "{}", most(3.0));
     let building = |counts: [u32; 60], number: usize| counts.iter().skip(number).step_by(3).sum::<u32>();
-    let event = Event::Lean(2, 3.0, SECOND);
-    let leans = Lean::of(&[Timed { at: SECOND, sign: None, line: 1, event }]);
+    let event = Event::SkewTraffic(2, 3.0, SECOND);
+    let leans = Lean::of(&[ScheduledEvent { at: SECOND, trigger: None, line: 1, event }]);
     assert_eq!(counts(0.0, &leans, SECOND - 1), counts(0.0, &[], 0));
     assert_eq!(counts(0.0, &leans, 2 * SECOND), counts(0.0, &[], 0));
     // Three parts of five, and one each for the others.
@@ -258,8 +259,8 @@
     assert!(list.iter().all(|arrival| arrival.gateway < 50 && steps(arrival) < arrival.spread));
 }
 
-fn behaviour(effect: Effect, traffic: &Traffic) -> Behaviour {
-    let class = ClassSpec { deadline: 2 * SECOND, effect, ..Site::default().classes[0].clone() };
+fn behaviour(effect: Idempotency, traffic: &Traffic) -> Behaviour {
+    let class = ClassSpec { deadline: 2 * SECOND, idempotency: effect, ..Site::default().classes[0].clone() };
     let site = Site { classes: vec![class], retry_after: Some(400 * MS), ..Site::default() };
     Behaviour::new(&site, traffic, SEED)
 }
@@ -267,7 +268,7 @@
 #[test]
 fn only_what_cannot_have_run_or_may_run_again_is_tried_again() {
     let traffic = Traffic { retries: 2, ..Traffic::default() };
-    for effect in [Effect::Unsafe, Effect::Keyed(SECOND)] {
+    for effect in [Idempotency::NonIdempotent, Idempotency::Keyed(SECOND)] {
         let clients = behaviour(effect, &traffic);
         for got in [Got::Failed, Got::Broken, Got::Nothing, Got::Served(true), Got::Served(false)] {
             assert_eq!(clients.again(1, 0, 1, 0, got.into()), None, "{effect:?} {got:?}");
@@ -276,7 +277,7 @@
             assert!(clients.again(1, 0, 1, 0, ended).is_some(), "{effect:?} {ended:?}");
         }
     }
-    let clients = behaviour(Effect::Safe, &traffic);
+    let clients = behaviour(Idempotency::Idempotent, &traffic);
     for got in [Got::Failed, Got::Broken, Got::Nothing, Got::Busy(None)] {
         assert!(clients.again(1, 0, 1, 0, got.into()).is_some(), "{got:?}");
     }
@@ -288,8 +289,8 @@
 
 #[test]
 fn a_client_waits_longer_each_time_and_follows_advice_if_it_is_of_that_kind() {
-    let traffic = Traffic { retries: 3, backoff: 100 * MS, honour: 0.6, ..Traffic::default() };
-    let clients = behaviour(Effect::Unsafe, &traffic);
+    let traffic = Traffic { retries: 3, backoff: 100 * MS, follows_retry_after: 0.6, ..Traffic::default() };
+    let clients = behaviour(Idempotency::NonIdempotent, &traffic);
     let wait = |thing, tries, advice| clients.again(thing, 0, tries, 0, Ended::Busy(advice)).unwrap().wait;
     assert_eq!([1, 2, 3].map(|tries| wait(1, tries, None)), [100 * MS, 200 * MS, 400 * MS]);
     let honest = (1..2000).filter(|thing| clients.honours(*thing)).count();
@@ -304,8 +305,9 @@
 
 #[test]
 fn tries_end_within_the_time_of_the_class() {
-    let traffic = Traffic { retries: 5, try_share: (0.2, 0.9), backoff: 50 * MS, ..Traffic::default() };
-    let clients = behaviour(Effect::Safe, &traffic);
+    let traffic =
+        Traffic { retries: 5, request_timeout_share: (0.2, 0.9), backoff: 50 * MS, ..Traffic::default() };
+    let clients = behaviour(Idempotency::Idempotent, &traffic);
     let deadline = 2 * SECOND;
     for thing in 1..2000_u64 {
         let first = clients.patience(thing, 0);
@@ -327,7 +329,7 @@
 
 #[test]
 fn impatient_clients_leave_within_their_time_and_more_of_them_at_a_greater_share() {
-    let clients = behaviour(Effect::Safe, &Traffic::default());
+    let clients = behaviour(Idempotency::Idempotent, &Traffic::default());
     let leaves = |share: f64| -> BTreeMap<u64, Span> {
         (1..5000).filter_map(|thing| Some((thing, clients.leaves(thing, 0, SECOND, share)?))).collect()
     };
--- a/crates/fake-services/src/client/call.rs
+++ b/crates/fake-services/src/client/call.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use cluster_model::draw::{self, Draws, TRY_BITS};
-use cluster_model::scenario::{Effect, Site};
+use cluster_model::scenario::{Idempotency, Site};
 use cluster_model::seen::Got;
 use cluster_model::traffic::Arrival;
 use cluster_model::MS;
@@ -20,7 +20,10 @@
 
 impl Caller {
     pub(super) fn new(site: &Site, draws: Draws) -> Caller {
-        let classes = site.classes.iter().map(|class| (class.name.clone(), class.effect == Effect::Safe));
+        let classes = site
+            .classes
+            .iter()
+            .map(|class| (class.name.clone(), class.idempotency == Idempotency::Idempotent));
         let plans = site.plans.iter().map(|plan| plan.name.clone());
         Caller { classes: classes.collect(), plans: plans.collect(), draws }
     }
--- a/crates/fake-services/src/counter/desk.rs
+++ b/crates/fake-services/src/counter/desk.rs
@@ -534,7 +534,7 @@
     fn who_is_concerned_is_stirred() {
         let mut desk = desk(0);
         let pipes: Vec<PipeId> = (0..2).filter_map(|gateway| desk.connect(START, gateway)).collect();
-        desk.fail(START, CounterFault::Lost, SECOND);
+        desk.fail(START, CounterFault::Unreachable, SECOND);
         let stirred = desk.take_stirred();
         assert_eq!((stirred.pipes, stirred.gateways), (pipes.clone(), vec![0, 1]));
         assert!(desk.look(pipes[0], &mut Batch::default()).doomed);
--- a/crates/fake-services/src/host.rs
+++ b/crates/fake-services/src/host.rs
@@ -14,7 +14,7 @@
 
 use crate::Recorder;
 use cluster_model::draw::Draws;
-use cluster_model::scenario::{ClassSpec, HostSpec, Mishap, RulesSpec};
+use cluster_model::scenario::{ClassSpec, HostSpec, RequestFault, RulesSpec};
 use cluster_model::MS;
 use connection::Connection;
 use runtime::{Env, Listener, Sleep, Span, Stream, Task, Time, Writer};
@@ -138,7 +138,7 @@
     }
 
     /// Until then this happens to a share of the requests.
-    pub fn mishaps(&self, mishap: Mishap, share: f64, until: Time) {
+    pub fn mishaps(&self, mishap: RequestFault, share: f64, until: Time) {
         self.0.act(|state, _| state.mishaps(mishap, share, until));
     }
 
--- a/crates/fake-services/src/host/command.rs
+++ b/crates/fake-services/src/host/command.rs
@@ -1,7 +1,7 @@
 //! What a gateway's command asks of a host.
 
 use bytes::Bytes;
-use cluster_model::scenario::{ClassSpec, Effect};
+use cluster_model::scenario::{ClassSpec, Idempotency};
 use cluster_model::{Span, MS};
 use resp::Frame;
 
@@ -65,7 +65,7 @@
     let [customer, id, list] = words;
     let known = hex(customer).is_some_and(|customer| customer < CUSTOMERS);
     let call = hex(id).filter(|_| known).and_then(|id| listed(classes, id, list));
-    let right = |call: &Call| (classes[call.class].effect == Effect::Safe) == get;
+    let right = |call: &Call| (classes[call.class].idempotency == Idempotency::Idempotent) == get;
     call.filter(right).map_or(Command::Malformed, Command::Call)
 }
 
--- a/crates/fake-services/src/host/state.rs
+++ b/crates/fake-services/src/host/state.rs
@@ -9,7 +9,7 @@
 use cluster_model::draw::Draws;
 use cluster_model::host::{Ending, Finished, Host, JobId, Offer, Request, Setup, Stage};
 use cluster_model::rng::Rng;
-use cluster_model::scenario::{ClassSpec, HostSpec, Mishap};
+use cluster_model::scenario::{ClassSpec, HostSpec, RequestFault};
 use cluster_model::seen::{Dealt, What};
 use cluster_model::{Span, Time};
 use resp::Frame;
@@ -167,7 +167,8 @@
             armed: Time::MAX,
             malformed: 0,
         };
-        let (share, cold) = if config.cold { (config.spec.cold_share, config.spec.cold) } else { (1.0, 0) };
+        let (share, cold) =
+            if config.cold { (config.spec.warmup_share, config.spec.warmup) } else { (1.0, 0) };
         state.see(now, What::Started { host: config.number, full: state.model.full(), share, cold });
         state
     }
@@ -290,7 +291,7 @@
     pub(super) fn idle_at(&self, now: Time, id: ConnId) -> Time {
         let Some(conn) = self.conns.get(&id) else { return now };
         let since = if conn.entries.is_empty() { conn.active } else { now };
-        since.saturating_add(self.spec.idle)
+        since.saturating_add(self.spec.idle_timeout)
     }
 
     /// A command has come whole.
@@ -320,7 +321,7 @@
         let work =
             heavy.map_or(usual, |heavy| self.draws.work(call.id, class, Some((heavy.share, heavy.times))));
         let deadline = now.saturating_add(call.wait);
-        let request = Request { id: call.id, work, usual, deadline, effect: class.effect };
+        let request = Request { id: call.id, work, usual, deadline, effect: class.idempotency };
         let offer = self.model.offer(now, request);
         let work = if offer == Offer::Remembered { 0 } else { usual };
         self.see(now, What::Received { request: call.id, host: self.number, gateway, first_byte, work });
@@ -454,10 +455,10 @@
         self.garble = Some((share, until));
     }
 
-    pub(super) fn mishaps(&mut self, mishap: Mishap, share: f64, until: Time) {
+    pub(super) fn mishaps(&mut self, mishap: RequestFault, share: f64, until: Time) {
         let of = match mishap {
-            Mishap::Swallowed => &mut self.swallows,
-            Mishap::Reset => &mut self.resets,
+            RequestFault::Dropped => &mut self.swallows,
+            RequestFault::ConnectionReset => &mut self.resets,
         };
         *of = Some((share, until));
     }
--- a/crates/fake-services/tests/agent.rs
+++ b/crates/fake-services/tests/agent.rs
@@ -49,7 +49,7 @@
 
 /// Two gateways and two hosts; the agent of the second gateway.
 fn site_in<E: Env>(env: E, notice: (Span, Span)) -> Site<E> {
-    let spec = DiscoverySpec { notice, silent_notice: (0, 0) };
+    let spec = DiscoverySpec { update_delay: notice, crash_detection_delay: (0, 0) };
     let members = (0..2).map(|host| member(host, Told::InService)).collect();
     let recorder = Recorder::default();
     let registry = SharedRegistry::new(Registry::new(&spec, 5, 2, members), recorder.clone());
@@ -244,7 +244,7 @@
     let site = site();
     let mut watch = Http::connect(&site.agent).await;
     watch.watch("watch=1&after=1").await;
-    site.registry.fail(site.env.now(), DiscoveryFault::Silent, LONG);
+    site.registry.fail(site.env.now(), DiscoveryFault::Stalled, LONG);
     site.change(0, Told::Draining);
     let mut new = Http::connect(&site.agent).await;
     new.get("/registry/instances").await;
@@ -265,7 +265,7 @@
 #[tokio::test]
 async fn a_silence_ends_by_itself() {
     let site = site();
-    site.registry.fail(site.env.now(), DiscoveryFault::Silent, 5 * MS);
+    site.registry.fail(site.env.now(), DiscoveryFault::Stalled, 5 * MS);
     assert_eq!(gist(&Http::connect(&site.agent).await.list().await).0, 1);
 }
 
@@ -336,7 +336,7 @@
 async fn nothing_is_heard_before_discovery_speaks_again() {
     let site = site_in(Memory::new(), (0, 0));
     let over = site.env.now() + 20 * SECOND;
-    site.registry.fail(site.env.now(), DiscoveryFault::Silent, 20 * SECOND);
+    site.registry.fail(site.env.now(), DiscoveryFault::Stalled, 20 * SECOND);
     site.change(0, Told::Draining);
     assert_eq!(site.heard_within(20 * SECOND - MS).await, []);
     let heard = site.heard_within(10 * SECOND).await;
--- a/crates/fake-services/tests/client/main.rs
+++ b/crates/fake-services/tests/client/main.rs
@@ -5,7 +5,7 @@
 mod memory;
 
 use cluster_model::draw::{self, Draws};
-use cluster_model::scenario::{Effect, Site, Traffic};
+use cluster_model::scenario::{Idempotency, Site, Traffic};
 use cluster_model::seen::{Got, Seen, What};
 use cluster_model::{Span, MS, SECOND};
 use fake_services::client::{ClientConfig, Clients, RUDE_THINGS};
@@ -28,8 +28,8 @@
     site.plans[0].spread = site.gateways;
     site.classes.iter_mut().for_each(|class| class.deadline = 2 * SECOND);
     site.classes.iter_mut().for_each(|class| class.share = 0.5);
-    let calm = Traffic { heavy: (0.0, 1.0), spiky: (0.0, 1.0), skew: 0.0, ..Traffic::default() };
-    let traffic = Traffic { rate: 50.0, retries: 0, try_share: (1.0, 1.0), ..calm };
+    let calm = Traffic { heavy: (0.0, 1.0), bursty: (0.0, 1.0), skew: 0.0, ..Traffic::default() };
+    let traffic = Traffic { rate: 50.0, retries: 0, request_timeout_share: (1.0, 1.0), ..calm };
     ClientConfig {
         site,
         draws: Draws::new(SEED, &traffic),
@@ -196,7 +196,7 @@
     let env = Memory::new();
     let gateway = Gateway::ready(&env, |_| Act::Silence);
     let config = config(&[&gateway]);
-    let slack = config.site.rules.answer_slack;
+    let slack = config.site.rules.deadline_slack;
     let seen = play(&env, config).await;
     let asked = all_got(&seen, Got::Nothing);
     assert!(got(&seen).iter().all(|(id, (at, _))| *at == asked[id].at + 2 * SECOND + slack));
@@ -538,7 +538,7 @@
     let env = SystemEnv::start();
     let gateway = Gateway::ready(&env, |_| Act::Reset);
     let mut config = config_for_sockets(&gateway);
-    config.site.classes.iter_mut().for_each(|class| class.effect = Effect::Unsafe);
+    config.site.classes.iter_mut().for_each(|class| class.idempotency = Idempotency::NonIdempotent);
     all_got(&play(&env, config).await, Got::Broken);
 }
 
--- a/crates/fake-services/tests/counter.rs
+++ b/crates/fake-services/tests/counter.rs
@@ -22,7 +22,7 @@
 fn site() -> Site {
     let recorder = Recorder::default();
     let config = CounterConfig {
-        spec: CounterSpec { calls_per_s: 1e6, call: 0, ..CounterSpec::default() },
+        spec: CounterSpec { calls_per_s: 1e6, service_time: 0, ..CounterSpec::default() },
         seed: 5,
         listen: vec![SocketAddr::from(([127, 0, 0, 1], 0)); 2],
         recorder: recorder.clone(),
@@ -209,7 +209,7 @@
     let site = site();
     let mut stream = site.connect(0).await;
     ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await;
-    site.counter.fail(CounterFault::Lost, LONG);
+    site.counter.fail(CounterFault::Unreachable, LONG);
     assert!(is_reset(&mut stream).await);
     let addr = site.counter.addrs()[0];
     while TcpStream::connect(addr).await.is_ok() {}
@@ -224,7 +224,7 @@
 async fn a_fault_ends_by_itself() {
     let site = site();
     let mut stream = site.greeted(0).await;
-    site.counter.fail(CounterFault::Lost, 5_000_000);
+    site.counter.fail(CounterFault::Unreachable, 5_000_000);
     assert!(is_reset(&mut stream).await);
     site.answered(0).await;
 }
@@ -234,7 +234,7 @@
     let site = site();
     let mut stream = site.connect(0).await;
     ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await;
-    site.counter.fail(CounterFault::Fresh, 0);
+    site.counter.fail(CounterFault::Reset, 0);
     assert!(is_reset(&mut stream).await);
     let mut stream = site.connect(0).await;
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "5", "60000"]).await, "$1\r\n5\r\n");
@@ -242,7 +242,7 @@
 
 #[tokio::test]
 async fn a_silent_counter_takes_calls_in_and_a_mute_one_adds_them() {
-    for (fault, added) in [(CounterFault::Silent, false), (CounterFault::Mute, true)] {
+    for (fault, added) in [(CounterFault::DropCalls, false), (CounterFault::DropReplies, true)] {
         let site = site();
         let mut stream = site.connect(0).await;
         site.counter.fail(fault, LONG);
@@ -263,7 +263,7 @@
 async fn a_full_counter_turns_calls_away() {
     let site = site();
     let mut stream = site.connect(0).await;
-    site.counter.fail(CounterFault::Full, LONG);
+    site.counter.fail(CounterFault::Overloaded, LONG);
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await, "-BUSY\r\n");
     site.counter.heal();
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await, "$1\r\n1\r\n");
@@ -273,7 +273,7 @@
 async fn groups_of_gateways_are_told_apart_by_their_listeners() {
     let site = site();
     let (mut one, mut two) = (site.connect(0).await, site.connect(1).await);
-    site.counter.fail(CounterFault::Split(vec![vec![1], vec![2]]), LONG);
+    site.counter.fail(CounterFault::SplitBrain(vec![vec![1], vec![2]]), LONG);
     assert_eq!(ask(&mut one, &["ADDGET", "name", "1", "60000"]).await, "$1\r\n1\r\n");
     assert_eq!(ask(&mut two, &["ADDGET", "name", "2", "60000"]).await, "$1\r\n2\r\n");
     site.counter.heal();
--- a/crates/fake-services/tests/host.rs
+++ b/crates/fake-services/tests/host.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use cluster_model::draw::{self, Draws};
-use cluster_model::scenario::{ClassSpec, Effect, HostSpec, RulesSpec, Site, Traffic};
+use cluster_model::scenario::{ClassSpec, HostSpec, Idempotency, RulesSpec, Site, Traffic};
 use cluster_model::seen::{Dealt, Seen, What};
 use cluster_model::{MS, SECOND};
 use fake_services::host::{HostConfig, HostStandIn, Settled};
@@ -32,13 +32,13 @@
         share,
         work,
         work_cv: 0.0,
-        effect,
+        idempotency: effect,
         ..like.clone()
     };
     vec![
-        class("quick", 0.5, MS / 10, Effect::Safe),
-        class("endless", 0.0, 3600 * SECOND, Effect::Safe),
-        class("keyed", 0.5, MS / 10, Effect::Keyed(60 * SECOND)),
+        class("quick", 0.5, MS / 10, Idempotency::Idempotent),
+        class("endless", 0.0, 3600 * SECOND, Idempotency::Idempotent),
+        class("keyed", 0.5, MS / 10, Idempotency::Keyed(60 * SECOND)),
     ]
 }
 
@@ -385,7 +385,7 @@
 
 #[tokio::test]
 async fn idle_connections_close_and_busy_ones_do_not() {
-    let mut rig = Rig::new(HostSpec { idle: 30 * MS, ..spec() });
+    let mut rig = Rig::new(HostSpec { idle_timeout: 30 * MS, ..spec() });
     let mut busy = rig.connect(0).await;
     busy.send(&call("endless", 1)).await;
     let mut idle = rig.connect(0).await;
--- a/crates/gateway/tests/room/support.rs
+++ b/crates/gateway/tests/room/support.rs
@@ -392,7 +392,12 @@
     fn default() -> Plan {
         Plan {
             seed: 1,
-            network: NetworkSpec { same: HOST, client: CLIENT, jitter: 0.0, ..NetworkSpec::default() },
+            network: NetworkSpec {
+                intra_building: HOST,
+                client: CLIENT,
+                jitter: 0.0,
+                ..NetworkSpec::default()
+            },
             hosts: 1,
             sockets: 256,
             memory_mb: 192,
--- a/crates/history-checker/src/terms.rs
+++ b/crates/history-checker/src/terms.rs
@@ -1,7 +1,7 @@
 //! What a history is held to, in figures.
 
 use crate::ALLOWANCE;
-use cluster_model::scenario::{Effect, Site};
+use cluster_model::scenario::{Idempotency, Site};
 use cluster_model::Span;
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// What may run again, by class.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<Idempotency>,
     /// The group of a host, within which repeats of a keyed request are dropped. Hosts that are not named are all of
     /// one group.
     pub groups: BTreeMap<u32, u32>,
@@ -39,11 +39,11 @@
     pub fn of(site: &Site) -> Terms {
         let bound = |rate: f64, burst: f64| (rate > 0.0).then_some(Bound { rate, burst, allowance: 0.0 });
         Terms {
-            effects: site.classes.iter().map(|class| class.effect).collect(),
+            effects: site.classes.iter().map(|class| class.idempotency).collect(),
             groups: BTreeMap::new(),
             bounds: site.plans.iter().map(|plan| bound(plan.rate, plan.burst)).collect(),
             drain_grace: site.rules.drain_grace + ALLOWANCE,
-            answer_slack: site.rules.answer_slack,
+            answer_slack: site.rules.deadline_slack,
             longest: site.classes.iter().map(|class| class.deadline).max().unwrap_or(0),
         }
     }
--- a/crates/history-checker/src/twice.rs
+++ b/crates/history-checker/src/twice.rs
@@ -10,17 +10,17 @@
 use crate::tale::{Attempt, End, Tale};
 use crate::terms::Terms;
 use crate::{ms, nth, ALLOWANCE};
-use cluster_model::scenario::Effect;
+use cluster_model::scenario::Idempotency;
 use cluster_model::seen::{Dealt, Got};
 use cluster_model::{Span, Time};
 
 pub(crate) fn check(id: u64, tale: &Tale, downs: &Downs, terms: &Terms, found: &mut Findings) {
     let wrong = match terms.effects.get(tale.class) {
-        Some(Effect::Unsafe) => again(tale, downs, terms)
+        Some(Idempotency::NonIdempotent) => again(tale, downs, terms)
             .or_else(|| refused_after(tale, downs, terms))
             .or_else(|| sent_after_refusal(tale)),
-        Some(Effect::Keyed(window)) => outside(tale, *window, terms),
-        Some(Effect::Safe) | None => None,
+        Some(Idempotency::Keyed(window)) => outside(tale, *window, terms),
+        Some(Idempotency::Idempotent) | None => None,
     };
     if let Some(Wrong { at, why, chain }) = wrong {
         found.add(Rule::NothingTwice, at, format!("request {id:016x} {why}"), chain);
--- a/crates/history-checker/tests/history/main.rs
+++ b/crates/history-checker/tests/history/main.rs
@@ -9,7 +9,7 @@
 mod edges;
 mod wrongdoers;
 
-use cluster_model::scenario::{Effect, Site};
+use cluster_model::scenario::{Idempotency, Site};
 use cluster_model::{MS, SECOND};
 use day::{Day, START};
 use history_checker::{Bound, Finding, History, Rule, Terms};
@@ -21,7 +21,7 @@
 fn site() -> Site {
     let mut site = Site::default();
     let mut keyed = site.classes[day::ORDER as usize].clone();
-    keyed.effect = Effect::Keyed(300 * MS);
+    keyed.idempotency = Idempotency::Keyed(300 * MS);
     site.classes.push(keyed);
     site
 }
--- a/crates/invariants/src/cold.rs
+++ b/crates/invariants/src/cold.rs
@@ -130,7 +130,7 @@
 
 impl Cold {
     pub(crate) fn new(site: &Site) -> Cold {
-        let RulesSpec { fall_multiple: multiple, fall: window, .. } = site.rules;
+        let RulesSpec { overload_factor: multiple, overload_span: window, .. } = site.rules;
         let shares: f64 = site.classes.iter().map(|class| class.share).sum();
         let work: f64 = site.classes.iter().map(|class| class.share * class.work as f64).sum();
         let slack = SLACK_REQUESTS * work / shares.max(f64::MIN_POSITIVE);
--- a/crates/invariants/src/effects.rs
+++ b/crates/invariants/src/effects.rs
@@ -5,7 +5,7 @@
 use crate::gateways::Gateways;
 use crate::tries::Try;
 use crate::{Rule, ALLOWANCE};
-use cluster_model::scenario::{Effect, Site};
+use cluster_model::scenario::{Idempotency, Site};
 use cluster_model::seen::Dealt;
 use cluster_model::Time;
 
@@ -81,7 +81,7 @@
 /// What classes and the site allow.
 #[derive(Debug)]
 pub(crate) struct Effects {
-    classes: Vec<Effect>,
+    classes: Vec<Idempotency>,
     max_attempts: u32,
     second_copies: bool,
     doubts: Vec<Doubt>,
@@ -99,13 +99,8 @@
 
 impl Effects {
     pub(crate) fn new(site: &Site) -> Effects {
-        let classes = site.classes.iter().map(|class| class.effect).collect();
-        Effects {
-            classes,
-            max_attempts: site.max_attempts,
-            second_copies: site.second_copies,
-            doubts: Vec::new(),
-        }
+        let classes = site.classes.iter().map(|class| class.idempotency).collect();
+        Effects { classes, max_attempts: site.max_attempts, second_copies: site.hedging, doubts: Vec::new() }
     }
 
     /// A command has come whole to a host. True: it is the try's first.
@@ -148,9 +143,11 @@
             return Some("got more attempts than a request may have");
         }
         match (self.classes[request.class], attempts.may_have_run()) {
-            (Effect::Unsafe, Some(_)) => Some(AGAIN),
-            (Effect::Unsafe, None) if attempts.refused => Some("was sent although it had been refused"),
-            (Effect::Keyed(ttl), Some(ran))
+            (Idempotency::NonIdempotent, Some(_)) => Some(AGAIN),
+            (Idempotency::NonIdempotent, None) if attempts.refused => {
+                Some("was sent although it had been refused")
+            }
+            (Idempotency::Keyed(ttl), Some(ran))
                 if first_byte > ran.saturating_add(ttl).saturating_add(ALLOWANCE) =>
             {
                 Some("was sent again when hosts had forgotten its key")
@@ -182,7 +179,9 @@
     /// A client was told that trying again is harmless.
     pub(crate) fn refused(&mut self, now: Time, request: &mut Try, log: &mut Log) {
         request.attempts.refused = true;
-        if self.classes[request.class] == Effect::Unsafe && request.attempts.may_have_run().is_some() {
+        if self.classes[request.class] == Idempotency::NonIdempotent
+            && request.attempts.may_have_run().is_some()
+        {
             let text = format!("was refused by gateway {} although it may have run", Nth(request.gateway));
             self.wrong(now, request, request.gateway, text, log);
         }
--- a/crates/invariants/src/judge.rs
+++ b/crates/invariants/src/judge.rs
@@ -60,7 +60,7 @@
             log: Log::new(start),
             ears: Ears::default(),
             gateways: Gateways::new(site.gateways, longest),
-            answers: Answers::new(site.rules.answer_slack),
+            answers: Answers::new(site.rules.deadline_slack),
             effects: Effects::new(site),
             drains: Drains::new(site.rules.drain_grace),
             cold: Cold::new(site),
--- a/crates/invariants/src/quota.rs
+++ b/crates/invariants/src/quota.rs
@@ -248,19 +248,19 @@
 
     fn has_room(&mut self, now: Time, units: f64, plan: &PlanSpec) -> bool {
         let held = plan.rate <= 0.0 || self.store.holds(now, units);
-        held && (plan.open == 0 || self.out < plan.open)
+        held && (plan.max_in_flight == 0 || self.out < plan.max_in_flight)
     }
 }
 
 impl Ideal {
     fn lets_in(&mut self, now: Time, units: f64, plan: &PlanSpec, lasts: Span) -> bool {
         self.out.retain(|end| *end > now);
-        let open = plan.open == 0 || self.out.len() < plan.open as usize;
+        let open = plan.max_in_flight == 0 || self.out.len() < plan.max_in_flight as usize;
         if !open || plan.rate > 0.0 && !self.store.holds(now, units) {
             return false;
         }
         self.store.take(now, units);
-        if plan.open > 0 {
+        if plan.max_in_flight > 0 {
             self.out.push(now.saturating_add(lasts));
         }
         true
--- a/crates/invariants/src/worth.rs
+++ b/crates/invariants/src/worth.rs
@@ -181,7 +181,7 @@
     pub(crate) fn served(&mut self, thing: usize, at: Time, inside: bool) -> bool {
         let thing = &mut self.things[thing];
         thing.served.get_or_insert(Served { at, inside });
-        at.saturating_sub(thing.asked) <= self.classes[thing.class].aim
+        at.saturating_sub(thing.asked) <= self.classes[thing.class].latency_objective
     }
 
     /// A try ended in another way.
@@ -190,7 +190,7 @@
     }
 
     fn worth(&self, thing: &Thing) -> f64 {
-        self.classes[thing.class].worth * self.plans[thing.plan].price * thing.units
+        self.classes[thing.class].priority_weight * self.plans[thing.plan].weight_factor * thing.units
     }
 
     /// Share of its worth that a thing earned by when it was served.
@@ -198,17 +198,17 @@
         let class = &self.classes[thing.class];
         let Some(served) = &thing.served else { return 0.0 };
         match served.at.saturating_sub(thing.asked) {
-            after if after <= class.aim => 1.0,
-            after if after <= class.deadline => class.late_worth,
+            after if after <= class.latency_objective => 1.0,
+            after if after <= class.deadline => class.late_weight_share,
             _ => 0.0,
         }
     }
 
     fn whole(&self, thing: &Thing) -> Sum {
         let (plan, worth) = (&self.plans[thing.plan], self.worth(thing));
-        let extra = |inside: bool| if inside { 1.0 } else { plan.extra_worth };
+        let extra = |inside: bool| if inside { 1.0 } else { plan.over_quota_weight_share };
         let served = thing.served.as_ref().map_or(0.0, |served| self.in_time(thing) * extra(served.inside));
-        let costs = f64::from(thing.beyond) * plan.overrun_cost + f64::from(thing.held) * HELD_COST;
+        let costs = f64::from(thing.beyond) * plan.over_quota_cost + f64::from(thing.held) * HELD_COST;
         Sum { offered: worth * extra(thing.let_in), earned: worth * (served - costs) }
     }
 
@@ -235,7 +235,7 @@
         for thing in &self.things {
             let (sum, worth) = (self.whole(thing), self.worth(thing));
             offered += sum.offered;
-            let overrun = worth * f64::from(thing.beyond) * self.plans[thing.plan].overrun_cost;
+            let overrun = worth * f64::from(thing.beyond) * self.plans[thing.plan].over_quota_cost;
             let held = worth * f64::from(thing.held) * HELD_COST;
             let rest = sum.offered - sum.earned - overrun - held;
             for (cause, lost) in [(self.cause(thing), rest), (Cause::Overrun, overrun), (Cause::Held, held)] {
@@ -286,7 +286,7 @@
         let mut classes = vec![Counts::default(); self.classes.len()];
         let mut plans = vec![Counts::default(); self.plans.len()];
         for thing in &self.things {
-            let aim = self.classes[thing.class].aim;
+            let aim = self.classes[thing.class].latency_objective;
             for counts in [&mut all, &mut classes[thing.class], &mut plans[thing.plan]] {
                 counts.asked += 1;
                 match (&thing.served, thing.outcome) {
--- a/crates/invariants/tests/judge/effects.rs
+++ b/crates/invariants/tests/judge/effects.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{first, order, read, Ask, Day, READ, SERVED, START};
 use cluster_model::draw;
-use cluster_model::scenario::{Effect, Site};
+use cluster_model::scenario::{Idempotency, Site};
 use cluster_model::seen::{Dealt, Got};
 use cluster_model::{MS, SECOND};
 use invariants::Rule;
@@ -88,7 +88,7 @@
 #[test]
 fn a_keyed_request_is_repeated_while_hosts_remember_it() {
     let mut site = Site::default();
-    site.classes[READ as usize].effect = Effect::Keyed(SECOND / 2);
+    site.classes[READ as usize].idempotency = Idempotency::Keyed(SECOND / 2);
     let broken = |first_dealt: Dealt, again_ms: u64| {
         let id = first(1);
         let mut day = Day::default();
@@ -104,7 +104,7 @@
 
 #[test]
 fn where_there_are_no_second_copies_none_is_out_beside_the_first() {
-    let site = Site { second_copies: false, ..Site::default() };
+    let site = Site { hedging: false, ..Site::default() };
     let broken = |out_ms: Option<u64>| {
         let id = first(1);
         let mut day = Day::default();
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_copy_that_was_held_up_on_its_way_may_come_after_a_later_one_and_ends_as_it_comes() {
-    let site = Site { second_copies: false, ..Site::default() };
+    let site = Site { hedging: false, ..Site::default() };
     let id = first(1);
     let broken = |out_ms: u64, late: bool| {
         let mut day = Day::default();
@@ -141,7 +141,7 @@
 
 #[test]
 fn the_end_of_a_connection_may_be_on_its_way_when_the_run_ends() {
-    let site = Site { second_copies: false, ..Site::default() };
+    let site = Site { hedging: false, ..Site::default() };
     let mut day = Day::default();
     let id = first(1);
     day.ask(0, read(id)).receive(10, id, 0).receive(100, id, 1).done(110, id, 1, Dealt::Served);
--- a/crates/invariants/tests/judge/quota.rs
+++ b/crates/invariants/tests/judge/quota.rs
@@ -28,7 +28,7 @@
 #[test]
 fn a_full_store_lets_its_burst_in_and_no_more() {
     let mut site = Site::default();
-    site.plans[STANDARD as usize].open = 0;
+    site.plans[STANDARD as usize].max_in_flight = 0;
     let mut day = Day::default();
     (1..=23).for_each(|n| {
         day.serve(0, ask(first(n), 1.0));
--- a/crates/load-generator/src/client.rs
+++ b/crates/load-generator/src/client.rs
@@ -105,7 +105,7 @@
     }
 
     fn aim(&self, ask: &Ask) -> Duration {
-        Duration::from_nanos(self.classes[usize::from(ask.is_order)].aim)
+        Duration::from_nanos(self.classes[usize::from(ask.is_order)].latency_objective)
     }
 
     fn deadline(&self, ask: &Ask) -> Duration {
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -213,17 +213,17 @@
     let mut scenario = Scenario::default();
     let site = &mut scenario.site;
     (site.gateways, site.hosts, site.buildings) = (1, spec.hosts as u32, 1);
-    (site.memory_mb, site.sockets) = (spec.memory_mb, spec.sockets);
+    (site.memory_mb, site.file_descriptors) = (spec.memory_mb, spec.sockets);
     let plan = |plan: &PlanSpec| PlanSpec {
         rate: spec.quota,
         burst: spec.quota.max(f64::from(crate::draw::MOST_UNITS)),
-        open: 0,
+        max_in_flight: 0,
         spread: 1,
         ..plan.clone()
     };
     site.plans = site.plans.iter().map(plan).collect();
-    scenario.traffic.most_units = crate::draw::MOST_UNITS;
-    scenario.traffic.guess_cv = 0.0;
+    scenario.traffic.max_units = crate::draw::MOST_UNITS;
+    scenario.traffic.estimate_cv = 0.0;
     scenario
 }
 
--- a/crates/simulated-runtime/examples/pingpong.rs
+++ b/crates/simulated-runtime/examples/pingpong.rs
@@ -42,7 +42,7 @@
     let argument = |position, usual| std::env::args().nth(position).map_or(Ok(usual), |text| text.parse());
     let exchanges: u64 = argument(1, 200_000)?;
     let connections: u64 = argument(2, 1)?.max(1);
-    let network = NetworkSpec { cross: MS, jitter: 0.3, ..NetworkSpec::default() };
+    let network = NetworkSpec { inter_building: MS, jitter: 0.3, ..NetworkSpec::default() };
     let sim = Sim::new(SimConfig { seed: 1, start: 0, network });
     let host = sim.machine("host", Place::Building(1)).process("host");
     let listener = host.listen("0.0.0.0:80".parse()?, 65_535)?;
--- a/crates/simulated-runtime/src/net/links.rs
+++ b/crates/simulated-runtime/src/net/links.rs
@@ -6,7 +6,7 @@
 use crate::digest::What;
 use crate::slab::Key;
 use crate::timers::Event;
-use cluster_model::scenario::LinkWay;
+use cluster_model::scenario::LinkDirection;
 use runtime::{Span, Time};
 use std::collections::BTreeSet;
 
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkFault {
     /// What arrives waits, and comes all at once when it is over, also from a process that has died meanwhile.
-    Hold(LinkWay),
+    Hold(LinkDirection),
     /// What arrives is lost and sent again, as in a silent cut.
-    Cut(LinkWay),
+    Cut(LinkDirection),
     /// Each message takes longer by something between these.
     Slow(Span, Span),
     /// So many bytes a second pass in each direction of a connection.
@@ -33,11 +33,11 @@
     fault: LinkFault,
 }
 
-fn covers(way: LinkWay, from: Side) -> bool {
+fn covers(way: LinkDirection, from: Side) -> bool {
     match way {
-        LinkWay::Both => true,
-        LinkWay::Calls => from == Side::Opener,
-        LinkWay::Answers => from == Side::Acceptor,
+        LinkDirection::Both => true,
+        LinkDirection::FromInitiator => from == Side::Opener,
+        LinkDirection::ToInitiator => from == Side::Acceptor,
     }
 }
 
--- a/crates/simulated-runtime/src/net/place.rs
+++ b/crates/simulated-runtime/src/net/place.rs
@@ -124,8 +124,8 @@
             return LOOPBACK;
         }
         match (self.machine(a).place, self.machine(b).place) {
-            (Place::Building(one), Place::Building(two)) if one == two => self.network.same,
-            (Place::Building(_), Place::Building(_)) => self.network.cross,
+            (Place::Building(one), Place::Building(two)) if one == two => self.network.intra_building,
+            (Place::Building(_), Place::Building(_)) => self.network.inter_building,
             _ => self.network.client,
         }
     }
--- a/crates/simulated-runtime/tests/room/links.rs
+++ b/crates/simulated-runtime/tests/room/links.rs
@@ -1,7 +1,7 @@
 //! Links that fail one way or both, and processes that stand still.
 
 use crate::support::*;
-use cluster_model::scenario::LinkWay;
+use cluster_model::scenario::LinkDirection;
 use cluster_model::{MS, SECOND};
 use runtime::Env;
 use simulated_runtime::{LinkFault, Sim};
@@ -55,15 +55,18 @@
     let cases: &[(LinkFault, &[&str])] = &[
         // Held: all at once when it is over.
         (
-            LinkFault::Hold(LinkWay::Answers),
+            LinkFault::Hold(LinkDirection::ToInitiator),
             &["1.8 host a", "101.8 host b", "201.8 host c", "250 A", "250 B", "250 C"],
         ),
         (
-            LinkFault::Hold(LinkWay::Calls),
+            LinkFault::Hold(LinkDirection::FromInitiator),
             &["250 host a", "250 host b", "250 host c", "250.6 A", "250.6 B", "250.6 C"],
         ),
         // Cut: sent again 200 ms after the first loss, and then 400 ms after that.
-        (LinkFault::Cut(LinkWay::Answers), &["1.8 host a", "101.8 host b", "201.8 host c", "602.4 ABC"]),
+        (
+            LinkFault::Cut(LinkDirection::ToInitiator),
+            &["1.8 host a", "101.8 host b", "201.8 host c", "602.4 ABC"],
+        ),
         (LinkFault::Slow(10 * MS, 10 * MS), &["1.8 host a", "12.4 A", "111.8 host b", "122.4 B"]),
         // A byte a tenth of a second, each way; the first one was on its way.
         (LinkFault::Narrow(10.0), &["1.8 host a", "102.4 A", "201.8 host b", "301.8 host c", "302.4 B"]),
@@ -82,7 +85,7 @@
 fn held_bytes_of_a_process_that_died_come_and_then_the_reset() {
     let room = pair();
     letters(&room);
-    fault(&room, LinkFault::Hold(LinkWay::Calls), MS, 500 * MS);
+    fault(&room, LinkFault::Hold(LinkDirection::FromInitiator), MS, 500 * MS);
     let process = room.client.process_id();
     room.sim.at(START + 250 * MS, move |sim| sim.kill(process));
     assert_eq!(room.run(SECOND), ["500 host a", "500 host b", "500 host c"]);
--- a/crates/simulated-runtime/tests/room/network.rs
+++ b/crates/simulated-runtime/tests/room/network.rs
@@ -10,7 +10,8 @@
 
 #[test]
 fn a_ping_pong_takes_its_delays_to_the_nanosecond() {
-    let spec = NetworkSpec { client: 1_300_001, same: 200_003, cross: 1_000_007, ..network() };
+    let spec =
+        NetworkSpec { client: 1_300_001, intra_building: 200_003, inter_building: 1_000_007, ..network() };
     let places = [(Place::Client, 1_300_001), (Place::Building(1), 200_003), (Place::Building(2), 1_000_007)];
     for (place, delay) in places {
         let room = pair_in(1, spec.clone());
