--- a/crates/cluster-model/src/agent.rs
+++ b/crates/cluster-model/src/agent.rs
@@ -147,7 +147,7 @@
         self.generation
     }
 
-    /// Discovery fails until `until`, beside what fails already. [`DiscoveryFault::Late`] and
+    /// Discovery fails until `until`, beside what fails already. [`DiscoveryFault::Delayed`] and
     /// [`DiscoveryFault::Reordered`] are for the changes that come meanwhile, the others for what is told
     /// meanwhile.
     pub fn fail(&mut self, now: Time, fault: DiscoveryFault, until: Time) {
--- a/crates/cluster-model/src/counter.rs
+++ b/crates/cluster-model/src/counter.rs
@@ -2,7 +2,7 @@
 //!
 //! A call waits until its part has a turn for it, is added in that moment, and is answered a little later.
 //! Nobody who waits for it is asked: a call that was taken in has its turn also when its caller has gone.
-//! Gateways are numbered from 0 here, and from 1 in [`CounterFault::Split`], as scenarios number them.
+//! Gateways are numbered from 0 here, and from 1 in [`CounterFault::SplitBrain`], as scenarios number them.
 
 mod amount;
 mod store;
@@ -184,7 +184,7 @@
     }
 
     /// The counter fails until `until`, beside what fails already; of splits only the last one is in force.
-    /// [`CounterFault::Fresh`] is done with at once.
+    /// [`CounterFault::Reset`] is done with at once.
     pub fn fail(&mut self, now: Time, fault: CounterFault, until: Time) {
         self.run(now, now);
         if matches!(fault, CounterFault::Reset) {
--- a/crates/cluster-model/src/file/check.rs
+++ b/crates/cluster-model/src/file/check.rs
@@ -1,208 +1,222 @@
-//! What is wrong with a scenario whose lines are all right by themselves.
+//! Finds inconsistencies between the lines of a scenario, each of which is valid by itself.
 
-use super::errors::{listed, Fault, Parsed, Place, Reason};
-use super::events::{named, Marks, Named};
-use super::fields::{CLASS_NEEDS, PLAN_NEEDS};
-use super::figure::{share_text, span_text};
-use super::near::nearest;
-use super::parser::{EventPlaces, Places};
-use super::signs;
+use super::errors::{listed, ParseError, ParseResult, Position, Reason};
+use super::events::{references, NamePositions, Reference};
+use super::fields::{REQUIRED_CLASS_KEYS, REQUIRED_PLAN_KEYS};
+use super::parser::{EventPositions, Positions};
+use super::quantity::{share_text, span_text};
+use super::suggestion::nearest;
+use super::triggers;
 use super::{MAX_CUSTOMERS, MAX_HOSTS};
 use crate::draw::Draws;
 use crate::scenario::{CounterFault, Event, LinkEnd, PartitionSide, Scenario, ScheduledEvent, Site, Trigger};
 
-/// How far shares may miss the whole: three thirds written as 33.3 % are meant as one.
-const SHARES_MISS: f64 = 0.002;
+/// Tolerance for the sum of shares, so that three thirds written as 33.3 % are accepted.
+const SHARE_SUM_TOLERANCE: f64 = 0.002;
 
-/// Finds the first place, in the order of the text, that contradicts something.
-pub(super) fn check(scenario: &Scenario, places: &Places) -> Parsed<()> {
-    let mut check = Check { scenario, places, faults: Vec::new() };
-    check.classes();
-    check.plans();
-    check.customer_kinds();
-    check.customer_numbers();
-    check.counter();
-    check.events();
-    match check.faults.into_iter().min_by_key(|fault| fault.place) {
+/// Returns the first inconsistency in the order of the text.
+pub(super) fn check(scenario: &Scenario, positions: &Positions) -> ParseResult<()> {
+    let mut checker = Checker { scenario, positions, errors: Vec::new() };
+    checker.check_classes();
+    checker.check_plans();
+    checker.check_customer_kinds();
+    checker.check_customer_counts();
+    checker.check_counter();
+    checker.check_events();
+    match checker.errors.into_iter().min_by_key(|error| error.position) {
         Some(first) => Err(first),
         None => Ok(()),
     }
 }
 
-/// `3 gateways`, `1 gateway`.
-fn so_many(count: u32, what: &str) -> String {
+/// Formats a count with its noun: `3 gateways`, `1 gateway`.
+fn counted(count: u32, what: &str) -> String {
     format!("{count} {what}{}", if count == 1 { "" } else { "s" })
 }
 
-struct Check<'a> {
+struct Checker<'a> {
     scenario: &'a Scenario,
-    places: &'a Places,
-    faults: Vec<Fault>,
+    positions: &'a Positions,
+    errors: Vec<ParseError>,
 }
 
-impl<'a> Check<'a> {
-    fn fault(&mut self, place: Place, reason: Reason) {
-        self.faults.push(Fault::new(place, reason));
+impl<'a> Checker<'a> {
+    fn add_error(&mut self, position: Position, reason: Reason) {
+        self.errors.push(ParseError::new(position, reason));
     }
 
-    /// Something that is wrong between keys: shown at the last of them that was given.
-    fn fault_at(&mut self, paths: &[String], reason: Reason) {
-        let last = paths.iter().filter_map(|path| self.places.given(path)).max();
-        self.fault(last.unwrap_or(Place { line: 1, column: 1 }), reason);
+    /// Adds an error about several keys, at the position of the last one that the file contains.
+    fn add_error_at_last(&mut self, paths: &[String], reason: Reason) {
+        let last = paths.iter().filter_map(|path| self.positions.find(path)).max();
+        self.add_error(last.unwrap_or(Position { line: 1, column: 1 }), reason);
     }
 
-    fn classes(&mut self) {
-        let usual = Site::default().classes;
+    fn check_classes(&mut self) {
+        let defaults = Site::default().classes;
         let classes = &self.scenario.site.classes;
         for class in classes {
-            if !usual.iter().any(|usual| usual.name == class.name) {
-                self.complete("class", &class.name, CLASS_NEEDS);
+            if !defaults.iter().any(|default| default.name == class.name) {
+                self.check_required_keys("class", &class.name, REQUIRED_CLASS_KEYS);
             }
             if class.deadline < class.latency_objective {
                 let keys = ["aim", "deadline"].map(|key| format!("class {} {key}", class.name));
-                let (deadline, aim) = (span_text(class.deadline), span_text(class.latency_objective));
-                self.fault_at(&keys, Reason::Deadline { class: class.name.clone(), deadline, aim });
+                let (deadline, objective) = (span_text(class.deadline), span_text(class.latency_objective));
+                self.add_error_at_last(
+                    &keys,
+                    Reason::DeadlineBeforeObjective { class: class.name.clone(), deadline, objective },
+                );
             }
         }
         let shares: Vec<_> = classes.iter().map(|class| (class.name.as_str(), class.share)).collect();
-        self.shares("classes", "class", &shares);
+        self.check_share_sum("classes", "class", &shares);
     }
 
-    fn plans(&mut self) {
-        let usual = Site::default().plans;
+    fn check_plans(&mut self) {
+        let defaults = Site::default().plans;
         let site = &self.scenario.site;
         for plan in &site.plans {
-            if !usual.iter().any(|usual| usual.name == plan.name) {
-                self.complete("plan", &plan.name, PLAN_NEEDS);
+            if !defaults.iter().any(|default| default.name == plan.name) {
+                self.check_required_keys("plan", &plan.name, REQUIRED_PLAN_KEYS);
             }
             if plan.spread > site.gateways {
-                let gateways = so_many(site.gateways, "gateway");
-                let reason = Reason::Spread { plan: plan.name.clone(), spread: plan.spread, gateways };
-                self.fault_at(&[format!("plan {} spread", plan.name)], reason);
+                let gateways = counted(site.gateways, "gateway");
+                let reason =
+                    Reason::SpreadTooLarge { plan: plan.name.clone(), spread: plan.spread, gateways };
+                self.add_error_at_last(&[format!("plan {} spread", plan.name)], reason);
             }
             if plan.ceiling_rate > 0.0 && plan.ceiling_burst == 0.0 {
                 let keys = ["ceiling-rate", "ceiling-burst"].map(|key| format!("plan {} {key}", plan.name));
-                self.fault_at(&keys, Reason::Ceiling(plan.name.clone()));
+                self.add_error_at_last(&keys, Reason::MissingCeilingBurst(plan.name.clone()));
             }
         }
         let shares: Vec<_> = site.plans.iter().map(|plan| (plan.name.as_str(), plan.share)).collect();
-        self.shares("plans", "plan", &shares);
+        self.check_share_sum("plans", "plan", &shares);
     }
 
-    /// The counter stands in a building of the site.
-    fn counter(&mut self) {
+    /// Checks that the building of the counter exists.
+    fn check_counter(&mut self) {
         let site = &self.scenario.site;
-        let missing = no_such("building", site.counter.building, site.buildings, "the site has");
+        let missing = unknown_machine("building", site.counter.building, site.buildings, "the site has");
         if let Some(reason) = missing {
-            self.fault_at(&["counter building".into()], reason);
+            self.add_error_at_last(&["counter building".into()], reason);
         }
     }
 
-    /// No plan is so small beside the traffic that it takes customers without number to ask for its share.
-    fn customer_numbers(&mut self) {
+    /// Checks that no plan needs too many customers to generate its share of the load.
+    fn check_customer_counts(&mut self) {
         let traffic = &self.scenario.traffic;
         let units = traffic.rate * Draws::new(0, traffic).mean_units();
         for plan in self.scenario.site.plans.iter().filter(|plan| plan.rate > 0.0) {
-            // As few as could be: each asks for all of its rate.
+            // A lower bound: each customer uses its full rate.
             let customers = libm::round(units * plan.share / plan.rate) as u64;
             if customers > MAX_CUSTOMERS {
                 let (rate, share) = (format!("plan {} rate", plan.name), format!("plan {} share", plan.name));
                 let paths = [rate, share, "traffic rate".into(), "traffic most-units".into()];
-                let reason = Reason::ManyCustomers(plan.name.clone(), customers);
-                self.fault_at(&paths, reason);
+                let reason = Reason::TooManyCustomers(plan.name.clone(), customers);
+                self.add_error_at_last(&paths, reason);
             }
         }
     }
 
-    /// A new class or plan tells all that it has to.
-    fn complete(&mut self, what: &'static str, name: &str, needs: &[&str]) {
+    /// Checks that a new class or plan has all required keys.
+    fn check_required_keys(&mut self, what: &'static str, name: &str, required: &[&str]) {
         let path = format!("{what} {name}");
-        let is_missing = |key: &&&str| self.places.given(&format!("{path} {key}")).is_none();
-        let missing: Vec<&str> = needs.iter().filter(is_missing).copied().collect();
+        let is_missing = |key: &&&str| self.positions.find(&format!("{path} {key}")).is_none();
+        let missing: Vec<&str> = required.iter().filter(is_missing).copied().collect();
         if !missing.is_empty() {
-            self.fault_at(&[path], Reason::Incomplete { what, name: name.into(), missing: listed(&missing) });
+            self.add_error_at_last(
+                &[path],
+                Reason::MissingKeys { what, name: name.into(), missing: listed(&missing) },
+            );
         }
     }
 
-    fn shares(&mut self, what: &'static str, one: &str, shares: &[(&str, f64)]) {
+    fn check_share_sum(&mut self, what: &'static str, singular: &str, shares: &[(&str, f64)]) {
         let sum: f64 = shares.iter().map(|(_, share)| share).sum();
-        if (sum - 1.0).abs() > SHARES_MISS {
-            let mut paths: Vec<_> = shares.iter().map(|(name, _)| format!("{one} {name} share")).collect();
+        if (sum - 1.0).abs() > SHARE_SUM_TOLERANCE {
+            let mut paths: Vec<_> =
+                shares.iter().map(|(name, _)| format!("{singular} {name} share")).collect();
             paths.push(format!("only {what}"));
-            self.fault_at(&paths, Reason::Shares { what, sum: rounded(sum) });
+            self.add_error_at_last(&paths, Reason::ShareSum { what, sum: rounded(sum) });
         }
     }
 
-    fn customer_kinds(&mut self) {
+    fn check_customer_kinds(&mut self) {
         let traffic = &self.scenario.traffic;
         let sum = traffic.near_quota + traffic.heavy.0 + traffic.bursty.0 + traffic.greedy.0;
-        if sum > 1.0 + SHARES_MISS {
+        if sum > 1.0 + SHARE_SUM_TOLERANCE {
             let paths = ["full", "heavy", "spiky", "greedy"].map(|key| format!("traffic {key}"));
-            self.fault_at(&paths, Reason::Customers(rounded(sum)));
+            self.add_error_at_last(&paths, Reason::CustomerShareSum(rounded(sum)));
         }
     }
 
-    fn events(&mut self) {
-        let (scenario, places) = (self.scenario, self.places);
-        let mut in_time: Vec<(&ScheduledEvent, &EventPlaces)> =
-            scenario.events.iter().zip(&places.events).collect();
-        // At the same instant, earlier lines come first.
-        in_time.sort_by_key(|(timed, _)| timed.at);
+    fn check_events(&mut self) {
+        let (scenario, positions) = (self.scenario, self.positions);
+        let mut by_time: Vec<(&ScheduledEvent, &EventPositions)> =
+            scenario.events.iter().zip(&positions.events).collect();
+        // The sort is stable: events at the same instant stay in the order of the lines.
+        by_time.sort_by_key(|(scheduled, _)| scheduled.at);
         let mut hosts = scenario.site.hosts;
-        for (timed, places) in in_time {
-            if timed.at > scenario.length {
-                self.fault(places.at, Reason::AfterEnd(span_text(scenario.length)));
+        for (scheduled, positions) in by_time {
+            if scheduled.at > scenario.length {
+                self.add_error(positions.at, Reason::AfterEnd(span_text(scenario.length)));
             }
-            if let Some(sign) = &timed.trigger {
-                self.named(&signs::named(sign), &places.sign, hosts, false);
-                self.signed(sign, timed, places);
+            if let Some(trigger) = &scheduled.trigger {
+                self.check_references(&triggers::references(trigger), &positions.trigger, hosts, false);
+                self.check_trigger(trigger, scheduled, positions);
             }
-            let may_repeat = matches!(timed.event, Event::Partition(..));
-            self.named(&named(&timed.event), &places.marks, hosts, may_repeat);
-            self.fits(&timed.event, places.event);
-            let come = hosts.saturating_add(come(&timed.event, hosts));
-            if come > MAX_HOSTS && hosts <= MAX_HOSTS {
-                self.fault(places.event, Reason::ManyHosts(come, MAX_HOSTS));
+            let may_repeat = matches!(scheduled.event, Event::Partition(..));
+            self.check_references(&references(&scheduled.event), &positions.references, hosts, may_repeat);
+            self.check_event(&scheduled.event, positions.event);
+            let total = hosts.saturating_add(hosts_added(&scheduled.event, hosts));
+            if total > MAX_HOSTS && hosts <= MAX_HOSTS {
+                self.add_error(positions.event, Reason::TooManyHosts(total, MAX_HOSTS));
             }
-            hosts = come;
+            hosts = total;
         }
     }
 
-    /// What an event names is there, and named once.
-    fn named(&mut self, all: &[Named<'_>], marks: &Marks, hosts: u32, may_repeat: bool) {
+    /// Checks that whatever an event or a trigger refers to exists, and is named only once.
+    fn check_references(
+        &mut self,
+        references: &[Reference<'_>],
+        positions: &NamePositions,
+        hosts: u32,
+        may_repeat: bool,
+    ) {
         let site = &self.scenario.site;
-        for (i, (name, place)) in all.iter().zip(&marks.0).enumerate() {
-            let twice = all[..i].contains(name) && !may_repeat;
-            let reason = match name {
-                Named::Gateway(n) if twice => Some(Reason::NamedTwice(format!("gateway {n}"))),
-                Named::Host(n) if twice => Some(Reason::NamedTwice(format!("host {n}"))),
-                Named::Gateway(n) => no_such("gateway", *n, site.gateways, "the site has"),
-                Named::Building(n) => no_such("building", *n, site.buildings, "the site has"),
-                Named::Host(n) => no_such("host", *n, hosts, "all that have come by then are"),
-                Named::Gateways(n) => not_so_many("gateway", *n, site.gateways, "the site has"),
-                Named::Hosts(n) => not_so_many("host", *n, hosts, "all that have come by then are"),
-                Named::Class(class) => no_class(site, class),
+        for (i, (reference, position)) in references.iter().zip(&positions.0).enumerate() {
+            let twice = references[..i].contains(reference) && !may_repeat;
+            let reason = match reference {
+                Reference::Gateway(n) if twice => Some(Reason::DuplicateReference(format!("gateway {n}"))),
+                Reference::Host(n) if twice => Some(Reason::DuplicateReference(format!("host {n}"))),
+                Reference::Gateway(n) => unknown_machine("gateway", *n, site.gateways, "the site has"),
+                Reference::Building(n) => unknown_machine("building", *n, site.buildings, "the site has"),
+                Reference::Host(n) => unknown_machine("host", *n, hosts, "the total by then is"),
+                Reference::Gateways(n) => too_few_machines("gateway", *n, site.gateways, "the site has"),
+                Reference::Hosts(n) => too_few_machines("host", *n, hosts, "the total by then is"),
+                Reference::Class(class) => unknown_class(site, class),
             };
             if let Some(reason) = reason {
-                self.fault(*place, reason);
+                self.add_error(*position, reason);
             }
         }
     }
 
-    /// An event may begin by this sign.
-    fn signed(&mut self, sign: &Trigger, timed: &ScheduledEvent, places: &EventPlaces) {
-        if matches!(sign, Trigger::CounterCall(..)) && !self.scenario.site.counter.enabled {
-            self.fault(places.sign.0[0], Reason::NoCounter);
+    /// Checks that an event may start by this trigger.
+    fn check_trigger(&mut self, trigger: &Trigger, scheduled: &ScheduledEvent, positions: &EventPositions) {
+        if matches!(trigger, Trigger::CounterCall(..)) && !self.scenario.site.counter.enabled {
+            self.add_error(positions.trigger.0[0], Reason::NoCounter);
         }
-        match timed.event {
-            Event::Traffic(..) => self.fault(places.event, Reason::Planned("traffic")),
-            Event::SkewTraffic(..) => self.fault(places.event, Reason::Planned("lean")),
+        match scheduled.event {
+            Event::Traffic(..) => self.add_error(positions.event, Reason::NotTriggerable("traffic")),
+            Event::SkewTraffic(..) => self.add_error(positions.event, Reason::NotTriggerable("lean")),
             _ => {}
         }
     }
 
-    /// What an event does makes sense.
-    fn fits(&mut self, event: &Event, place: Place) {
+    /// Checks an event against the site and its own parameters.
+    fn check_event(&mut self, event: &Event, position: Position) {
         let site = &self.scenario.site;
         let reason = match event {
             Event::Counter(..) | Event::CorruptCounterReplies(..) | Event::SuspendCounter(_)
@@ -217,51 +231,51 @@
             {
                 Some(Reason::NoCounter)
             }
-            Event::Counter(CounterFault::SplitBrain(groups), _) => left_out(groups, site.gateways),
+            Event::Counter(CounterFault::SplitBrain(groups), _) => missing_gateway(groups, site.gateways),
             Event::Partition(one, other, ..) if one == other => Some(Reason::SameSides),
-            Event::Traffic(_, whole, rise) if rise.saturating_mul(2) > *whole => {
-                Some(Reason::Rise { rise: span_text(*rise), whole: span_text(*whole) })
+            Event::Traffic(_, duration, rise) if rise.saturating_mul(2) > *duration => {
+                Some(Reason::RiseTooLong { rise: span_text(*rise), duration: span_text(*duration) })
             }
             _ => None,
         };
         if let Some(reason) = reason {
-            self.fault(place, reason);
+            self.add_error(position, reason);
         }
     }
 }
 
-/// A sum of shares, without the dust of adding.
+/// Formats a sum of shares, without the rounding errors of the addition.
 fn rounded(sum: f64) -> String {
     share_text(libm::round(sum * 1e6) / 1e6)
 }
 
-/// Hosts that an event brings at the most, where so many have come before.
-fn come(event: &Event, hosts: u32) -> u32 {
+/// Returns an upper bound of the number of hosts that an event adds to the given number.
+fn hosts_added(event: &Event, hosts: u32) -> u32 {
     match event {
         Event::AddHosts(count) => *count,
-        Event::ReplaceHosts(which, _) => which.count(hosts),
+        Event::ReplaceHosts(selector, _) => selector.count(hosts),
         _ => 0,
     }
 }
 
-fn no_such(kind: &'static str, number: u32, there: u32, whose: &str) -> Option<Reason> {
-    let text = || format!("{whose} {}", so_many(there, kind));
-    (number > there).then(|| Reason::NoSuch { kind, number, there: text() })
+fn unknown_machine(kind: &'static str, number: u32, existing: u32, prefix: &str) -> Option<Reason> {
+    let text = || format!("{prefix} {}", counted(existing, kind));
+    (number > existing).then(|| Reason::UnknownMachine { kind, number, existing: text() })
 }
 
-fn not_so_many(kind: &'static str, count: u32, there: u32, whose: &str) -> Option<Reason> {
-    let text = || format!("{whose} {}", so_many(there, kind));
-    (count > there).then(|| Reason::NotSoMany { what: so_many(count, kind), there: text() })
+fn too_few_machines(kind: &'static str, count: u32, existing: u32, prefix: &str) -> Option<Reason> {
+    let text = || format!("{prefix} {}", counted(existing, kind));
+    (count > existing).then(|| Reason::TooFewMachines { wanted: counted(count, kind), existing: text() })
 }
 
-fn no_class(site: &Site, class: &str) -> Option<Reason> {
+fn unknown_class(site: &Site, class: &str) -> Option<Reason> {
     let names = || site.classes.iter().map(|class| class.name.as_str());
-    let near = || nearest(class, names());
+    let suggestion = || nearest(class, names());
     let known = names().any(|name| name == class);
-    (!known).then(|| Reason::Unknown { what: "class", word: class.into(), near: near() })
+    (!known).then(|| Reason::Unknown { what: "class", word: class.into(), suggestion: suggestion() })
 }
 
-fn left_out(groups: &[Vec<u32>], gateways: u32) -> Option<Reason> {
-    let out = (1..=gateways).find(|gateway| !groups.iter().flatten().any(|n| n == gateway));
-    out.map(|gateway| Reason::Split(format!("gateway {gateway}")))
+fn missing_gateway(groups: &[Vec<u32>], gateways: u32) -> Option<Reason> {
+    let missing = (1..=gateways).find(|gateway| !groups.iter().flatten().any(|n| n == gateway));
+    missing.map(|gateway| Reason::IncompleteSplit(format!("gateway {gateway}")))
 }
--- a/crates/cluster-model/src/file/errors.rs
+++ b/crates/cluster-model/src/file/errors.rs
@@ -1,320 +1,321 @@
-//! What is wrong with a file, where, in one line.
+//! Errors of scenario files, each with its position and a one-line message.
 
 use super::{
     MAX_CUSTOMERS, MAX_FILE_BYTES, MAX_LINE_BYTES, MAX_LISTED_MACHINES, MAX_LOG_TEXT_CHARS, MAX_NAMES,
     MAX_TITLE_CHARS,
 };
 
-/// A place in a file; lines and columns count from 1, columns in characters.
+/// A position in a file. Lines and columns count from 1, columns in characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct Position {
     pub line: u32,
     pub column: u32,
 }
 
-/// Something wrong at a place of the text.
+/// An error at a position of the text, before the file name is known.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Fault {
-    pub place: Place,
+pub(super) struct ParseError {
+    pub position: Position,
     pub reason: Reason,
 }
 
-impl Fault {
-    pub fn new(place: Place, reason: Reason) -> Fault {
-        Fault { place, reason }
+impl ParseError {
+    pub fn new(position: Position, reason: Reason) -> ParseError {
+        ParseError { position, reason }
     }
 
     pub fn in_file(self, name: &str) -> FileError {
-        // A message is one line, whatever the file is called.
+        // A message has to stay on one line whatever characters the file name contains.
         let file = name.chars().map(|c| if is_printable(c) { c } else { '?' }).collect();
-        FileError { file, line: self.place.line, column: self.place.column, reason: self.reason.into() }
+        FileError { file, line: self.position.line, column: self.position.column, reason: self.reason.into() }
     }
 }
 
-/// What reading a part of the text gives.
-pub(super) type Parsed<T> = Result<T, Fault>;
+/// The result of parsing a part of the text.
+pub(super) type ParseResult<T> = Result<T, ParseError>;
 
-/// Why a scenario file cannot be used: one line, `file:line:column: reason`.
+/// The error of a scenario file, displayed on one line as `file:line:column: reason`.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {reason}")]
 pub struct FileError {
-    /// The file's name as it was given, with control characters replaced.
+    /// The file name as given, with control characters replaced.
     pub file: String,
-    /// The line, from 1.
+    /// Line, counted from 1.
     pub line: u32,
-    /// The column, from 1, in characters.
+    /// Column, counted from 1, in characters.
     pub column: u32,
-    /// What is wrong there.
+    /// The error at this position.
     pub reason: Box<Reason>,
 }
 
-/// What is wrong.
+/// The kinds of errors.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Reason {
     /// The file is too large.
-    #[error("the file has {0} bytes, and {MAX_FILE_BYTES} is the most")]
+    #[error("the file has {0} bytes; the maximum is {MAX_FILE_BYTES}")]
     LargeFile(usize),
     /// A line is too long.
-    #[error("the line has {0} bytes, and {MAX_LINE_BYTES} is the most")]
+    #[error("the line has {0} bytes; the maximum is {MAX_LINE_BYTES}")]
     LongLine(usize),
-    /// A character that a terminal would act on.
+    /// A character that a terminal would interpret.
     #[error("the character U+{:04X} is not allowed", u32::from(*.0))]
-    Control(char),
-    /// A character that belongs to nothing.
-    #[error("the character `{0}` means nothing here")]
-    Stray(char),
-    /// The line, or the file, ends inside a text.
-    #[error("the text that begins here has no closing quote")]
-    Unclosed,
-    /// A backslash before something else than a quote or a backslash.
-    #[error("in a text, `\\` stands only before `\"` and `\\`")]
-    Escape,
-    /// Something else should stand here.
+    ControlCharacter(char),
+    /// A character that begins no token.
+    #[error("unexpected character `{0}`")]
+    UnexpectedCharacter(char),
+    /// The line or the file ends inside a quoted string.
+    #[error("the quoted string that begins here has no closing quote")]
+    UnclosedString,
+    /// A backslash that is followed by something other than a quote or a backslash.
+    #[error("in a quoted string, `\\` is only allowed before `\"` and `\\`")]
+    InvalidEscape,
+    /// A token other than the expected one.
     #[error("expected {wanted}, found {found}")]
     Expected {
-        /// What should.
+        /// Description of the expected token.
         wanted: String,
-        /// What does.
+        /// Description of the actual token.
         found: String,
     },
-    /// A word that is not known.
-    #[error("unknown {what} `{word}`{}", did_you_mean(.near))]
+    /// An unknown word.
+    #[error("unknown {what} `{word}`{}", did_you_mean(.suggestion))]
     Unknown {
-        /// What it should be.
+        /// The kind of word that is expected.
         what: &'static str,
         /// The word.
         word: String,
-        /// A known one like it.
-        near: Option<String>,
+        /// A known word with a similar spelling.
+        suggestion: Option<String>,
     },
-    /// A known word in a place where it means nothing.
-    #[error("`{word}` does not stand here: it belongs {home}")]
-    Elsewhere {
+    /// A known word in a place where it is not allowed.
+    #[error("`{word}` is not allowed here: it belongs {location}")]
+    Misplaced {
         /// The word.
         word: String,
-        /// Where it belongs.
-        home: &'static str,
+        /// Where it is allowed.
+        location: &'static str,
     },
-    /// The file does not begin as it must.
-    #[error("a file begins with `scenario` and a title in quotes")]
-    NoTitle,
+    /// The file does not begin with its title.
+    #[error("a file must begin with `scenario` and a title in quotes")]
+    MissingTitle,
     /// The title is empty or too long.
-    #[error("a title has 1 to {MAX_TITLE_CHARS} letters, and this one has {0}")]
-    Title(usize),
-    /// A name of a class or plan has other characters, or too many.
-    #[error("`{0}` is no name: a name has 1 to 32 letters, digits, `-` and `_`, and begins with a letter")]
-    Name(String),
-    /// A bare figure.
+    #[error("a title must have 1 to {MAX_TITLE_CHARS} characters, and this one has {0}")]
+    TitleLength(usize),
+    /// The name of a class or plan is too long or contains other characters.
+    #[error("invalid name `{0}`: a name has 1 to 32 letters, digits, `-` and `_`, and begins with a letter")]
+    InvalidName(String),
+    /// A number without its unit.
     #[error("`{key}` needs a unit: {units}")]
-    NoUnit {
-        /// What it is the figure of.
+    MissingUnit {
+        /// The key of the number.
         key: String,
-        /// The units there are.
+        /// The accepted units.
         units: &'static str,
     },
-    /// A figure with a unit of something else.
+    /// A number with a unit of another kind.
     #[error("`{key}` is given in {units}, not in `{found}`")]
     WrongUnit {
-        /// What it is the figure of.
+        /// The key of the number.
         key: String,
-        /// The units there are.
+        /// The accepted units.
         units: &'static str,
-        /// What stands there.
+        /// The unit in the file.
         found: String,
     },
-    /// A figure below nothing.
-    #[error("`{key}` is -{found}, and no figure may be negative")]
-    Negative {
-        /// What it is the figure of.
+    /// A negative number.
+    #[error("`{key}` is -{found}, but must not be negative")]
+    NegativeNumber {
+        /// The key of the number.
         key: String,
-        /// The figure without its sign.
+        /// The number without its sign.
         found: String,
     },
-    /// A fraction where only whole numbers are.
-    #[error("`{key}` is {found}, and has to be a whole number")]
-    Whole {
-        /// What it is the figure of.
+    /// A fraction where an integer is required.
+    #[error("`{key}` is {found}, but must be an integer")]
+    NotAnInteger {
+        /// The key of the number.
         key: String,
-        /// The figure.
+        /// The number.
         found: String,
     },
-    /// Finer than the clock, or than a byte.
+    /// A fraction of a nanosecond or of a byte.
     #[error("`{key}` is finer than {smallest}")]
-    TooFine {
-        /// What it is the figure of.
+    TooPrecise {
+        /// The key of the number.
         key: String,
-        /// The smallest there is.
+        /// The smallest unit.
         smallest: &'static str,
     },
-    /// A figure outside its bounds.
-    #[error("`{key}` is {found}, and has to be from {low} to {high}")]
-    Range {
-        /// What it is the figure of.
+    /// A number outside its bounds.
+    #[error("`{key}` is {found}, but must be from {low} to {high}")]
+    OutOfRange {
+        /// The key of the number.
         key: String,
-        /// The figure.
+        /// The number.
         found: String,
-        /// The least.
+        /// Lower bound.
         low: String,
-        /// The most.
+        /// Upper bound.
         high: String,
     },
-    /// `from` above `to`.
-    #[error("`{key}` runs from {from} down to {to}")]
-    Backwards {
-        /// What they are the figures of.
+    /// A range whose lower end is greater than its upper end.
+    #[error("the range of `{key}` is inverted: {from} to {to}")]
+    InvertedRange {
+        /// The key of the range.
         key: String,
-        /// The first figure.
+        /// The first number.
         from: String,
-        /// The second.
+        /// The second number.
         to: String,
     },
-    /// The same thing said twice.
-    #[error("`{what}` is given twice, first in line {first}")]
-    Twice {
-        /// What.
-        what: String,
-        /// Where first.
-        first: u32,
+    /// A key or section that is given more than once.
+    #[error("`{key}` is given twice, first in line {first_line}")]
+    DuplicateKey {
+        /// The key or section.
+        key: String,
+        /// The line where it is given first.
+        first_line: u32,
     },
-    /// A machine or group member named twice in one event.
+    /// A machine, class or plan that is named more than once in one list.
     #[error("{0} is named twice")]
-    NamedTwice(String),
-    /// A new class or plan lacks figures that have no default.
+    DuplicateReference(String),
+    /// A new class or plan without keys that have no default.
     #[error("{what} `{name}` is new and also needs {missing}")]
-    Incomplete {
-        /// Class or plan.
+    MissingKeys {
+        /// `class` or `plan`.
         what: &'static str,
-        /// Its name.
+        /// The name of the class or plan.
         name: String,
-        /// The keys that are missing, as a list in words.
+        /// The missing keys, as an enumeration.
         missing: String,
     },
-    /// A class or plan is described and left out.
-    #[error("{what} `{name}` is described here and left out in line {line}")]
-    LeftOut {
-        /// Class or plan.
+    /// A class or plan that is defined but excluded by `only`.
+    #[error("{what} `{name}` is defined here but left out in line {line}")]
+    Excluded {
+        /// `class` or `plan`.
         what: &'static str,
-        /// Its name.
+        /// The name of the class or plan.
         name: String,
         /// The line with `only`.
         line: u32,
     },
     /// Too many classes or plans.
-    #[error("these are {0} {1}, and {MAX_NAMES} is the most")]
-    ManyNames(usize, &'static str),
-    /// Shares do not add up.
-    #[error("the shares of the {what} come to {sum}, not to 100 %")]
-    Shares {
-        /// Classes or plans.
+    #[error("there are {0} {1}; the maximum is {MAX_NAMES}")]
+    TooManyNames(usize, &'static str),
+    /// The shares of the classes or plans do not add up to 100 %.
+    #[error("the shares of the {what} add up to {sum}, not to 100 %")]
+    ShareSum {
+        /// `classes` or `plans`.
         what: &'static str,
-        /// Their sum.
+        /// The sum of the shares.
         sum: String,
     },
-    /// Kinds of customers are more than all.
-    #[error("`full`, `heavy`, `spiky` and `greedy` come to {0} of the customers")]
-    Customers(String),
-    /// A plan whose rate is next to nothing beside what its customers ask for together.
+    /// The shares of the kinds of customers exceed 100 %.
+    #[error("`full`, `heavy`, `spiky` and `greedy` add up to {0} of the customers")]
+    CustomerShareSum(String),
+    /// The rate of a plan is so small relative to its share of the load that too many customers are needed.
     #[error(
-        "plan `{0}` would have {1} customers or more to come to its share, and {MAX_CUSTOMERS} is the most"
+        "plan `{0}` would need {1} customers or more to reach its share; the maximum is {MAX_CUSTOMERS}"
     )]
-    ManyCustomers(String, u64),
-    /// Wanted later than given up.
-    #[error("class `{class}` is given up after {deadline}, before its aim of {aim}")]
-    Deadline {
+    TooManyCustomers(String, u64),
+    /// A deadline shorter than the latency objective.
+    #[error("class `{class}` has a deadline of {deadline}, which is shorter than its aim of {objective}")]
+    DeadlineBeforeObjective {
         /// The class.
         class: String,
         /// Its deadline.
         deadline: String,
-        /// Its aim.
-        aim: String,
+        /// Its latency objective.
+        objective: String,
     },
-    /// A customer comes through more gateways than there are.
+    /// A plan whose customers use more gateways than the site has.
     #[error("plan `{plan}` has a spread of {spread}, and the site has {gateways}")]
-    Spread {
+    SpreadTooLarge {
         /// The plan.
         plan: String,
         /// Its spread.
         spread: u32,
-        /// Gateways in words.
+        /// Number of gateways, with the noun.
         gateways: String,
     },
-    /// A ceiling whose store holds nothing lets nothing pass.
+    /// A ceiling with an empty token bucket would let no request pass.
     #[error("plan `{0}` has a ceiling, which needs a `ceiling-burst` above 0 units")]
-    Ceiling(String),
+    MissingCeilingBurst(String),
     /// A machine or building that the site does not have.
-    #[error("there is no {kind} {number}: {there}")]
-    NoSuch {
-        /// What kind.
+    #[error("there is no {kind} {number}: {existing}")]
+    UnknownMachine {
+        /// The kind of machine, or `building`.
         kind: &'static str,
-        /// The number that was named.
+        /// The number in the file.
         number: u32,
-        /// How many there are, in words.
-        there: String,
+        /// The number of existing ones, in words.
+        existing: String,
     },
-    /// More machines than there are.
-    #[error("there are no {what}: {there}")]
-    NotSoMany {
-        /// How many were named, in words.
-        what: String,
-        /// How many there are, in words.
-        there: String,
+    /// A count that exceeds the number of existing machines.
+    #[error("there are no {wanted}: {existing}")]
+    TooFewMachines {
+        /// The count in the file, with the noun.
+        wanted: String,
+        /// The number of existing ones, in words.
+        existing: String,
     },
-    /// Too many numbers.
-    #[error("an event names {MAX_LISTED_MACHINES} machines at the most, a share or a count any number")]
-    ManyNumbers,
-    /// Hosts came beyond all measure.
-    #[error("with these, {0} hosts have come in all, and {1} is the most")]
-    ManyHosts(u32, u32),
-    /// An event when all is over.
-    #[error("the rehearsal is over after {0}")]
+    /// An event that lists too many machine numbers.
+    #[error("an event may list at most {MAX_LISTED_MACHINES} machines; use a share or a count for more")]
+    TooManyListedMachines,
+    /// More hosts than a scenario may have over its whole run.
+    #[error("this event brings the total to {0} hosts; the maximum is {1}")]
+    TooManyHosts(u32, u32),
+    /// An event after the end of the run.
+    #[error("the run ends after {0}")]
     AfterEnd(String),
-    /// Something happens to a counter that is not there.
+    /// An event or trigger that refers to a counter that does not exist.
     #[error("the site has no counter")]
     NoCounter,
-    /// A part of a log's line that is empty or too long.
-    #[error("what a log says has 1 to {MAX_LOG_TEXT_CHARS} letters, and this has {0}")]
-    Sign(usize),
-    /// Clients plan ahead, so nothing seen on the way can change what they will ask.
-    #[error("`{0}` stands only behind `at`: clients know of it from the start")]
-    Planned(&'static str),
-    /// Not each gateway in one group.
-    #[error("a split puts each gateway into one group, and leaves out {0}")]
-    Split(String),
-    /// A cut with one side only.
+    /// The log text of a trigger is empty or too long.
+    #[error("the text of a log line must have 1 to {MAX_LOG_TEXT_CHARS} characters, and this one has {0}")]
+    LogTextLength(usize),
+    /// A traffic event with a trigger: clients plan their load in advance, so nothing that is observed during the run
+    /// can change it.
+    #[error("`{0}` is only allowed after `at`: clients plan their load in advance")]
+    NotTriggerable(&'static str),
+    /// A split in which a gateway belongs to no group.
+    #[error("a split must assign each gateway to a group: {0} is missing")]
+    IncompleteSplit(String),
+    /// A partition between a side and itself.
     #[error("both sides of the cut are the same")]
     SameSides,
-    /// Traffic rises for longer than it lasts.
-    #[error("traffic rises in {rise} and falls in as much, and all of it is to last {whole}")]
-    Rise {
-        /// The time of the rise.
+    /// A traffic event whose rise and fall take longer than the event.
+    #[error("traffic rises for {rise} and falls for as long, but the event lasts only {duration}")]
+    RiseTooLong {
+        /// Duration of the rise.
         rise: String,
-        /// The time of all.
-        whole: String,
+        /// Duration of the event.
+        duration: String,
     },
 }
 
-fn did_you_mean(near: &Option<String>) -> String {
-    near.as_ref().map(|near| format!("; did you mean `{near}`?")).unwrap_or_default()
+fn did_you_mean(suggestion: &Option<String>) -> String {
+    suggestion.as_ref().map(|word| format!("; did you mean `{word}`?")).unwrap_or_default()
 }
 
-/// Whether a character may stand in a file or a message: no control characters, and none that break lines or
-/// turn the direction of writing.
+/// Returns whether a character is allowed in a file or a message: not a control character, a line separator or a
+/// character that changes the writing direction.
 pub(super) fn is_printable(c: char) -> bool {
     !(c.is_control()
         || matches!(c, '\u{2028}' | '\u{2029}' | '\u{202A}'..='\u{202E}' | '\u{2066}'..='\u{2069}'))
 }
 
-/// A word of the file for a message, cut where it is long.
-pub(super) fn short(word: &str) -> String {
-    const MOST: usize = 40;
-    if word.chars().count() <= MOST {
+/// Returns a word of the file for a message, truncated if it is long.
+pub(super) fn truncated(word: &str) -> String {
+    const MAX_CHARS: usize = 40;
+    if word.chars().count() <= MAX_CHARS {
         return word.to_owned();
     }
-    word.chars().take(MOST).chain("...".chars()).collect()
+    word.chars().take(MAX_CHARS).chain("...".chars()).collect()
 }
 
-/// "`a`", "`a` and `b`", "`a`, `b` and `c`".
+/// Formats words as an enumeration: "`a`", "`a` and `b`", "`a`, `b` and `c`".
 pub(super) fn listed(words: &[&str]) -> String {
     let quoted: Vec<String> = words.iter().map(|word| format!("`{word}`")).collect();
     match quoted.split_last() {
--- a/crates/cluster-model/src/file/lexer.rs
+++ b/crates/cluster-model/src/file/lexer.rs
@@ -1,54 +1,54 @@
-//! The words, figures, texts and marks of a line.
+//! Splits a line into tokens: words, numbers, quoted strings and symbols.
 
-use super::errors::{is_printable, short, Fault, Parsed, Place, Reason};
+use super::errors::{is_printable, truncated, ParseError, ParseResult, Position, Reason};
 
-/// A piece of a line and where it begins.
+/// A token and the column where it begins.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Token<'a> {
     pub column: u32,
-    pub kind: Kind<'a>,
+    pub kind: TokenKind<'a>,
 }
 
-/// A piece of a line.
+/// The kinds of tokens.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Kind<'a> {
+pub(super) enum TokenKind<'a> {
     /// A keyword, a unit or a name.
     Word(&'a str),
-    /// Digits, perhaps with a point and more digits.
-    Figure(&'a str),
-    /// A figure after a minus, without it.
-    Negative(&'a str),
-    /// A text in quotes.
-    Text(String),
+    /// Digits, optionally followed by a decimal point and more digits.
+    Number(&'a str),
+    /// A number after a minus sign, without the sign.
+    NegativeNumber(&'a str),
+    /// A quoted string, without the quotes and with its escapes resolved.
+    Quoted(String),
     /// One of `% , : |`.
-    Mark(char),
-    /// Nothing more.
+    Symbol(char),
+    /// The end of the line or the beginning of a comment.
     End,
 }
 
-impl Kind<'_> {
-    /// For a message.
+impl TokenKind<'_> {
+    /// Describes the token for a message.
     pub fn describe(&self) -> String {
         match self {
-            Kind::Word(word) | Kind::Figure(word) => format!("`{}`", short(word)),
-            Kind::Negative(figure) => format!("`-{}`", short(figure)),
-            Kind::Text(_) => "a text in quotes".into(),
-            Kind::Mark(mark) => format!("`{mark}`"),
-            Kind::End => "the end of the line".into(),
+            TokenKind::Word(word) | TokenKind::Number(word) => format!("`{}`", truncated(word)),
+            TokenKind::NegativeNumber(number) => format!("`-{}`", truncated(number)),
+            TokenKind::Quoted(_) => "a quoted string".into(),
+            TokenKind::Symbol(symbol) => format!("`{symbol}`"),
+            TokenKind::End => "the end of the line".into(),
         }
     }
 }
 
-/// Takes a line (without its end) to pieces. The last one is always [`Kind::End`].
-pub(super) fn tokens(number: u32, text: &str) -> Parsed<Vec<Token<'_>>> {
-    let mut lexer = Lexer { line: number, text, at: 0, column: 1 };
-    lexer.refuse_control_characters()?;
+/// Splits a line (without its line ending) into tokens. The last one is always [`TokenKind::End`].
+pub(super) fn tokenize(number: u32, text: &str) -> ParseResult<Vec<Token<'_>>> {
+    let mut lexer = Lexer { line: number, text, offset: 0, column: 1 };
+    lexer.reject_control_characters()?;
     let mut tokens = Vec::new();
     loop {
         lexer.skip_blanks();
         let column = lexer.column;
         let kind = lexer.next()?;
-        let last = kind == Kind::End;
+        let last = kind == TokenKind::End;
         tokens.push(Token { column, kind });
         if last {
             return Ok(tokens);
@@ -59,90 +59,90 @@
 struct Lexer<'a> {
     line: u32,
     text: &'a str,
-    /// Byte.
-    at: usize,
+    /// Byte offset of the next character.
+    offset: usize,
     column: u32,
 }
 
 impl<'a> Lexer<'a> {
-    fn fault<T>(&self, column: u32, reason: Reason) -> Parsed<T> {
-        Err(Fault::new(Place { line: self.line, column }, reason))
+    fn error<T>(&self, column: u32, reason: Reason) -> ParseResult<T> {
+        Err(ParseError::new(Position { line: self.line, column }, reason))
     }
 
-    fn refuse_control_characters(&self) -> Parsed<()> {
+    fn reject_control_characters(&self) -> ParseResult<()> {
         match (1..).zip(self.text.chars()).find(|(_, c)| *c != '\t' && !is_printable(*c)) {
-            Some((column, c)) => self.fault(column, Reason::Control(c)),
+            Some((column, c)) => self.error(column, Reason::ControlCharacter(c)),
             None => Ok(()),
         }
     }
 
     fn rest(&self) -> &'a str {
-        &self.text[self.at..]
+        &self.text[self.offset..]
     }
 
     fn advance(&mut self, bytes: usize) -> &'a str {
-        let taken = &self.rest()[..bytes];
-        self.at += bytes;
-        self.column += taken.chars().count() as u32;
-        taken
+        let consumed = &self.rest()[..bytes];
+        self.offset += bytes;
+        self.column += consumed.chars().count() as u32;
+        consumed
     }
 
-    fn take_while(&mut self, wanted: impl Fn(char) -> bool) -> &'a str {
+    fn take_while(&mut self, accepts: impl Fn(char) -> bool) -> &'a str {
         let rest = self.rest();
-        self.advance(rest.find(|c| !wanted(c)).unwrap_or(rest.len()))
+        self.advance(rest.find(|c| !accepts(c)).unwrap_or(rest.len()))
     }
 
     fn skip_blanks(&mut self) {
         self.take_while(|c| c == ' ' || c == '\t');
     }
 
-    fn next(&mut self) -> Parsed<Kind<'a>> {
-        let mut ahead = self.rest().chars();
-        let Some(first) = ahead.next().filter(|c| *c != '#') else { return Ok(Kind::End) };
+    fn next(&mut self) -> ParseResult<TokenKind<'a>> {
+        let mut upcoming = self.rest().chars();
+        let Some(first) = upcoming.next().filter(|c| *c != '#') else { return Ok(TokenKind::End) };
         match first {
             '"' => self.quoted(),
             '%' | ',' | ':' | '|' => {
                 self.advance(1);
-                Ok(Kind::Mark(first))
+                Ok(TokenKind::Symbol(first))
             }
-            '0'..='9' => Ok(Kind::Figure(self.figure())),
-            '-' if ahead.next().is_some_and(|c| c.is_ascii_digit()) => {
+            '0'..='9' => Ok(TokenKind::Number(self.number())),
+            '-' if upcoming.next().is_some_and(|c| c.is_ascii_digit()) => {
                 self.advance(1);
-                Ok(Kind::Negative(self.figure()))
+                Ok(TokenKind::NegativeNumber(self.number()))
             }
             'a'..='z' | 'A'..='Z' => {
-                Ok(Kind::Word(self.take_while(|c| c.is_ascii_alphanumeric() || "-_/'".contains(c))))
+                Ok(TokenKind::Word(self.take_while(|c| c.is_ascii_alphanumeric() || "-_/'".contains(c))))
             }
-            _ => self.fault(self.column, Reason::Stray(first)),
+            _ => self.error(self.column, Reason::UnexpectedCharacter(first)),
         }
     }
 
-    fn figure(&mut self) -> &'a str {
+    fn number(&mut self) -> &'a str {
         let rest = self.rest();
         let digits = |text: &str| text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
-        let whole = digits(rest);
-        let part = rest[whole..].strip_prefix('.').map_or(0, digits);
-        self.advance(if part > 0 { whole + 1 + part } else { whole })
+        let integer_len = digits(rest);
+        let fraction_len = rest[integer_len..].strip_prefix('.').map_or(0, digits);
+        self.advance(if fraction_len > 0 { integer_len + 1 + fraction_len } else { integer_len })
     }
 
-    fn quoted(&mut self) -> Parsed<Kind<'a>> {
+    fn quoted(&mut self) -> ParseResult<TokenKind<'a>> {
         let begin = self.column;
         self.advance(1);
         let mut text = String::new();
         loop {
             text.push_str(self.take_while(|c| c != '"' && c != '\\'));
-            let mut ahead = self.rest().chars();
-            match (ahead.next(), ahead.next()) {
+            let mut upcoming = self.rest().chars();
+            match (upcoming.next(), upcoming.next()) {
                 (Some('"'), _) => {
                     self.advance(1);
-                    return Ok(Kind::Text(text));
+                    return Ok(TokenKind::Quoted(text));
                 }
                 (Some(_), Some(escaped @ ('"' | '\\'))) => {
                     text.push(escaped);
                     self.advance(2);
                 }
-                (Some(_), Some(_)) => return self.fault(self.column, Reason::Escape),
-                _ => return self.fault(begin, Reason::Unclosed),
+                (Some(_), Some(_)) => return self.error(self.column, Reason::InvalidEscape),
+                _ => return self.error(begin, Reason::UnclosedString),
             }
         }
     }
@@ -152,24 +152,24 @@
 mod tests {
     use super::*;
 
-    fn kinds(text: &str) -> Vec<Kind<'_>> {
-        tokens(1, text).unwrap().into_iter().map(|token| token.kind).collect()
+    fn kinds(text: &str) -> Vec<TokenKind<'_>> {
+        tokenize(1, text).unwrap().into_iter().map(|token| token.kind).collect()
     }
 
     #[test]
-    fn a_unit_may_touch_its_figure() {
-        use Kind::*;
+    fn splits_a_number_from_a_unit_without_a_blank() {
+        use TokenKind::*;
         assert_eq!(
             kinds("250ms 4.5 units/s"),
-            [Figure("250"), Word("ms"), Figure("4.5"), Word("units/s"), End]
+            [Number("250"), Word("ms"), Number("4.5"), Word("units/s"), End]
         );
-        assert_eq!(kinds("41% # of 3"), [Figure("41"), Mark('%'), End]);
+        assert_eq!(kinds("41% # of 3"), [Number("41"), Symbol('%'), End]);
     }
 
     #[test]
-    fn columns_count_characters() {
+    fn counts_columns_in_characters() {
         let columns: Vec<u32> =
-            tokens(1, "\"\u{e9}\\\"\u{e9}\"\t7").unwrap().iter().map(|t| t.column).collect();
+            tokenize(1, "\"\u{e9}\\\"\u{e9}\"\t7").unwrap().iter().map(|t| t.column).collect();
         assert_eq!(columns, [1, 8, 9]);
     }
 }
--- a/crates/cluster-model/src/file/line.rs
+++ b/crates/cluster-model/src/file/line.rs
@@ -1,48 +1,49 @@
-//! A line, read piece by piece.
+//! A line of tokens that is read from left to right.
 
-use super::errors::{short, Fault, Parsed, Place, Reason};
-use super::figure::{self, SIZE_NAMES, SIZE_UNITS, SPAN_NAMES, SPAN_UNITS};
-use super::lexer::{tokens, Kind, Token};
-use super::near::nearest;
+use super::errors::{truncated, ParseError, ParseResult, Position, Reason};
+use super::lexer::{tokenize, Token, TokenKind};
+use super::quantity::{self, SIZE_UNITS, SIZE_UNIT_NAMES, SPAN_UNITS, SPAN_UNIT_NAMES};
+use super::suggestion::nearest;
 use crate::Span;
 
-/// The least and the most of a figure.
+/// The lower and upper bound of a number, both inclusive.
 pub(super) type Bounds<T> = (T, T);
 
-/// Words that join two figures: one of them after a figure means that its unit is missing.
-const JOINING: [&str; 8] = ["to", "for", "x", "of", "over", "and", "in", "from"];
+/// Words that may follow a number with its unit: one of them directly after a number means that the unit is
+/// missing.
+const CONNECTING_WORDS: [&str; 8] = ["to", "for", "x", "of", "over", "and", "in", "from"];
 
-/// A line and how far it has been read.
+/// A line and the index of the next token.
 pub(super) struct Line<'a> {
     pub number: u32,
     tokens: Vec<Token<'a>>,
     next: usize,
 }
 
-/// A figure as it stands in the text.
-struct Figure<'a> {
-    place: Place,
+/// A number as written in the file.
+struct NumberToken<'a> {
+    position: Position,
     text: &'a str,
 }
 
 impl<'a> Line<'a> {
-    pub fn new(number: u32, text: &'a str) -> Parsed<Line<'a>> {
-        Ok(Line { number, tokens: tokens(number, text)?, next: 0 })
+    pub fn new(number: u32, text: &'a str) -> ParseResult<Line<'a>> {
+        Ok(Line { number, tokens: tokenize(number, text)?, next: 0 })
     }
 
-    /// The next piece. The last one, the end, stays.
-    pub fn peek(&self) -> &Kind<'a> {
+    /// Returns the next token. The end of the line is never consumed.
+    pub fn peek(&self) -> &TokenKind<'a> {
         &self.tokens[self.next].kind
     }
 
-    /// The piece after the next.
-    fn peek_second(&self) -> &Kind<'a> {
+    /// Returns the token after the next one.
+    fn peek_second(&self) -> &TokenKind<'a> {
         &self.tokens[(self.next + 1).min(self.tokens.len() - 1)].kind
     }
 
-    /// Where the next piece begins.
-    pub fn place(&self) -> Place {
-        Place { line: self.number, column: self.tokens[self.next].column }
+    /// Returns the position of the next token.
+    pub fn position(&self) -> Position {
+        Position { line: self.number, column: self.tokens[self.next].column }
     }
 
     fn skip(&mut self) {
@@ -50,51 +51,51 @@
     }
 
     pub fn is_at_end(&self) -> bool {
-        *self.peek() == Kind::End
+        *self.peek() == TokenKind::End
     }
 
-    /// Something else should stand here.
-    pub fn expected<T>(&self, wanted: impl Into<String>) -> Parsed<T> {
-        self.fault(Reason::Expected { wanted: wanted.into(), found: self.peek().describe() })
+    /// Returns an error: the next token is not the expected one.
+    pub fn expected<T>(&self, wanted: impl Into<String>) -> ParseResult<T> {
+        self.error(Reason::Expected { wanted: wanted.into(), found: self.peek().describe() })
     }
 
-    /// Something is wrong with the next piece.
-    pub fn fault<T>(&self, reason: Reason) -> Parsed<T> {
-        Err(Fault::new(self.place(), reason))
+    /// Returns an error at the next token.
+    pub fn error<T>(&self, reason: Reason) -> ParseResult<T> {
+        Err(ParseError::new(self.position(), reason))
     }
 
-    /// The next piece is a word that is none of these.
-    pub fn unknown<T>(&self, what: &'static str, word: &str, known: &[&str]) -> Parsed<T> {
-        let near = nearest(word, known.iter().copied());
-        self.fault(Reason::Unknown { what, word: short(word), near })
+    /// Returns an error: the next token is none of the known words.
+    pub fn unknown<T>(&self, what: &'static str, word: &str, known: &[&str]) -> ParseResult<T> {
+        let suggestion = nearest(word, known.iter().copied());
+        self.error(Reason::Unknown { what, word: truncated(word), suggestion })
     }
 
-    /// Takes this word, if it comes next.
+    /// Consumes this word if it is next.
     pub fn accept(&mut self, word: &str) -> bool {
-        let here = *self.peek() == Kind::Word(word);
-        if here {
+        let is_next = *self.peek() == TokenKind::Word(word);
+        if is_next {
             self.skip();
         }
-        here
+        is_next
     }
 
-    /// Takes this mark, if it comes next.
-    pub fn accept_mark(&mut self, mark: char) -> bool {
-        let here = *self.peek() == Kind::Mark(mark);
-        if here {
+    /// Consumes this symbol if it is next.
+    pub fn accept_symbol(&mut self, symbol: char) -> bool {
+        let is_next = *self.peek() == TokenKind::Symbol(symbol);
+        if is_next {
             self.skip();
         }
-        here
+        is_next
     }
 
-    /// Takes a comma, if a figure comes behind it.
-    pub fn accept_comma_before_figure(&mut self) -> bool {
-        matches!(self.peek_second(), Kind::Figure(_)) && self.accept_mark(',')
+    /// Consumes a comma if a number follows it.
+    pub fn accept_comma_before_number(&mut self) -> bool {
+        matches!(self.peek_second(), TokenKind::Number(_)) && self.accept_symbol(',')
     }
 
-    /// Takes the end of one thing of a list: true if a comma announces another.
-    pub fn another(&mut self) -> Parsed<bool> {
-        if self.accept_mark(',') {
+    /// Consumes the comma before another item of a list. Returns `false` at the end of the line.
+    pub fn accept_separator(&mut self) -> ParseResult<bool> {
+        if self.accept_symbol(',') {
             return Ok(true);
         }
         if self.is_at_end() {
@@ -103,37 +104,37 @@
         self.expected("a comma or the end of the line")
     }
 
-    pub fn require(&mut self, word: &str) -> Parsed<()> {
+    pub fn require(&mut self, word: &str) -> ParseResult<()> {
         if self.accept(word) {
             return Ok(());
         }
         self.expected(format!("`{word}`"))
     }
 
-    pub fn require_mark(&mut self, mark: char) -> Parsed<()> {
-        if self.accept_mark(mark) {
+    pub fn require_symbol(&mut self, symbol: char) -> ParseResult<()> {
+        if self.accept_symbol(symbol) {
             return Ok(());
         }
-        self.expected(format!("`{mark}`"))
+        self.expected(format!("`{symbol}`"))
     }
 
-    pub fn require_end(&self) -> Parsed<()> {
+    pub fn require_end(&self) -> ParseResult<()> {
         if self.is_at_end() {
             return Ok(());
         }
         self.expected("the end of the line")
     }
 
-    /// Any word.
-    pub fn word(&mut self, wanted: &str) -> Parsed<&'a str> {
-        let Kind::Word(word) = *self.peek() else { return self.expected(wanted) };
+    /// Reads any word.
+    pub fn word(&mut self, wanted: &str) -> ParseResult<&'a str> {
+        let TokenKind::Word(word) = *self.peek() else { return self.expected(wanted) };
         self.skip();
         Ok(word)
     }
 
-    /// One of these words; `what` they are, for the message.
-    pub fn one_of(&mut self, what: &'static str, known: &[&'static str]) -> Parsed<&'static str> {
-        let Kind::Word(word) = *self.peek() else { return self.expected(with_article(what)) };
+    /// Reads one of these words; `what` describes them in the message.
+    pub fn one_of(&mut self, what: &'static str, known: &[&'static str]) -> ParseResult<&'static str> {
+        let TokenKind::Word(word) = *self.peek() else { return self.expected(with_article(what)) };
         let Some(found) = known.iter().find(|known| **known == word) else {
             return self.unknown(what, word, known);
         };
@@ -141,60 +142,64 @@
         Ok(found)
     }
 
-    /// The name of a class or plan.
-    pub fn name(&mut self, what: &str) -> Parsed<&'a str> {
-        let Kind::Word(word) = *self.peek() else { return self.expected(format!("the name of a {what}")) };
+    /// Reads the name of a class or plan.
+    pub fn name(&mut self, what: &str) -> ParseResult<&'a str> {
+        let TokenKind::Word(word) = *self.peek() else {
+            return self.expected(format!("the name of a {what}"));
+        };
         if word.len() > 32 || word.contains(['/', '\'']) {
-            return self.fault(Reason::Name(short(word)));
+            return self.error(Reason::InvalidName(truncated(word)));
         }
         self.skip();
         Ok(word)
     }
 
-    /// A text in quotes.
-    pub fn text(&mut self, wanted: &str) -> Parsed<String> {
-        let Kind::Text(text) = self.peek().clone() else { return self.expected(wanted) };
+    /// Reads a quoted string.
+    pub fn quoted(&mut self, wanted: &str) -> ParseResult<String> {
+        let TokenKind::Quoted(text) = self.peek().clone() else { return self.expected(wanted) };
         self.skip();
         Ok(text)
     }
 
-    /// Whether a figure comes next.
-    pub fn is_at_figure(&self) -> bool {
-        matches!(self.peek(), Kind::Figure(_) | Kind::Negative(_))
+    /// Returns whether a number is next.
+    pub fn is_at_number(&self) -> bool {
+        matches!(self.peek(), TokenKind::Number(_) | TokenKind::NegativeNumber(_))
     }
 
-    /// Whether a figure in per cent comes next.
+    /// Returns whether a percentage is next.
     pub fn is_at_share(&self) -> bool {
-        self.is_at_figure() && *self.peek_second() == Kind::Mark('%')
+        self.is_at_number() && *self.peek_second() == TokenKind::Symbol('%')
     }
 
-    fn figure(&mut self, key: &str) -> Parsed<Figure<'a>> {
-        let place = self.place();
+    fn number_token(&mut self, key: &str) -> ParseResult<NumberToken<'a>> {
+        let position = self.position();
         match *self.peek() {
-            Kind::Figure(text) => {
+            TokenKind::Number(text) => {
                 self.skip();
-                Ok(Figure { place, text })
+                Ok(NumberToken { position, text })
+            }
+            TokenKind::NegativeNumber(text) => {
+                self.error(Reason::NegativeNumber { key: key.into(), found: truncated(text) })
             }
-            Kind::Negative(text) => self.fault(Reason::Negative { key: key.into(), found: short(text) }),
-            _ => self.expected(format!("a figure for `{key}`")),
+            _ => self.expected(format!("a number for `{key}`")),
         }
     }
 
-    /// The unit after a figure is missing, or one of something else.
-    fn wrong_unit<T>(&self, key: &str, units: &'static str) -> Parsed<T> {
+    /// Returns an error: the unit after a number is missing or of another kind.
+    fn wrong_unit<T>(&self, key: &str, units: &'static str) -> ParseResult<T> {
         let key = key.to_owned();
         match *self.peek() {
-            Kind::Word(word) if !JOINING.contains(&word) => {
-                self.fault(Reason::WrongUnit { key, units, found: short(word) })
+            TokenKind::Word(word) if !CONNECTING_WORDS.contains(&word) => {
+                self.error(Reason::WrongUnit { key, units, found: truncated(word) })
             }
-            Kind::Mark('%') => self.fault(Reason::WrongUnit { key, units, found: "%".into() }),
-            _ => self.fault(Reason::NoUnit { key, units }),
+            TokenKind::Symbol('%') => self.error(Reason::WrongUnit { key, units, found: "%".into() }),
+            _ => self.error(Reason::MissingUnit { key, units }),
         }
     }
 
-    /// Takes one of these units and gives its factor.
-    fn unit_of(&mut self, key: &str, units: &[(&str, u64)], names: &'static str) -> Parsed<u64> {
-        let Kind::Word(word) = *self.peek() else { return self.wrong_unit(key, names) };
+    /// Reads one of these units and returns its factor.
+    fn unit_factor(&mut self, key: &str, units: &[(&str, u64)], names: &'static str) -> ParseResult<u64> {
+        let TokenKind::Word(word) = *self.peek() else { return self.wrong_unit(key, names) };
         let Some((_, factor)) = units.iter().find(|(name, _)| *name == word) else {
             return self.wrong_unit(key, names);
         };
@@ -202,90 +207,92 @@
         Ok(*factor)
     }
 
-    /// Takes this unit, in the plural or the singular; an empty one is none.
-    fn unit(&mut self, key: &str, unit: &'static str) -> Parsed<()> {
-        if unit.is_empty() || self.accept(unit) || unit.strip_suffix('s').is_some_and(|one| self.accept(one))
+    /// Reads this unit in plural or singular; nothing if `unit` is empty.
+    fn unit(&mut self, key: &str, unit: &'static str) -> ParseResult<()> {
+        if unit.is_empty()
+            || self.accept(unit)
+            || unit.strip_suffix('s').is_some_and(|singular| self.accept(singular))
         {
             return Ok(());
         }
         self.wrong_unit(key, unit)
     }
 
-    /// A whole number, with a unit unless that is empty.
-    pub fn count(&mut self, key: &str, bounds: Bounds<u32>, unit: &'static str) -> Parsed<u32> {
-        let figure = self.figure(key)?;
-        let Some(count) = figure::whole(figure.text, 1) else {
-            return figure.fault(Reason::Whole { key: key.into(), found: short(figure.text) });
+    /// Reads an integer, and its unit unless that is empty.
+    pub fn integer(&mut self, key: &str, bounds: Bounds<u32>, unit: &'static str) -> ParseResult<u32> {
+        let number = self.number_token(key)?;
+        let Some(integer) = quantity::scaled_integer(number.text, 1) else {
+            return number.error(Reason::NotAnInteger { key: key.into(), found: truncated(number.text) });
         };
         self.unit(key, unit)?;
         let show = |n: u64| format!("{n} {unit}").trim_end().to_owned();
         let bounds = (u64::from(bounds.0), u64::from(bounds.1));
-        // Within the bounds of a u32, hence no loss.
-        figure.within(key, count, bounds, show).map(|count| count as u32)
+        // The bounds fit into a u32, so the cast is lossless.
+        number.within(key, integer, bounds, show).map(|integer| integer as u32)
     }
 
-    /// A number, with a unit unless that is empty.
-    pub fn number(&mut self, key: &str, bounds: Bounds<f64>, unit: &'static str) -> Parsed<f64> {
-        let figure = self.figure(key)?;
+    /// Reads a number, and its unit unless that is empty.
+    pub fn number(&mut self, key: &str, bounds: Bounds<f64>, unit: &'static str) -> ParseResult<f64> {
+        let number = self.number_token(key)?;
         self.unit(key, unit)?;
-        let show = |n: f64| format!("{} {unit}", figure::number_text(n)).trim_end().to_owned();
-        figure.within(key, figure::number(figure.text), bounds, show)
+        let show = |n: f64| format!("{} {unit}", quantity::number_text(n)).trim_end().to_owned();
+        number.within(key, quantity::number(number.text), bounds, show)
     }
 
-    /// A share, in per cent.
-    pub fn share(&mut self, key: &str, bounds: Bounds<f64>) -> Parsed<f64> {
-        let figure = self.figure(key)?;
-        if !self.accept_mark('%') {
+    /// Reads a share as a percentage.
+    pub fn share(&mut self, key: &str, bounds: Bounds<f64>) -> ParseResult<f64> {
+        let number = self.number_token(key)?;
+        if !self.accept_symbol('%') {
             return self.wrong_unit(key, "%");
         }
-        figure.within(key, figure::share(figure.text), bounds, figure::share_text)
+        number.within(key, quantity::share(number.text), bounds, quantity::share_text)
     }
 
-    /// A factor: `x 1.8`.
-    pub fn times(&mut self, key: &str, bounds: Bounds<f64>) -> Parsed<f64> {
+    /// Reads a factor such as `x 1.8`.
+    pub fn factor(&mut self, key: &str, bounds: Bounds<f64>) -> ParseResult<f64> {
         self.require("x")?;
-        let figure = self.figure(key)?;
-        let show = |n: f64| format!("x {}", figure::number_text(n));
-        figure.within(key, figure::number(figure.text), bounds, show)
+        let number = self.number_token(key)?;
+        let show = |n: f64| format!("x {}", quantity::number_text(n));
+        number.within(key, quantity::number(number.text), bounds, show)
     }
 
-    /// A span of time.
-    pub fn span(&mut self, key: &str, bounds: Bounds<Span>) -> Parsed<Span> {
-        let figure = self.figure(key)?;
-        let unit = self.unit_of(key, &SPAN_UNITS, SPAN_NAMES)?;
-        let Some(span) = figure::whole(figure.text, unit) else {
-            return figure.fault(Reason::TooFine { key: key.into(), smallest: "a nanosecond" });
+    /// Reads a time span.
+    pub fn span(&mut self, key: &str, bounds: Bounds<Span>) -> ParseResult<Span> {
+        let number = self.number_token(key)?;
+        let unit = self.unit_factor(key, &SPAN_UNITS, SPAN_UNIT_NAMES)?;
+        let Some(span) = quantity::scaled_integer(number.text, unit) else {
+            return number.error(Reason::TooPrecise { key: key.into(), smallest: "a nanosecond" });
         };
-        figure.within(key, span, bounds, figure::span_text)
+        number.within(key, span, bounds, quantity::span_text)
     }
 
-    /// A size in bytes.
-    pub fn size(&mut self, key: &str, bounds: Bounds<u32>) -> Parsed<u32> {
-        let figure = self.figure(key)?;
-        let unit = self.unit_of(key, &SIZE_UNITS, SIZE_NAMES)?;
-        let Some(size) = figure::whole(figure.text, unit) else {
-            return figure.fault(Reason::TooFine { key: key.into(), smallest: "a byte" });
+    /// Reads a size in bytes.
+    pub fn size(&mut self, key: &str, bounds: Bounds<u32>) -> ParseResult<u32> {
+        let number = self.number_token(key)?;
+        let unit = self.unit_factor(key, &SIZE_UNITS, SIZE_UNIT_NAMES)?;
+        let Some(size) = quantity::scaled_integer(number.text, unit) else {
+            return number.error(Reason::TooPrecise { key: key.into(), smallest: "a byte" });
         };
         let size = u32::try_from(size).unwrap_or(u32::MAX);
-        figure.within(key, size, bounds, figure::size_text)
+        number.within(key, size, bounds, quantity::size_text)
     }
 
-    /// `3 s to 5 s`.
-    pub fn spans(&mut self, key: &str, bounds: Bounds<Span>) -> Parsed<(Span, Span)> {
-        let place = self.place();
+    /// Reads a range such as `3 s to 5 s`.
+    pub fn span_range(&mut self, key: &str, bounds: Bounds<Span>) -> ParseResult<(Span, Span)> {
+        let position = self.position();
         let from = self.span(key, bounds)?;
         self.require("to")?;
         let to = self.span(key, bounds)?;
-        upward(place, key, from, to, figure::span_text)
+        ordered_range(position, key, from, to, quantity::span_text)
     }
 
-    /// `15 % to 50 %`.
-    pub fn shares(&mut self, key: &str, bounds: Bounds<f64>) -> Parsed<(f64, f64)> {
-        let place = self.place();
+    /// Reads a range such as `15 % to 50 %`.
+    pub fn share_range(&mut self, key: &str, bounds: Bounds<f64>) -> ParseResult<(f64, f64)> {
+        let position = self.position();
         let from = self.share(key, bounds)?;
         self.require("to")?;
         let to = self.share(key, bounds)?;
-        upward(place, key, from, to, figure::share_text)
+        ordered_range(position, key, from, to, quantity::share_text)
     }
 }
 
@@ -293,22 +300,22 @@
     format!("{} {what}", if what.starts_with(['a', 'e', 'i', 'o', 'u']) { "an" } else { "a" })
 }
 
-fn upward<T: PartialOrd>(
-    place: Place,
+fn ordered_range<T: PartialOrd>(
+    position: Position,
     key: &str,
     from: T,
     to: T,
     show: impl Fn(T) -> String,
-) -> Parsed<(T, T)> {
+) -> ParseResult<(T, T)> {
     if from <= to {
         return Ok((from, to));
     }
-    Err(Fault::new(place, Reason::Backwards { key: key.into(), from: show(from), to: show(to) }))
+    Err(ParseError::new(position, Reason::InvertedRange { key: key.into(), from: show(from), to: show(to) }))
 }
 
-impl Figure<'_> {
-    fn fault<T>(&self, reason: Reason) -> Parsed<T> {
-        Err(Fault::new(self.place, reason))
+impl NumberToken<'_> {
+    fn error<T>(&self, reason: Reason) -> ParseResult<T> {
+        Err(ParseError::new(self.position, reason))
     }
 
     fn within<T: PartialOrd + Copy>(
@@ -317,12 +324,12 @@
         value: T,
         (low, high): Bounds<T>,
         show: impl Fn(T) -> String,
-    ) -> Parsed<T> {
+    ) -> ParseResult<T> {
         if low <= value && value <= high {
             return Ok(value);
         }
-        // As it stands in the text: what was read may be cut to what the type holds.
-        let found = short(self.text);
-        self.fault(Reason::Range { key: key.into(), found, low: show(low), high: show(high) })
+        // The message shows the text of the file, since `value` may be saturated.
+        let found = truncated(self.text);
+        self.error(Reason::OutOfRange { key: key.into(), found, low: show(low), high: show(high) })
     }
 }
--- a/crates/cluster-model/src/file/parser.rs
+++ b/crates/cluster-model/src/file/parser.rs
@@ -1,57 +1,60 @@
-//! Sections, lines and keys.
+//! Parses sections, lines and keys.
 
 use super::check::check;
-use super::errors::{Fault, Parsed, Place, Reason};
-use super::events::{self, Marks, EVENT_KEYWORDS};
+use super::errors::{ParseError, ParseResult, Position, Reason};
+use super::events::{self, NamePositions, EVENT_KEYWORDS};
 use super::fields::*;
-use super::lexer::Kind;
+use super::lexer::TokenKind;
 use super::line::Line;
-use super::near::nearest;
-use super::signs;
+use super::suggestion::nearest;
+use super::triggers;
 use super::{MAX_FILE_BYTES, MAX_LENGTH, MAX_LINE_BYTES, MAX_NAMES, MAX_TITLE_CHARS};
 use crate::scenario::{Scenario, ScheduledEvent, Site, Trigger};
 use crate::{Span, MS};
 use std::collections::BTreeMap;
 
-/// Words that begin a line outside the sections.
-const TOP: [&str; 6] = ["scenario", "length", "site", "traffic", "at", "when"];
-/// Stands for the end while the length may still come.
-const END: Span = Span::MAX;
+/// Words that begin a line outside of sections.
+const TOP_LEVEL_KEYWORDS: [&str; 6] = ["scenario", "length", "site", "traffic", "at", "when"];
+/// Placeholder for the end of the run until the length is known.
+const UNTIL_END: Span = Span::MAX;
 
-/// Where things stand in the text: what [`check`] finds wrong is shown there.
+/// Positions in the text, which [`check`] uses for its errors.
 #[derive(Debug, Default)]
-pub(super) struct Places {
+pub(super) struct Positions {
     /// Keys by their path, such as `plan premium spread`.
-    keys: BTreeMap<String, Place>,
-    /// Events, in their order.
-    pub events: Vec<EventPlaces>,
+    keys: BTreeMap<String, Position>,
+    /// Positions of the events, in the order of the file.
+    pub events: Vec<EventPositions>,
 }
 
-/// Where an event stands.
+/// The positions of an event and its parts.
 #[derive(Debug)]
-pub(super) struct EventPlaces {
-    /// Its time, or that by which its sign has to come.
-    pub at: Place,
-    /// What its sign names.
-    pub sign: Marks,
-    /// Its first word.
-    pub event: Place,
-    /// What it names.
-    pub marks: Marks,
+pub(super) struct EventPositions {
+    /// The time of the event, or the latest time of its trigger.
+    pub at: Position,
+    /// The machines that the trigger refers to.
+    pub trigger: NamePositions,
+    /// The first word of the event.
+    pub event: Position,
+    /// The machines, buildings and classes that the event refers to.
+    pub references: NamePositions,
 }
 
-impl Places {
-    /// Where this was given, if it was.
-    pub fn given(&self, path: &str) -> Option<Place> {
+impl Positions {
+    /// Returns the position of a key, section, class or plan, if the file contains it.
+    pub fn find(&self, path: &str) -> Option<Position> {
         self.keys.get(path).copied()
     }
 
-    /// Notes where something is given; it may be only once.
-    fn note(&mut self, path: String, word: &str, place: Place) -> Parsed<()> {
+    /// Records the position of a key or section, which must not be given twice.
+    fn record(&mut self, path: String, word: &str, position: Position) -> ParseResult<()> {
         match self.keys.get(&path) {
-            Some(first) => Err(Fault::new(place, Reason::Twice { what: word.into(), first: first.line })),
+            Some(first) => Err(ParseError::new(
+                position,
+                Reason::DuplicateKey { key: word.into(), first_line: first.line },
+            )),
             None => {
-                self.keys.insert(path, place);
+                self.keys.insert(path, position);
                 Ok(())
             }
         }
@@ -65,82 +68,82 @@
     Traffic,
 }
 
-/// The names that a line with `only` keeps, and where each stands.
-type Kept = Vec<(String, Place)>;
+/// The names that a line with `only` selects, with their positions.
+type SelectedNames = Vec<(String, Position)>;
 
 struct Parser {
     scenario: Scenario,
     section: Section,
-    places: Places,
-    only_classes: Kept,
-    only_plans: Kept,
+    positions: Positions,
+    only_classes: SelectedNames,
+    only_plans: SelectedNames,
 }
 
-/// Reads a scenario, all but its name.
-pub(super) fn parse(text: &str) -> Parsed<Scenario> {
-    let start = Place { line: 1, column: 1 };
+/// Parses a scenario, except for its name.
+pub(super) fn parse(text: &str) -> ParseResult<Scenario> {
+    let start = Position { line: 1, column: 1 };
     if text.len() > MAX_FILE_BYTES {
-        return Err(Fault::new(start, Reason::LargeFile(text.len())));
+        return Err(ParseError::new(start, Reason::LargeFile(text.len())));
     }
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
     let mut parser = Parser {
         scenario: Scenario::default(),
         section: Section::None,
-        places: Places::default(),
+        positions: Positions::default(),
         only_classes: Vec::new(),
         only_plans: Vec::new(),
     };
     for (number, line) in (1..).zip(text.split('\n')) {
         parser.line(number, line.strip_suffix('\r').unwrap_or(line))?;
     }
-    if parser.places.given("scenario").is_none() {
-        return Err(Fault::new(start, Reason::NoTitle));
+    if parser.positions.find("scenario").is_none() {
+        return Err(ParseError::new(start, Reason::MissingTitle));
     }
     parser.finish()
 }
 
 impl Parser {
-    fn line(&mut self, number: u32, text: &str) -> Parsed<()> {
+    fn line(&mut self, number: u32, text: &str) -> ParseResult<()> {
         if text.len() > MAX_LINE_BYTES {
-            return Err(Fault::new(Place { line: number, column: 1 }, Reason::LongLine(text.len())));
+            return Err(ParseError::new(Position { line: number, column: 1 }, Reason::LongLine(text.len())));
         }
         let mut line = Line::new(number, text)?;
-        let place = line.place();
+        let position = line.position();
         let word = match *line.peek() {
-            Kind::End => return Ok(()),
-            Kind::Word(word) => word,
-            _ => return line.expected("a word that begins a line"),
+            TokenKind::End => return Ok(()),
+            TokenKind::Word(word) => word,
+            _ => return line.expected("a keyword"),
         };
-        if word != "scenario" && self.places.given("scenario").is_none() {
-            return line.fault(Reason::NoTitle);
+        if word != "scenario" && self.positions.find("scenario").is_none() {
+            return line.error(Reason::MissingTitle);
         }
         match (word, self.section) {
             ("scenario" | "length" | "site" | "traffic", _) => {
-                self.places.note(word.into(), word, place)?;
+                self.positions.record(word.into(), word, position)?;
                 line.word(word)?;
-                self.top(word, &mut line)
+                self.top_level(word, &mut line)
             }
-            ("at", _) => self.event(&mut line),
-            ("when", _) => self.signed(&mut line),
-            (_, Section::Site) if GROUPS.contains(&word) => self.group(&mut line),
-            (_, Section::Site) => keys(
+            ("at", _) => self.timed_event(&mut line),
+            ("when", _) => self.triggered_event(&mut line),
+            (_, Section::Site) if SITE_LINE_KEYWORDS.contains(&word) => self.site_line(&mut line),
+            (_, Section::Site) => read_keys(
                 &mut line,
                 SITE,
                 &mut self.scenario.site,
                 "site",
-                &mut self.places,
-                &known(SITE, &GROUPS),
+                &mut self.positions,
+                &known(SITE, &SITE_LINE_KEYWORDS),
             ),
             (_, Section::Traffic) => {
                 let traffic = &mut self.scenario.traffic;
-                keys(&mut line, TRAFFIC, traffic, "traffic", &mut self.places, &known(TRAFFIC, &[]))
+                read_keys(&mut line, TRAFFIC, traffic, "traffic", &mut self.positions, &known(TRAFFIC, &[]))
             }
-            (_, Section::None) => unknown_key(&line, word, &TOP),
+            (_, Section::None) => unknown_key(&line, word, &TOP_LEVEL_KEYWORDS),
         }
     }
 
-    /// A line outside the sections, or the head of one; its first word is read.
-    fn top(&mut self, word: &str, line: &mut Line<'_>) -> Parsed<()> {
+    /// Reads a line outside of sections, or the heading of a section, after its first word.
+    fn top_level(&mut self, word: &str, line: &mut Line<'_>) -> ParseResult<()> {
         match word {
             "scenario" => self.scenario.title = title(line)?,
             "length" => self.scenario.length = line.span("length", (MS, MAX_LENGTH))?,
@@ -150,220 +153,237 @@
         line.require_end()
     }
 
-    fn event(&mut self, line: &mut Line<'_>) -> Parsed<()> {
+    fn timed_event(&mut self, line: &mut Line<'_>) -> ParseResult<()> {
         line.require("at")?;
-        let at_place = line.place();
+        let at_position = line.position();
         let at = line.span("at", (0, MAX_LENGTH))?;
-        self.behind(line, (at, at_place), None)
+        self.scheduled_event(line, (at, at_position), None)
     }
 
-    /// `when call 100 from gateway 1 to the counter, by 30 s: ...`.
-    fn signed(&mut self, line: &mut Line<'_>) -> Parsed<()> {
+    /// Reads a line such as `when call 100 from gateway 1 to the counter, by 30 s: ...`.
+    fn triggered_event(&mut self, line: &mut Line<'_>) -> ParseResult<()> {
         line.require("when")?;
-        let mut at_place = line.place();
-        let (sign, marks) = signs::read(line)?;
-        let mut at = END;
-        if line.accept_mark(',') {
+        let mut at_position = line.position();
+        let (trigger, references) = triggers::read(line)?;
+        let mut at = UNTIL_END;
+        if line.accept_symbol(',') {
             line.require("by")?;
-            at_place = line.place();
+            at_position = line.position();
             at = line.span("by", (0, MAX_LENGTH))?;
         }
-        self.behind(line, (at, at_place), Some((sign, marks)))
+        self.scheduled_event(line, (at, at_position), Some((trigger, references)))
     }
 
-    /// The event behind the colon.
-    fn behind(
+    /// Reads the event after the colon and adds it to the scenario.
+    fn scheduled_event(
         &mut self,
         line: &mut Line<'_>,
-        (at, at_place): (Span, Place),
-        sign: Option<(Trigger, Marks)>,
-    ) -> Parsed<()> {
-        line.require_mark(':')?;
-        let event_place = line.place();
-        let (event, marks) = events::read(line)?;
-        let (sign, sign_marks) = sign.unzip();
-        self.scenario.events.push(ScheduledEvent { at, trigger: sign, line: line.number, event });
-        let sign = sign_marks.unwrap_or_default();
-        self.places.events.push(EventPlaces { at: at_place, sign, event: event_place, marks });
+        (at, at_position): (Span, Position),
+        trigger: Option<(Trigger, NamePositions)>,
+    ) -> ParseResult<()> {
+        line.require_symbol(':')?;
+        let event_position = line.position();
+        let (event, references) = events::read(line)?;
+        let (trigger, trigger_references) = trigger.unzip();
+        self.scenario.events.push(ScheduledEvent { at, trigger, line: line.number, event });
+        let trigger = trigger_references.unwrap_or_default();
+        self.positions.events.push(EventPositions {
+            at: at_position,
+            trigger,
+            event: event_position,
+            references,
+        });
         Ok(())
     }
 
-    /// A line of the section `site` that begins with a word of its own.
-    fn group(&mut self, line: &mut Line<'_>) -> Parsed<()> {
-        let group = line.one_of("line", &GROUPS)?;
-        let Parser { scenario: Scenario { site, .. }, places, .. } = self;
+    /// Reads a line of the section `site` that begins with one of [`SITE_LINE_KEYWORDS`].
+    fn site_line(&mut self, line: &mut Line<'_>) -> ParseResult<()> {
+        let group = line.one_of("line", &SITE_LINE_KEYWORDS)?;
+        let Parser { scenario: Scenario { site, .. }, positions, .. } = self;
         match group {
-            "host" => keys(line, HOST, &mut site.host, group, places, &known(HOST, &[])),
-            "counter" => keys(line, COUNTER, &mut site.counter, group, places, &known(COUNTER, &[])),
-            "discovery" => keys(line, DISCOVERY, &mut site.discovery, group, places, &known(DISCOVERY, &[])),
-            "network" => keys(line, NETWORK, &mut site.network, group, places, &known(NETWORK, &[])),
-            "rules" => keys(line, RULES, &mut site.rules, group, places, &known(RULES, &[])),
+            "host" => read_keys(line, HOST, &mut site.host, group, positions, &known(HOST, &[])),
+            "counter" => read_keys(line, COUNTER, &mut site.counter, group, positions, &known(COUNTER, &[])),
+            "discovery" => {
+                read_keys(line, DISCOVERY, &mut site.discovery, group, positions, &known(DISCOVERY, &[]))
+            }
+            "network" => read_keys(line, NETWORK, &mut site.network, group, positions, &known(NETWORK, &[])),
+            "rules" => read_keys(line, RULES, &mut site.rules, group, positions, &known(RULES, &[])),
             "class" => {
-                let (path, name) = self.named("class", line)?;
+                let (path, name) = self.named_path("class", line)?;
                 let classes = &mut self.scenario.site.classes;
-                let class = find_or_add(classes, |class| class.name == name, || new_class(&name));
-                keys(line, CLASS, class, &path, &mut self.places, &known(CLASS, &[]))
+                let class = find_or_insert(classes, |class| class.name == name, || new_class(&name));
+                read_keys(line, CLASS, class, &path, &mut self.positions, &known(CLASS, &[]))
             }
             "plan" => {
-                let (path, name) = self.named("plan", line)?;
+                let (path, name) = self.named_path("plan", line)?;
                 let plans = &mut self.scenario.site.plans;
-                let plan = find_or_add(plans, |plan| plan.name == name, || new_plan(&name));
-                keys(line, PLAN, plan, &path, &mut self.places, &known(PLAN, &[]))
+                let plan = find_or_insert(plans, |plan| plan.name == name, || new_plan(&name));
+                read_keys(line, PLAN, plan, &path, &mut self.positions, &known(PLAN, &[]))
             }
             _ => self.only(line),
         }
     }
 
-    /// The name behind `class` or `plan`, and the path of its keys.
-    fn named(&mut self, what: &str, line: &mut Line<'_>) -> Parsed<(String, String)> {
-        let place = line.place();
+    /// Reads the name after `class` or `plan`, and returns the path of its keys with the name.
+    fn named_path(&mut self, what: &str, line: &mut Line<'_>) -> ParseResult<(String, String)> {
+        let position = line.position();
         let name = line.name(what)?.to_owned();
         let path = format!("{what} {name}");
-        self.places.keys.entry(path.clone()).or_insert(place);
+        self.positions.keys.entry(path.clone()).or_insert(position);
         Ok((path, name))
     }
 
-    /// `only classes a, b`.
-    fn only(&mut self, line: &mut Line<'_>) -> Parsed<()> {
-        let place = line.place();
+    /// Reads what follows `only`, such as `classes a, b`.
+    fn only(&mut self, line: &mut Line<'_>) -> ParseResult<()> {
+        let position = line.position();
         let what = line.one_of("list", &["classes", "plans"])?;
-        self.places.note(format!("only {what}"), &format!("only {what}"), place)?;
-        let (kept, one) = match what {
+        self.positions.record(format!("only {what}"), &format!("only {what}"), position)?;
+        let (selected, singular) = match what {
             "classes" => (&mut self.only_classes, "class"),
             _ => (&mut self.only_plans, "plan"),
         };
         loop {
-            let place = line.place();
-            let name = line.name(one)?.to_owned();
-            if kept.iter().any(|(kept, _)| *kept == name) {
-                return Err(Fault::new(place, Reason::NamedTwice(format!("{one} `{name}`"))));
+            let position = line.position();
+            let name = line.name(singular)?.to_owned();
+            if selected.iter().any(|(selected, _)| *selected == name) {
+                return Err(ParseError::new(
+                    position,
+                    Reason::DuplicateReference(format!("{singular} `{name}`")),
+                ));
             }
-            kept.push((name, place));
-            if !line.another()? {
+            selected.push((name, position));
+            if !line.accept_separator()? {
                 return Ok(());
             }
         }
     }
 
-    fn finish(mut self) -> Parsed<Scenario> {
+    fn finish(mut self) -> ParseResult<Scenario> {
         let site = &mut self.scenario.site;
-        keep("class", &mut site.classes, |class| &class.name, &self.only_classes, &self.places)?;
-        keep("plan", &mut site.plans, |plan| &plan.name, &self.only_plans, &self.places)?;
-        lower_spreads(site, &self.places);
+        apply_only("class", &mut site.classes, |class| &class.name, &self.only_classes, &self.positions)?;
+        apply_only("plan", &mut site.plans, |plan| &plan.name, &self.only_plans, &self.positions)?;
+        limit_spreads(site, &self.positions);
         let length = self.scenario.length;
-        self.scenario.events.iter_mut().filter(|timed| timed.at == END).for_each(|timed| timed.at = length);
-        check(&self.scenario, &self.places)?;
+        self.scenario
+            .events
+            .iter_mut()
+            .filter(|event| event.at == UNTIL_END)
+            .for_each(|event| event.at = length);
+        check(&self.scenario, &self.positions)?;
         Ok(self.scenario)
     }
 }
 
-fn title(line: &mut Line<'_>) -> Parsed<String> {
-    let place = line.place();
-    let title = line.text("a title in quotes")?;
-    let letters = title.chars().count();
-    if (1..=MAX_TITLE_CHARS).contains(&letters) {
+fn title(line: &mut Line<'_>) -> ParseResult<String> {
+    let position = line.position();
+    let title = line.quoted("a title in quotes")?;
+    let length = title.chars().count();
+    if (1..=MAX_TITLE_CHARS).contains(&length) {
         return Ok(title);
     }
-    Err(Fault::new(place, Reason::Title(letters)))
+    Err(ParseError::new(position, Reason::TitleLength(length)))
 }
 
-/// The words that may begin something in a table, and others beside it.
-fn known<T>(table: &[Field<T>], others: &[&'static str]) -> Vec<&'static str> {
-    table.iter().flat_map(|field| field.words).chain(others).copied().collect()
+/// Returns the words of a table, and additional ones.
+fn known<T>(table: &[Field<T>], additional: &[&'static str]) -> Vec<&'static str> {
+    table.iter().flat_map(|field| field.words).chain(additional).copied().collect()
 }
 
-/// Reads keys and values, with commas between them, up to the end of the line.
-fn keys<T>(
+/// Reads keys and values, separated by commas, up to the end of the line.
+fn read_keys<T>(
     line: &mut Line<'_>,
     table: &[Field<T>],
     target: &mut T,
     path: &str,
-    places: &mut Places,
+    positions: &mut Positions,
     known: &[&'static str],
-) -> Parsed<()> {
+) -> ParseResult<()> {
     loop {
-        let Kind::Word(word) = *line.peek() else { return line.expected("a key") };
+        let TokenKind::Word(word) = *line.peek() else { return line.expected("a key") };
         let Some(field) = table.iter().find(|field| field.words.contains(&word)) else {
             return unknown_key(line, word, known);
         };
-        places.note(format!("{path} {}", field.key), word, line.place())?;
+        positions.record(format!("{path} {}", field.key), word, line.position())?;
         line.word("a key")?;
-        (field.slot)(target).read(line, field.key, word)?;
-        if !line.another()? {
+        (field.value)(target).read(line, field.key, word)?;
+        if !line.accept_separator()? {
             return Ok(());
         }
     }
 }
 
-/// A word that is no key here: perhaps a slip of the hand, perhaps a key of another place.
-fn unknown_key(line: &Line<'_>, word: &str, known: &[&str]) -> Parsed<()> {
-    match home(word) {
-        Some(home) => line.fault(Reason::Elsewhere { word: word.into(), home }),
+/// Returns an error for a word that is no key here: a misspelt key, or a key that belongs elsewhere.
+fn unknown_key(line: &Line<'_>, word: &str, known: &[&str]) -> ParseResult<()> {
+    match expected_location(word) {
+        Some(location) => line.error(Reason::Misplaced { word: word.into(), location }),
         None => {
-            let all: Vec<&str> = known.iter().chain(&TOP).chain(&EVENT_KEYWORDS).copied().collect();
-            line.unknown("key", word, &all)
+            let candidates: Vec<&str> =
+                known.iter().chain(&TOP_LEVEL_KEYWORDS).chain(&EVENT_KEYWORDS).copied().collect();
+            line.unknown("key", word, &candidates)
         }
     }
 }
 
-fn find_or_add<T>(list: &mut Vec<T>, is_it: impl Fn(&T) -> bool, new: impl Fn() -> T) -> &mut T {
-    let index = list.iter().position(is_it).unwrap_or_else(|| {
+fn find_or_insert<T>(list: &mut Vec<T>, matches: impl Fn(&T) -> bool, new: impl Fn() -> T) -> &mut T {
+    let index = list.iter().position(matches).unwrap_or_else(|| {
         list.push(new());
         list.len() - 1
     });
     &mut list[index]
 }
 
-/// Leaves the classes or plans that a line with `only` names, in its order.
-fn keep<T: Clone>(
+/// Reduces the list to the classes or plans that a line with `only` names, in its order.
+fn apply_only<T: Clone>(
     what: &'static str,
     list: &mut Vec<T>,
     name: fn(&T) -> &str,
-    kept: &Kept,
-    places: &Places,
-) -> Parsed<()> {
-    // Where a class or plan is first mentioned, if it is.
-    let described = |item: &T| places.given(&format!("{what} {}", name(item)));
-    if let Some((_, only)) = kept.first() {
-        let left = kept.iter().map(|(wanted, place)| find_kept(what, list, name, wanted, *place));
-        let left: Vec<T> = left.collect::<Parsed<_>>()?;
-        let out = list.iter().filter(|item| !kept.iter().any(|(kept, _)| kept == name(item)));
-        if let Some((place, item)) =
-            out.filter_map(|item| Some((described(item)?, item))).min_by_key(|it| it.0)
+    selected: &SelectedNames,
+    positions: &Positions,
+) -> ParseResult<()> {
+    // Position where a class or plan is first defined, if it is in the file.
+    let definition = |item: &T| positions.find(&format!("{what} {}", name(item)));
+    if let Some((_, only)) = selected.first() {
+        let remaining =
+            selected.iter().map(|(wanted, position)| find_selected(what, list, name, wanted, *position));
+        let remaining: Vec<T> = remaining.collect::<ParseResult<_>>()?;
+        let excluded =
+            list.iter().filter(|item| !selected.iter().any(|(selected, _)| selected == name(item)));
+        if let Some((position, item)) =
+            excluded.filter_map(|item| Some((definition(item)?, item))).min_by_key(|found| found.0)
         {
             let name = name(item).to_owned();
-            return Err(Fault::new(place, Reason::LeftOut { what, name, line: only.line }));
+            return Err(ParseError::new(position, Reason::Excluded { what, name, line: only.line }));
         }
-        *list = left;
+        *list = remaining;
     }
     if list.len() > MAX_NAMES {
         let plural = if what == "class" { "classes" } else { "plans" };
-        let last = list.iter().filter_map(described).max();
-        let place = last.unwrap_or(Place { line: 1, column: 1 });
-        return Err(Fault::new(place, Reason::ManyNames(list.len(), plural)));
+        let last = list.iter().filter_map(definition).max();
+        let position = last.unwrap_or(Position { line: 1, column: 1 });
+        return Err(ParseError::new(position, Reason::TooManyNames(list.len(), plural)));
     }
     Ok(())
 }
 
-fn find_kept<T: Clone>(
+fn find_selected<T: Clone>(
     what: &'static str,
     list: &[T],
     name: fn(&T) -> &str,
     wanted: &str,
-    place: Place,
-) -> Parsed<T> {
+    position: Position,
+) -> ParseResult<T> {
     if let Some(found) = list.iter().find(|item| name(item) == wanted) {
         return Ok(found.clone());
     }
-    let near = nearest(wanted, list.iter().map(name));
-    Err(Fault::new(place, Reason::Unknown { what, word: wanted.into(), near }))
+    let suggestion = nearest(wanted, list.iter().map(name));
+    Err(ParseError::new(position, Reason::Unknown { what, word: wanted.into(), suggestion }))
 }
 
-/// A smaller site than the usual one takes the plans as they are: their customers come through all of its
-/// gateways, unless the file says otherwise.
-fn lower_spreads(site: &mut Site, places: &Places) {
+/// Limits the default spread of plans to the number of gateways, so that the default plans also fit a smaller site.
+/// A spread that the file gives is left for [`check`].
+fn limit_spreads(site: &mut Site, positions: &Positions) {
     for plan in &mut site.plans {
-        if places.given(&format!("plan {} spread", plan.name)).is_none() {
+        if positions.find(&format!("plan {} spread", plan.name)).is_none() {
             plan.spread = plan.spread.min(site.gateways);
         }
     }
--- a/crates/cluster-model/src/file/shipped.rs
+++ b/crates/cluster-model/src/file/shipped.rs
@@ -1,6 +1,6 @@
-//! The scenarios that come with the program.
+//! The scenarios that are built into the program.
 
-/// Name and text, in the order in which people meet them.
+/// Names and texts, in the order in which they are listed.
 const SHIPPED: &[(&str, &str)] = &[
     ("calm", include_str!("../../../../scenarios/calm.scenario")),
     ("night", include_str!("../../../../scenarios/night.scenario")),
@@ -28,12 +28,12 @@
     ("join-fleet", include_str!("../../../../scenarios/join-fleet.scenario")),
 ];
 
-/// The names and texts of the shipped scenarios; each is a file for [`super::parse`].
+/// Returns the names and texts of the shipped scenarios; each text can be passed to [`super::parse`].
 pub fn shipped() -> &'static [(&'static str, &'static str)] {
     SHIPPED
 }
 
-/// The text of the shipped scenario with this name.
+/// Returns the text of the shipped scenario with this name.
 pub fn find(name: &str) -> Option<&'static str> {
     SHIPPED.iter().find(|(shipped, _)| *shipped == name).map(|(_, text)| *text)
 }
--- a/crates/cluster-model/src/file/writer.rs
+++ b/crates/cluster-model/src/file/writer.rs
@@ -1,18 +1,18 @@
-//! From a scenario to a text that reads back as the same scenario.
+//! Formats a scenario as text that parses back to the same scenario.
 
 use super::fields::*;
-use super::figure::span_text;
+use super::quantity::span_text;
 use crate::scenario::{ClassSpec, PlanSpec, Scenario, Site};
 use std::fmt;
 
-/// Lines are broken behind so many characters: the rest goes on in another line with the same beginning.
-const WIDTH: usize = 100;
+/// Line length in characters after which keys continue on another line with the same prefix.
+const LINE_WIDTH: usize = 100;
 
-/// Writes a scenario so that [`super::parse`] reads an equal one back, given a file of the scenario's name
-/// and leaving aside the numbers of lines. What is as usual is left out.
+/// Formats a scenario without its default values. For a file with the scenario's name, [`super::parse`] returns an
+/// equal scenario, except for the line numbers.
 ///
-/// This holds for every scenario that could have come from a file. One that could not, with a figure out of
-/// its bounds or a machine that the site does not have, is written all the same, and the reader names it.
+/// This holds for every scenario that a file can express. A scenario with a value out of bounds or a machine that
+/// the site does not have is formatted as well, and `parse` reports the error.
 pub fn to_text(scenario: &Scenario) -> String {
     let title = scenario.title.replace('\\', "\\\\").replace('"', "\\\"");
     let mut text = format!("scenario \"{title}\"\nlength {}\n", span_text(scenario.length));
@@ -22,12 +22,14 @@
     if !scenario.events.is_empty() {
         text.push('\n');
     }
-    for timed in &scenario.events {
-        let at = span_text(timed.at);
-        text += &match &timed.trigger {
-            None => format!("at {at}: {}\n", timed.event),
-            Some(sign) if timed.at == scenario.length => format!("when {sign}: {}\n", timed.event),
-            Some(sign) => format!("when {sign}, by {at}: {}\n", timed.event),
+    for scheduled in &scenario.events {
+        let at = span_text(scheduled.at);
+        text += &match &scheduled.trigger {
+            None => format!("at {at}: {}\n", scheduled.event),
+            Some(trigger) if scheduled.at == scenario.length => {
+                format!("when {trigger}: {}\n", scheduled.event)
+            }
+            Some(trigger) => format!("when {trigger}, by {at}: {}\n", scheduled.event),
         };
     }
     text
@@ -50,79 +52,81 @@
 }
 
 fn site_lines(site: &Site) -> Vec<String> {
-    let mut usual = Site::default();
-    // What the reader does for a smaller site.
-    for plan in &mut usual.plans {
+    let mut defaults = Site::default();
+    // The parser limits the default spread to the number of gateways in the same way.
+    for plan in &mut defaults.plans {
         plan.spread = plan.spread.min(site.gateways);
     }
-    let mut lines = changes(SITE, site, &usual);
-    lines.extend(group("host", &changes(HOST, &site.host, &usual.host)));
-    lines.extend(group("counter", &changes(COUNTER, &site.counter, &usual.counter)));
-    lines.extend(group("discovery", &changes(DISCOVERY, &site.discovery, &usual.discovery)));
-    lines.extend(group("network", &changes(NETWORK, &site.network, &usual.network)));
-    lines.extend(group("rules", &changes(RULES, &site.rules, &usual.rules)));
+    let mut lines = changes(SITE, site, &defaults);
+    lines.extend(prefixed_lines("host", &changes(HOST, &site.host, &defaults.host)));
+    lines.extend(prefixed_lines("counter", &changes(COUNTER, &site.counter, &defaults.counter)));
+    lines.extend(prefixed_lines("discovery", &changes(DISCOVERY, &site.discovery, &defaults.discovery)));
+    lines.extend(prefixed_lines("network", &changes(NETWORK, &site.network, &defaults.network)));
+    lines.extend(prefixed_lines("rules", &changes(RULES, &site.rules, &defaults.rules)));
     let class = |class: &ClassSpec| class.name.clone();
-    lines.extend(named("class", "classes", CLASS, &site.classes, &usual.classes, class));
+    lines.extend(named_lines("class", "classes", CLASS, &site.classes, &defaults.classes, class));
     let plan = |plan: &PlanSpec| plan.name.clone();
-    lines.extend(named("plan", "plans", PLAN, &site.plans, &usual.plans, plan));
+    lines.extend(named_lines("plan", "plans", PLAN, &site.plans, &defaults.plans, plan));
     lines
 }
 
-/// Classes or plans: what is new or different, and which there are if that is not what the rest says.
-fn named<T: Clone>(
+/// Formats classes or plans: the lines of new or changed ones, and a line with `only` if the list cannot be derived
+/// from the defaults and these lines.
+fn named_lines<T: Clone>(
     what: &str,
     plural: &str,
     table: &[Field<T>],
     list: &[T],
-    usual: &[T],
+    defaults: &[T],
     name: impl Fn(&T) -> String,
 ) -> Vec<String> {
     let mut lines = Vec::new();
-    let mut names: Vec<String> = usual.iter().map(&name).collect();
+    let mut names: Vec<String> = defaults.iter().map(&name).collect();
     for item in list {
-        let words = match usual.iter().find(|usual| name(usual) == name(item)) {
-            Some(usual) => changes(table, item, usual),
+        let keys = match defaults.iter().find(|default| name(default) == name(item)) {
+            Some(default) => changes(table, item, default),
             None => {
                 names.push(name(item));
-                all(table, item)
+                all_keys(table, item)
             }
         };
-        lines.extend(group(&format!("{what} {}", name(item)), &words));
+        lines.extend(prefixed_lines(&format!("{what} {}", name(item)), &keys));
     }
-    let wanted: Vec<String> = list.iter().map(&name).collect();
-    if wanted != names {
-        lines.push(format!("only {plural} {}", wanted.join(", ")));
+    let actual: Vec<String> = list.iter().map(&name).collect();
+    if actual != names {
+        lines.push(format!("only {plural} {}", actual.join(", ")));
     }
     lines
 }
 
-/// All keys with their values.
-fn all<T: Clone>(table: &[Field<T>], of: &T) -> Vec<String> {
-    let mut of = of.clone();
-    let words = |field: &Field<T>| {
-        let slot = (field.slot)(&mut of);
-        if slot.stands_alone() {
-            slot.text()
+/// Formats all keys with their values.
+fn all_keys<T: Clone>(table: &[Field<T>], target: &T) -> Vec<String> {
+    let mut target = target.clone();
+    let key_text = |field: &Field<T>| {
+        let value = (field.value)(&mut target);
+        if value.is_keyword() {
+            value.text()
         } else {
-            format!("{} {}", field.key, slot.text())
+            format!("{} {}", field.key, value.text())
         }
     };
-    table.iter().map(words).collect()
+    table.iter().map(key_text).collect()
 }
 
-/// The keys whose values are not as usual. Values are written without loss: they differ if their texts do.
-fn changes<T: Clone>(table: &[Field<T>], of: &T, usual: &T) -> Vec<String> {
-    let pairs = all(table, of).into_iter().zip(all(table, usual));
-    pairs.filter(|(is, usual)| is != usual).map(|(is, _)| is).collect()
+/// Formats the keys whose values differ from the defaults. Formatting is lossless, so values differ if and only if
+/// their texts do.
+fn changes<T: Clone>(table: &[Field<T>], target: &T, defaults: &T) -> Vec<String> {
+    let pairs = all_keys(table, target).into_iter().zip(all_keys(table, defaults));
+    pairs.filter(|(text, default)| text != default).map(|(text, _)| text).collect()
 }
 
-/// Keys with commas between them behind a common beginning, in as many lines as they take.
-fn group(head: &str, words: &[String]) -> Vec<String> {
+/// Joins keys with commas, on as many lines as needed, each with the same prefix.
+fn prefixed_lines(prefix: &str, keys: &[String]) -> Vec<String> {
     let mut lines: Vec<String> = Vec::new();
-    for word in words {
+    for key in keys {
         match lines.last_mut() {
-            Some(line) if line.len() + word.len() < WIDTH => *line += &format!(", {word}"),
-            _ => lines.push(format!("{head} {word}")),
+            Some(line) if line.len() + key.len() < LINE_WIDTH => *line += &format!(", {key}"),
+            _ => lines.push(format!("{prefix} {key}")),
         }
     }
     lines
