--- a/crates/cluster-model/src/file/check.rs
+++ b/crates/cluster-model/src/file/check.rs
@@ -30,8 +30,8 @@
 }
 
 /// Formats a count with its noun: `3 gateways`, `1 gateway`.
-fn counted(count: u32, what: &str) -> String {
-    format!("{count} {what}{}", if count == 1 { "" } else { "s" })
+fn counted(count: u32, kind: &str) -> String {
+    format!("{count} {kind}{}", if count == 1 { "" } else { "s" })
 }
 
 struct Checker<'a> {
@@ -119,25 +119,25 @@
     }
 
     /// Checks that a new class or plan has all required keys.
-    fn check_required_keys(&mut self, what: &'static str, name: &str, required: &[&str]) {
-        let path = format!("{what} {name}");
+    fn check_required_keys(&mut self, kind: &'static str, name: &str, required: &[&str]) {
+        let path = format!("{kind} {name}");
         let is_missing = |key: &&&str| self.positions.find(&format!("{path} {key}")).is_none();
         let missing: Vec<&str> = required.iter().filter(is_missing).copied().collect();
         if !missing.is_empty() {
             self.add_error_at_last(
                 &[path],
-                Reason::MissingKeys { what, name: name.into(), missing: listed(&missing) },
+                Reason::MissingKeys { kind, name: name.into(), missing: listed(&missing) },
             );
         }
     }
 
-    fn check_share_sum(&mut self, what: &'static str, singular: &str, shares: &[(&str, f64)]) {
+    fn check_share_sum(&mut self, kind: &'static str, singular: &str, shares: &[(&str, f64)]) {
         let sum: f64 = shares.iter().map(|(_, share)| share).sum();
         if (sum - 1.0).abs() > SHARE_SUM_TOLERANCE {
             let mut paths: Vec<_> =
                 shares.iter().map(|(name, _)| format!("{singular} {name} share")).collect();
-            paths.push(format!("only {what}"));
-            self.add_error_at_last(&paths, Reason::ShareSum { what, sum: rounded(sum) });
+            paths.push(format!("only {kind}"));
+            self.add_error_at_last(&paths, Reason::ShareSum { kind, sum: rounded(sum) });
         }
     }
 
@@ -272,7 +272,7 @@
     let names = || site.classes.iter().map(|class| class.name.as_str());
     let suggestion = || nearest(class, names());
     let known = names().any(|name| name == class);
-    (!known).then(|| Reason::Unknown { what: "class", word: class.into(), suggestion: suggestion() })
+    (!known).then(|| Reason::Unknown { kind: "class", word: class.into(), suggestion: suggestion() })
 }
 
 fn missing_gateway(groups: &[Vec<u32>], gateways: u32) -> Option<Reason> {
--- a/crates/cluster-model/src/file/errors.rs
+++ b/crates/cluster-model/src/file/errors.rs
@@ -79,10 +79,10 @@
         found: String,
     },
     /// An unknown word.
-    #[error("unknown {what} `{word}`{}", did_you_mean(.suggestion))]
+    #[error("unknown {kind} `{word}`{}", did_you_mean(.suggestion))]
     Unknown {
-        /// The kind of word that is expected.
-        what: &'static str,
+        /// The expected kind of word.
+        kind: &'static str,
         /// The word.
         word: String,
         /// A known word with a similar spelling.
@@ -181,20 +181,20 @@
     #[error("{0} is named twice")]
     DuplicateReference(String),
     /// A new class or plan without keys that have no default.
-    #[error("{what} `{name}` is new and also needs {missing}")]
+    #[error("{kind} `{name}` is new and also needs {missing}")]
     MissingKeys {
         /// `class` or `plan`.
-        what: &'static str,
+        kind: &'static str,
         /// The name of the class or plan.
         name: String,
         /// The missing keys, as an enumeration.
         missing: String,
     },
     /// A class or plan that is defined but excluded by `only`.
-    #[error("{what} `{name}` is defined here but left out in line {line}")]
+    #[error("{kind} `{name}` is defined here but left out in line {line}")]
     Excluded {
         /// `class` or `plan`.
-        what: &'static str,
+        kind: &'static str,
         /// The name of the class or plan.
         name: String,
         /// The line with `only`.
@@ -204,10 +204,10 @@
     #[error("there are {0} {1}; the maximum is {MAX_NAMES}")]
     TooManyNames(usize, &'static str),
     /// The shares of the classes or plans do not add up to 100 %.
-    #[error("the shares of the {what} add up to {sum}, not to 100 %")]
+    #[error("the shares of the {kind} add up to {sum}, not to 100 %")]
     ShareSum {
         /// `classes` or `plans`.
-        what: &'static str,
+        kind: &'static str,
         /// The sum of the shares.
         sum: String,
     },
@@ -263,7 +263,7 @@
     /// An event that lists too many machine numbers.
     #[error("an event may list at most {MAX_LISTED_MACHINES} machines; use a share or a count for more")]
     TooManyListedMachines,
-    /// More hosts than a scenario may have over its whole run.
+    /// More hosts than the maximum for one run, including those that join later.
     #[error("this event brings the total to {0} hosts; the maximum is {1}")]
     TooManyHosts(u32, u32),
     /// An event after the end of the run.
@@ -306,7 +306,7 @@
         || matches!(c, '\u{2028}' | '\u{2029}' | '\u{202A}'..='\u{202E}' | '\u{2066}'..='\u{2069}'))
 }
 
-/// Returns a word of the file for a message, truncated if it is long.
+/// Truncates a long word for a message.
 pub(super) fn truncated(word: &str) -> String {
     const MAX_CHARS: usize = 40;
     if word.chars().count() <= MAX_CHARS {
--- a/crates/cluster-model/src/file/events.rs
+++ b/crates/cluster-model/src/file/events.rs
@@ -40,7 +40,7 @@
     "clock",
 ];
 
-/// The words of link faults.
+/// Keywords of link faults.
 const LINK_FAULTS: [&str; 6] = ["hold", "cut", "slow", "narrow", "reset", "flap"];
 
 /// Bounds of a duration.
@@ -57,7 +57,7 @@
 /// Bounds of the rate of a link in KiB per second.
 const LINK_RATE: Bounds<f64> = (0.1, 1e6);
 
-/// Positions of the parts of an event or trigger that can be checked only against the whole file.
+/// Positions of the parts of an event or trigger that depend on other lines of the file.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NamePositions(pub Vec<Position>);
 
--- a/crates/cluster-model/src/file/fields.rs
+++ b/crates/cluster-model/src/file/fields.rs
@@ -17,7 +17,7 @@
     /// Name of the key.
     pub key: &'static str,
     /// The words that introduce the value: the name of the key, or keywords that are values themselves.
-    pub words: &'static [&'static str],
+    pub keywords: &'static [&'static str],
     /// Returns a reference to the value, with its bounds.
     pub value: for<'a> fn(&'a mut T) -> FieldValue<'a>,
 }
@@ -161,7 +161,7 @@
     ($name:ident: $of:ty { $($key:literal $(($($word:literal),+))? => |$it:ident| $value:expr;)* }) => {
         pub(super) const $name: &[Field<$of>] = &[$(Field {
             key: $key,
-            words: fields!(@words $key $(, $($word),+)?),
+            keywords: fields!(@words $key $(, $($word),+)?),
             value: |$it| $value,
         }),*];
     };
@@ -223,7 +223,9 @@
 fields!(RULES: RulesSpec {
     "drain-grace" => |r| FieldValue::Span(&mut r.drain_grace, (0, MINUTE));
     "fall" => |r| pair(
-        FieldValue::Factor(&mut r.overload_factor, (0.1, 1000.0)), "for", FieldValue::Span(&mut r.overload_span, (MS, 10 * MINUTE)));
+        FieldValue::Factor(&mut r.overload_factor, (0.1, 1000.0)),
+        "for",
+        FieldValue::Span(&mut r.overload_span, (MS, 10 * MINUTE)));
     "answer-slack" => |r| FieldValue::Span(&mut r.deadline_slack, (0, 10 * SECOND));
 });
 
@@ -315,14 +317,14 @@
 /// Keys that a new plan must have.
 pub(super) const REQUIRED_PLAN_KEYS: &[&str] = &["share", "rate", "burst", "price", "spread"];
 
-/// Words that begin a line of the section `site` with keys of its own.
+/// Words that begin a line of the section `site` with a separate table of keys, or with a list of names (`only`).
 pub(super) const SITE_LINE_KEYWORDS: [&str; 8] =
     ["host", "counter", "discovery", "network", "rules", "class", "plan", "only"];
 
 /// Returns where a misplaced word is allowed.
 pub(super) fn expected_location(word: &str) -> Option<&'static str> {
     fn has<T>(table: &[Field<T>], word: &str) -> bool {
-        table.iter().any(|field| field.words.contains(&word))
+        table.iter().any(|field| field.keywords.contains(&word))
     }
     let locations = [
         (has(SITE, word) || SITE_LINE_KEYWORDS.contains(&word), "in the section `site`"),
--- a/crates/cluster-model/src/file/lexer.rs
+++ b/crates/cluster-model/src/file/lexer.rs
@@ -76,20 +76,20 @@
         }
     }
 
-    fn rest(&self) -> &'a str {
+    fn remaining(&self) -> &'a str {
         &self.text[self.offset..]
     }
 
     fn advance(&mut self, bytes: usize) -> &'a str {
-        let consumed = &self.rest()[..bytes];
+        let consumed = &self.remaining()[..bytes];
         self.offset += bytes;
         self.column += consumed.chars().count() as u32;
         consumed
     }
 
     fn take_while(&mut self, accepts: impl Fn(char) -> bool) -> &'a str {
-        let rest = self.rest();
-        self.advance(rest.find(|c| !accepts(c)).unwrap_or(rest.len()))
+        let remaining = self.remaining();
+        self.advance(remaining.find(|c| !accepts(c)).unwrap_or(remaining.len()))
     }
 
     fn skip_blanks(&mut self) {
@@ -97,7 +97,7 @@
     }
 
     fn next(&mut self) -> ParseResult<TokenKind<'a>> {
-        let mut upcoming = self.rest().chars();
+        let mut upcoming = self.remaining().chars();
         let Some(first) = upcoming.next().filter(|c| *c != '#') else { return Ok(TokenKind::End) };
         match first {
             '"' => self.quoted(),
@@ -118,10 +118,10 @@
     }
 
     fn number(&mut self) -> &'a str {
-        let rest = self.rest();
+        let remaining = self.remaining();
         let digits = |text: &str| text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
-        let integer_len = digits(rest);
-        let fraction_len = rest[integer_len..].strip_prefix('.').map_or(0, digits);
+        let integer_len = digits(remaining);
+        let fraction_len = remaining[integer_len..].strip_prefix('.').map_or(0, digits);
         self.advance(if fraction_len > 0 { integer_len + 1 + fraction_len } else { integer_len })
     }
 
@@ -131,7 +131,7 @@
         let mut text = String::new();
         loop {
             text.push_str(self.take_while(|c| c != '"' && c != '\\'));
-            let mut upcoming = self.rest().chars();
+            let mut upcoming = self.remaining().chars();
             match (upcoming.next(), upcoming.next()) {
                 (Some('"'), _) => {
                     self.advance(1);
--- a/crates/cluster-model/src/file/line.rs
+++ b/crates/cluster-model/src/file/line.rs
@@ -65,9 +65,9 @@
     }
 
     /// Returns an error: the next token is none of the known words.
-    pub fn unknown<T>(&self, what: &'static str, word: &str, known: &[&str]) -> ParseResult<T> {
+    pub fn unknown<T>(&self, kind: &'static str, word: &str, known: &[&str]) -> ParseResult<T> {
         let suggestion = nearest(word, known.iter().copied());
-        self.error(Reason::Unknown { what, word: truncated(word), suggestion })
+        self.error(Reason::Unknown { kind, word: truncated(word), suggestion })
     }
 
     /// Consumes this word if it is next.
@@ -132,20 +132,20 @@
         Ok(word)
     }
 
-    /// Reads one of these words; `what` describes them in the message.
-    pub fn one_of(&mut self, what: &'static str, known: &[&'static str]) -> ParseResult<&'static str> {
-        let TokenKind::Word(word) = *self.peek() else { return self.expected(with_article(what)) };
+    /// Reads one of these words; `kind` describes them in the message.
+    pub fn one_of(&mut self, kind: &'static str, known: &[&'static str]) -> ParseResult<&'static str> {
+        let TokenKind::Word(word) = *self.peek() else { return self.expected(with_article(kind)) };
         let Some(found) = known.iter().find(|known| **known == word) else {
-            return self.unknown(what, word, known);
+            return self.unknown(kind, word, known);
         };
         self.skip();
         Ok(found)
     }
 
     /// Reads the name of a class or plan.
-    pub fn name(&mut self, what: &str) -> ParseResult<&'a str> {
+    pub fn name(&mut self, kind: &str) -> ParseResult<&'a str> {
         let TokenKind::Word(word) = *self.peek() else {
-            return self.expected(format!("the name of a {what}"));
+            return self.expected(format!("the name of a {kind}"));
         };
         if word.len() > 32 || word.contains(['/', '\'']) {
             return self.error(Reason::InvalidName(truncated(word)));
@@ -296,8 +296,8 @@
     }
 }
 
-fn with_article(what: &str) -> String {
-    format!("{} {what}", if what.starts_with(['a', 'e', 'i', 'o', 'u']) { "an" } else { "a" })
+fn with_article(kind: &str) -> String {
+    format!("{} {kind}", if kind.starts_with(['a', 'e', 'i', 'o', 'u']) { "an" } else { "a" })
 }
 
 fn ordered_range<T: PartialOrd>(
--- a/crates/cluster-model/src/file/mod.rs
+++ b/crates/cluster-model/src/file/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! `lexer` splits a line into tokens, and `line` reads them one by one, numbers together with their units
 //! (`quantity`). `parser` reads sections and keys by the tables in `fields`, `events` reads what follows `at`, and
-//! `triggers` what follows `when`. `check` then validates whatever depends on the whole file. `writer` formats a
+//! `triggers` what follows `when`. `check` then validates whatever depends on several lines. `writer` formats a
 //! scenario as text. `docs/rehearsal-scenarios.md` is the documentation for authors of such files.
 
 mod check;
@@ -33,7 +33,7 @@
 pub const MAX_LINE_BYTES: usize = 1000;
 /// Maximum number of gateways of a site.
 pub const MAX_GATEWAYS: u32 = 1000;
-/// Maximum number of hosts over a whole run, including those that join later.
+/// Maximum number of hosts in a run, including those that join later.
 pub const MAX_HOSTS: u32 = 1000;
 /// Maximum number of customers of a plan.
 pub const MAX_CUSTOMERS: u64 = 100_000;
--- a/crates/cluster-model/src/file/parser.rs
+++ b/crates/cluster-model/src/file/parser.rs
@@ -34,7 +34,7 @@
     pub at: Position,
     /// The machines that the trigger refers to.
     pub trigger: NamePositions,
-    /// The first word of the event.
+    /// The beginning of the event.
     pub event: Position,
     /// The machines, buildings and classes that the event refers to.
     pub references: NamePositions,
@@ -225,10 +225,10 @@
     }
 
     /// Reads the name after `class` or `plan`, and returns the path of its keys with the name.
-    fn named_path(&mut self, what: &str, line: &mut Line<'_>) -> ParseResult<(String, String)> {
+    fn named_path(&mut self, kind: &str, line: &mut Line<'_>) -> ParseResult<(String, String)> {
         let position = line.position();
-        let name = line.name(what)?.to_owned();
-        let path = format!("{what} {name}");
+        let name = line.name(kind)?.to_owned();
+        let path = format!("{kind} {name}");
         self.positions.keys.entry(path.clone()).or_insert(position);
         Ok((path, name))
     }
@@ -236,9 +236,9 @@
     /// Reads what follows `only`, such as `classes a, b`.
     fn only(&mut self, line: &mut Line<'_>) -> ParseResult<()> {
         let position = line.position();
-        let what = line.one_of("list", &["classes", "plans"])?;
-        self.positions.record(format!("only {what}"), &format!("only {what}"), position)?;
-        let (selected, singular) = match what {
+        let kind = line.one_of("list", &["classes", "plans"])?;
+        self.positions.record(format!("only {kind}"), &format!("only {kind}"), position)?;
+        let (selected, singular) = match kind {
             "classes" => (&mut self.only_classes, "class"),
             _ => (&mut self.only_plans, "plan"),
         };
@@ -284,9 +284,9 @@
     Err(ParseError::new(position, Reason::TitleLength(length)))
 }
 
-/// Returns the words of a table, and additional ones.
+/// Returns the keywords of a table, and additional ones.
 fn known<T>(table: &[Field<T>], additional: &[&'static str]) -> Vec<&'static str> {
-    table.iter().flat_map(|field| field.words).chain(additional).copied().collect()
+    table.iter().flat_map(|field| field.keywords).chain(additional).copied().collect()
 }
 
 /// Reads keys and values, separated by commas, up to the end of the line.
@@ -300,7 +300,7 @@
 ) -> ParseResult<()> {
     loop {
         let TokenKind::Word(word) = *line.peek() else { return line.expected("a key") };
-        let Some(field) = table.iter().find(|field| field.words.contains(&word)) else {
+        let Some(field) = table.iter().find(|field| field.keywords.contains(&word)) else {
             return unknown_key(line, word, known);
         };
         positions.record(format!("{path} {}", field.key), word, line.position())?;
@@ -334,17 +334,17 @@
 
 /// Reduces the list to the classes or plans that a line with `only` names, in its order.
 fn apply_only<T: Clone>(
-    what: &'static str,
+    kind: &'static str,
     list: &mut Vec<T>,
     name: fn(&T) -> &str,
     selected: &SelectedNames,
     positions: &Positions,
 ) -> ParseResult<()> {
     // Position where a class or plan is first defined, if it is in the file.
-    let definition = |item: &T| positions.find(&format!("{what} {}", name(item)));
+    let definition = |item: &T| positions.find(&format!("{kind} {}", name(item)));
     if let Some((_, only)) = selected.first() {
         let remaining =
-            selected.iter().map(|(wanted, position)| find_selected(what, list, name, wanted, *position));
+            selected.iter().map(|(wanted, position)| find_selected(kind, list, name, wanted, *position));
         let remaining: Vec<T> = remaining.collect::<ParseResult<_>>()?;
         let excluded =
             list.iter().filter(|item| !selected.iter().any(|(selected, _)| selected == name(item)));
@@ -352,12 +352,12 @@
             excluded.filter_map(|item| Some((definition(item)?, item))).min_by_key(|found| found.0)
         {
             let name = name(item).to_owned();
-            return Err(ParseError::new(position, Reason::Excluded { what, name, line: only.line }));
+            return Err(ParseError::new(position, Reason::Excluded { kind, name, line: only.line }));
         }
         *list = remaining;
     }
     if list.len() > MAX_NAMES {
-        let plural = if what == "class" { "classes" } else { "plans" };
+        let plural = if kind == "class" { "classes" } else { "plans" };
         let last = list.iter().filter_map(definition).max();
         let position = last.unwrap_or(Position { line: 1, column: 1 });
         return Err(ParseError::new(position, Reason::TooManyNames(list.len(), plural)));
@@ -366,7 +366,7 @@
 }
 
 fn find_selected<T: Clone>(
-    what: &'static str,
+    kind: &'static str,
     list: &[T],
     name: fn(&T) -> &str,
     wanted: &str,
@@ -376,7 +376,7 @@
         return Ok(found.clone());
     }
     let suggestion = nearest(wanted, list.iter().map(name));
-    Err(ParseError::new(position, Reason::Unknown { what, word: wanted.into(), suggestion }))
+    Err(ParseError::new(position, Reason::Unknown { kind, word: wanted.into(), suggestion }))
 }
 
 /// Limits the default spread of plans to the number of gateways, so that the default plans also fit a smaller site.
--- a/crates/cluster-model/src/file/triggers.rs
+++ b/crates/cluster-model/src/file/triggers.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 /// Bounds of the ordinal number of a call or an answer.
-const OCCURRENCE: (u32, u32) = (1, 1_000_000);
+const ORDINAL: (u32, u32) = (1, 1_000_000);
 /// The states of a host that discovery announces, with their words.
 const HOST_STATES: [(&str, Told); 3] =
     [("is there", Told::InService), ("drains", Told::Draining), ("is gone", Told::Gone)];
@@ -31,7 +31,7 @@
         match self.line.one_of("trigger", &["call", "answer", "gateway", "host"])? {
             "call" => self.call(),
             "answer" => {
-                let n = self.line.integer("answer", OCCURRENCE, "")?;
+                let n = self.line.integer("answer", ORDINAL, "")?;
                 self.line.require("from")?;
                 let gateway = self.gateway_keyword_and_number()?;
                 self.require_words(&["to", "the", "clients"])?;
@@ -53,7 +53,7 @@
 
     /// Reads what follows `call`, such as `100 from gateway 1 to the counter`.
     fn call(&mut self) -> ParseResult<Trigger> {
-        let n = self.line.integer("call", OCCURRENCE, "")?;
+        let n = self.line.integer("call", ORDINAL, "")?;
         self.line.require("from")?;
         if self.line.accept("the") {
             self.require_words(&["clients", "to"])?;
--- a/crates/cluster-model/src/file/writer.rs
+++ b/crates/cluster-model/src/file/writer.rs
@@ -73,7 +73,7 @@
 /// Formats classes or plans: the lines of new or changed ones, and a line with `only` if the list cannot be derived
 /// from the defaults and these lines.
 fn named_lines<T: Clone>(
-    what: &str,
+    kind: &str,
     plural: &str,
     table: &[Field<T>],
     list: &[T],
@@ -90,7 +90,7 @@
                 all_keys(table, item)
             }
         };
-        lines.extend(prefixed_lines(&format!("{what} {}", name(item)), &keys));
+        lines.extend(prefixed_lines(&format!("{kind} {}", name(item)), &keys));
     }
     let actual: Vec<String> = list.iter().map(&name).collect();
     if actual != names {
--- a/crates/cluster-model/src/scenario.rs
+++ b/crates/cluster-model/src/scenario.rs
@@ -129,7 +129,7 @@
     pub idle_timeout: Span,
 }
 
-/// The counter service.
+/// Capacity, timing and location of the counter service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterSpec {
     /// Whether the site has a counter.
@@ -148,7 +148,7 @@
     pub building: u32,
 }
 
-/// The discovery service.
+/// Delays of the discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoverySpec {
     /// Range of the delay until an agent learns of a change. Each agent draws a delay for each change.
@@ -183,14 +183,14 @@
     NonIdempotent,
 }
 
-/// A request class.
+/// Load, latency objective, deadline and priority of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
     /// Name of the class.
     pub name: String,
     /// Share of all requests.
     pub share: f64,
-    /// Mean work of a request, before its units are taken into account.
+    /// Mean work of a request, before scaling by its units.
     pub work: Span,
     /// Coefficient of variation of the work (lognormal).
     pub work_cv: f64,
@@ -198,7 +198,7 @@
     pub latency_objective: Span,
     /// Time after which clients abandon a request.
     pub deadline: Span,
-    /// Priority weight, before units and plan are taken into account.
+    /// Priority weight, before scaling by units and plan.
     pub priority_weight: f64,
     /// Share of the priority weight that a response after the latency objective still earns.
     pub late_weight_share: f64,
@@ -206,7 +206,7 @@
     pub idempotency: Idempotency,
 }
 
-/// A customer plan.
+/// Load, quota and priority of a customer plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSpec {
     /// Name of the plan.
@@ -272,7 +272,7 @@
     /// Imbalance of a customer's requests across its gateways; 0: even.
     pub skew: f64,
     /// Imbalance of all requests across the gateways, over all customers; 0: even. At `u` the busiest gateways
-    /// receive up to 1 + `u` times the mean, as far as the customers' gateway sets allow.
+    /// receive up to 1 + `u` times the mean, limited by the customers' gateway sets.
     pub gateway_imbalance: f64,
     /// Interval at which the set of busiest gateways changes.
     pub imbalance_interval: Span,
@@ -419,8 +419,8 @@
     RestartGateways(Selector, Span),
     /// SIGHUP with a new configuration file.
     ReloadGateways(Selector),
-    /// Traffic is multiplied by this factor. It rises and falls over the last span; the first span is the
-    /// duration of the whole event.
+    /// Traffic is multiplied by this factor. The first span is the duration of the event, including the rise and
+    /// the fall, which take the last span each.
     Traffic(f64, Span, Span),
     /// The share of the traffic of the gateways in this building (numbered from 1) is multiplied by this factor.
     SkewTraffic(u32, f64, Span),
--- a/crates/cluster-model/tests/file.rs
+++ b/crates/cluster-model/tests/file.rs
@@ -1,36 +1,39 @@
-//! Scenario files: what is read, what is refused in which words, and what is written.
+//! Scenario files: parsing, the message for each error, and formatting.
 
 use cluster_model::file::{find, parse, shipped, to_text, MAX_LENGTH};
 use cluster_model::rng::Rng;
 use cluster_model::scenario::*;
 use cluster_model::{MS, SECOND};
 
-/// The scenario without the lines of its events: a text that was written has others.
-fn without_lines(mut scenario: Scenario) -> Scenario {
-    scenario.events.iter_mut().for_each(|timed| timed.line = 0);
+/// Sets the line numbers of all events to 0, since a formatted scenario has other line numbers than the original.
+fn without_line_numbers(mut scenario: Scenario) -> Scenario {
+    scenario.events.iter_mut().for_each(|scheduled| scheduled.line = 0);
     scenario
 }
 
-fn read(text: &str) -> Scenario {
+fn parse_valid(text: &str) -> Scenario {
     parse("test.scenario", text).unwrap_or_else(|error| panic!("{error}\n{text}"))
 }
 
-/// The events of lines such as `at 10 s: kill all hosts`.
+/// Parses the events of lines such as `at 10 s: kill all hosts`.
 fn events(lines: &str) -> Vec<Event> {
     let text = format!("scenario \"x\"\nlength 1 h\n{lines}");
-    read(&text).events.into_iter().map(|timed| timed.event).collect()
+    parse_valid(&text).events.into_iter().map(|scheduled| scheduled.event).collect()
 }
 
 #[test]
-fn a_file_with_nothing_but_a_title_is_the_calm_day() {
+fn a_file_with_only_a_title_is_the_default_scenario() {
     let calm = Scenario { name: "test".into(), title: "x".into(), ..Scenario::default() };
-    assert_eq!(read("scenario \"x\""), calm);
-    // The signs of other systems, an empty section and blanks change nothing.
-    assert_eq!(read("\u{feff}# today\r\n\r\n\tscenario  \"x\"# so\r\nsite\r\n   \t\r\ntraffic\r\n"), calm);
+    assert_eq!(parse_valid("scenario \"x\""), calm);
+    // A byte order mark, CRLF line endings, empty sections and blanks change nothing.
+    assert_eq!(
+        parse_valid("\u{feff}# today\r\n\r\n\tscenario  \"x\"# so\r\nsite\r\n   \t\r\ntraffic\r\n"),
+        calm
+    );
 }
 
 #[test]
-fn all_keys_are_read_with_their_units() {
+fn parses_all_keys_with_their_units() {
     let text = r#"
         scenario "all \"keys\" \\"
         length 1.5 min
@@ -167,7 +170,7 @@
         early_disconnects: 0.01,
         front_detection_delay: SECOND,
     };
-    let wanted = Scenario {
+    let expected = Scenario {
         name: "test".into(),
         title: r#"all "keys" \"#.into(),
         length: 90 * SECOND,
@@ -175,11 +178,11 @@
         traffic,
         events: Vec::new(),
     };
-    assert_eq!(read(text), wanted);
+    assert_eq!(parse_valid(text), expected);
 }
 
 #[test]
-fn all_events_are_read() {
+fn parses_all_events() {
     let lines = "\
         at 0 s: kill 41 % of the gateways for 6 s\n\
         at 1 s: kill all gateways\n\
@@ -242,7 +245,7 @@
         at 1 s: lose building 2 for 30 s\n\
         at 1 s: cut off building 2 for 10 s";
     use Event::*;
-    let wanted = vec![
+    let expected = vec![
         KillGateways(Selector::Share(0.41), Some(6 * SECOND)),
         KillGateways(Selector::All, None),
         KillGateways(Selector::Numbers(vec![1, 3]), None),
@@ -324,23 +327,24 @@
         PowerLoss(2, 30 * SECOND),
         IsolateBuilding(2, 10 * SECOND),
     ];
-    let read = events(lines);
-    for (read, wanted) in read.iter().zip(&wanted) {
-        assert_eq!(read, wanted);
+    let parsed = events(lines);
+    for (parsed, expected) in parsed.iter().zip(&expected) {
+        assert_eq!(parsed, expected);
     }
-    assert_eq!(read.len(), wanted.len());
+    assert_eq!(parsed.len(), expected.len());
 }
 
 #[test]
 fn events_keep_their_order_time_and_line() {
-    let scenario =
-        read("scenario \"x\"\n\nat 20 s: add 1 host\nat 0.25 s: add 2 hosts # earlier\nat 20 s: add 3 hosts");
-    let seen: Vec<_> = scenario.events.iter().map(|timed| (timed.at, timed.line)).collect();
-    assert_eq!(seen, [(20 * SECOND, 3), (250 * MS, 4), (20 * SECOND, 5)]);
+    let scenario = parse_valid(
+        "scenario \"x\"\n\nat 20 s: add 1 host\nat 0.25 s: add 2 hosts # earlier\nat 20 s: add 3 hosts",
+    );
+    let parsed: Vec<_> = scenario.events.iter().map(|event| (event.at, event.line)).collect();
+    assert_eq!(parsed, [(20 * SECOND, 3), (250 * MS, 4), (20 * SECOND, 5)]);
 }
 
 #[test]
-fn a_host_that_comes_later_may_be_named_from_then_on() {
+fn an_event_may_name_a_host_only_after_the_host_has_joined() {
     events(
         "at 2 s: add 2 hosts\nat 2 s: pause host 12 for 1 s\nat 3 s: replace 2 hosts\nat 4 s: kill host 14",
     );
@@ -349,9 +353,9 @@
 }
 
 #[test]
-fn signs_are_read_and_written_alike_and_come_by_the_end() {
+fn triggers_are_formatted_as_parsed_and_expire_at_the_end_of_the_run_by_default() {
     use cluster_model::seen::Told::{Draining, Gone, InService};
-    let signs = [
+    let triggers = [
         ("call 100 from gateway 1 to the counter", Trigger::CounterCall(1, 100)),
         ("call 5 from gateway 1 to host 3", Trigger::HostAttempt(1, Some(3), 5)),
         ("call 5 from gateway 1 to any host", Trigger::HostAttempt(1, None, 5)),
@@ -365,41 +369,41 @@
         ("host 3 starts", Trigger::HostProcess(3, true)),
         ("gateway 2 logs \"a \\\"b\\\" \\\\\"", Trigger::LogLine(2, "a \"b\" \\".into())),
     ];
-    for (words, sign) in signs {
+    for (words, trigger) in triggers {
         for (by, at) in [("", 9 * SECOND), (", by 4.5 s", 4500 * MS)] {
-            // The length may stand behind it.
-            let scenario = read(&format!("scenario \"x\"\nwhen {words}{by}: add 1 host\nlength 9 s"));
-            let timed =
-                ScheduledEvent { at, trigger: Some(sign.clone()), line: 2, event: Event::AddHosts(1) };
-            assert_eq!(scenario.events, [timed]);
+            // The default also holds if the length is given after the event.
+            let scenario = parse_valid(&format!("scenario \"x\"\nwhen {words}{by}: add 1 host\nlength 9 s"));
+            let expected =
+                ScheduledEvent { at, trigger: Some(trigger.clone()), line: 2, event: Event::AddHosts(1) };
+            assert_eq!(scenario.events, [expected]);
             assert!(to_text(&scenario).ends_with(&format!("when {words}{by}: add 1 host\n")), "{words}");
         }
     }
 }
 
 #[test]
-fn plans_come_through_all_gateways_of_a_smaller_site() {
-    let site = read("scenario \"x\"\nsite\n gateways 1").site;
+fn the_default_spread_of_plans_is_limited_to_the_number_of_gateways() {
+    let site = parse_valid("scenario \"x\"\nsite\n gateways 1").site;
     assert_eq!(site.plans.iter().map(|plan| plan.spread).collect::<Vec<_>>(), [1, 1]);
 }
 
 #[test]
-fn a_range_of_shares_that_miss_the_whole_by_a_rounding_is_taken() {
+fn accepts_shares_that_miss_100_percent_only_by_rounding() {
     let third = |name| {
         format!("plan {name} share 33.3 %, rate 1 units/s, burst 5 units, price 1, spread 1 gateway\n")
     };
     let text = format!("scenario \"x\"\nsite\n{}{}{}only plans a, b, c", third("a"), third("b"), third("c"));
-    assert_eq!(read(&text).site.plans.len(), 3);
+    assert_eq!(parse_valid(&text).site.plans.len(), 3);
 }
 
-/// A file that cannot be used, and the one message about it. Lines of `site` stand from line 3 on.
-fn broken() -> Vec<(String, &'static str)> {
+/// Returns invalid files, each with its only message. The lines given to `site` begin at line 3.
+fn invalid_files() -> Vec<(String, &'static str)> {
     let top = |line: &str| format!("scenario \"x\"\n{line}");
     let site = |lines: &str| format!("scenario \"x\"\nsite\n{lines}");
     let traffic = |line: &str| format!("scenario \"x\"\ntraffic\n{line}");
     let plan = "plan p share 100 %, rate 1 units/s, burst 5 units, price 1, spread 1 gateway";
     vec![
-        // The file as such.
+        // File size, lines, characters and title.
         (String::new(), "1:1: a file must begin with `scenario` and a title in quotes"),
         ("# nothing\n\n".into(), "1:1: a file must begin with `scenario` and a title in quotes"),
         ("site\n".into(), "1:1: a file must begin with `scenario` and a title in quotes"),
@@ -419,7 +423,7 @@
         (site("traffic\nsite"), "4:1: `site` is given twice, first in line 2"),
         (top("length 5 s\nlength 5 s"), "3:1: `length` is given twice, first in line 2"),
         (top("41 % of the hosts"), "2:1: expected a keyword, found `41`"),
-        // Words.
+        // Unknown and misplaced words.
         (top("sites"), "2:1: unknown key `sites`; did you mean `site`?"),
         (top("balance 3"), "2:1: unknown key `balance`"),
         (top("hosts 3"), "2:1: `hosts` is not allowed here: it belongs in the section `site`"),
@@ -433,7 +437,7 @@
         (site("host cores 2\nhost cores 3"), "4:6: `cores` is given twice, first in line 3"),
         (site("counter on, off"), "3:13: `off` is given twice, first in line 3"),
         (site("second-copies maybe"), "3:15: unknown value `maybe`"),
-        // Figures and units.
+        // Numbers and units.
         (top("length 60"), "2:10: `length` needs a unit: ns, us, ms, s, min or h"),
         (top("length 60 seconds"), "2:11: `length` is given in ns, us, ms, s, min or h, not in `seconds`"),
         (top("length 60 %"), "2:11: `length` is given in ns, us, ms, s, min or h, not in `%`"),
@@ -515,7 +519,7 @@
             top(&format!("at 10 s: kill hosts {}1", "1, ".repeat(100))),
             "2:321: an event may list at most 100 machines; use a share or a count for more",
         ),
-        // Moments by something seen.
+        // Triggers.
         (top("when: add 4 hosts"), "2:5: expected a trigger, found `:`"),
         (top("when cal 3 from gateway 1 to the counter: add 4 hosts"), "2:6: unknown trigger `cal`; did you mean `call`?"),
         (top("when call 0 from gateway 1 to the counter: add 4 hosts"), "2:11: `call` is 0, but must be from 1 to 1000000"),
@@ -566,77 +570,80 @@
         (site("counter off\nat 10 s: cut the counter from host 1 for 3 s"), "4:10: the site has no counter"),
         (top("at 10 s: discovery late for 3 s"), "2:25: expected `by`, found `for`"),
         (top("at 10 s: 10 % of clients leave early for 3 s"), "2:18: expected `the`, found `clients`"),
-        // The first of several, in the order of the text.
+        // Of several errors, the first in the order of the text.
         (top("length 5\nlengt 5 s"), "2:9: `length` needs a unit: ns, us, ms, s, min or h"),
         (top("at 90 s: kill host 12\nsite\nclass price-read share 5 %"), "2:4: the run ends after 60 s"),
     ]
 }
 
 #[test]
-fn each_broken_file_gets_one_message_that_names_file_line_and_reason() {
-    let broken = broken();
-    assert!(broken.len() >= 40);
-    let wrong: Vec<String> = broken
+fn each_invalid_file_gets_one_message_with_file_position_and_reason() {
+    let invalid = invalid_files();
+    assert!(invalid.len() >= 40);
+    let mismatches: Vec<String> = invalid
         .iter()
-        .filter_map(|(text, wanted)| {
-            let told = match parse("dir/bad.scenario", text) {
+        .filter_map(|(text, expected)| {
+            let message = match parse("dir/bad.scenario", text) {
                 Ok(_) => "no message".to_owned(),
                 Err(error) => error.to_string(),
             };
-            (told != format!("dir/bad.scenario:{wanted}")).then(|| format!("{told}\n  not {wanted}\n"))
+            (message != format!("dir/bad.scenario:{expected}"))
+                .then(|| format!("{message}\n  not {expected}\n"))
         })
         .collect();
-    assert!(wrong.is_empty(), "{}", wrong.concat());
+    assert!(mismatches.is_empty(), "{}", mismatches.concat());
 }
 
 #[test]
-fn a_message_is_one_line_whatever_the_file_is_called() {
+fn a_message_is_one_line_for_a_file_name_with_control_characters() {
     let error = parse("a\nb\u{1b}[2J", "scenario").unwrap_err();
     assert_eq!(error.to_string(), "a?b?[2J:1:9: expected a title in quotes, found the end of the line");
 }
 
-/// No text makes the reader fall over: all cuts and single changes of a file that uses everything.
+/// Truncates a random scenario, or changes or removes one of its characters, at random positions: the parser must
+/// not panic, and an error must be one line.
 #[test]
-fn spoilt_files_are_refused_or_read_and_never_more() {
+fn damaged_files_are_parsed_or_rejected_without_a_panic() {
     let mut rng = Rng::stream(3, "spoil", 0);
-    let text = to_text(&random(&mut rng));
+    let text = to_text(&random_scenario(&mut rng));
     let alphabet: Vec<char> = "x1 %:,|\"\\#-.\n\t\u{e9}\u{0}".chars().collect();
     for _ in 0..3000 {
-        let mut letters: Vec<char> = text.chars().collect();
-        let at = rng.below(letters.len() as u64) as usize;
+        let mut characters: Vec<char> = text.chars().collect();
+        let at = rng.below(characters.len() as u64) as usize;
         match rng.below(3) {
-            0 => letters.truncate(at),
-            1 => letters[at] = alphabet[rng.below(alphabet.len() as u64) as usize],
-            _ => drop(letters.remove(at)),
+            0 => characters.truncate(at),
+            1 => characters[at] = alphabet[rng.below(alphabet.len() as u64) as usize],
+            _ => drop(characters.remove(at)),
         }
-        let spoilt: String = letters.into_iter().collect();
-        if let Err(error) = parse("x", &spoilt) {
-            let told = error.to_string();
-            assert!(told.starts_with("x:") && told.lines().count() == 1, "{told}");
+        let damaged: String = characters.into_iter().collect();
+        if let Err(error) = parse("x", &damaged) {
+            let message = error.to_string();
+            assert!(message.starts_with("x:") && message.lines().count() == 1, "{message}");
         }
     }
 }
 
 #[test]
-fn random_scenarios_read_back_as_they_were_written() {
+fn random_scenarios_are_unchanged_after_formatting_and_parsing() {
     for number in 0..400 {
-        let scenario = random(&mut Rng::stream(11, "scenario", number));
+        let scenario = random_scenario(&mut Rng::stream(11, "scenario", number));
         let text = to_text(&scenario);
         let file = format!("{}.scenario", scenario.name);
-        let again = parse(&file, &text).unwrap_or_else(|error| panic!("{error}\n{text}"));
-        assert_eq!(without_lines(again.clone()), scenario, "{text}");
-        assert_eq!(to_text(&again), text);
+        let parsed = parse(&file, &text).unwrap_or_else(|error| panic!("{error}\n{text}"));
+        assert_eq!(without_line_numbers(parsed.clone()), scenario, "{text}");
+        assert_eq!(to_text(&parsed), text);
         assert!(text.lines().all(|line| line.len() <= 1000));
     }
 }
 
 #[test]
-fn what_is_as_usual_is_not_written() {
+fn default_values_are_not_formatted() {
     assert_eq!(Scenario::default().to_string(), "scenario \"A calm day\"\nlength 60 s\n");
-    // Nor the spreads that a smaller site has anyhow.
+    // The spread that a smaller site limits by default is not formatted either.
     let small = "scenario \"x\"\nlength 60 s\n\nsite\n  gateways 1\n";
-    assert_eq!(read(small).to_string(), small);
-    let mut scenario = read("scenario \"x\"\nsite\nhost cores 4, cold 30 % for 1 s\nat 5 s: add 1 hosts");
+    assert_eq!(parse_valid(small).to_string(), small);
+    let mut scenario =
+        parse_valid("scenario \"x\"\nsite\nhost cores 4, cold 30 % for 1 s\nat 5 s: add 1 hosts");
     scenario.site.plans.swap(0, 1);
     scenario.site.plans[0].burst = 70.5;
     assert_eq!(
@@ -647,9 +654,9 @@
 }
 
 #[test]
-fn shipped_scenarios_read_and_are_what_their_names_say() {
+fn shipped_scenarios_are_valid_and_have_the_expected_sites_and_events() {
     let names: Vec<&str> = shipped().iter().map(|(name, _)| *name).collect();
-    let wanted = [
+    let expected = [
         "calm",
         "night",
         "cold-start",
@@ -675,13 +682,13 @@
         "split-fleet",
         "join-fleet",
     ];
-    assert_eq!(names, wanted);
+    assert_eq!(names, expected);
     let (sites, fleets) = shipped().split_at(18);
     for (name, text) in fleets {
         let scenario = parse(name, text).unwrap();
         assert_eq!((scenario.site.gateways, scenario.site.hosts), (300, 150), "{name}");
         for gateways in [3, 30, 60, 150, 1000] {
-            // A site of a few hosts still has one of what an event names.
+            // Each event also fits a site of a few machines.
             let resized = to_text(&scenario.clone().with_gateways(gateways));
             parse(name, &resized).unwrap_or_else(|error| panic!("{gateways}: {error}"));
         }
@@ -689,24 +696,26 @@
     for (name, text) in sites {
         let scenario = parse(&format!("scenarios/{name}.scenario"), text).unwrap();
         assert_eq!((scenario.name.as_str(), find(name)), (*name, Some(*text)));
-        let usual = !["building-lost", "site-lost"].contains(name);
-        assert_eq!(scenario.site == Site::default(), usual, "{name}");
+        let has_default_site = !["building-lost", "site-lost"].contains(name);
+        assert_eq!(scenario.site == Site::default(), has_default_site, "{name}");
         assert_eq!(scenario.traffic, Traffic::default(), "{name}");
         assert_eq!(scenario.events.is_empty(), *name == "calm");
     }
     let night = parse("night", find("night").unwrap()).unwrap();
-    let events: Vec<_> = night.events.into_iter().map(|timed| (timed.at / SECOND, timed.event)).collect();
-    let wanted = [
+    let events: Vec<_> =
+        night.events.into_iter().map(|scheduled| (scheduled.at / SECOND, scheduled.event)).collect();
+    let expected = [
         (20, Event::Traffic(1.8, 10 * SECOND, 500 * MS)),
         (22, Event::KillGateways(Selector::Share(0.41), Some(6 * SECOND))),
     ];
-    assert_eq!(events, wanted);
+    assert_eq!(events, expected);
     assert_eq!(find("no-such"), None);
 }
 
-// A random scenario. All fields are written out, so that one that is added to the vocabulary is missed here.
+// Random scenarios. The struct literals name all fields, so that a new field does not compile until it is generated
+// here as well.
 
-fn random(rng: &mut Rng) -> Scenario {
+fn random_scenario(rng: &mut Rng) -> Scenario {
     let site = random_site(rng);
     let length = span(rng, 10 * SECOND, MAX_LENGTH);
     let events = random_events(rng, &site, length);
@@ -726,21 +735,21 @@
     low + rng.below(u64::from(high - low) + 1) as u32
 }
 
-/// Any span, or one that people write.
+/// Returns a random span, often a multiple of a larger unit.
 fn span(rng: &mut Rng, low: u64, high: u64) -> u64 {
-    let round = [1, 1_000, MS, 10 * MS, SECOND, 60 * SECOND][rng.below(6) as usize];
-    let any = low + rng.below(high - low + 1);
-    (any / round * round).max(low)
+    let unit = [1, 1_000, MS, 10 * MS, SECOND, 60 * SECOND][rng.below(6) as usize];
+    let value = low + rng.below(high - low + 1);
+    (value / unit * unit).max(low)
 }
 
-/// Any number, or one that people write.
+/// Returns a random number, often with two decimals or one of the bounds.
 fn number(rng: &mut Rng, low: f64, high: f64) -> f64 {
-    let any = rng.between(low, high);
+    let value = rng.between(low, high);
     match rng.below(4) {
-        0 => any,
+        0 => value,
         1 => low,
         2 => high,
-        _ => ((any * 100.0) as u64 as f64 / 100.0).max(low),
+        _ => ((value * 100.0) as u64 as f64 / 100.0).max(low),
     }
 }
 
@@ -748,7 +757,7 @@
     number(rng, 0.0, 1.0)
 }
 
-fn some_share(rng: &mut Rng) -> f64 {
+fn nonzero_share(rng: &mut Rng) -> f64 {
     number(rng, 0.01, 1.0)
 }
 
@@ -760,7 +769,7 @@
     }
 }
 
-/// So many shares that come to the whole.
+/// Returns `count` shares that add up to 1.
 fn shares(rng: &mut Rng, count: usize) -> Vec<f64> {
     let parts: Vec<f64> = (0..count).map(|_| rng.between(0.1, 1.0)).collect();
     let sum: f64 = parts.iter().sum();
@@ -783,7 +792,7 @@
             timeout: span(rng, MS, SECOND),
             building: 1,
         },
-        discovery: DiscoverySpec { update_delay: spans(rng), crash_detection_delay: spans(rng) },
+        discovery: DiscoverySpec { update_delay: span_range(rng), crash_detection_delay: span_range(rng) },
         network: NetworkSpec {
             intra_building: span(rng, 1_000, SECOND),
             inter_building: span(rng, 1_000, SECOND),
@@ -814,7 +823,7 @@
     site
 }
 
-fn spans(rng: &mut Rng) -> (u64, u64) {
+fn span_range(rng: &mut Rng) -> (u64, u64) {
     ordered(span(rng, 0, 600 * SECOND), span(rng, 0, 600 * SECOND))
 }
 
@@ -827,7 +836,7 @@
         queue: count(rng, 0, 100_000),
         thrash_threshold: number(rng, 0.1, 1000.0),
         thrash_loss: share(rng),
-        warmup_share: some_share(rng),
+        warmup_share: nonzero_share(rng),
         warmup: span(rng, 0, 60 * SECOND),
         connections: count(rng, 1, 1_000_000),
         handshake: span(rng, 0, SECOND),
@@ -836,9 +845,9 @@
     }
 }
 
-/// Some of the usual names and some new ones, in any order.
-fn names(rng: &mut Rng, usual: [&str; 2]) -> Vec<String> {
-    let mut names: Vec<String> = usual.iter().map(|name| name.to_string()).collect();
+/// Returns some of the default names and some new ones, in random order.
+fn names(rng: &mut Rng, defaults: [&str; 2]) -> Vec<String> {
+    let mut names: Vec<String> = defaults.iter().map(|name| name.to_string()).collect();
     names.extend((0..rng.below(3)).map(|n| format!("other_{n}")));
     if rng.chance(0.7) {
         rng.shuffle(&mut names);
@@ -879,7 +888,7 @@
     let names = names(rng, ["standard", "premium"]);
     let shares = shares(rng, names.len());
     let plan = |(name, share): (String, f64)| {
-        let ceiling = rng.chance(0.5);
+        let has_ceiling = rng.chance(0.5);
         PlanSpec {
             name,
             share,
@@ -889,8 +898,8 @@
             weight_factor: number(rng, 0.0, 100.0),
             over_quota_weight_share: rng.unit(),
             over_quota_cost: number(rng, 0.0, 10.0),
-            ceiling_rate: if ceiling { number(rng, 0.0, 1e6) } else { 0.0 },
-            ceiling_burst: if ceiling { number(rng, 0.1, 1e6) } else { 0.0 },
+            ceiling_rate: if has_ceiling { number(rng, 0.0, 1e6) } else { 0.0 },
+            ceiling_burst: if has_ceiling { number(rng, 0.1, 1e6) } else { 0.0 },
             ceiling_slack: number(rng, 0.0, 100.0),
             spread: count(rng, 1, gateways),
         }
@@ -915,109 +924,121 @@
         retries: count(rng, 0, 10),
         backoff: span(rng, 0, 60 * SECOND),
         follows_retry_after: share(rng),
-        request_timeout_share: ordered(some_share(rng), some_share(rng)),
+        request_timeout_share: ordered(nonzero_share(rng), nonzero_share(rng)),
         early_disconnects: share(rng),
         front_detection_delay: span(rng, 0, 60 * SECOND),
     }
 }
 
 fn random_events(rng: &mut Rng, site: &Site, length: u64) -> Vec<ScheduledEvent> {
-    let some = rng.below(12);
+    let count = rng.below(12);
     let at = |rng: &mut Rng| if rng.chance(0.2) { length } else { span(rng, 0, length) };
-    let mut events: Vec<ScheduledEvent> = (0..some)
+    let mut events: Vec<ScheduledEvent> = (0..count)
         .map(|_| ScheduledEvent { at: at(rng), trigger: None, line: 0, event: random_event(rng, site) })
         .collect();
     if !site.counter.enabled {
-        events.retain(|timed| !format!("{}", timed.event).contains("counter"));
+        events.retain(|scheduled| !format!("{}", scheduled.event).contains("counter"));
     }
     events
 }
 
-/// Machines of which there are `all`.
-fn which(rng: &mut Rng, all: u32) -> Selector {
+/// Returns a random selector for `all` machines.
+fn selector(rng: &mut Rng, all: u32) -> Selector {
     match rng.below(4) {
         0 => Selector::All,
-        1 => Selector::Share(some_share(rng)),
+        1 => Selector::Share(nonzero_share(rng)),
         2 => Selector::Count(count(rng, 1, all)),
         _ => {
-            let mut these: Vec<u32> = (1..=all).collect();
-            rng.shuffle(&mut these);
-            these.truncate(count(rng, 1, 100) as usize);
-            Selector::Numbers(these)
+            let mut numbers: Vec<u32> = (1..=all).collect();
+            rng.shuffle(&mut numbers);
+            numbers.truncate(count(rng, 1, 100) as usize);
+            Selector::Numbers(numbers)
         }
     }
 }
 
-fn lasting(rng: &mut Rng) -> u64 {
+fn duration(rng: &mut Rng) -> u64 {
     span(rng, MS, MAX_LENGTH)
 }
 
 fn random_event(rng: &mut Rng, site: &Site) -> Event {
-    let (gateways, hosts) = (which(rng, site.gateways), which(rng, site.hosts));
-    let (lasts, times, part) = (lasting(rng), number(rng, 1.0, 1000.0), some_share(rng));
-    let back = rng.chance(0.5).then_some(lasts);
+    let (gateways, hosts) = (selector(rng, site.gateways), selector(rng, site.hosts));
+    let (duration_ns, factor, part) = (duration(rng), number(rng, 1.0, 1000.0), nonzero_share(rng));
+    let downtime = rng.chance(0.5).then_some(duration_ns);
     match rng.below(30) {
-        0 => Event::KillGateways(gateways, back),
-        1 => Event::RestartGateways(gateways, if rng.chance(0.5) { 0 } else { lasts }),
+        0 => Event::KillGateways(gateways, downtime),
+        1 => Event::RestartGateways(gateways, if rng.chance(0.5) { 0 } else { duration_ns }),
         2 => Event::ReloadGateways(gateways),
-        3 => Event::Traffic(number(rng, 0.0, 1000.0), lasts, if rng.chance(0.5) { 0 } else { lasts / 2 }),
-        4 => Event::SlowHosts(hosts, times, lasts),
-        5 => Event::PauseHosts(hosts, lasts),
+        3 => Event::Traffic(
+            number(rng, 0.0, 1000.0),
+            duration_ns,
+            if rng.chance(0.5) { 0 } else { duration_ns / 2 },
+        ),
+        4 => Event::SlowHosts(hosts, factor, duration_ns),
+        5 => Event::PauseHosts(hosts, duration_ns),
         6 => Event::DrainHosts(hosts, span(rng, 0, 60 * SECOND), span(rng, 0, 60 * SECOND)),
-        7 => Event::KillHosts(hosts, back),
+        7 => Event::KillHosts(hosts, downtime),
         8 => Event::RestartHosts(hosts),
         9 => Event::AddHosts(count(rng, 1, 10)),
-        // A few only: hosts that have come in all are bounded.
+        // Only a few, since the total number of hosts is limited.
         10 => Event::ReplaceHosts(Selector::Count(count(rng, 1, site.hosts.min(10))), rng.chance(0.5)),
-        11 => Event::ExpensiveRequests(site.classes[0].name.clone(), part, times, lasts),
-        12 => Event::CorruptHostResponses(part, lasts),
-        13 => Event::CorruptCounterReplies(part, lasts),
-        14 => random_cut(rng, site),
+        11 => Event::ExpensiveRequests(site.classes[0].name.clone(), part, factor, duration_ns),
+        12 => Event::CorruptHostResponses(part, duration_ns),
+        13 => Event::CorruptCounterReplies(part, duration_ns),
+        14 => random_partition(rng, site),
         15 => random_counter_fault(rng, site.gateways),
-        17 => Event::RequestFaults(RequestFault::Dropped, part, hosts, lasts),
-        18 => Event::RequestFaults(RequestFault::ConnectionReset, part, hosts, lasts),
-        25 => Event::SkewTraffic(count(rng, 1, site.buildings), number(rng, 0.01, 100.0), lasts),
-        19 => Event::StaleConnections(lasts, hosts, lasting(rng)),
-        20 => Event::SuspendGateways(gateways, lasts),
-        26 => Event::FreezeGateways(gateways, lasts),
-        27 => Event::SuspendHosts(hosts, lasts),
-        28 => Event::SuspendCounter(lasts),
-        29 => Event::ClockOffset(gateways, if rng.chance(0.5) { lasts as i64 } else { -(lasts as i64) }),
-        21 => Event::SlowGateways(gateways, times, lasts),
-        22 => Event::PowerLoss(count(rng, 1, site.buildings), lasts),
-        23 => Event::IsolateBuilding(count(rng, 1, site.buildings), lasts),
+        17 => Event::RequestFaults(RequestFault::Dropped, part, hosts, duration_ns),
+        18 => Event::RequestFaults(RequestFault::ConnectionReset, part, hosts, duration_ns),
+        25 => Event::SkewTraffic(count(rng, 1, site.buildings), number(rng, 0.01, 100.0), duration_ns),
+        19 => Event::StaleConnections(duration_ns, hosts, duration(rng)),
+        20 => Event::SuspendGateways(gateways, duration_ns),
+        26 => Event::FreezeGateways(gateways, duration_ns),
+        27 => Event::SuspendHosts(hosts, duration_ns),
+        28 => Event::SuspendCounter(duration_ns),
+        29 => Event::ClockOffset(
+            gateways,
+            if rng.chance(0.5) { duration_ns as i64 } else { -(duration_ns as i64) },
+        ),
+        21 => Event::SlowGateways(gateways, factor, duration_ns),
+        22 => Event::PowerLoss(count(rng, 1, site.buildings), duration_ns),
+        23 => Event::IsolateBuilding(count(rng, 1, site.buildings), duration_ns),
         24 => random_links(rng, gateways, site.hosts),
         16 => {
-            let late = DiscoveryFault::Delayed(lasting(rng));
-            let cut = DiscoveryFault::WatchReset(lasting(rng));
-            let faults =
-                [DiscoveryFault::Stalled, late, DiscoveryFault::Duplicated, DiscoveryFault::Reordered, cut];
-            Event::Discovery(faults[rng.below(5) as usize].clone(), lasts)
+            let delayed = DiscoveryFault::Delayed(duration(rng));
+            let watch_reset = DiscoveryFault::WatchReset(duration(rng));
+            let faults = [
+                DiscoveryFault::Stalled,
+                delayed,
+                DiscoveryFault::Duplicated,
+                DiscoveryFault::Reordered,
+                watch_reset,
+            ];
+            Event::Discovery(faults[rng.below(5) as usize].clone(), duration_ns)
         }
-        _ => Event::EarlyDisconnects(part, lasts),
+        _ => Event::EarlyDisconnects(part, duration_ns),
     }
 }
 
 fn random_links(rng: &mut Rng, gateways: Selector, hosts: u32) -> Event {
-    // Two long lists of numbers would not fit into a line.
+    // Two long lists of numbers would exceed the maximum length of a line.
     let hosts = Selector::Count(count(rng, 1, hosts));
     let ends = [LinkEnd::Clients, LinkEnd::Hosts(hosts), LinkEnd::Counter, LinkEnd::Discovery];
     let end = ends[rng.below(4) as usize].clone();
-    let way = [LinkDirection::Both, LinkDirection::FromInitiator, LinkDirection::ToInitiator]
+    let direction = [LinkDirection::Both, LinkDirection::FromInitiator, LinkDirection::ToInitiator]
         [rng.below(3) as usize];
     let (from, to) = ordered(span(rng, 0, SECOND), span(rng, 0, SECOND));
     let fault = match rng.below(6) {
-        0 => LinkFault::Hold(way),
-        1 => LinkFault::Blackhole(way),
+        0 => LinkFault::Hold(direction),
+        1 => LinkFault::Blackhole(direction),
         2 => LinkFault::Delay(from, to),
         3 => LinkFault::RateLimit(number(rng, 0.1, 1e6)),
         4 => return Event::Links(gateways, end, LinkFault::Reset, 0),
-        _ => LinkFault::Flap(lasting(rng)),
+        _ => LinkFault::Flap(duration(rng)),
     };
-    Event::Links(gateways, end, fault, lasting(rng))
+    Event::Links(gateways, end, fault, duration(rng))
 }
 
-fn random_cut(rng: &mut Rng, site: &Site) -> Event {
+fn random_partition(rng: &mut Rng, site: &Site) -> Event {
     let one = [
         PartitionSide::Building(count(rng, 1, site.buildings)),
         PartitionSide::Gateway(count(rng, 1, site.gateways)),
@@ -1025,28 +1046,28 @@
     let other =
         [PartitionSide::Host(count(rng, 1, site.hosts)), PartitionSide::Counter, PartitionSide::Clients];
     let (one, other) = (one[rng.below(2) as usize].clone(), other[rng.below(3) as usize].clone());
-    Event::Partition(one, other, lasting(rng), rng.chance(0.5))
+    Event::Partition(one, other, duration(rng), rng.chance(0.5))
 }
 
 fn random_counter_fault(rng: &mut Rng, gateways: u32) -> Event {
-    let lasts = lasting(rng);
+    let duration_ns = duration(rng);
     let fault = match rng.below(8) {
         0 => CounterFault::Unreachable,
         1 => CounterFault::DropCalls,
         2 => CounterFault::DropReplies,
         3 => {
-            let (from, to) = spans(rng);
+            let (from, to) = span_range(rng);
             CounterFault::DelayReplies(from, to)
         }
         4 if gateways > 1 => {
-            let mut all: Vec<u32> = (1..=gateways).collect();
-            rng.shuffle(&mut all);
-            let rest = all.split_off(count(rng, 1, gateways - 1) as usize);
-            CounterFault::SplitBrain(vec![all, rest])
+            let mut first_group: Vec<u32> = (1..=gateways).collect();
+            rng.shuffle(&mut first_group);
+            let second_group = first_group.split_off(count(rng, 1, gateways - 1) as usize);
+            CounterFault::SplitBrain(vec![first_group, second_group])
         }
         5 => return Event::Counter(CounterFault::Reset, 0),
-        6 => CounterFault::Flapping(lasting(rng)),
+        6 => CounterFault::Flapping(duration(rng)),
         _ => CounterFault::Overloaded,
     };
-    Event::Counter(fault, lasts)
+    Event::Counter(fault, duration_ns)
 }
