--- a/crates/cluster-model/src/file/errors.rs
+++ b/crates/cluster-model/src/file/errors.rs
@@ -275,8 +275,8 @@
     /// The log text of a trigger is empty or too long.
     #[error("the text of a log line must have 1 to {MAX_LOG_TEXT_CHARS} characters, and this one has {0}")]
     LogTextLength(usize),
-    /// A traffic event with a trigger: clients plan their load in advance, so nothing that is observed during the run
-    /// can change it.
+    /// A traffic event with a trigger: clients plan their load in advance, so nothing that is observed during
+    /// the run can change it.
     #[error("`{0}` is only allowed after `at`: clients plan their load in advance")]
     NotTriggerable(&'static str),
     /// A split in which a gateway belongs to no group.
@@ -299,8 +299,8 @@
     suggestion.as_ref().map(|word| format!("; did you mean `{word}`?")).unwrap_or_default()
 }
 
-/// Returns whether a character is allowed in a file or a message: not a control character, a line separator or a
-/// character that changes the writing direction.
+/// Returns whether a character is allowed in a file or a message: not a control character, a line separator
+/// or a character that changes the writing direction.
 pub(super) fn is_printable(c: char) -> bool {
     !(c.is_control()
         || matches!(c, '\u{2028}' | '\u{2029}' | '\u{202A}'..='\u{202E}' | '\u{2066}'..='\u{2069}'))
--- a/crates/cluster-model/src/file/events.rs
+++ b/crates/cluster-model/src/file/events.rs
@@ -12,8 +12,8 @@
 use crate::{Span, MS};
 use std::fmt;
 
-/// The words that events begin with, except for the event that begins with a share: `10 % of the clients leave early
-/// for 10 s`.
+/// The words that events begin with, except for the event that begins with a share: `10 % of the clients
+/// leave early for 10 s`.
 pub const EVENT_KEYWORDS: [&str; 23] = [
     "kill",
     "restart",
@@ -61,8 +61,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct NamePositions(pub Vec<Position>);
 
-/// A reference to machines, buildings or classes: one for each of the [`NamePositions`] of an event or trigger, in
-/// the order of the text.
+/// A reference to machines, buildings or classes: one for each of the [`NamePositions`] of an event or
+/// trigger, in the order of the text.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Reference<'a> {
     Gateway(u32),
@@ -441,8 +441,8 @@
         self.selector(&[MachineKind::Gateways, MachineKind::Hosts])
     }
 
-    /// Reads a selector of machines of one of these kinds: `all hosts`, `all hosts of building 2`, `20 % of the
-    /// hosts`, `2 hosts` or `hosts 2, 5`.
+    /// Reads a selector of machines of one of these kinds: `all hosts`, `all hosts of building 2`, `20 % of
+    /// the hosts`, `2 hosts` or `hosts 2, 5`.
     fn selector(&mut self, kinds: &[MachineKind]) -> ParseResult<(MachineKind, Selector)> {
         if self.line.accept("all") {
             let kind = self.kind(kinds)?;
--- a/crates/cluster-model/src/file/fields.rs
+++ b/crates/cluster-model/src/file/fields.rs
@@ -190,7 +190,9 @@
     "thrash-at" => |h| FieldValue::Number(&mut h.thrash_threshold, (0.1, 1000.0), "requests/core");
     "thrash" => |h| FieldValue::Share(&mut h.thrash_loss, ANY_SHARE);
     "cold" => |h| pair(
-        FieldValue::Share(&mut h.warmup_share, (0.01, 1.0)), "for", FieldValue::Span(&mut h.warmup, (0, HOUR)));
+        FieldValue::Share(&mut h.warmup_share, (0.01, 1.0)),
+        "for",
+        FieldValue::Span(&mut h.warmup, (0, HOUR)));
     "connections" => |h| FieldValue::Integer(&mut h.connections, (1, 1_000_000), "");
     "handshake" => |h| FieldValue::Span(&mut h.handshake, (0, 10 * SECOND));
     "error-rate" => |h| FieldValue::Share(&mut h.error_rate, ANY_SHARE);
@@ -317,7 +319,8 @@
 /// Keys that a new plan must have.
 pub(super) const REQUIRED_PLAN_KEYS: &[&str] = &["share", "rate", "burst", "price", "spread"];
 
-/// Words that begin a line of the section `site` with a separate table of keys, or with a list of names (`only`).
+/// Words that begin a line of the section `site` with a separate table of keys, or with a list of names
+/// (`only`).
 pub(super) const SITE_LINE_KEYWORDS: [&str; 8] =
     ["host", "counter", "discovery", "network", "rules", "class", "plan", "only"];
 
--- a/crates/cluster-model/src/file/mod.rs
+++ b/crates/cluster-model/src/file/mod.rs
@@ -1,9 +1,10 @@
 //! Scenario files: parsing a line-based language into a [`Scenario`], and formatting it back.
 //!
 //! `lexer` splits a line into tokens, and `line` reads them one by one, numbers together with their units
-//! (`quantity`). `parser` reads sections and keys by the tables in `fields`, `events` reads what follows `at`, and
-//! `triggers` what follows `when`. `check` then validates whatever depends on several lines. `writer` formats a
-//! scenario as text. `docs/rehearsal-scenarios.md` is the documentation for authors of such files.
+//! (`quantity`). `parser` reads sections and keys by the tables in `fields`, `events` reads what follows
+//! `at`, and `triggers` what follows `when`. `check` then validates whatever depends on several lines.
+//! `writer` formats a scenario as text. `docs/rehearsal-scenarios.md` is the documentation for authors of
+//! such files.
 
 mod check;
 mod errors;
@@ -50,10 +51,11 @@
 /// Maximum length of a run: two hours.
 pub const MAX_LENGTH: Span = 2 * 3600 * crate::SECOND;
 
-/// Parses a scenario. `name` is the file name: it appears in messages, and without directories and the extension
-/// `.scenario` it becomes the name of the scenario.
+/// Parses a scenario. `name` is the file name: it appears in messages, and without directories and the
+/// extension `.scenario` it becomes the name of the scenario.
 ///
-/// Returns the first error only: that of the first line that cannot be parsed, otherwise the first inconsistency.
+/// Returns the first error only: that of the first line that cannot be parsed, otherwise the first
+/// inconsistency.
 pub fn parse(name: &str, text: &str) -> Result<Scenario, FileError> {
     parser::parse(text)
         .map(|parsed| Scenario { name: stem(name), ..parsed })
--- a/crates/cluster-model/src/file/parser.rs
+++ b/crates/cluster-model/src/file/parser.rs
@@ -379,8 +379,8 @@
     Err(ParseError::new(position, Reason::Unknown { kind, word: wanted.into(), suggestion }))
 }
 
-/// Limits the default spread of plans to the number of gateways, so that the default plans also fit a smaller site.
-/// A spread that the file gives is left for [`check`].
+/// Limits the default spread of plans to the number of gateways, so that the default plans also fit a smaller
+/// site. A spread that the file gives is left for [`check`].
 fn limit_spreads(site: &mut Site, positions: &Positions) {
     for plan in &mut site.plans {
         if positions.find(&format!("plan {} spread", plan.name)).is_none() {
--- a/crates/cluster-model/src/file/quantity.rs
+++ b/crates/cluster-model/src/file/quantity.rs
@@ -1,5 +1,5 @@
-//! Parses and formats numbers with units without loss. Spans and sizes are integers throughout. For shares, the
-//! decimal point is shifted in the text, so that `41 %` gives the floating-point number nearest to 0.41.
+//! Parses and formats numbers with units without loss. Spans and sizes are integers throughout. For shares,
+//! the decimal point is shifted in the text, so that `41 %` gives the floating-point number nearest to 0.41.
 
 use crate::Span;
 
@@ -26,8 +26,8 @@
     // The text consists of digits only, so parsing fails only on overflow.
     let integer = integer.parse::<u128>().unwrap_or(u128::MAX).saturating_mul(u128::from(unit));
     let fraction = fraction.trim_end_matches('0');
-    // No unit of time is divisible by 2^17 or 5^17: with more than 16 decimals, the result is never an integer
-    // number of nanoseconds.
+    // No unit of time is divisible by 2^17 or 5^17: with more than 16 decimals, the result is never an
+    // integer number of nanoseconds.
     if fraction.len() > 16 {
         return None;
     }
@@ -52,8 +52,8 @@
     if span == 0 {
         return "0 s".into();
     }
-    // Minutes and hours are used only for integers of at least 2: 60 s reads better than 1 min between 59 s and
-    // 61 s.
+    // Minutes and hours are used only for integers of at least 2: 60 s reads better than 1 min between 59 s
+    // and 61 s.
     let is_multiple = |(_, unit): &&(&str, u64)| span >= 2 * unit && span % unit == 0;
     if let Some((name, unit)) = SPAN_UNITS[4..].iter().rev().find(is_multiple) {
         return format!("{} {name}", span / unit);
--- a/crates/cluster-model/src/file/writer.rs
+++ b/crates/cluster-model/src/file/writer.rs
@@ -8,11 +8,11 @@
 /// Line length in characters after which keys continue on another line with the same prefix.
 const LINE_WIDTH: usize = 100;
 
-/// Formats a scenario without its default values. For a file with the scenario's name, [`super::parse`] returns an
-/// equal scenario, except for the line numbers.
+/// Formats a scenario without its default values. For a file with the scenario's name, [`super::parse`]
+/// returns an equal scenario, except for the line numbers.
 ///
-/// This holds for every scenario that a file can express. A scenario with a value out of bounds or a machine that
-/// the site does not have is formatted as well, and `parse` reports the error.
+/// This holds for every scenario that a file can express. A scenario with a value out of bounds or a machine
+/// that the site does not have is formatted as well, and `parse` reports the error.
 pub fn to_text(scenario: &Scenario) -> String {
     let title = scenario.title.replace('\\', "\\\\").replace('"', "\\\"");
     let mut text = format!("scenario \"{title}\"\nlength {}\n", span_text(scenario.length));
@@ -70,8 +70,8 @@
     lines
 }
 
-/// Formats classes or plans: the lines of new or changed ones, and a line with `only` if the list cannot be derived
-/// from the defaults and these lines.
+/// Formats classes or plans: the lines of new or changed ones, and a line with `only` if the list cannot be
+/// derived from the defaults and these lines.
 fn named_lines<T: Clone>(
     kind: &str,
     plural: &str,
@@ -113,8 +113,8 @@
     table.iter().map(key_text).collect()
 }
 
-/// Formats the keys whose values differ from the defaults. Formatting is lossless, so values differ if and only if
-/// their texts do.
+/// Formats the keys whose values differ from the defaults. Formatting is lossless, so values differ if and
+/// only if their texts do.
 fn changes<T: Clone>(table: &[Field<T>], target: &T, defaults: &T) -> Vec<String> {
     let pairs = all_keys(table, target).into_iter().zip(all_keys(table, defaults));
     pairs.filter(|(text, default)| text != default).map(|(text, _)| text).collect()
--- a/crates/cluster-model/src/scenario.rs
+++ b/crates/cluster-model/src/scenario.rs
@@ -24,7 +24,8 @@
 /// An event and the time or condition at which it begins.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledEvent {
-    /// Time since the first request. For an event with a trigger: the latest time at which the trigger may fire.
+    /// Time since the first request. For an event with a trigger: the latest time at which the trigger may
+    /// fire.
     pub at: Span,
     /// The condition that starts the event; `None` if the event starts at a fixed time.
     pub trigger: Option<Trigger>,
@@ -58,8 +59,8 @@
     LogLine(u32, String),
 }
 
-/// The machines and services of a site. [`Site::default`] has the values of `iasi-park`, in the middle of their
-/// ranges.
+/// The machines and services of a site. [`Site::default`] has the values of `iasi-park`, in the middle of
+/// their ranges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
     /// Number of gateways.
@@ -112,8 +113,8 @@
     pub queue: u32,
     /// Admitted requests per core above which the host loses capacity.
     pub thrash_threshold: f64,
-    /// Share of capacity lost for each admitted request per core beyond the threshold; capacity never falls below
-    /// a quarter.
+    /// Share of capacity lost for each admitted request per core beyond the threshold; capacity never falls
+    /// below a quarter.
     pub thrash_loss: f64,
     /// Share of its capacity that a host has when it starts.
     pub warmup_share: f64,
@@ -261,7 +262,8 @@
     pub normal_use: (f64, f64),
     /// Share of the customers that use nearly all of their rate.
     pub near_quota: f64,
-    /// Share of the customers that exceed their rate for long periods, and the maximum multiple of their rate.
+    /// Share of the customers that exceed their rate for long periods, and the maximum multiple of their
+    /// rate.
     pub heavy: (f64, f64),
     /// Share of the customers that exceed their rate in short bursts, and the maximum multiple of their rate.
     pub bursty: (f64, f64),
@@ -271,8 +273,8 @@
     pub max_excess: f64,
     /// Imbalance of a customer's requests across its gateways; 0: even.
     pub skew: f64,
-    /// Imbalance of all requests across the gateways, over all customers; 0: even. At `u` the busiest gateways
-    /// receive up to 1 + `u` times the mean, limited by the customers' gateway sets.
+    /// Imbalance of all requests across the gateways, over all customers; 0: even. At `u` the busiest
+    /// gateways receive up to 1 + `u` times the mean, limited by the customers' gateway sets.
     pub gateway_imbalance: f64,
     /// Interval at which the set of busiest gateways changes.
     pub imbalance_interval: Span,
@@ -347,8 +349,8 @@
 /// A fault of network links.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkFault {
-    /// Bytes are held back and delivered all at once when the fault ends, including those of a process that has
-    /// died in the meantime.
+    /// Bytes are held back and delivered all at once when the fault ends, including those of a process that
+    /// has died in the meantime.
     Hold(LinkDirection),
     /// Nothing is delivered.
     Blackhole(LinkDirection),
@@ -373,8 +375,8 @@
     DropReplies,
     /// Calls are applied at once, and each reply is delayed by a time from this range.
     DelayReplies(Span, Span),
-    /// Each group of gateways (numbered from 1) uses its own copy of the counter, which starts from the current
-    /// values. When the fault ends, the additions of all groups are summed.
+    /// Each group of gateways (numbered from 1) uses its own copy of the counter, which starts from the
+    /// current values. When the fault ends, the additions of all groups are summed.
     SplitBrain(Vec<Vec<u32>>),
     /// The counter loses all values once, when the event occurs, and resets all connections.
     Reset,
@@ -414,15 +416,16 @@
 pub enum Event {
     /// Gateways crash. They restart after this time (`None`: never), with only their last endpoint list.
     KillGateways(Selector, Option<Span>),
-    /// Planned restarts, one after another within the span: SIGTERM, then SIGKILL when it is permitted, then a
-    /// new process.
+    /// Planned restarts, one after another within the span: SIGTERM, then SIGKILL when it is permitted, then
+    /// a new process.
     RestartGateways(Selector, Span),
     /// SIGHUP with a new configuration file.
     ReloadGateways(Selector),
-    /// Traffic is multiplied by this factor. The first span is the duration of the event, including the rise and
-    /// the fall, which take the last span each.
+    /// Traffic is multiplied by this factor. The first span is the duration of the event, including the rise
+    /// and the fall, which take the last span each.
     Traffic(f64, Span, Span),
-    /// The share of the traffic of the gateways in this building (numbered from 1) is multiplied by this factor.
+    /// The share of the traffic of the gateways in this building (numbered from 1) is multiplied by this
+    /// factor.
     SkewTraffic(u32, f64, Span),
     /// Hosts work slower by this factor.
     SlowHosts(Selector, f64, Span),
@@ -469,8 +472,8 @@
     SuspendHosts(Selector, Span),
     /// The process of the counter is suspended; its kernel still accepts connections and bytes.
     SuspendCounter(Span),
-    /// The clocks of gateway processes that start from now on (at 0: from the beginning) are ahead by this many
-    /// nanoseconds, or behind if negative.
+    /// The clocks of gateway processes that start from now on (at 0: from the beginning) are ahead by this
+    /// many nanoseconds, or behind if negative.
     ClockOffset(Selector, i64),
     /// Processes of gateways receive CPU time, in slices, for only one part in this many.
     SlowGateways(Selector, f64, Span),
@@ -481,9 +484,9 @@
 }
 
 impl Selector {
-    /// Returns how many of `all` machines are selected; for a building, an upper bound. A share is rounded to the
-    /// nearest integer, the closest that a small site can get, and is at least one, since an event that affects
-    /// no machine tests nothing: 41 % of 3 gateways is 1, of 10 it is 4.
+    /// Returns how many of `all` machines are selected; for a building, an upper bound. A share is rounded to
+    /// the nearest integer, the closest that a small site can get, and is at least one, since an event that
+    /// affects no machine tests nothing: 41 % of 3 gateways is 1, of 10 it is 4.
     pub fn count(&self, all: u32) -> u32 {
         match self {
             Selector::All | Selector::Building(_) => all,
--- a/crates/cluster-model/tests/file.rs
+++ b/crates/cluster-model/tests/file.rs
@@ -5,7 +5,8 @@
 use cluster_model::scenario::*;
 use cluster_model::{MS, SECOND};
 
-/// Sets the line numbers of all events to 0, since a formatted scenario has other line numbers than the original.
+/// Sets the line numbers of all events to 0, since a formatted scenario has other line numbers than the
+/// original.
 fn without_line_numbers(mut scenario: Scenario) -> Scenario {
     scenario.events.iter_mut().for_each(|scheduled| scheduled.line = 0);
     scenario
@@ -600,8 +601,8 @@
     assert_eq!(error.to_string(), "a?b?[2J:1:9: expected a title in quotes, found the end of the line");
 }
 
-/// Truncates a random scenario, or changes or removes one of its characters, at random positions: the parser must
-/// not panic, and an error must be one line.
+/// Truncates a random scenario, or changes or removes one of its characters, at random positions: the parser
+/// must not panic, and an error must be one line.
 #[test]
 fn damaged_files_are_parsed_or_rejected_without_a_panic() {
     let mut rng = Rng::stream(3, "spoil", 0);
@@ -712,8 +713,8 @@
     assert_eq!(find("no-such"), None);
 }
 
-// Random scenarios. The struct literals name all fields, so that a new field does not compile until it is generated
-// here as well.
+// Random scenarios. The struct literals name all fields, so that a new field does not compile until it is
+// generated here as well.
 
 fn random_scenario(rng: &mut Rng) -> Scenario {
     let site = random_site(rng);
@@ -863,7 +864,7 @@
     let names = names(rng, ["price-read", "unit-order"]);
     let shares = shares(rng, names.len());
     let class = |(name, share): (String, f64)| {
-        let (aim, deadline) = ordered(span(rng, MS, 60 * SECOND), span(rng, MS, 60 * SECOND));
+        let (latency_objective, deadline) = ordered(span(rng, MS, 60 * SECOND), span(rng, MS, 60 * SECOND));
         let effects = [
             Idempotency::Idempotent,
             Idempotency::NonIdempotent,
@@ -874,7 +875,7 @@
             share,
             work: span(rng, 1_000, SECOND),
             work_cv: number(rng, 0.0, 10.0),
-            latency_objective: aim,
+            latency_objective,
             deadline,
             priority_weight: number(rng, 0.0, 1e6),
             late_weight_share: rng.unit(),
