--- a/crates/cluster-emulator/src/director.rs
+++ b/crates/cluster-emulator/src/director.rs
@@ -6,10 +6,10 @@
 use crate::site::SiteOf;
 use crate::stage::{Post, Signal, Stage};
 use anyhow::Result;
-use cluster_model::agent::Notice;
+use cluster_model::agent::Detection;
+use cluster_model::observation::{Lifecycle, Observation, ObservationKind};
 use cluster_model::rng::Rng;
 use cluster_model::scenario::{Event, Side, Which};
-use cluster_model::seen::{Seen, Told, What};
 use cluster_model::{MS, SECOND};
 use faults::{Flapping, Gap};
 use runtime::{Span, Time};
@@ -130,9 +130,9 @@
     }
 
     /// Something was seen; what begins by it is due at once.
-    pub fn see(&mut self, seen: &Seen) {
+    pub fn see(&mut self, seen: &Observation) {
         let now = self.site.stage.now();
-        for place in self.moments.see(seen.at, &seen.what) {
+        for place in self.moments.see(seen.at, &seen.kind) {
             self.plan(now, Step::Event(place));
         }
     }
@@ -194,7 +194,7 @@
             Step::Slow(host) => self.slow(now, host),
             Step::Drain(host) => self.drain(now, host),
             Step::Restart(gateway) => self.restart_gateway(now, gateway),
-            Step::Gone(host) => self.stop_host(host, Notice::Given),
+            Step::Gone(host) => self.stop_host(host, Detection::Announced),
             Step::HostBack(host) => {
                 if self.site.hosts[host as usize].running.is_none() {
                     self.site.restart_host(host)?;
@@ -228,7 +228,7 @@
     fn event(&mut self, now: Time, place: usize) -> Result<()> {
         let event = self.site.scenario.events[place].event.clone();
         self.begun.push((now, place));
-        self.site.see(What::Event { text: event.to_string() });
+        self.site.see(ObservationKind::ScenarioEvent { text: event.to_string() });
         let mut rng = Rng::stream(self.site.seed, "event", place as u64);
         match event {
             Event::KillGateways(which, outage) => {
@@ -281,7 +281,7 @@
             }
             Event::KillHosts(which, outage) => {
                 for host in self.hosts(&which, &mut rng) {
-                    self.stop_host(host, Notice::Missed);
+                    self.stop_host(host, Detection::TimedOut);
                     if let Some(outage) = outage {
                         self.plan(now + outage, Step::HostBack(host));
                     }
@@ -302,7 +302,7 @@
             Event::ReplaceHosts(which, same_address) => {
                 let hosts = self.hosts(&which, &mut rng);
                 for host in &hosts {
-                    self.stop_host(*host, Notice::Given);
+                    self.stop_host(*host, Detection::Announced);
                     if !same_address {
                         self.site.add_host(None)?;
                     }
@@ -399,7 +399,7 @@
 
     fn signal(&mut self, now: Time, gateway: u32, signal: Signal) {
         if matches!(signal, Signal::Terminate | Signal::Kill) {
-            self.site.see(What::GatewaySignalled { gateway, kill: signal == Signal::Kill });
+            self.site.see(ObservationKind::GatewaySignalled { gateway, kill: signal == Signal::Kill });
             self.site.gateways[gateway as usize].ending = true;
         }
         self.site.stage.signal(gateway, signal);
@@ -455,9 +455,9 @@
             let again = died.filter(|_| !post.again).or(post.again.then_some(CHANGEOVER));
             if died.is_some() {
                 self.died.push((gateway, now));
-                self.site.see(What::GatewaySignalled { gateway, kill: true });
+                self.site.see(ObservationKind::GatewaySignalled { gateway, kill: true });
             }
-            self.site.see(What::GatewayDown { gateway, meant });
+            self.site.see(ObservationKind::GatewayDown { gateway, expected: meant });
             if let Some(error) = exit.error {
                 self.troubles.push(format!("gateway {}: {error}", gateway + 1));
             }
@@ -499,7 +499,7 @@
             }
             self.site.hosts[host as usize].draining = true;
             self.on_host(host, |host| host.drain());
-            self.site.tell(host, Told::Draining, Notice::Given);
+            self.site.tell(host, Lifecycle::Draining, Detection::Announced);
         }
     }
 
@@ -519,10 +519,10 @@
         }
     }
 
-    fn stop_host(&mut self, host: u32, notice: Notice) {
+    fn stop_host(&mut self, host: u32, notice: Detection) {
         if self.site.hosts[host as usize].running.is_some() {
             self.end_host(host);
-            self.site.tell(host, Told::Gone, notice);
+            self.site.tell(host, Lifecycle::Removed, notice);
         }
     }
 
@@ -532,7 +532,7 @@
             let host = &mut self.site.hosts[number];
             if !host.missed && host.running.as_ref().is_some_and(HostOf::<S>::fallen) {
                 host.missed = true;
-                self.site.tell(number as u32, Told::Gone, Notice::Missed);
+                self.site.tell(number as u32, Lifecycle::Removed, Detection::TimedOut);
             }
         }
     }
--- a/crates/cluster-emulator/src/director/faults.rs
+++ b/crates/cluster-emulator/src/director/faults.rs
@@ -3,10 +3,10 @@
 use super::{choose, Director, Step, LOOK};
 use crate::stage::{Post, Signal, Stage};
 use anyhow::Result;
-use cluster_model::agent::Notice;
+use cluster_model::agent::Detection;
+use cluster_model::observation::ObservationKind;
 use cluster_model::rng::Rng;
 use cluster_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Side, Which};
-use cluster_model::seen::What;
 use cluster_model::MS;
 use runtime::{Span, Time};
 
@@ -27,12 +27,14 @@
 }
 
 impl Gap {
-    fn what(self, open: bool, blind: bool) -> What {
+    fn what(self, open: bool, blind: bool) -> ObservationKind {
         match self {
-            Gap::Clients(gateway) => What::ClientsCut { gateway, cut: open },
-            Gap::Still(gateway) => What::GatewayStopped { gateway, stopped: open },
-            Gap::News(gateway) => What::NewsCut { gateway, cut: open },
-            Gap::Calls(gateway, host) => What::CallsLate { gateway, host, late: open, blind },
+            Gap::Clients(gateway) => ObservationKind::ClientLinksCut { gateway, cut: open },
+            Gap::Still(gateway) => ObservationKind::GatewaySuspended { gateway, suspended: open },
+            Gap::News(gateway) => ObservationKind::DiscoveryLinkFault { gateway, active: open },
+            Gap::Calls(gateway, host) => {
+                ObservationKind::HostTrafficDelayed { gateway, host, delayed: open, send_time_unknown: blind }
+            }
         }
     }
 }
@@ -159,7 +161,7 @@
                 }
                 Post::Host(place) => {
                     for host in self.in_service_at(place) {
-                        self.stop_host(host, Notice::Missed);
+                        self.stop_host(host, Detection::TimedOut);
                         self.plan(now + span, Step::HostBack(host));
                     }
                 }
--- a/crates/cluster-emulator/src/explain.rs
+++ b/crates/cluster-emulator/src/explain.rs
@@ -1,18 +1,18 @@
 //! The way of one request through a site, in words: all that was seen of it on any wire.
 
+use cluster_model::observation::{ClientOutcome, HostOutcome, Observation, ObservationKind};
 use cluster_model::scenario::Site;
-use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::{Time, MS};
 
 /// The request that a sighting is of.
-fn request(what: &What) -> Option<u64> {
+fn request(what: &ObservationKind) -> Option<u64> {
     match what {
-        What::Asked { request, .. }
-        | What::Answered { request, .. }
-        | What::Left { request }
-        | What::Received { request, .. }
-        | What::Ended { request, .. }
-        | What::Out { request, .. } => Some(*request),
+        ObservationKind::RequestSent { request, .. }
+        | ObservationKind::RequestEnded { request, .. }
+        | ObservationKind::ClientDisconnected { request }
+        | ObservationKind::AttemptReceived { request, .. }
+        | ObservationKind::AttemptEnded { request, .. }
+        | ObservationKind::AttemptClosed { request, .. } => Some(*request),
         _ => None,
     }
 }
@@ -35,9 +35,9 @@
     }
 
     /// Takes in a sighting.
-    pub fn see(&mut self, seen: &Seen) {
-        let Some(id) = request(&seen.what) else { return };
-        if let What::Asked { first_try, .. } = seen.what {
+    pub fn see(&mut self, seen: &Observation) {
+        let Some(id) = request(&seen.kind) else { return };
+        if let ObservationKind::RequestSent { first_request: first_try, .. } = seen.kind {
             if self.tries.contains(&id) {
                 self.first_try = first_try;
             } else if first_try == self.first_try {
@@ -46,7 +46,7 @@
         }
         if self.tries.contains(&id) {
             let at = seen.at.saturating_sub(self.start) as f64 / 1e9;
-            self.lines.push(format!("{at:>10.4} s  {id:016x}  {}", self.words(&seen.what)));
+            self.lines.push(format!("{at:>10.4} s  {id:016x}  {}", self.words(&seen.kind)));
         }
     }
 
@@ -55,9 +55,11 @@
         self.lines
     }
 
-    fn words(&self, what: &What) -> String {
+    fn words(&self, what: &ObservationKind) -> String {
         match what {
-            What::Asked { gateway, customer, class, plan, units, patience, .. } => {
+            ObservationKind::RequestSent {
+                gateway, customer, class, plan, units, timeout: patience, ..
+            } => {
                 let class = self.site.classes.get(*class as usize).map_or("?", |class| &class.name);
                 let plan = self.site.plans.get(*plan as usize).map_or("?", |plan| &plan.name);
                 format!(
@@ -66,40 +68,42 @@
                     patience / MS
                 )
             }
-            What::Answered { got, .. } => format!("its client got {}", got_words(got)),
-            What::Left { .. } => "its client left".into(),
-            What::Received { host, gateway, work, .. } => {
+            ObservationKind::RequestEnded { outcome: got, .. } => {
+                format!("its client got {}", got_words(got))
+            }
+            ObservationKind::ClientDisconnected { .. } => "its client left".into(),
+            ObservationKind::AttemptReceived { host, gateway, expected_work: work, .. } => {
                 let work = *work as f64 / MS as f64;
                 format!("came whole to host {} from gateway {}: {work:.1} ms of work", host + 1, gateway + 1)
             }
-            What::Ended { host, dealt, .. } => {
+            ObservationKind::AttemptEnded { host, outcome: dealt, .. } => {
                 format!("host {} is through: {}", host + 1, dealt_words(*dealt))
             }
-            What::Out { host, .. } => format!("out no more at host {}", host + 1),
+            ObservationKind::AttemptClosed { host, .. } => format!("out no more at host {}", host + 1),
             _ => String::new(),
         }
     }
 }
 
-fn got_words(got: &Got) -> String {
+fn got_words(got: &ClientOutcome) -> String {
     match got {
-        Got::Served(true) => "its value".into(),
-        Got::Served(false) => "a value that no host made for it".into(),
-        Got::Busy(Some(after)) => format!("a refusal, come again in {} ms", after / MS),
-        Got::Busy(None) => "a refusal".into(),
-        Got::Failed => "a failure".into(),
-        Got::Broken => "a broken connection".into(),
-        Got::Nothing => "nothing in its time".into(),
+        ClientOutcome::Served(true) => "its value".into(),
+        ClientOutcome::Served(false) => "a value that no host made for it".into(),
+        ClientOutcome::Rejected(Some(after)) => format!("a refusal, come again in {} ms", after / MS),
+        ClientOutcome::Rejected(None) => "a refusal".into(),
+        ClientOutcome::Failed => "a failure".into(),
+        ClientOutcome::ConnectionClosed => "a broken connection".into(),
+        ClientOutcome::NoResponse => "nothing in its time".into(),
     }
 }
 
-fn dealt_words(dealt: Dealt) -> &'static str {
+fn dealt_words(dealt: HostOutcome) -> &'static str {
     match dealt {
-        Dealt::Served => "served",
-        Dealt::Failed => "an error, or a spoilt answer",
-        Dealt::TurnedAway => "turned away, never ran",
-        Dealt::Dropped => "its connection ended before it ran",
-        Dealt::Unheard => "it ran, and nobody got the answer",
+        HostOutcome::Served => "served",
+        HostOutcome::Failed => "an error, or a spoilt answer",
+        HostOutcome::Rejected => "turned away, never ran",
+        HostOutcome::Dropped => "its connection ended before it ran",
+        HostOutcome::Undelivered => "it ran, and nobody got the answer",
     }
 }
 
@@ -109,26 +113,36 @@
 
     #[test]
     fn all_tries_of_a_thing_are_told_and_nothing_else() {
-        let asked = |request, first_try| What::Asked {
+        let asked = |request, first_try| ObservationKind::RequestSent {
             request,
-            first_try,
+            first_request: first_try,
             gateway: 1,
             customer: 255,
             class: 0,
             plan: 0,
             units: 2.0,
-            patience: 480 * MS,
+            timeout: 480 * MS,
         };
         let seen = [
             asked(7, 7),
             asked(8, 8),
-            What::Received { request: 7, host: 2, gateway: 1, first_byte: 0, work: 3 * MS },
-            What::Answered { request: 7, gateway: 1, got: Got::Busy(Some(800 * MS)) },
+            ObservationKind::AttemptReceived {
+                request: 7,
+                host: 2,
+                gateway: 1,
+                first_byte: 0,
+                expected_work: 3 * MS,
+            },
+            ObservationKind::RequestEnded {
+                request: 7,
+                gateway: 1,
+                outcome: ClientOutcome::Rejected(Some(800 * MS)),
+            },
             asked(9, 7),
-            What::Left { request: 9 },
+            ObservationKind::ClientDisconnected { request: 9 },
         ];
         let mut explain = Explain::new(7, &Site::default(), 1_000 * MS);
-        (0..).zip(seen).for_each(|(n, what)| explain.see(&Seen { at: (1_000 + n) * MS, what }));
+        (0..).zip(seen).for_each(|(n, what)| explain.see(&Observation { at: (1_000 + n) * MS, kind: what }));
         let lines = explain.lines();
         assert_eq!(lines.len(), 5, "{lines:#?}");
         assert_eq!(
--- a/crates/cluster-emulator/src/moments.rs
+++ b/crates/cluster-emulator/src/moments.rs
@@ -1,7 +1,7 @@
 //! Moments of a scenario that are named by something seen, and which of them have come.
 
+use cluster_model::observation::{ClientOutcome, ObservationKind};
 use cluster_model::scenario::{Scenario, Sign};
-use cluster_model::seen::{Got, What};
 use cluster_model::SECOND;
 use runtime::{Span, Time};
 
@@ -41,7 +41,7 @@
     }
 
     /// Something was seen: places of the events that begin by it.
-    pub fn see(&mut self, at: Time, what: &What) -> Vec<usize> {
+    pub fn see(&mut self, at: Time, what: &ObservationKind) -> Vec<usize> {
         self.notice(at, |sign| shows(sign, what))
     }
 
@@ -97,23 +97,30 @@
 }
 
 /// Whether a sighting is one of those that a sign counts.
-fn shows(sign: &Sign, what: &What) -> bool {
+fn shows(sign: &Sign, what: &ObservationKind) -> bool {
     match (sign, what) {
-        (Sign::CounterCall(of, _), What::Counted { gateway, .. })
-        | (Sign::Request(of, _), What::Asked { gateway, .. })
-        | (Sign::Gateway(of, true), What::GatewayUp { gateway })
-        | (Sign::Gateway(of, false), What::GatewayDown { gateway, .. }) => *of == gateway + 1,
-        (Sign::HostCall(of, to, _), What::Received { gateway, host, .. }) => {
+        (Sign::CounterCall(of, _), ObservationKind::CounterCall { gateway, .. })
+        | (Sign::Request(of, _), ObservationKind::RequestSent { gateway, .. })
+        | (Sign::Gateway(of, true), ObservationKind::GatewayUp { gateway })
+        | (Sign::Gateway(of, false), ObservationKind::GatewayDown { gateway, .. }) => *of == gateway + 1,
+        (Sign::HostCall(of, to, _), ObservationKind::AttemptReceived { gateway, host, .. }) => {
             *of == gateway + 1 && to.is_none_or(|to| to == host + 1)
         }
-        (Sign::Answer(of, _), What::Answered { gateway, got, .. }) => {
-            *of == gateway + 1 && matches!(got, Got::Served(_) | Got::Busy(_) | Got::Failed)
+        (Sign::Answer(of, _), ObservationKind::RequestEnded { gateway, outcome: got, .. }) => {
+            *of == gateway + 1
+                && matches!(
+                    got,
+                    ClientOutcome::Served(_) | ClientOutcome::Rejected(_) | ClientOutcome::Failed
+                )
         }
-        (Sign::Told(of, about, told), What::Told { gateway, host, state, .. }) => {
+        (Sign::Told(of, about, told), ObservationKind::GatewayNotified { gateway, host, state, .. }) => {
             (*of, *about, *told) == (gateway + 1, host + 1, *state)
         }
-        (Sign::Host(of, true), What::Started { host, .. })
-        | (Sign::Host(of, false), What::Stopped { host } | What::Fell { host }) => *of == host + 1,
+        (Sign::Host(of, true), ObservationKind::HostStarted { host, .. })
+        | (
+            Sign::Host(of, false),
+            ObservationKind::HostStopped { host } | ObservationKind::HostOverloadCrash { host },
+        ) => *of == host + 1,
         _ => false,
     }
 }
--- a/crates/cluster-emulator/src/operators.rs
+++ b/crates/cluster-emulator/src/operators.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{bail, Context, Result};
 use cluster_model::scenario::Scenario;
-use cluster_model::settings::{document, Start};
+use cluster_model::settings::{config_document, GatewayStart};
 use config_language::loader::{Fs, Memory};
 use config_language::{load, Loaded, Severity};
 use gateway::{check_operators, Config, Operators};
@@ -34,8 +34,15 @@
     let nowhere = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 9);
     let known = json!({"generation": 0, "reset": true, "instances": []});
     let (name, seed) = ("n0".to_owned(), 0);
-    let start = Start { name, listen: nowhere, discovery: nowhere, counter: nowhere, seed, known };
-    let config = Config::parse(document(scenario, 0, &start).to_string().as_bytes());
+    let start = GatewayStart {
+        name,
+        listen: nowhere,
+        discovery: nowhere,
+        counter: nowhere,
+        seed,
+        known_endpoints: known,
+    };
+    let config = Config::parse(config_document(scenario, 0, &start).to_string().as_bytes());
     check_operators(&config.context("the scenario's settings")?.platform, &set.operators)?;
     Ok(set.operators)
 }
--- a/crates/cluster-emulator/src/play.rs
+++ b/crates/cluster-emulator/src/play.rs
@@ -9,8 +9,8 @@
 use crate::trace::RunTrace;
 use crate::virtual_time::{GatewayMaker, VirtualStage};
 use anyhow::{bail, Result};
+use cluster_model::observation::{ClientOutcome, Observation, ObservationKind};
 use cluster_model::scenario::{Event, Scenario, Side, Sign};
-use cluster_model::seen::{Got, Seen, What};
 use cluster_model::SECOND;
 use fake_services::Recorder;
 use gateway::Operators;
@@ -183,15 +183,17 @@
     }
 
     /// Judges what has been seen. Whether a rule is broken.
-    fn judge(&mut self, mut told: impl FnMut(&Seen)) -> bool {
+    fn judge(&mut self, mut told: impl FnMut(&Observation)) -> bool {
         for seen in self.recorder.take() {
             // What a process of its own has seen comes a little later than what others have meanwhile.
             self.last = self.last.max(seen.at);
-            let seen = Seen { at: self.last, ..seen };
+            let seen = Observation { at: self.last, ..seen };
             told(&seen);
-            match seen.what {
-                What::Asked { .. } => self.offered += 1,
-                What::Answered { got: Got::Served(true), .. } => self.served += 1,
+            match seen.kind {
+                ObservationKind::RequestSent { .. } => self.offered += 1,
+                ObservationKind::RequestEnded { outcome: ClientOutcome::Served(true), .. } => {
+                    self.served += 1
+                }
                 _ => {}
             }
             self.judge.see(&seen);
--- a/crates/cluster-emulator/src/real/counter.rs
+++ b/crates/cluster-emulator/src/real/counter.rs
@@ -8,8 +8,8 @@
 use crate::counter::act;
 use crate::stage::lock;
 use cluster_model::file;
+use cluster_model::observation::{Observation, ObservationKind};
 use cluster_model::scenario::Scenario;
-use cluster_model::seen::{Seen, What};
 use cluster_model::MS;
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
@@ -200,7 +200,7 @@
             Err(_) => break "cannot be read",
         }
         match read(&line) {
-            Some(seen) => recorder.see(seen.at, seen.what),
+            Some(seen) => recorder.see(seen.at, seen.kind),
             // The last line of one that was killed may be half of one.
             None if !line.ends_with('\n') => {}
             None => break "says what is no call",
@@ -214,25 +214,33 @@
 }
 
 /// A call as a line.
-fn write(seen: &Seen) -> Option<String> {
-    let What::Counted { gateway, amount, added, answered, turned_away, took } = seen.what else {
+fn write(seen: &Observation) -> Option<String> {
+    let ObservationKind::CounterCall {
+        gateway,
+        amount,
+        added,
+        answered,
+        rejected: turned_away,
+        duration: took,
+    } = seen.kind
+    else {
         return None;
     };
     Some(format!("{} {gateway} {amount} {added} {answered} {turned_away} {took}\n", seen.at))
 }
 
-fn read(line: &str) -> Option<Seen> {
+fn read(line: &str) -> Option<Observation> {
     let words: Vec<&str> = line.strip_suffix('\n')?.split(' ').collect();
     let [at, gateway, amount, added, answered, turned_away, took] = words[..] else { return None };
-    let what = What::Counted {
+    let what = ObservationKind::CounterCall {
         gateway: gateway.parse().ok()?,
         amount: amount.parse().ok()?,
         added: added.parse().ok()?,
         answered: answered.parse().ok()?,
-        turned_away: turned_away.parse().ok()?,
-        took: took.parse().ok()?,
+        rejected: turned_away.parse().ok()?,
+        duration: took.parse().ok()?,
     };
-    Some(Seen { at: at.parse().ok()?, what })
+    Some(Observation { at: at.parse().ok()?, kind: what })
 }
 
 /// Nanoseconds of the clock that all processes of a machine share.
@@ -323,15 +331,15 @@
 
     #[test]
     fn a_call_reads_back_from_its_line_and_what_is_none_is_refused() {
-        let what = What::Counted {
+        let what = ObservationKind::CounterCall {
             gateway: 999,
             amount: -0.1 - 0.2,
             added: true,
             answered: false,
-            turned_away: true,
-            took: u64::MAX,
+            rejected: true,
+            duration: u64::MAX,
         };
-        let seen = Seen { at: u64::MAX, what };
+        let seen = Observation { at: u64::MAX, kind: what };
         let line = write(&seen).unwrap();
         assert!(line.len() as u64 <= LONGEST, "{line}");
         assert_eq!(read(&line), Some(seen));
--- a/crates/cluster-emulator/src/site.rs
+++ b/crates/cluster-emulator/src/site.rs
@@ -4,13 +4,13 @@
 use crate::director::choose;
 use crate::stage::{Post, Stage};
 use anyhow::{Context, Result};
-use cluster_model::agent::{Line, Member, Notice, Registry};
-use cluster_model::draw::Draws;
+use cluster_model::agent::{Detection, DiscoveryMessage, Endpoint, Registry};
+use cluster_model::observation::{Lifecycle, ObservationKind};
+use cluster_model::requests::RequestSampler;
 use cluster_model::rng::Rng;
 use cluster_model::scenario::{Event, Scenario};
-use cluster_model::seen::{Told, What};
-use cluster_model::settings::{building, document, machine_type, Start};
-use cluster_model::traffic::{Lean, Scale};
+use cluster_model::settings::{config_document, machine_type, zone_name, GatewayStart};
+use cluster_model::traffic::{BuildingBias, TrafficWindow};
 use cluster_model::{MS, SECOND};
 use fake_services::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fake_services::client::{ClientConfig, Clients};
@@ -117,7 +117,7 @@
     /// What is at work for a while.
     pub weather: Weather,
     recorder: Recorder,
-    draws: Draws,
+    draws: RequestSampler,
     settled: Settled,
 }
 
@@ -131,7 +131,7 @@
         start: Time,
         recorder: Recorder,
     ) -> Result<Self> {
-        let draws = Draws::new(seed, &scenario.traffic);
+        let draws = RequestSampler::new(seed, &scenario.traffic);
         let settled = Settled::default();
         let site = scenario.site.clone();
         let mut hosts = Vec::new();
@@ -172,8 +172,8 @@
                 draws: draws.clone(),
                 seed,
                 gateways: doors,
-                scales: Scale::of(&scenario.events),
-                leans: Lean::of(&scenario.events),
+                scales: TrafficWindow::from_events(&scenario.events),
+                leans: BuildingBias::from_events(&scenario.events),
                 start,
                 length: scenario.length,
                 recorder: recorder.clone(),
@@ -221,7 +221,7 @@
     }
 
     /// Writes down a sighting of now.
-    pub fn see(&self, what: What) {
+    pub fn see(&self, what: ObservationKind) {
         self.recorder.see(self.stage.now(), what);
     }
 
@@ -241,7 +241,7 @@
         self.stage
             .start_gateway(gateway, incarnation, &document)
             .with_context(|| format!("cannot start gateway {}", gateway + 1))?;
-        self.see(What::GatewayUp { gateway });
+        self.see(ObservationKind::GatewayUp { gateway });
         Ok(())
     }
 
@@ -253,24 +253,30 @@
     }
 
     /// The list of hosts that a gateway's agent has, if it is not silent.
-    pub fn known(&self, gateway: u32) -> Option<Line> {
+    pub fn known(&self, gateway: u32) -> Option<DiscoveryMessage> {
         self.registry.list(self.stage.now(), gateway)
     }
 
     /// The configuration document of a gateway that knows this list.
-    pub fn document(&self, gateway: u32, incarnation: u32, known: Option<&Line>) -> Result<Value> {
+    pub fn document(
+        &self,
+        gateway: u32,
+        incarnation: u32,
+        known: Option<&DiscoveryMessage>,
+    ) -> Result<Value> {
         let known = known.and_then(|list| serde_json::from_str(&list.text).ok());
         let mut rng = Rng::stream(self.seed, "gateway", u64::from(gateway) << 32 | u64::from(incarnation));
         let post = Post::Gateway(gateway);
-        let start = Start {
+        let start = GatewayStart {
             name: format!("n{gateway}"),
             listen: self.stage.gateway_address(gateway),
             discovery: self.stage.reach(post, post, self.gateways[gateway as usize].agent.addr())?,
             counter: self.stage.reach(post, Post::Counter, self.counter.addrs()[gateway as usize])?,
             seed: rng.bits(),
-            known: known.unwrap_or_else(|| json!({"generation": 0, "reset": true, "instances": []})),
+            known_endpoints: known
+                .unwrap_or_else(|| json!({"generation": 0, "reset": true, "instances": []})),
         };
-        Ok(document(&self.scenario, gateway, &start))
+        Ok(config_document(&self.scenario, gateway, &start))
     }
 
     /// Moves a gateway's agent to another address; the old one closes a while later.
@@ -290,7 +296,7 @@
         let host = self.maker().host(&self.stage, number, place, &listen, true)?;
         self.hosts.push(host);
         self.weather_on(number);
-        self.tell(number, Told::InService, Notice::Given);
+        self.tell(number, Lifecycle::InService, Detection::Announced);
         Ok(number)
     }
 
@@ -302,12 +308,12 @@
         host.id = id;
         self.hosts[number as usize] = host;
         self.weather_on(number);
-        self.tell(number, Told::InService, Notice::Given);
+        self.tell(number, Lifecycle::InService, Detection::Announced);
         Ok(())
     }
 
     /// Discovery gets to know how a host is now.
-    pub fn tell(&self, number: u32, lifecycle: Told, notice: Notice) {
+    pub fn tell(&self, number: u32, lifecycle: Lifecycle, notice: Detection) {
         let mut member = member(&self.scenario, number, &self.hosts[number as usize]);
         member.lifecycle = lifecycle;
         self.registry.change(self.stage.now(), member, notice);
@@ -345,7 +351,7 @@
 struct Maker<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    draws: &'a Draws,
+    draws: &'a RequestSampler,
     settled: &'a Settled,
     recorder: &'a Recorder,
 }
@@ -399,16 +405,16 @@
 }
 
 /// A host as discovery knows it. Cells are of three hosts of one building.
-fn member<E: Env>(scenario: &Scenario, number: u32, host: &Machine<E>) -> Member {
+fn member<E: Env>(scenario: &Scenario, number: u32, host: &Machine<E>) -> Endpoint {
     let buildings = scenario.site.buildings.max(1);
-    Member {
+    Endpoint {
         id: host.id.clone(),
         host: number,
         addrs: host.addrs.clone(),
-        zone: building(host.place % buildings),
+        zone: zone_name(host.place % buildings),
         machine_type: machine_type(scenario),
         cell: host.place / buildings / 3 * buildings + host.place % buildings,
-        lifecycle: Told::InService,
+        lifecycle: Lifecycle::InService,
         weight: 1.0,
         started_ms: host.started_ms,
     }
--- a/crates/cluster-emulator/tests/quota/ledger.rs
+++ b/crates/cluster-emulator/tests/quota/ledger.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use cluster_emulator::OnPacket;
 use cluster_model::scenario::{PlanSpec, Site};
-use cluster_model::{draw, Time, SECOND};
+use cluster_model::{requests, Time, SECOND};
 use resp::{decode, Frame};
 use simulated_runtime::{Packet, What};
 use std::collections::BTreeMap;
@@ -126,7 +126,8 @@
         let (Some(value), Some(figures)) = (text(words, 0), text(words, 1)) else { return };
         let id = value.rsplit('-').next().and_then(|hex| u64::from_str_radix(hex, 16).ok());
         let true_units: Option<f64> = field(figures, "cost").and_then(|units| units.parse().ok());
-        let sent = id.filter(|id| draw::value(*id) == value).and_then(|id| self.sent.get_mut(&id));
+        let sent =
+            id.filter(|id| requests::response_value(*id) == value).and_then(|id| self.sent.get_mut(&id));
         let (Some(sent), Some(units)) = (sent, true_units) else { return };
         if !std::mem::replace(&mut sent.settled, true) {
             let more = units - sent.units;
--- a/crates/cluster-model/src/agent.rs
+++ b/crates/cluster-model/src/agent.rs
@@ -7,23 +7,23 @@
 mod line;
 mod watch;
 
-pub use line::{Entry, Line};
-pub use watch::{Watch, BEAT};
+pub use line::{DiscoveryMessage, EndpointStatus};
+pub use watch::{Watch, HEARTBEAT_INTERVAL};
 
+use crate::observation::Lifecycle;
 use crate::rng::Rng;
 use crate::scenario::{DiscoveryFault, DiscoverySpec};
-use crate::seen::Told;
 use crate::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// Generation of the list that all agents have at the start.
-pub const FIRST: u64 = 1;
+pub const FIRST_GENERATION: u64 = 1;
 
 /// A host, as discovery knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// Its id, the same at every gateway.
     pub id: String,
     /// Its number, in the order of the hosts' coming. Lists are in this order.
@@ -38,7 +38,7 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub lifecycle: Told,
+    pub lifecycle: Lifecycle,
     /// Its size beside others.
     pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0: long ago.
@@ -47,18 +47,18 @@
 
 /// How discovery gets to know of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
+pub enum Detection {
     /// The host says so itself.
-    Given,
+    Announced,
     /// The host died without a word, and is missed after a while.
-    Missed,
+    TimedOut,
 }
 
 /// A change as it was told.
 #[derive(Clone, Debug)]
 struct Change {
     generation: u64,
-    member: Member,
+    member: Endpoint,
 }
 
 /// A change that an agent has not heard of yet.
@@ -77,8 +77,8 @@
     known: BTreeMap<String, Change>,
     /// All that it has heard since the first list, in the order in which it heard it.
     log: Vec<Change>,
-    /// What was new to it and nobody has asked for, see [`Registry::hear`].
-    news: Vec<Member>,
+    /// What was new to it and nobody has asked for, see [`Registry::take_updates`].
+    news: Vec<Endpoint>,
     /// The latest generation that it has heard of.
     generation: u64,
 }
@@ -95,22 +95,22 @@
     spec: DiscoverySpec,
     seed: u64,
     generation: u64,
-    truth: BTreeMap<String, Member>,
+    truth: BTreeMap<String, Endpoint>,
     agents: Vec<Agent>,
     faults: Vec<Active>,
 }
 
 impl Registry {
     /// With these hosts, of which the agents of so many gateways know from the start.
-    pub fn new(spec: &DiscoverySpec, seed: u64, gateways: u32, members: Vec<Member>) -> Registry {
+    pub fn new(spec: &DiscoverySpec, seed: u64, gateways: u32, members: Vec<Endpoint>) -> Registry {
         let truth: BTreeMap<_, _> = members.into_iter().map(|member| (member.id.clone(), member)).collect();
-        let first = |member: &Member| Change { generation: FIRST, member: member.clone() };
+        let first = |member: &Endpoint| Change { generation: FIRST_GENERATION, member: member.clone() };
         let known: BTreeMap<_, _> = truth.iter().map(|(id, member)| (id.clone(), first(member))).collect();
-        let agent = |_| Agent { known: known.clone(), generation: FIRST, ..Agent::default() };
+        let agent = |_| Agent { known: known.clone(), generation: FIRST_GENERATION, ..Agent::default() };
         Registry {
             spec: spec.clone(),
             seed,
-            generation: FIRST,
+            generation: FIRST_GENERATION,
             agents: (0..gateways).map(agent).collect(),
             truth,
             faults: Vec::new(),
@@ -118,21 +118,21 @@
     }
 
     /// How many agents there are.
-    pub fn agents(&self) -> u32 {
+    pub fn agent_count(&self) -> u32 {
         self.agents.len() as u32
     }
 
     /// All hosts as they are, those that are gone left out, by number.
-    pub fn members(&self) -> Vec<&Member> {
+    pub fn endpoints(&self) -> Vec<&Endpoint> {
         let mut members: Vec<_> = self.truth.values().collect();
         members.sort_by_key(|member| member.host);
         members
     }
 
     /// A host is new, or is no longer what it was: all of it as it is from now on. Gives the generation.
-    pub fn change(&mut self, now: Time, member: Member, notice: Notice) -> u64 {
+    pub fn update(&mut self, now: Time, member: Endpoint, notice: Detection) -> u64 {
         self.generation += 1;
-        if member.lifecycle == Told::Gone {
+        if member.lifecycle == Lifecycle::Removed {
             self.truth.remove(&member.id);
         } else {
             self.truth.insert(member.id.clone(), member.clone());
@@ -150,13 +150,13 @@
     /// Discovery fails until `until`, beside what fails already. [`DiscoveryFault::Late`] and
     /// [`DiscoveryFault::Reordered`] are for the changes that come meanwhile, the others for what is told
     /// meanwhile.
-    pub fn fail(&mut self, now: Time, fault: DiscoveryFault, until: Time) {
+    pub fn inject_fault(&mut self, now: Time, fault: DiscoveryFault, until: Time) {
         self.faults.retain(|active| active.until > now);
         self.faults.push(Active { fault, until });
     }
 
     /// All faults are over. Delays that were drawn meanwhile stay.
-    pub fn heal(&mut self) {
+    pub fn clear_faults(&mut self) {
         self.faults.clear();
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// When a watch opened then is reset, as things are.
-    pub fn cut_at(&self, now: Time, opened: Time) -> Option<Time> {
+    pub fn watch_reset_at(&self, now: Time, opened: Time) -> Option<Time> {
         let cut = |active: &Active| match active.fault {
             DiscoveryFault::Cut(every) => Some(opened.saturating_add(every)),
             _ => None,
@@ -176,29 +176,29 @@
     }
 
     /// When an agent hears of something next, if it does.
-    pub fn next_due(&self, now: Time, agent: u32) -> Option<Time> {
+    pub fn next_update(&self, now: Time, agent: u32) -> Option<Time> {
         let due = self.agents[agent as usize].waiting.front()?.due;
         Some(due.max(self.silent_until(now).unwrap_or(due)))
     }
 
     /// Lets an agent hear of what is due, and gives what of all that it has heard was new to it since this was
     /// last asked. It counts as told to the agent's gateway after a while, whether or not that asks for it.
-    pub fn hear(&mut self, now: Time, agent: u32) -> Vec<Entry> {
+    pub fn take_updates(&mut self, now: Time, agent: u32) -> Vec<EndpointStatus> {
         self.take_in(now, agent);
         let news = std::mem::take(&mut self.agents[agent as usize].news);
-        let is_told = |member: &&Member| member.addrs.get(agent as usize).is_some();
-        news.iter().filter(is_told).map(Entry::of).collect()
+        let is_told = |member: &&Endpoint| member.addrs.get(agent as usize).is_some();
+        news.iter().filter(is_told).map(EndpointStatus::of).collect()
     }
 
     /// The whole list that an agent has; `None`: it is silent.
-    pub fn list(&mut self, now: Time, agent: u32) -> Option<Line> {
+    pub fn endpoint_list(&mut self, now: Time, agent: u32) -> Option<DiscoveryMessage> {
         self.take_in(now, agent);
         self.silent_until(now).is_none().then(|| self.agents[agent as usize].list(agent))
     }
 
     /// What an agent has heard of after it had heard of this generation, or the whole list if it never has;
     /// `None`: it is silent.
-    pub fn changes_after(&mut self, now: Time, agent: u32, generation: u64) -> Option<Line> {
+    pub fn changes_after(&mut self, now: Time, agent: u32, generation: u64) -> Option<DiscoveryMessage> {
         self.take_in(now, agent);
         let known = &self.agents[agent as usize];
         let line = || known.changes_after(agent, generation).unwrap_or_else(|| known.list(agent));
@@ -219,9 +219,10 @@
     }
 
     /// Lines from this place in the log of an agent on.
-    fn lines_from(&self, agent: u32, place: usize) -> Vec<Line> {
+    fn lines_from(&self, agent: u32, place: usize) -> Vec<DiscoveryMessage> {
         let heard = &self.agents[agent as usize].log[place..];
-        let line = |change: &Change| Line::new(agent, change.generation, false, &[&change.member]);
+        let line =
+            |change: &Change| DiscoveryMessage::new(agent, change.generation, false, &[&change.member]);
         heard.iter().map(line).collect()
     }
 
@@ -245,10 +246,10 @@
         late.max().unwrap_or(0)
     }
 
-    fn delay(&self, agent: usize, notice: Notice) -> Span {
+    fn delay(&self, agent: usize, notice: Detection) -> Span {
         let (from, to) = match notice {
-            Notice::Given => self.spec.notice,
-            Notice::Missed => self.spec.silent_notice,
+            Detection::Announced => self.spec.notice,
+            Detection::TimedOut => self.spec.silent_notice,
         };
         let mut rng = Rng::stream(self.seed, "notice", self.generation << 32 | agent as u64);
         from + rng.below(to.saturating_sub(from).saturating_add(1))
@@ -281,22 +282,22 @@
         self.log.push(change);
     }
 
-    fn list(&self, agent: u32) -> Line {
+    fn list(&self, agent: u32) -> DiscoveryMessage {
         let members: Vec<_> = self.known.values().map(|change| &change.member).collect();
-        Line::new(agent, self.generation, true, &members)
+        DiscoveryMessage::new(agent, self.generation, true, &members)
     }
 
     /// `None`: it has never heard of this generation. Changes that were told out of order may be told again.
-    fn changes_after(&self, agent: u32, generation: u64) -> Option<Line> {
+    fn changes_after(&self, agent: u32, generation: u64) -> Option<DiscoveryMessage> {
         let heard = self.log.iter().rposition(|change| change.generation == generation);
         let place = match heard {
             Some(place) => place + 1,
-            None if generation == FIRST => 0,
+            None if generation == FIRST_GENERATION => 0,
             None => return None,
         };
         let later: BTreeSet<&String> = self.log[place..].iter().map(|change| &change.member.id).collect();
         let changed = |change: &&Change| change.generation > generation || later.contains(&change.member.id);
         let members: Vec<_> = self.known.values().filter(changed).map(|change| &change.member).collect();
-        Some(Line::new(agent, self.generation, false, &members))
+        Some(DiscoveryMessage::new(agent, self.generation, false, &members))
     }
 }
--- a/crates/cluster-model/src/counter.rs
+++ b/crates/cluster-model/src/counter.rs
@@ -8,7 +8,7 @@
 mod store;
 
 pub use amount::Amount;
-pub use store::LONGEST_LIFE;
+pub use store::MAX_NAME_LIFETIME;
 
 use crate::rng::Rng;
 use crate::scenario::{CounterFault, CounterSpec};
@@ -25,44 +25,44 @@
 
 /// Number of a call that was taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(u64);
+pub struct CallId(u64);
 
 /// What became of a call as it came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// Taken in: its end comes with [`Counter::advance`].
-    Waiting(Ticket),
+pub enum CallAdmission {
+    /// CallAdmission in: its end comes with [`Counter::advance`].
+    Accepted(CallId),
     /// Turned away, nothing added.
-    Refused,
+    Rejected,
     /// The counter cannot be reached, nothing added.
-    Lost,
+    Unreachable,
 }
 
 /// How a call that was taken in ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     /// Added; this total is to be told.
-    Total(Amount),
+    Replied(Amount),
     /// Added; nothing is to be said.
-    Unsaid,
+    NoReply,
     /// Not added; nothing is to be said.
     Dropped,
 }
 
 /// The end of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct FinishedCall {
     /// Which call.
-    pub ticket: Ticket,
+    pub call: CallId,
     /// When.
     pub at: Time,
     /// How.
-    pub end: End,
+    pub outcome: CallOutcome,
 }
 
 #[derive(Debug)]
 struct Call {
-    ticket: Ticket,
+    ticket: CallId,
     gateway: u32,
     name: Name,
     amount: Amount,
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 enum Step {
     Turn(Call),
-    Answer(Ticket, Amount),
+    Answer(CallId, Amount),
 }
 
 /// A fault in force.
@@ -113,7 +113,7 @@
     /// What is due, by time and then in the order of the calls.
     steps: BTreeMap<(Time, u64), Step>,
     next: u64,
-    settled: Vec<Settled>,
+    settled: Vec<FinishedCall>,
     clock: Time,
     swept: Time,
     lost: bool,
@@ -143,23 +143,30 @@
         }
     }
 
-    /// A call comes from a gateway (numbered from 0). A new name lives for `keep`, [`LONGEST_LIFE`] at most.
-    pub fn call(&mut self, now: Time, gateway: u32, name: &[u8], amount: Amount, keep: Span) -> Taken {
+    /// A call comes from a gateway (numbered from 0). A new name lives for `keep`, [`MAX_NAME_LIFETIME`] at most.
+    pub fn call(
+        &mut self,
+        now: Time,
+        gateway: u32,
+        name: &[u8],
+        amount: Amount,
+        keep: Span,
+    ) -> CallAdmission {
         self.run(now, now.saturating_add(1));
         if self.lost {
-            return Taken::Lost;
+            return CallAdmission::Unreachable;
         }
-        let ticket = Ticket(self.number());
+        let ticket = CallId(self.number());
         if self.fails(|fault| matches!(fault, CounterFault::Silent)) {
-            self.settle(ticket, now, End::Dropped);
-            return Taken::Waiting(ticket);
+            self.settle(ticket, now, CallOutcome::Dropped);
+            return CallAdmission::Accepted(ticket);
         }
         if self.fails(|fault| matches!(fault, CounterFault::Full)) {
-            return Taken::Refused;
+            return CallAdmission::Rejected;
         }
         let (slot, room) = (self.slot, self.room);
         let Some(turn) = self.side(gateway).queue(now, name, slot, room) else {
-            return Taken::Refused;
+            return CallAdmission::Rejected;
         };
         let call = Call { ticket, gateway, name: name.into(), amount, keep };
         if turn > now {
@@ -167,25 +174,25 @@
         } else {
             self.turn(now, call);
         }
-        Taken::Waiting(ticket)
+        CallAdmission::Accepted(ticket)
     }
 
     /// When [`Counter::advance`] is to be called next, if it is.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_event(&self) -> Option<Time> {
         let settled = self.settled.first().map(|settled| settled.at);
         let step = self.steps.keys().next().map(|(at, _)| *at);
         [settled, step, self.next_shift()].into_iter().flatten().min()
     }
 
     /// Does what is due up to `now`, and gives the calls that have ended since this was last asked.
-    pub fn advance(&mut self, now: Time) -> Vec<Settled> {
+    pub fn advance(&mut self, now: Time) -> Vec<FinishedCall> {
         self.run(now, now.saturating_add(1));
         std::mem::take(&mut self.settled)
     }
 
     /// The counter fails until `until`, beside what fails already; of splits only the last one is in force.
     /// [`CounterFault::Fresh`] is done with at once.
-    pub fn fail(&mut self, now: Time, fault: CounterFault, until: Time) {
+    pub fn inject_fault(&mut self, now: Time, fault: CounterFault, until: Time) {
         self.run(now, now);
         if matches!(fault, CounterFault::Fresh) {
             self.forget();
@@ -205,7 +212,7 @@
     }
 
     /// All faults are over.
-    pub fn heal(&mut self, now: Time) {
+    pub fn clear_faults(&mut self, now: Time) {
         self.run(now, now);
         self.faults.clear();
         self.join(now);
@@ -213,12 +220,12 @@
     }
 
     /// Whether connections to it are refused.
-    pub fn lost(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.lost
     }
 
     /// How many times all connections to it have been reset.
-    pub fn resets(&self) -> u64 {
+    pub fn connection_resets(&self) -> u64 {
         self.resets
     }
 
@@ -240,7 +247,7 @@
     }
 
     /// How many names have not expired.
-    pub fn distinct(&self, now: Time) -> usize {
+    pub fn name_count(&self, now: Time) -> usize {
         self.joined(now).totals(now).count()
     }
 
@@ -254,8 +261,8 @@
         self.steps.insert((at, number), step);
     }
 
-    fn settle(&mut self, ticket: Ticket, at: Time, end: End) {
-        self.settled.push(Settled { ticket, at, end });
+    fn settle(&mut self, ticket: CallId, at: Time, end: CallOutcome) {
+        self.settled.push(FinishedCall { call: ticket, at, outcome: end });
     }
 
     fn fails(&self, which: impl Fn(&CounterFault) -> bool) -> bool {
@@ -286,7 +293,7 @@
         match step {
             Step::Turn(call) => self.turn(at, call),
             Step::Answer(ticket, total) => {
-                let end = if self.mute() { End::Unsaid } else { End::Total(total) };
+                let end = if self.mute() { CallOutcome::NoReply } else { CallOutcome::Replied(total) };
                 self.settle(ticket, at, end);
             }
         }
@@ -299,11 +306,11 @@
     /// A call has its turn.
     fn turn(&mut self, at: Time, call: Call) {
         if self.fails(|fault| matches!(fault, CounterFault::Silent)) {
-            return self.settle(call.ticket, at, End::Dropped);
+            return self.settle(call.ticket, at, CallOutcome::Dropped);
         }
         let total = self.side(call.gateway).add(at, &call.name, call.amount, call.keep);
         if self.mute() {
-            return self.settle(call.ticket, at, End::Unsaid);
+            return self.settle(call.ticket, at, CallOutcome::NoReply);
         }
         let ready = at.saturating_add(self.answer_takes());
         let ready = self.side(call.gateway).answer_at(&call.name, ready);
@@ -353,8 +360,8 @@
         self.sides().for_each(Side::clear);
         for (_, step) in std::mem::take(&mut self.steps) {
             let (ticket, end) = match step {
-                Step::Turn(call) => (call.ticket, End::Dropped),
-                Step::Answer(ticket, _) => (ticket, End::Unsaid),
+                Step::Turn(call) => (call.ticket, CallOutcome::Dropped),
+                Step::Answer(ticket, _) => (ticket, CallOutcome::NoReply),
             };
             self.settle(ticket, self.clock, end);
         }
--- a/crates/cluster-model/src/counter/amount.rs
+++ b/crates/cluster-model/src/counter/amount.rs
@@ -17,9 +17,9 @@
 
 impl Amount {
     /// The largest amount of a call; the smallest is its negative.
-    pub const MOST: Amount = Amount(1_000_000_000 * WHOLE);
+    pub const MAX: Amount = Amount(1_000_000_000 * WHOLE);
 
-    /// Reads a decimal number such as `-2.5`; `None`: it is none, or beyond [`Amount::MOST`]. Places beyond
+    /// Reads a decimal number such as `-2.5`; `None`: it is none, or beyond [`Amount::MAX`]. Places beyond
     /// the 15th are cut.
     pub fn parse(text: &[u8]) -> Option<Amount> {
         let (negative, digits) = match text.split_first()? {
@@ -42,7 +42,7 @@
             .chain(padded)
             .try_fold(0_i128, |sum, digit| sum.checked_mul(10)?.checked_add(i128::from(digit - b'0')))?;
         let amount = Amount(if negative { -magnitude } else { magnitude });
-        (magnitude <= Amount::MOST.0).then_some(amount)
+        (magnitude <= Amount::MAX.0).then_some(amount)
     }
 
     /// The nearest number that a float can hold, or one next to it.
--- a/crates/cluster-model/src/counter/store.rs
+++ b/crates/cluster-model/src/counter/store.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// The longest life of a name.
-pub const LONGEST_LIFE: Span = 60 * SECOND;
+pub const MAX_NAME_LIFETIME: Span = 60 * SECOND;
 
 /// A name's total.
 #[derive(Clone, Copy, Debug, Default)]
@@ -73,7 +73,7 @@
             None => self.entries.entry(name.into()).or_default(),
         };
         if entry.expires <= now {
-            let expires = now.saturating_add(keep.clamp(1, LONGEST_LIFE));
+            let expires = now.saturating_add(keep.clamp(1, MAX_NAME_LIFETIME));
             *entry = Entry { expires, answered: entry.answered, ..Entry::default() };
         }
         entry.own += amount;
--- a/crates/cluster-model/src/file/check.rs
+++ b/crates/cluster-model/src/file/check.rs
@@ -8,7 +8,7 @@
 use super::parser::{EventPlaces, Places};
 use super::signs;
 use super::{MOST_CUSTOMERS, MOST_HOSTS};
-use crate::draw::Draws;
+use crate::requests::RequestSampler;
 use crate::scenario::{CounterFault, Event, LinkEnd, Scenario, Side, Sign, Site, Timed};
 
 /// How far shares may miss the whole: three thirds written as 33.3 % are meant as one.
@@ -101,7 +101,7 @@
     /// No plan is so small beside the traffic that it takes customers without number to ask for its share.
     fn customer_numbers(&mut self) {
         let traffic = &self.scenario.traffic;
-        let units = traffic.rate * Draws::new(0, traffic).mean_units();
+        let units = traffic.rate * RequestSampler::new(0, traffic).mean_units();
         for plan in self.scenario.site.plans.iter().filter(|plan| plan.rate > 0.0) {
             // As few as could be: each asks for all of its rate.
             let customers = libm::round(units * plan.share / plan.rate) as u64;
--- a/crates/cluster-model/src/file/signs.rs
+++ b/crates/cluster-model/src/file/signs.rs
@@ -4,15 +4,15 @@
 use super::events::{Marks, Named};
 use super::line::Line;
 use super::{MOST_GATEWAYS, MOST_HOSTS, MOST_SIGN};
+use crate::observation::Lifecycle;
 use crate::scenario::Sign;
-use crate::seen::Told;
 use std::fmt;
 
 /// How manieth a call or an answer may be.
 const NTH: (u32, u32) = (1, 1_000_000);
 /// In which states discovery tells of hosts.
-const STATES: [(&str, Told); 3] =
-    [("is there", Told::InService), ("drains", Told::Draining), ("is gone", Told::Gone)];
+const STATES: [(&str, Lifecycle); 3] =
+    [("is there", Lifecycle::InService), ("drains", Lifecycle::Draining), ("is gone", Lifecycle::Removed)];
 
 struct Reader<'l, 'a> {
     line: &'l mut Line<'a>,
@@ -96,12 +96,12 @@
         Err(super::errors::Fault::new(place, super::Reason::Sign(letters)))
     }
 
-    fn state(&mut self) -> Parsed<Told> {
+    fn state(&mut self) -> Parsed<Lifecycle> {
         if self.line.one_of("state of a host", &["is", "drains"])? == "drains" {
-            return Ok(Told::Draining);
+            return Ok(Lifecycle::Draining);
         }
         let there = self.line.one_of("state of a host", &["there", "gone"])? == "there";
-        Ok(if there { Told::InService } else { Told::Gone })
+        Ok(if there { Lifecycle::InService } else { Lifecycle::Removed })
     }
 
     fn words(&mut self, words: &[&str]) -> Parsed<()> {
--- a/crates/cluster-model/src/host.rs
+++ b/crates/cluster-model/src/host.rs
@@ -2,7 +2,7 @@
 //! draining, or pushed over. It does no I/O and reads no clock: callers pass `now`, which never goes back.
 //!
 //! Between two events everything is integrated exactly: the processor knows when the next request is through,
-//! and [`Host::next_due`] tells the caller when to come back.
+//! and [`Host::next_event`] tells the caller when to come back.
 
 mod budget;
 mod memory;
@@ -25,7 +25,7 @@
 
 /// What makes a host.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct HostSetup {
     /// What it is like.
     pub spec: HostSpec,
     /// What pushes it over while it is cold.
@@ -37,7 +37,7 @@
     /// Seed of the site.
     pub seed: u64,
     /// It has just started.
-    pub cold: bool,
+    pub warming_up: bool,
 }
 
 /// A request as it comes to a host.
@@ -49,7 +49,7 @@
     pub work: Span,
     /// Work that one like it usually costs: what counts against the budget of a cold host. That some are
     /// heavier for a while is nothing that whoever sends them could know.
-    pub usual: Span,
+    pub expected_work: Span,
     /// When nobody waits for it any more.
     pub deadline: Time,
     /// Whether it may run again.
@@ -58,48 +58,48 @@
 
 /// What a host does with a request that has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It is held until it ends.
-    Taken(JobId),
+    Accepted(JobId),
     /// It is turned away unseen.
-    TurnedAway,
+    Rejected,
     /// It has run here before and is answered as then, at once.
-    Remembered,
+    Cached,
     /// The host is down: pushed over by this request, or before, or stopped.
     Down,
 }
 
 /// How a request that was taken has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum JobOutcome {
     /// It ran to its end.
     Served,
     /// It ran to its end, which was an error.
     Failed,
     /// Its time was over before its end.
-    Expired(Stage),
+    Expired(JobStage),
     /// The host was pushed over, or stopped.
-    Lost(Stage),
+    Lost(JobStage),
 }
 
 /// How far a request had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum JobStage {
     /// It waited, and has not run.
-    Waiting,
+    Queued,
     /// It was in work.
-    InWork,
+    Running,
 }
 
 /// A request that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Finished {
+pub struct FinishedJob {
     /// Which.
     pub job: JobId,
     /// When.
     pub at: Time,
     /// How.
-    pub ending: Ending,
+    pub outcome: JobOutcome,
 }
 
 /// A host.
@@ -117,7 +117,7 @@
     jobs: BTreeMap<JobId, Request>,
     waiting: BTreeSet<JobId>,
     deadlines: BTreeSet<(Time, JobId)>,
-    finished: Vec<Finished>,
+    finished: Vec<FinishedJob>,
     connections: u32,
     draining: bool,
     /// It takes nothing and does nothing any more.
@@ -127,8 +127,8 @@
 
 impl Host {
     /// A host that starts now, or, if not `cold`, has run for long.
-    pub fn new(setup: Setup, now: Time) -> Host {
-        let Setup { spec, rules, mean_work, number, seed, cold } = setup;
+    pub fn new(setup: HostSetup, now: Time) -> Host {
+        let HostSetup { spec, rules, mean_work, number, seed, warming_up: cold } = setup;
         let mut rng = Rng::stream(seed, "host", u64::from(number));
         let speed = spec.speed * rng.between(1.0 - spec.speed_spread, 1.0 + spec.speed_spread);
         let slack = SLACK_REQUESTS * mean_work as f64;
@@ -151,25 +151,25 @@
     }
 
     /// A request has come whole.
-    pub fn offer(&mut self, now: Time, request: Request) -> Offer {
+    pub fn submit(&mut self, now: Time, request: Request) -> Admission {
         self.run_to(now);
         let keyed = matches!(request.effect, Effect::Keyed(_));
         if keyed && !self.down && self.memory.holds(now, request.id) {
-            return Offer::Remembered;
+            return Admission::Cached;
         }
-        if self.down || self.pushed_over(now, request.usual) {
-            return Offer::Down;
+        if self.down || self.pushed_over(now, request.expected_work) {
+            return Admission::Down;
         }
         // A repeat of one that is still on its way through is dropped before it runs.
         let again = keyed && self.jobs.values().any(|held| held.id == request.id);
         if again || self.draining || request.deadline <= now {
-            return Offer::TurnedAway;
+            return Admission::Rejected;
         }
         let room = self.spec.queue as usize + self.free_slots();
         if self.waiting.len() >= room {
-            return Offer::TurnedAway;
+            return Admission::Rejected;
         }
-        Offer::Taken(self.hold(request))
+        Admission::Accepted(self.hold(request))
     }
 
     fn hold(&mut self, request: Request) -> JobId {
@@ -183,7 +183,7 @@
     }
 
     /// Stops a request that nobody waits for any more. `None`: it had ended before.
-    pub fn cancel(&mut self, now: Time, job: JobId) -> Option<Stage> {
+    pub fn cancel(&mut self, now: Time, job: JobId) -> Option<JobStage> {
         self.run_to(now);
         let stage = self.release(job)?;
         self.fill_slots();
@@ -191,7 +191,7 @@
     }
 
     /// When something ends next, if nothing else happens until then.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_event(&self) -> Option<Time> {
         if !self.finished.is_empty() {
             return Some(self.processor.at());
         }
@@ -199,7 +199,7 @@
     }
 
     /// Works on until now, and hands over all that has ended, in order.
-    pub fn advance(&mut self, now: Time, finished: &mut Vec<Finished>) {
+    pub fn advance(&mut self, now: Time, finished: &mut Vec<FinishedJob>) {
         self.run_to(now);
         finished.append(&mut self.finished);
     }
@@ -221,7 +221,7 @@
     }
 
     /// Works so many times slower from now on; 1: as usual.
-    pub fn slow(&mut self, now: Time, times: f64) {
+    pub fn set_slowdown(&mut self, now: Time, times: f64) {
         self.run_to(now);
         self.processor.slow(times);
     }
@@ -245,17 +245,17 @@
     }
 
     /// It was pushed over while it was cold, and stays down.
-    pub fn fallen(&self) -> bool {
+    pub fn crashed_by_overload(&self) -> bool {
         self.fallen
     }
 
     /// Requests in work and waiting.
-    pub fn held(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.jobs.len()
     }
 
     /// Share of its present capacity that was in use since this was last asked; 0 where there was none.
-    pub fn busy_since_last(&mut self, now: Time) -> f64 {
+    pub fn utilization_since_last(&mut self, now: Time) -> f64 {
         self.run_to(now);
         self.processor.busy_since_last()
     }
@@ -270,7 +270,7 @@
     }
 
     /// What it can do when it is warm, in nanoseconds of work per second.
-    pub fn full(&self) -> f64 {
+    pub fn full_capacity(&self) -> f64 {
         self.processor.full()
     }
 
@@ -293,7 +293,7 @@
         self.down = true;
         self.connections = 0;
         let all: Vec<JobId> = self.jobs.keys().copied().collect();
-        all.into_iter().for_each(|job| self.end(job, now, Ending::Lost));
+        all.into_iter().for_each(|job| self.end(job, now, JobOutcome::Lost));
     }
 
     fn run_to(&mut self, now: Time) {
@@ -318,30 +318,30 @@
             if let (Effect::Keyed(window), false) = (request.effect, failed) {
                 self.memory.keep(at, request.id, window);
             }
-            let ending = if failed { Ending::Failed } else { Ending::Served };
+            let ending = if failed { JobOutcome::Failed } else { JobOutcome::Served };
             self.end(job, at, |_| ending);
         }
         while let Some((_, job)) = self.deadlines.first().copied().filter(|(deadline, _)| *deadline <= at) {
-            self.end(job, at, Ending::Expired);
+            self.end(job, at, JobOutcome::Expired);
         }
         self.fill_slots();
     }
 
-    fn end(&mut self, job: JobId, at: Time, ending: impl Fn(Stage) -> Ending) {
+    fn end(&mut self, job: JobId, at: Time, ending: impl Fn(JobStage) -> JobOutcome) {
         if let Some(stage) = self.release(job) {
-            self.finished.push(Finished { job, at, ending: ending(stage) });
+            self.finished.push(FinishedJob { job, at, outcome: ending(stage) });
         }
     }
 
     /// Takes a request out of everything that it is in.
-    fn release(&mut self, job: JobId) -> Option<Stage> {
+    fn release(&mut self, job: JobId) -> Option<JobStage> {
         let request = self.jobs.remove(&job)?;
         self.deadlines.remove(&(request.deadline, job));
         if self.waiting.remove(&job) {
-            return Some(Stage::Waiting);
+            return Some(JobStage::Queued);
         }
         self.processor.stop(job);
-        Some(Stage::InWork)
+        Some(JobStage::Running)
     }
 
     fn fill_slots(&mut self) {
--- a/crates/cluster-model/src/lib.rs
+++ b/crates/cluster-model/src/lib.rs
@@ -4,13 +4,13 @@
 
 pub mod agent;
 pub mod counter;
-pub mod draw;
 pub mod file;
 pub mod host;
+pub mod observation;
+pub mod requests;
 mod resize;
 pub mod rng;
 pub mod scenario;
-pub mod seen;
 pub mod settings;
 pub mod traffic;
 
--- a/crates/cluster-model/src/seen.rs
+++ b/crates/cluster-model/src/observation.rs
@@ -5,63 +5,63 @@
 
 /// Something seen, and when. Sightings come in the order of time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct Observation {
     /// When, on the clock of the rehearsal.
     pub at: Time,
     /// What.
-    pub what: What,
+    pub kind: ObservationKind,
 }
 
 /// State of a host, as discovery tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Lifecycle {
     /// It takes work.
     InService,
     /// It wants nothing new.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// What a client got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ClientOutcome {
     /// A value; true: it is the one that a host made for this request.
     Served(bool),
     /// Turned away, perhaps with advice when to come back.
-    Busy(Option<Span>),
+    Rejected(Option<Span>),
     /// Failed: any other whole answer.
     Failed,
     /// The connection ended, or was reset, before a whole answer.
-    Broken,
+    ConnectionClosed,
     /// Nothing came, up to a while after the client's time.
-    Nothing,
+    NoResponse,
 }
 
 /// How a host dealt with a command that had come whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dealt {
+pub enum HostOutcome {
     /// It ran and was answered with a value.
     Served,
     /// It ran and was answered with an error or a spoilt answer.
     Failed,
     /// It was turned away and never ran.
-    TurnedAway,
+    Rejected,
     /// It was dropped before it ran: its connection ended first.
     Dropped,
     /// It ran, or ran in part, and nobody was there for the answer.
-    Unheard,
+    Undelivered,
 }
 
 /// What was seen. Requests are numbered by the ids that stand in their commands.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum ObservationKind {
     /// A client wrote the last byte of a request.
-    Asked {
+    RequestSent {
         /// Its id.
         request: u64,
         /// The id of the client's first try of the same thing.
-        first_try: u64,
+        first_request: u64,
         /// Where.
         gateway: u32,
         /// Who.
@@ -73,29 +73,29 @@
         /// Units, as the request names them.
         units: f64,
         /// How long the client waits.
-        patience: Span,
+        timeout: Span,
     },
     /// A client got the end of a request: the one answer, or none.
-    Answered {
+    RequestEnded {
         /// Its id.
         request: u64,
         /// From where.
         gateway: u32,
         /// What.
-        got: Got,
+        outcome: ClientOutcome,
     },
     /// A client closed its connection with the request unanswered.
-    Left {
+    ClientDisconnected {
         /// Its id.
         request: u64,
     },
     /// A client got bytes that belong to no request of its own.
-    Unasked {
+    UnexpectedResponse {
         /// From where.
         gateway: u32,
     },
     /// A command has come whole to a host.
-    Received {
+    AttemptReceived {
         /// Its id.
         request: u64,
         /// Number of the host, in the order of their coming, from 0.
@@ -105,10 +105,10 @@
         /// When the first byte was sent (as far as the host can tell).
         first_byte: Time,
         /// Work that one like it usually costs, in nanoseconds of one core at speed 1.
-        work: Span,
+        expected_work: Span,
     },
     /// A host is through with a command.
-    Ended {
+    AttemptEnded {
         /// Its id.
         request: u64,
         /// The host.
@@ -116,12 +116,12 @@
         /// From where it had come.
         gateway: u32,
         /// How.
-        dealt: Dealt,
+        outcome: HostOutcome,
         /// The true units, where the answer told them.
         units: Option<f64>,
     },
     /// The connection that carried a command has ended, or its answer is written: the attempt is out no more.
-    Out {
+    AttemptClosed {
         /// Its id.
         request: u64,
         /// The host.
@@ -130,21 +130,21 @@
         gateway: u32,
     },
     /// A connection to a host was opened.
-    Connected {
+    HostConnectionOpened {
         /// The host.
         host: u32,
         /// From where.
         gateway: u32,
     },
     /// A connection to a host is open no more.
-    Disconnected {
+    HostConnectionClosed {
         /// The host.
         host: u32,
         /// From where it came.
         gateway: u32,
     },
     /// A host was asked whether it is there.
-    Probed {
+    HealthCheckReceived {
         /// The host.
         host: u32,
         /// From where.
@@ -152,69 +152,69 @@
     },
     /// A host started. It can do `full` nanoseconds of work a second when warm; it starts at `share` of that
     /// and rises evenly to it over `cold`.
-    Started {
+    HostStarted {
         /// The host.
         host: u32,
         /// Work a second when warm.
-        full: f64,
+        full_capacity: f64,
         /// Share at the start, 1 if it is warm.
-        share: f64,
+        initial_share: f64,
         /// Span of the rise.
-        cold: Span,
+        warm_up: Span,
     },
     /// A host works this many times slower from now on; 1: as usual.
-    Slowed {
+    HostSlowed {
         /// The host.
         host: u32,
         /// How many times.
-        times: f64,
+        factor: f64,
     },
     /// A host was pushed over while it was cold, and stays down.
-    Fell {
+    HostOverloadCrash {
         /// The host.
         host: u32,
     },
     /// A host died, or went in the ordinary way.
-    Stopped {
+    HostStopped {
         /// The host.
         host: u32,
     },
     /// A gateway's agent has heard this of a host, whether or not it comes to tell the gateway.
-    Heard {
+    AgentNotified {
         /// The gateway.
         gateway: u32,
         /// The host.
         host: u32,
         /// Its state.
-        state: Told,
+        state: Lifecycle,
         /// When the host had started by what was heard; 0: long ago.
         started: Time,
     },
     /// Discovery wrote this to a gateway.
-    Told {
+    GatewayNotified {
         /// The gateway.
         gateway: u32,
         /// The host.
         host: u32,
         /// Its state.
-        state: Told,
+        state: Lifecycle,
         /// When the host had started by what was told; 0: long ago.
         started: Time,
     },
     /// A gateway asked discovery for the whole list, or opened a watch.
-    ListAsked {
+    DiscoveryRequest {
         /// The gateway.
         gateway: u32,
         /// It is a watch.
         watch: bool,
     },
     /// Discovery wrote a whole list to a gateway, or a line of a watch, be it an empty one.
-    ListLine {
+    DiscoveryMessage {
         /// The gateway.
         gateway: u32,
     },
     /// A gateway took a counter call to the counter.
-    Counted {
+    CounterCall {
         /// From where.
         gateway: u32,
         /// Amount.
@@ -224,9 +224,9 @@
         /// An answer with the total was written.
         answered: bool,
         /// It was turned away.
-        turned_away: bool,
+        rejected: bool,
         /// From its coming until its answer was written, or it was known that there would be none.
-        took: Span,
+        duration: Span,
     },
     /// A gateway's process was started.
     GatewayUp {
@@ -238,7 +238,7 @@
         /// The gateway.
         gateway: u32,
         /// It was meant to.
-        meant: bool,
+        expected: bool,
     },
     /// The scenario sent a gateway a signal. Without this sighting a meant end is held for a kill.
     GatewaySignalled {
@@ -248,50 +248,50 @@
         kill: bool,
     },
     /// From now on nothing passes between the clients and a gateway, or it passes again.
-    ClientsCut {
+    ClientLinksCut {
         /// The gateway.
         gateway: u32,
         /// Nothing passes.
         cut: bool,
     },
     /// A gateway's process stands still from now on (SIGSTOP), or goes on.
-    GatewayStopped {
+    GatewaySuspended {
         /// The gateway.
         gateway: u32,
         /// It stands still.
-        stopped: bool,
+        suspended: bool,
     },
     /// Its link to discovery fails from now on, or is whole again.
-    NewsCut {
+    DiscoveryLinkFault {
         /// The gateway.
         gateway: u32,
         /// It fails.
-        cut: bool,
+        active: bool,
     },
     /// What a gateway sends may come late to a host from now on, or comes as usual again: also the end of a
     /// connection, by which a host learns that an attempt is withdrawn.
-    CallsLate {
+    HostTrafficDelayed {
         /// The gateway.
         gateway: u32,
         /// The host.
         host: u32,
         /// It may come late.
-        late: bool,
+        delayed: bool,
         /// The host cannot tell when it was sent.
-        blind: bool,
+        send_time_unknown: bool,
     },
     /// An event of the scenario, in words.
-    Event {
+    ScenarioEvent {
         /// Its words.
         text: String,
     },
     /// Load of a host, taken once a second for the plots.
-    Load {
+    HostLoad {
         /// The host.
         host: u32,
         /// Requests in work and waiting.
-        held: u32,
+        requests: u32,
         /// Share of its present capacity in use since the last one.
-        busy: f64,
+        utilization: f64,
     },
 }
--- a/crates/cluster-model/src/draw.rs
+++ b/crates/cluster-model/src/requests.rs
@@ -6,42 +6,42 @@
 use crate::Span;
 
 /// Bits of an id that count tries.
-pub const TRY_BITS: u32 = 4;
+pub const RETRY_BITS: u32 = 4;
 
 /// The id of a try, numbered from 0, of the thing with this number (counted from 1).
-pub fn id(thing: u64, try_number: u32) -> u64 {
-    thing << TRY_BITS | u64::from(try_number)
+pub fn request_id(thing: u64, try_number: u32) -> u64 {
+    thing << RETRY_BITS | u64::from(try_number)
 }
 
 /// The id of the first try of the same thing.
-pub fn first_try(id: u64) -> u64 {
-    id >> TRY_BITS << TRY_BITS
+pub fn first_request_id(id: u64) -> u64 {
+    id >> RETRY_BITS << RETRY_BITS
 }
 
 /// The value that a host makes for a request.
-pub fn value(id: u64) -> String {
+pub fn response_value(id: u64) -> String {
     format!("value-of-{id:016x}")
 }
 
 /// What requests are like.
 #[derive(Clone, Debug)]
-pub struct Draws {
+pub struct RequestSampler {
     seed: u64,
     most_units: u32,
     guess_cv: f64,
     mean_units: f64,
 }
 
-impl Draws {
+impl RequestSampler {
     /// For this traffic.
-    pub fn new(seed: u64, traffic: &Traffic) -> Draws {
+    pub fn new(seed: u64, traffic: &Traffic) -> RequestSampler {
         let most = traffic.most_units.max(1);
         let mean_units = f64::from(most) / (1..=most).map(|n| 1.0 / f64::from(n)).sum::<f64>();
-        Draws { seed, most_units: most, guess_cv: traffic.guess_cv, mean_units }
+        RequestSampler { seed, most_units: most, guess_cv: traffic.guess_cv, mean_units }
     }
 
     fn rng(&self, id: u64) -> Rng {
-        Rng::stream(self.seed, "request", first_try(id))
+        Rng::stream(self.seed, "request", first_request_id(id))
     }
 
     /// Mean units of a request.
@@ -61,19 +61,19 @@
     }
 
     /// The units that the request names: a whole number near the truth.
-    pub fn guess(&self, id: u64) -> u32 {
+    pub fn estimated_units(&self, id: u64) -> u32 {
         let units = f64::from(self.units(id));
         if self.guess_cv <= 0.0 {
             return units as u32;
         }
-        let mut rng = Rng::stream(self.seed, "guess", first_try(id));
+        let mut rng = Rng::stream(self.seed, "guess", first_request_id(id));
         libm::round(rng.lognormal(units, self.guess_cv)).clamp(1.0, f64::from(self.most_units)) as u32
     }
 
     /// Work in nanoseconds of one core at speed 1. It grows with the units, and its mean over all requests of
     /// the class is the class's. `heavy`: this share of requests costs so many times the usual.
     pub fn work(&self, id: u64, class: &ClassSpec, heavy: Option<(f64, f64)>) -> Span {
-        let mut rng = Rng::stream(self.seed, "work", first_try(id));
+        let mut rng = Rng::stream(self.seed, "work", first_request_id(id));
         let size = f64::from(self.units(id)) / self.mean_units;
         let from_units = self.units_cv2();
         // What the units do not account for of the class's spread.
@@ -99,17 +99,18 @@
     #[test]
     fn means_are_those_of_the_class_and_tries_of_one_thing_are_alike() {
         let traffic = Traffic::default();
-        let draws = Draws::new(3, &traffic);
+        let draws = RequestSampler::new(3, &traffic);
         let class = &Site::default().classes[0];
         let all = 1..50_000_u64;
-        let mean = |of: &dyn Fn(u64) -> f64| all.clone().map(|n| of(id(n, 0))).sum::<f64>() / 49_999.0;
+        let mean =
+            |of: &dyn Fn(u64) -> f64| all.clone().map(|n| of(request_id(n, 0))).sum::<f64>() / 49_999.0;
         assert!((mean(&|id| f64::from(draws.units(id))) / draws.mean_units() - 1.0).abs() < 0.02);
         let work = mean(&|id| draws.work(id, class, None) as f64);
         assert!((work / class.work as f64 - 1.0).abs() < 0.02, "{work}");
         let heavy = mean(&|id| draws.work(id, class, Some((0.1, 11.0))) as f64);
         assert!((heavy / work - 2.0).abs() < 0.15, "{heavy}");
-        assert_eq!(draws.work(id(7, 0), class, None), draws.work(id(7, 3), class, None));
-        assert_eq!(first_try(id(7, 3)), id(7, 0));
-        assert!(all.clone().all(|n| (1..=6).contains(&draws.guess(id(n, 0)))));
+        assert_eq!(draws.work(request_id(7, 0), class, None), draws.work(request_id(7, 3), class, None));
+        assert_eq!(first_request_id(request_id(7, 3)), request_id(7, 0));
+        assert!(all.clone().all(|n| (1..=6).contains(&draws.estimated_units(request_id(n, 0)))));
     }
 }
--- a/crates/cluster-model/src/scenario.rs
+++ b/crates/cluster-model/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario: a site, its traffic, and what happens to it when.
 
-use crate::seen::Told;
+use crate::observation::Lifecycle;
 use crate::{Span, Time, MS, SECOND};
 
 /// A whole rehearsal.
@@ -46,7 +46,7 @@
     /// Clients have got their n-th whole answer from this gateway.
     Answer(u32, u32),
     /// Discovery has written to this gateway that this host is in this state.
-    Told(u32, u32, Told),
+    Told(u32, u32, Lifecycle),
     /// This host is told to drain.
     Drains(u32),
     /// A process of this gateway has started (true), or ended.
--- a/crates/cluster-model/src/settings.rs
+++ b/crates/cluster-model/src/settings.rs
@@ -9,7 +9,7 @@
 /// A connection that is not up by then counts as failed.
 pub const DIAL_TIMEOUT: Span = 250 * MS;
 /// Requests that a connection to a host carries at once.
-pub const STREAMS: u32 = 1;
+pub const STREAMS_PER_CONNECTION: u32 = 1;
 
 /// The settings of a gateway, numbered from 0.
 ///
@@ -17,7 +17,7 @@
 /// does not speak of (prices, weights of the result, CPU) is as at `iasi-park`.
 pub fn settings(scenario: &Scenario, gateway: u32) -> Value {
     let (site, traffic) = (&scenario.site, &scenario.traffic);
-    let buildings: Vec<String> = (0..site.buildings).map(building).collect();
+    let buildings: Vec<String> = (0..site.buildings).map(zone_name).collect();
     let classes: Vec<Value> = site.classes.iter().map(class).collect();
     let plans: Vec<Value> = site.plans.iter().map(plan).collect();
     json!({
@@ -66,7 +66,7 @@
 }
 
 /// The name of a building, numbered from 0, as discovery and the settings give it.
-pub fn building(number: u32) -> String {
+pub fn zone_name(number: u32) -> String {
     format!("building-{}", number + 1)
 }
 
@@ -81,7 +81,7 @@
         "max-attempts": site.max_attempts,
         "max-open": 20_000,
         "max-retry-after": site.retry_after.unwrap_or(0),
-        "max-streams": STREAMS,
+        "max-streams": STREAMS_PER_CONNECTION,
         "may-duplicate": site.second_copies,
         "peer-messages": false,
         "probes": false,
@@ -132,7 +132,7 @@
 
 /// What is a gateway's own at one start of its process.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct GatewayStart {
     /// Its name, the same after a restart.
     pub name: String,
     /// Where clients connect.
@@ -144,11 +144,11 @@
     /// For random numbers, new with each start.
     pub seed: u64,
     /// The list of hosts as it last had it, in discovery's form.
-    pub known: Value,
+    pub known_endpoints: Value,
 }
 
 /// The configuration document of a gateway, numbered from 0.
-pub fn document(scenario: &Scenario, gateway: u32, start: &Start) -> Value {
+pub fn config_document(scenario: &Scenario, gateway: u32, start: &GatewayStart) -> Value {
     let site = &scenario.site;
     let mut document = json!({
         "name": start.name,
@@ -156,7 +156,7 @@
         "discovery": start.discovery.to_string(),
         "seed": format!("{:016x}", start.seed),
         "limits": {"cores": 1.0, "memory_mb": site.memory_mb, "sockets": site.sockets},
-        "known": start.known,
+        "known": start.known_endpoints,
         "settings": settings(scenario, gateway),
     });
     if site.counter.on {
--- a/crates/cluster-model/src/traffic.rs
+++ b/crates/cluster-model/src/traffic.rs
@@ -1,19 +1,19 @@
-//! What clients do: who asks for what and when ([`Arrivals`]), through which gateway ([`Deal`]), and what a
-//! client does with the answer that it gets ([`Behaviour`]).
+//! What clients do: who asks for what and when ([`Arrivals`]), through which gateway ([`GatewaySelector`]), and what a
+//! client does with the answer that it gets ([`ClientBehaviour`]).
 //!
 //! Each customer asks on its own, by a Poisson stream whose rate changes with its spells. Each stream of
 //! chance belongs to one customer or one thing asked for, so that neither the order of events nor a window of
-//! [`Scale`] changes what is drawn for anything else.
+//! [`TrafficWindow`] changes what is drawn for anything else.
 
 mod arrivals;
 mod behaviour;
 mod customers;
-mod deal;
-mod scale;
+mod gateway_selector;
 mod spells;
+mod traffic_window;
 
-pub use arrivals::{Arrival, Arrivals, LANE_BITS};
-pub use behaviour::{Again, Behaviour, Ended};
+pub use arrivals::{Arrival, Arrivals, OPERATION_INDEX_BITS};
+pub use behaviour::{ClientBehaviour, RequestOutcome, Retry};
 pub use customers::PlanRates;
-pub use deal::{Deal, Lean};
-pub use scale::Scale;
+pub use gateway_selector::{BuildingBias, GatewaySelector};
+pub use traffic_window::TrafficWindow;
--- a/crates/cluster-model/src/traffic/arrivals.rs
+++ b/crates/cluster-model/src/traffic/arrivals.rs
@@ -1,10 +1,10 @@
 //! Who asks for what, and when.
 
 use super::customers::{self, Customer, PlanRates};
-use super::scale::{self, Scale};
 use super::spells::Spells;
-use super::{Deal, Lean};
-use crate::draw::Draws;
+use super::traffic_window::{self as scale, TrafficWindow};
+use super::{BuildingBias, GatewaySelector};
+use crate::requests::RequestSampler;
 use crate::rng::Rng;
 use crate::scenario::{Site, Traffic};
 use crate::{Span, SECOND};
@@ -13,7 +13,7 @@
 
 /// Bits of a thing's number that count. The bits above them are 0 for the usual traffic, and name the window,
 /// from 1, of what comes on top: a window renumbers nothing.
-pub const LANE_BITS: u32 = 40;
+pub const OPERATION_INDEX_BITS: u32 = 40;
 
 /// Somebody asks for something.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,8 +21,8 @@
     /// When, from the first moment of the traffic.
     pub at: Span,
     /// Its number: from 1 in the order of time, with holes where a window takes traffic away. What a window
-    /// adds is counted in a range of its own, see [`LANE_BITS`].
-    pub thing: u64,
+    /// adds is counted in a range of its own, see [`OPERATION_INDEX_BITS`].
+    pub operation: u64,
     /// Who asks.
     pub customer: u64,
     /// Position of its plan in the site.
@@ -30,9 +30,9 @@
     /// Position of the class in the site.
     pub class: u32,
     /// Gateways in the customer's set.
-    pub spread: u32,
+    pub gateway_set_size: u32,
     /// The first of them; the others follow in a row, counted round.
-    pub first: u32,
+    pub first_gateway: u32,
     /// The one that this comes through, if it is up.
     pub gateway: u32,
 }
@@ -76,7 +76,7 @@
     }
 
     /// When this stream's next request comes.
-    fn next(&mut self, of: &Customer, scales: &[Scale]) -> Option<Span> {
+    fn next(&mut self, of: &Customer, scales: &[TrafficWindow]) -> Option<Span> {
         let Some(window) = (self.lane as usize).checked_sub(1).and_then(|n| scales.get(n)) else {
             return self.step(of, 1.0);
         };
@@ -97,18 +97,18 @@
     rates: Vec<PlanRates>,
     flows: Vec<Flow>,
     due: BinaryHeap<Reverse<(Span, usize)>>,
-    scales: Vec<Scale>,
+    scales: Vec<TrafficWindow>,
     /// Requests so far, by lane.
     counts: Vec<u64>,
     /// Shares of the classes.
     classes: Vec<f64>,
-    deal: Deal,
+    deal: GatewaySelector,
 }
 
 impl Arrivals {
     /// The usual traffic of a site.
     pub fn new(site: &Site, traffic: &Traffic, seed: u64) -> Arrivals {
-        let mean_units = Draws::new(seed, traffic).mean_units();
+        let mean_units = RequestSampler::new(seed, traffic).mean_units();
         let (customers, rates) = customers::make(site, traffic, mean_units, seed);
         let mut arrivals = Arrivals {
             seed,
@@ -119,7 +119,7 @@
             scales: Vec::new(),
             counts: Vec::new(),
             classes: site.classes.iter().map(|class| class.share.max(0.0)).collect(),
-            deal: Deal::new(site, traffic, seed),
+            deal: GatewaySelector::new(site, traffic, seed),
         };
         arrivals.open_lane(0);
         arrivals
@@ -127,7 +127,7 @@
 
     /// The same with windows of more or less traffic, before anything has been asked for. What comes outside
     /// the windows stays as it is.
-    pub fn scaled(mut self, scales: &[Scale]) -> Arrivals {
+    pub fn with_windows(mut self, scales: &[TrafficWindow]) -> Arrivals {
         for scale in scales {
             self.scales.push(*scale);
             self.open_lane(scale.from);
@@ -136,8 +136,8 @@
     }
 
     /// The same, leaning to a building now and then.
-    pub fn leaning(self, leans: &[Lean]) -> Arrivals {
-        Arrivals { deal: self.deal.leaning(leans), ..self }
+    pub fn with_biases(self, leans: &[BuildingBias]) -> Arrivals {
+        Arrivals { deal: self.deal.with_biases(leans), ..self }
     }
 
     /// Starts a stream of each customer, for the usual traffic or for the newest window.
@@ -162,7 +162,7 @@
     }
 
     /// How many times the usual traffic there is at that time.
-    pub fn factor(&self, at: Span) -> f64 {
+    pub fn traffic_factor(&self, at: Span) -> f64 {
         scale::factor(&self.scales, at)
     }
 
@@ -185,15 +185,15 @@
     fn arrival(&self, at: Span, thing: u64, customer: &Customer) -> Arrival {
         let mut arrival = Arrival {
             at,
-            thing,
+            operation: thing,
             customer: customer.number,
             plan: customer.plan,
             class: self.class(thing),
-            spread: customer.spread,
-            first: customer.first,
+            gateway_set_size: customer.spread,
+            first_gateway: customer.first,
             gateway: customer.first,
         };
-        arrival.gateway = self.deal.pick(&arrival, 0, at, |_| true).unwrap_or(customer.first);
+        arrival.gateway = self.deal.select(&arrival, 0, at, |_| true).unwrap_or(customer.first);
         arrival
     }
 }
@@ -210,7 +210,7 @@
             }
             let count = &mut self.counts[lane as usize];
             *count += 1;
-            let thing = u64::from(lane) << LANE_BITS | *count;
+            let thing = u64::from(lane) << OPERATION_INDEX_BITS | *count;
             if self.is_kept(thing, at) {
                 return Some(self.arrival(at, thing, &self.customers[customer]));
             }
--- a/crates/cluster-model/src/traffic/customers.rs
+++ b/crates/cluster-model/src/traffic/customers.rs
@@ -34,9 +34,9 @@
     /// How many there are.
     pub customers: u32,
     /// Units a second inside their quotas.
-    pub inside: f64,
+    pub within_quota: f64,
     /// Units a second beyond them.
-    pub beyond: f64,
+    pub beyond_quota: f64,
 }
 
 /// A customer before all are known.
@@ -88,18 +88,18 @@
     for draft in &drafts {
         let (sum, rate) = (&mut rates[draft.plan], site.plans[draft.plan].rate);
         sum.customers += 1;
-        sum.inside += rate * draft.inside();
-        sum.beyond += rate * draft.beyond();
+        sum.within_quota += rate * draft.inside();
+        sum.beyond_quota += rate * draft.beyond();
     }
     let excess = excess_kept(&rates, traffic.most_excess);
-    rates.iter_mut().for_each(|sum| sum.beyond *= excess);
+    rates.iter_mut().for_each(|sum| sum.beyond_quota *= excess);
     (finish(site, &drafts, excess, mean_units, seed), rates)
 }
 
 /// Share of what would be asked beyond quotas that the bound leaves.
 fn excess_kept(rates: &[PlanRates], most: f64) -> f64 {
-    let inside: f64 = rates.iter().map(|sum| sum.inside).sum();
-    let beyond: f64 = rates.iter().map(|sum| sum.beyond).sum();
+    let inside: f64 = rates.iter().map(|sum| sum.within_quota).sum();
+    let beyond: f64 = rates.iter().map(|sum| sum.beyond_quota).sum();
     let most = most.max(0.0) * inside;
     if beyond > most {
         most / beyond
--- a/crates/cluster-model/src/traffic/scale.rs
+++ b/crates/cluster-model/src/traffic/traffic_window.rs
@@ -5,7 +5,7 @@
 
 /// Traffic is `factor` times the usual in a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Scale {
+pub struct TrafficWindow {
     /// Begins.
     pub from: Span,
     /// Is over.
@@ -13,16 +13,19 @@
     /// How many times.
     pub factor: f64,
     /// It rises evenly over this span at the beginning, and falls over as much at the end.
-    pub rise: Span,
+    pub ramp: Span,
 }
 
-impl Scale {
+impl TrafficWindow {
     /// The windows of a scenario.
-    pub fn of(events: &[Timed]) -> Vec<Scale> {
+    pub fn from_events(events: &[Timed]) -> Vec<TrafficWindow> {
         let window = |timed: &Timed| match timed.event {
-            Event::Traffic(factor, length, rise) => {
-                Some(Scale { from: timed.at, until: timed.at.saturating_add(length), factor, rise })
-            }
+            Event::Traffic(factor, length, rise) => Some(TrafficWindow {
+                from: timed.at,
+                until: timed.at.saturating_add(length),
+                factor,
+                ramp: rise,
+            }),
             _ => None,
         };
         events.iter().filter_map(window).collect()
@@ -33,7 +36,7 @@
         if at < self.from || at >= self.until {
             return 0.0;
         }
-        let rise = self.rise.min((self.until - self.from) / 2);
+        let rise = self.ramp.min((self.until - self.from) / 2);
         if rise == 0 {
             return 1.0;
         }
@@ -58,12 +61,12 @@
 }
 
 /// How many times the usual traffic there is: rises add up, falls multiply.
-pub(super) fn factor(scales: &[Scale], at: Span) -> f64 {
+pub(super) fn factor(scales: &[TrafficWindow], at: Span) -> f64 {
     let more: f64 = scales.iter().map(|scale| scale.more(at)).sum();
     (1.0 + more) * left(scales, at)
 }
 
 /// Share of the traffic that is left by all windows.
-pub(super) fn left(scales: &[Scale], at: Span) -> f64 {
+pub(super) fn left(scales: &[TrafficWindow], at: Span) -> f64 {
     scales.iter().map(|scale| scale.left(at)).product()
 }
--- a/crates/cluster-model/tests/counter.rs
+++ b/crates/cluster-model/tests/counter.rs
@@ -1,6 +1,8 @@
 //! The counter: its lines of calls, its totals, and each of its ways to fail.
 
-use cluster_model::counter::{Amount, Counter, End, Settled, Taken, Ticket, LONGEST_LIFE};
+use cluster_model::counter::{
+    Amount, CallAdmission, CallId, CallOutcome, Counter, FinishedCall, MAX_NAME_LIFETIME,
+};
 use cluster_model::scenario::{CounterFault, CounterSpec};
 use cluster_model::{Span, Time, MS, SECOND};
 
@@ -16,17 +18,17 @@
 }
 
 /// A call that finds room.
-fn call(counter: &mut Counter, now: Time, gateway: u32, name: &str, added: &str) -> Ticket {
+fn call(counter: &mut Counter, now: Time, gateway: u32, name: &str, added: &str) -> CallId {
     match counter.call(now, gateway, name.as_bytes(), amount(added), LIFE) {
-        Taken::Waiting(ticket) => ticket,
+        CallAdmission::Accepted(ticket) => ticket,
         other => panic!("not taken in: {other:?}"),
     }
 }
 
 /// Lets time pass, step by step as a driver would.
-fn pass(counter: &mut Counter, until: Time) -> Vec<Settled> {
+fn pass(counter: &mut Counter, until: Time) -> Vec<FinishedCall> {
     let mut settled = Vec::new();
-    while let Some(due) = counter.next_due().filter(|due| *due <= until) {
+    while let Some(due) = counter.next_event().filter(|due| *due <= until) {
         settled.extend(counter.advance(due));
     }
     settled.extend(counter.advance(until));
@@ -42,11 +44,14 @@
     let mut counter = counter();
     let ticket = call(&mut counter, START, 0, "a", "2.5");
     assert_eq!(total(&counter, START, "a"), Some(amount("2.5")));
-    assert_eq!(counter.next_due(), Some(START + MS));
+    assert_eq!(counter.next_event(), Some(START + MS));
     assert!(counter.advance(START + MS - 1).is_empty());
     let settled = counter.advance(START + MS);
-    assert_eq!(settled, [Settled { ticket, at: START + MS, end: End::Total(amount("2.5")) }]);
-    assert_eq!(counter.next_due(), None);
+    assert_eq!(
+        settled,
+        [FinishedCall { call: ticket, at: START + MS, outcome: CallOutcome::Replied(amount("2.5")) }]
+    );
+    assert_eq!(counter.next_event(), None);
 }
 
 #[test]
@@ -57,9 +62,9 @@
     assert_eq!(total(&counter, START + LIFE - 1, "a"), Some(amount("2")));
     assert_eq!(total(&counter, START + LIFE, "a"), None, "later calls do not extend a life");
     let again = START + LIFE;
-    counter.call(again, 0, b"a", amount("5"), 10 * LONGEST_LIFE);
+    counter.call(again, 0, b"a", amount("5"), 10 * MAX_NAME_LIFETIME);
     assert_eq!(total(&counter, again, "a"), Some(amount("5")), "it starts anew");
-    assert_eq!(total(&counter, again + LONGEST_LIFE, "a"), None);
+    assert_eq!(total(&counter, again + MAX_NAME_LIFETIME, "a"), None);
 }
 
 #[test]
@@ -67,7 +72,7 @@
     let mut counter = counter();
     for n in 0..5000_u64 {
         counter.call(START + n * 10 * MS, 0, format!("{n}").as_bytes(), amount("1"), SECOND);
-        assert!(counter.distinct(START + n * 10 * MS) <= 100);
+        assert!(counter.name_count(START + n * 10 * MS) <= 100);
     }
     let memory = format!("{counter:?}").matches("Entry").count();
     assert!(memory <= 200, "{memory} entries are kept for 100 names");
@@ -79,7 +84,7 @@
     let mut counter = Counter::new(&spec, 5);
     let taken: Vec<bool> = (0..400)
         .map(|n| counter.call(START + n * 5 * MS, 0, b"a", amount("1"), LIFE))
-        .map(|taken| matches!(taken, Taken::Waiting(_)))
+        .map(|taken| matches!(taken, CallAdmission::Accepted(_)))
         .collect();
     assert!(taken[..20].iter().all(|taken| *taken), "the line has room at first");
     let late = taken[200..].iter().filter(|taken| **taken).count();
@@ -109,29 +114,29 @@
     call(&mut counter, START, 0, "a", "1");
     pass(&mut counter, START + SECOND);
     let (lost, back) = (START + SECOND, START + 3 * SECOND);
-    counter.fail(lost, CounterFault::Lost, back);
-    assert!(counter.lost());
-    assert_eq!(counter.resets(), 1);
-    assert_eq!(counter.call(back - 1, 0, b"a", amount("1"), LIFE), Taken::Lost);
-    assert_eq!(counter.next_due(), Some(back));
+    counter.inject_fault(lost, CounterFault::Lost, back);
+    assert!(counter.is_unreachable());
+    assert_eq!(counter.connection_resets(), 1);
+    assert_eq!(counter.call(back - 1, 0, b"a", amount("1"), LIFE), CallAdmission::Unreachable);
+    assert_eq!(counter.next_event(), Some(back));
     call(&mut counter, back, 0, "a", "1");
-    assert!(!counter.lost());
+    assert!(!counter.is_unreachable());
     assert_eq!(total(&counter, back, "a"), Some(amount("2")));
 }
 
 #[test]
 fn a_flapping_counter_is_lost_and_back_by_turns() {
     let mut counter = counter();
-    counter.fail(START, CounterFault::Flapping(SECOND), START + 5 * SECOND);
+    counter.inject_fault(START, CounterFault::Flapping(SECOND), START + 5 * SECOND);
     let lost: Vec<bool> = (0..7)
         .map(|n| {
             counter.advance(START + n * SECOND);
-            counter.lost()
+            counter.is_unreachable()
         })
         .collect();
     assert_eq!(lost, [true, false, true, false, true, false, false]);
-    assert_eq!(counter.resets(), 3);
-    assert_eq!(counter.next_due(), None);
+    assert_eq!(counter.connection_resets(), 3);
+    assert_eq!(counter.next_event(), None);
 }
 
 #[test]
@@ -139,38 +144,41 @@
     let mut counter = Counter::new(&CounterSpec { parts: 1, ..CounterSpec::default() }, 5);
     let first = call(&mut counter, START, 0, "a", "1");
     let waits = call(&mut counter, START, 0, "a", "1");
-    counter.fail(START, CounterFault::Silent, START + SECOND);
+    counter.inject_fault(START, CounterFault::Silent, START + SECOND);
     let within = call(&mut counter, START, 0, "a", "1");
-    let ends: Vec<_> = pass(&mut counter, START + 2 * SECOND).iter().map(|s| (s.ticket, s.end)).collect();
-    assert_eq!(ends, [(within, End::Dropped), (first, End::Unsaid), (waits, End::Dropped)]);
+    let ends: Vec<_> = pass(&mut counter, START + 2 * SECOND).iter().map(|s| (s.call, s.outcome)).collect();
+    assert_eq!(
+        ends,
+        [(within, CallOutcome::Dropped), (first, CallOutcome::NoReply), (waits, CallOutcome::Dropped)]
+    );
     assert_eq!(total(&counter, START + 2 * SECOND, "a"), Some(amount("1")));
 }
 
 #[test]
 fn a_mute_counter_adds_and_says_nothing() {
     let mut counter = counter();
-    counter.fail(START, CounterFault::Mute, START + SECOND);
+    counter.inject_fault(START, CounterFault::Mute, START + SECOND);
     let ticket = call(&mut counter, START, 0, "a", "1");
     let settled = pass(&mut counter, START + 2 * SECOND);
-    assert_eq!(settled, [Settled { ticket, at: START, end: End::Unsaid }]);
+    assert_eq!(settled, [FinishedCall { call: ticket, at: START, outcome: CallOutcome::NoReply }]);
     assert_eq!(total(&counter, START + 2 * SECOND, "a"), Some(amount("1")));
 }
 
 #[test]
 fn a_slow_counter_adds_at_once_and_answers_in_the_order_of_the_calls() {
     let mut counter = counter();
-    counter.fail(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
-    let calls: Vec<(Time, Ticket)> = (0..200)
+    counter.inject_fault(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
+    let calls: Vec<(Time, CallId)> = (0..200)
         .map(|n| START + n * 10 * MS)
         .map(|at| (at, call(&mut counter, at, (at % 3) as u32, "a", "1")))
         .collect();
     let last = calls[199].0;
     assert_eq!(total(&counter, last, "a"), Some(amount("200")));
     let settled = pass(&mut counter, START + 10 * SECOND);
-    let order: Vec<Ticket> = settled.iter().map(|s| s.ticket).collect();
+    let order: Vec<CallId> = settled.iter().map(|s| s.call).collect();
     assert_eq!(order, calls.iter().map(|(_, ticket)| *ticket).collect::<Vec<_>>());
-    let told: Vec<End> = (1..=200).map(|n| End::Total(amount(&n.to_string()))).collect();
-    assert_eq!(settled.iter().map(|s| s.end).collect::<Vec<_>>(), told);
+    let told: Vec<CallOutcome> = (1..=200).map(|n| CallOutcome::Replied(amount(&n.to_string()))).collect();
+    assert_eq!(settled.iter().map(|s| s.outcome).collect::<Vec<_>>(), told);
     let took: Vec<Span> = settled.iter().zip(&calls).map(|(s, (at, _))| s.at - at).collect();
     assert!(took.iter().all(|took| (80 * MS..=500 * MS).contains(took)), "{took:?}");
     assert!(took.iter().min() < took.iter().max());
@@ -179,23 +187,23 @@
 #[test]
 fn a_slow_answer_holds_up_no_other_names() {
     let mut counter = counter();
-    counter.fail(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
+    counter.inject_fault(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
     let calls = 0..100_u64;
     calls.for_each(|n| {
         call(&mut counter, START + n * 10 * MS, 0, &format!("{n}"), "1");
     });
     let settled = pass(&mut counter, START + 10 * SECOND);
-    assert!(settled.windows(2).any(|pair| pair[0].ticket > pair[1].ticket), "draws differ");
+    assert!(settled.windows(2).any(|pair| pair[0].call > pair[1].call), "draws differ");
 }
 
 #[test]
 fn a_full_counter_refuses_and_serves_what_waits() {
     let mut counter = counter();
     let ticket = call(&mut counter, START, 0, "a", "1");
-    counter.fail(START, CounterFault::Full, START + SECOND);
-    assert_eq!(counter.call(START, 0, b"a", amount("1"), LIFE), Taken::Refused);
+    counter.inject_fault(START, CounterFault::Full, START + SECOND);
+    assert_eq!(counter.call(START, 0, b"a", amount("1"), LIFE), CallAdmission::Rejected);
     let settled = pass(&mut counter, START + SECOND - 1);
-    assert_eq!((settled.len(), settled[0].ticket), (1, ticket));
+    assert_eq!((settled.len(), settled[0].call), (1, ticket));
     call(&mut counter, START + SECOND, 0, "a", "1");
     assert_eq!(total(&counter, START + SECOND, "a"), Some(amount("2")));
 }
@@ -206,11 +214,15 @@
     let added = call(&mut counter, START, 0, "a", "1");
     let waits = call(&mut counter, START, 0, "a", "1");
     let now = START + MS / 2;
-    counter.fail(now, CounterFault::Fresh, START + SECOND);
-    assert!(!counter.lost());
-    assert_eq!((counter.resets(), counter.distinct(now)), (1, 0));
-    let ends: Vec<_> = pass(&mut counter, now).iter().map(|s| (s.ticket, s.end)).collect();
-    assert_eq!(ends, [(added, End::Unsaid), (waits, End::Dropped)], "they went with the old one");
+    counter.inject_fault(now, CounterFault::Fresh, START + SECOND);
+    assert!(!counter.is_unreachable());
+    assert_eq!((counter.connection_resets(), counter.name_count(now)), (1, 0));
+    let ends: Vec<_> = pass(&mut counter, now).iter().map(|s| (s.call, s.outcome)).collect();
+    assert_eq!(
+        ends,
+        [(added, CallOutcome::NoReply), (waits, CallOutcome::Dropped)],
+        "they went with the old one"
+    );
     call(&mut counter, now, 0, "a", "3");
     assert_eq!(total(&counter, now, "a"), Some(amount("3")));
     assert_eq!(pass(&mut counter, START + 2 * SECOND).len(), 1);
@@ -220,8 +232,8 @@
 fn told(counter: &mut Counter, now: Time, gateway: u32, name: &str, added: &str) -> Amount {
     let ticket = call(counter, now, gateway, name, added);
     let settled = pass(counter, now + 10 * MS);
-    match settled.iter().find(|s| s.ticket == ticket).map(|s| s.end) {
-        Some(End::Total(total)) => total,
+    match settled.iter().find(|s| s.call == ticket).map(|s| s.outcome) {
+        Some(CallOutcome::Replied(total)) => total,
         other => panic!("no total: {other:?}"),
     }
 }
@@ -232,7 +244,7 @@
     call(&mut counter, START, 0, "old", "10");
     call(&mut counter, START, 0, "untouched", "7");
     let (split, healed) = (START + SECOND, START + 5 * SECOND);
-    counter.fail(split, CounterFault::Split(vec![vec![1], vec![2, 3]]), healed);
+    counter.inject_fault(split, CounterFault::Split(vec![vec![1], vec![2, 3]]), healed);
     let later = split + SECOND;
     assert_eq!(told(&mut counter, later, 0, "old", "1"), amount("11"));
     assert_eq!(told(&mut counter, later, 1, "old", "2"), amount("12"));
@@ -255,7 +267,7 @@
     let mut counter = counter();
     call(&mut counter, START, 0, "a", "10");
     let (split, healed) = (START + LIFE - SECOND, START + LIFE + 5 * SECOND);
-    counter.fail(split, CounterFault::Split(vec![vec![1], vec![2]]), healed);
+    counter.inject_fault(split, CounterFault::Split(vec![vec![1], vec![2]]), healed);
     call(&mut counter, split, 0, "a", "1");
     call(&mut counter, START + LIFE, 0, "a", "2");
     call(&mut counter, START + LIFE + SECOND, 1, "a", "3");
@@ -267,18 +279,18 @@
 fn a_second_split_ends_the_first_and_healing_ends_all() {
     let mut counter = counter();
     let until = START + 60 * SECOND;
-    counter.fail(START, CounterFault::Split(vec![vec![1], vec![2]]), START + 10 * SECOND);
+    counter.inject_fault(START, CounterFault::Split(vec![vec![1], vec![2]]), START + 10 * SECOND);
     call(&mut counter, START, 0, "a", "1");
     call(&mut counter, START, 1, "a", "2");
-    counter.fail(START + SECOND, CounterFault::Split(vec![vec![1, 2]]), until);
+    counter.inject_fault(START + SECOND, CounterFault::Split(vec![vec![1, 2]]), until);
     assert_eq!(told(&mut counter, START + 11 * SECOND, 1, "a", "0"), amount("3"), "the first is over");
     assert_eq!(told(&mut counter, START + 12 * SECOND, 5, "a", "1"), amount("4"));
-    counter.fail(START + 13 * SECOND, CounterFault::Lost, until);
-    counter.fail(START + 13 * SECOND, CounterFault::Full, until);
-    counter.heal(START + 14 * SECOND);
-    assert!(!counter.lost());
+    counter.inject_fault(START + 13 * SECOND, CounterFault::Lost, until);
+    counter.inject_fault(START + 13 * SECOND, CounterFault::Full, until);
+    counter.clear_faults(START + 14 * SECOND);
+    assert!(!counter.is_unreachable());
     assert_eq!(told(&mut counter, START + 14 * SECOND, 0, "a", "0"), amount("4"));
-    assert_eq!(counter.next_due(), None);
+    assert_eq!(counter.next_event(), None);
 }
 
 #[test]
@@ -287,16 +299,19 @@
     call(&mut counter, START, 0, "a", "1");
     let waits = call(&mut counter, START, 0, "a", "1");
     let turn = START + libm::round(1e9 / 870.0) as Time;
-    counter.fail(turn, CounterFault::Silent, turn + SECOND);
+    counter.inject_fault(turn, CounterFault::Silent, turn + SECOND);
     let settled = pass(&mut counter, turn);
-    assert!(settled.contains(&Settled { ticket: waits, at: turn, end: End::Dropped }), "{settled:?}");
+    assert!(
+        settled.contains(&FinishedCall { call: waits, at: turn, outcome: CallOutcome::Dropped }),
+        "{settled:?}"
+    );
 }
 
 #[test]
 fn the_same_seed_gives_the_same_answers() {
     let run = |seed| {
         let mut counter = Counter::new(&CounterSpec::default(), seed);
-        counter.fail(START, CounterFault::Slow(80 * MS, 500 * MS), START + SECOND);
+        counter.inject_fault(START, CounterFault::Slow(80 * MS, 500 * MS), START + SECOND);
         (0..50).for_each(|n| {
             call(&mut counter, START + n * MS * 10, 0, &format!("{n}"), "1");
         });
--- a/crates/cluster-model/tests/file.rs
+++ b/crates/cluster-model/tests/file.rs
@@ -321,7 +321,7 @@
 
 #[test]
 fn signs_are_read_and_written_alike_and_come_by_the_end() {
-    use cluster_model::seen::Told::{Draining, Gone, InService};
+    use cluster_model::observation::Lifecycle::{Draining, InService, Removed};
     let signs = [
         ("call 100 from gateway 1 to the counter", Sign::CounterCall(1, 100)),
         ("call 5 from gateway 1 to host 3", Sign::HostCall(1, Some(3), 5)),
@@ -329,7 +329,7 @@
         ("call 50 from the clients to gateway 2", Sign::Request(2, 50)),
         ("answer 50 from gateway 2 to the clients", Sign::Answer(2, 50)),
         ("gateway 1 is told that host 3 drains", Sign::Told(1, 3, Draining)),
-        ("gateway 1 is told that host 3 is gone", Sign::Told(1, 3, Gone)),
+        ("gateway 1 is told that host 3 is gone", Sign::Told(1, 3, Removed)),
         ("gateway 1 is told that host 3 is there", Sign::Told(1, 3, InService)),
         ("host 3 is told to drain", Sign::Drains(3)),
         ("gateway 2 ends", Sign::Gateway(2, false)),
--- a/crates/cluster-model/tests/settings.rs
+++ b/crates/cluster-model/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use cluster_model::file::parse;
 use cluster_model::scenario::{Effect, Scenario};
-use cluster_model::settings::{building, document, machine_type, settings, Start};
+use cluster_model::settings::{config_document, machine_type, settings, zone_name, GatewayStart};
 use cluster_model::{MS, SECOND};
 use platform_settings::PlatformSettings;
 use serde_json::{json, Value};
@@ -46,7 +46,7 @@
     assert!(site.settings.may_cancel && !site.settings.must_subscribe && !site.responses_carry_reports);
     assert_eq!(
         (site.zone_names, site.machine_types),
-        (vec![building(0), building(1)], vec![machine_type(&scenario)])
+        (vec![zone_name(0), zone_name(1)], vec![machine_type(&scenario)])
     );
 }
 
@@ -81,7 +81,7 @@
     assert_eq!(told(&scenario, 0).settings.max_retry_after, None);
     scenario.site.counter.on = false;
     assert!(!told(&scenario, 0).settings.has_counter);
-    assert_eq!(document(&scenario, 0, &start()).get("counter"), None);
+    assert_eq!(config_document(&scenario, 0, &start()).get("counter"), None);
 }
 
 #[test]
@@ -124,14 +124,14 @@
     assert_eq!(told["rules"]["drain-grace"], json!(250_000_000_u64));
 }
 
-fn start() -> Start {
-    Start {
+fn start() -> GatewayStart {
+    GatewayStart {
         name: "gateway-2".into(),
         listen: ([127, 0, 0, 1], 7002).into(),
         discovery: ([127, 0, 0, 1], 8500).into(),
         counter: ([127, 0, 0, 1], 6400).into(),
         seed: 0x5e,
-        known: json!({"generation": 0, "reset": true, "instances": []}),
+        known_endpoints: json!({"generation": 0, "reset": true, "instances": []}),
     }
 }
 
@@ -148,5 +148,5 @@
         "known": {"generation": 0, "reset": true, "instances": []},
         "settings": settings(&scenario, 1),
     });
-    assert_eq!(document(&scenario, 1, &start()), wanted);
+    assert_eq!(config_document(&scenario, 1, &start()), wanted);
 }
--- a/crates/fake-services/src/agent.rs
+++ b/crates/fake-services/src/agent.rs
@@ -5,9 +5,9 @@
 
 use crate::Recorder;
 use bytes::BytesMut;
-use cluster_model::agent::{Entry, Line, Member, Notice, Registry, Watch};
+use cluster_model::agent::{Detection, DiscoveryMessage, Endpoint, EndpointStatus, Registry, Watch};
+use cluster_model::observation::ObservationKind;
 use cluster_model::scenario::DiscoveryFault;
-use cluster_model::seen::What;
 use cluster_model::MS;
 use http::Request;
 use runtime::{Env, Listener, Span, Stream, Task, Time, Writer};
@@ -43,50 +43,50 @@
         SharedRegistry(Arc::new(Inner { registry, recorder, stirred: Notify::new() }))
     }
 
-    /// See [`Registry::change`].
-    pub fn change(&self, now: Time, member: Member, notice: Notice) -> u64 {
-        let generation = self.lock().change(now, member, notice);
+    /// See [`Registry::update`].
+    pub fn change(&self, now: Time, member: Endpoint, notice: Detection) -> u64 {
+        let generation = self.lock().update(now, member, notice);
         self.0.stirred.notify_waiters();
         generation
     }
 
-    /// It fails for so many nanoseconds, see [`Registry::fail`].
+    /// It fails for so many nanoseconds, see [`Registry::inject_fault`].
     pub fn fail(&self, now: Time, fault: DiscoveryFault, span: Span) {
-        self.lock().fail(now, fault, now.saturating_add(span));
+        self.lock().inject_fault(now, fault, now.saturating_add(span));
         self.0.stirred.notify_waiters();
     }
 
     /// All faults are over.
     pub fn heal(&self) {
-        self.lock().heal();
+        self.lock().clear_faults();
         self.0.stirred.notify_waiters();
     }
 
     /// All hosts as they are, by number.
-    pub fn members(&self) -> Vec<Member> {
-        self.lock().members().into_iter().cloned().collect()
+    pub fn members(&self) -> Vec<Endpoint> {
+        self.lock().endpoints().into_iter().cloned().collect()
     }
 
     /// The list that a gateway's agent has at this time, if it is not silent.
-    pub fn list(&self, now: Time, gateway: u32) -> Option<Line> {
-        self.hear(now, gateway).list(now, gateway)
+    pub fn list(&self, now: Time, gateway: u32) -> Option<DiscoveryMessage> {
+        self.hear(now, gateway).endpoint_list(now, gateway)
     }
 
     /// This has been written to a gateway, or into its configuration.
-    pub fn told(&self, now: Time, gateway: u32, line: &Line) {
-        for Entry { host, state, started } in line.told.iter().copied() {
-            self.0.recorder.see(now, What::Told { gateway, host, state, started });
+    pub fn told(&self, now: Time, gateway: u32, line: &DiscoveryMessage) {
+        for EndpointStatus { host, state, started } in line.endpoints.iter().copied() {
+            self.0.recorder.see(now, ObservationKind::GatewayNotified { gateway, host, state, started });
         }
     }
 
     /// A gateway asked for the list, or opened a watch.
     fn asked(&self, now: Time, gateway: u32, watch: bool) {
-        self.0.recorder.see(now, What::ListAsked { gateway, watch });
+        self.0.recorder.see(now, ObservationKind::DiscoveryRequest { gateway, watch });
     }
 
     /// This was written to a gateway that had asked.
-    fn wrote(&self, now: Time, gateway: u32, line: &Line) {
-        self.0.recorder.see(now, What::ListLine { gateway });
+    fn wrote(&self, now: Time, gateway: u32, line: &DiscoveryMessage) {
+        self.0.recorder.see(now, ObservationKind::DiscoveryMessage { gateway });
         self.told(now, gateway, line);
     }
 
@@ -94,8 +94,8 @@
     /// can be told of it.
     fn hear(&self, now: Time, gateway: u32) -> MutexGuard<'_, Registry> {
         let mut registry = self.lock();
-        for Entry { host, state, started } in registry.hear(now, gateway) {
-            self.0.recorder.see(now, What::Heard { gateway, host, state, started });
+        for EndpointStatus { host, state, started } in registry.take_updates(now, gateway) {
+            self.0.recorder.see(now, ObservationKind::AgentNotified { gateway, host, state, started });
         }
         registry
     }
@@ -138,7 +138,7 @@
     /// Listens, and serves until it is stopped.
     pub fn start(env: E, config: AgentConfig) -> io::Result<AgentStandIn<E>> {
         let AgentConfig { registry, gateway, listen } = config;
-        if gateway >= registry.lock().agents() {
+        if gateway >= registry.lock().agent_count() {
             return Err(io::Error::new(io::ErrorKind::InvalidInput, "the registry has no such gateway"));
         }
         let listener = env.listen(listen, BACKLOG)?;
@@ -190,7 +190,7 @@
     loop {
         let stirred = registry.0.stirred.notified();
         let now = shared.env.now();
-        let due = registry.hear(now, shared.gateway).next_due(now, shared.gateway);
+        let due = registry.hear(now, shared.gateway).next_update(now, shared.gateway);
         tokio::select! {
             biased;
             () = stirred => {}
@@ -238,7 +238,7 @@
         loop {
             let stirred = self.registry.0.stirred.notified();
             let now = self.env.now();
-            let at = self.registry.lock().cut_at(now, opened);
+            let at = self.registry.lock().watch_reset_at(now, opened);
             if at.is_some_and(|at| at <= now) {
                 return;
             }
@@ -267,7 +267,8 @@
             match request {
                 Request::List => {
                     self.registry.asked(self.env.now(), self.gateway, false);
-                    let list = self.when_it_speaks(|registry, now| registry.list(now, self.gateway)).await;
+                    let list =
+                        self.when_it_speaks(|registry, now| registry.endpoint_list(now, self.gateway)).await;
                     writer.write_all(&http::whole(&list.text)).await?;
                     self.registry.wrote(self.env.now(), self.gateway, &list);
                 }
@@ -323,7 +324,7 @@
             let (lines, due) = {
                 let now = self.env.now();
                 let mut registry = self.registry.hear(now, self.gateway);
-                (watch.take(&mut registry, now), watch.next_due(&registry, now))
+                (watch.take_messages(&mut registry, now), watch.next_message_at(&registry, now))
             };
             for line in &lines {
                 self.tell(writer, line).await?;
@@ -344,7 +345,7 @@
         }
     }
 
-    async fn tell<W: AsyncWrite + Unpin>(&self, writer: &mut W, line: &Line) -> io::Result<()> {
+    async fn tell<W: AsyncWrite + Unpin>(&self, writer: &mut W, line: &DiscoveryMessage) -> io::Result<()> {
         writer.write_all(&http::chunk(&line.text)).await?;
         self.registry.wrote(self.env.now(), self.gateway, line);
         Ok(())
--- a/crates/fake-services/src/client.rs
+++ b/crates/fake-services/src/client.rs
@@ -21,9 +21,9 @@
 
 use crate::Recorder;
 use call::Caller;
-use cluster_model::draw::Draws;
+use cluster_model::requests::RequestSampler;
 use cluster_model::scenario::{Site, Traffic};
-use cluster_model::traffic::{Arrivals, Behaviour, Deal, Lean, Scale};
+use cluster_model::traffic::{Arrivals, BuildingBias, ClientBehaviour, GatewaySelector, TrafficWindow};
 use front::Front;
 use open::{Hold, Open};
 use rude::Rude;
@@ -41,15 +41,15 @@
     /// What they ask.
     pub traffic: Traffic,
     /// What requests are like.
-    pub draws: Draws,
+    pub draws: RequestSampler,
     /// Of the traffic and of how clients behave.
     pub seed: u64,
     /// Where the gateways listen.
     pub gateways: Vec<SocketAddr>,
     /// Windows of more or less traffic.
-    pub scales: Vec<Scale>,
+    pub scales: Vec<TrafficWindow>,
     /// Whiles in which a building gets another part of the traffic.
-    pub leans: Vec<Lean>,
+    pub leans: Vec<BuildingBias>,
     /// The first moment of the traffic.
     pub start: Time,
     /// For how long they ask.
@@ -73,8 +73,8 @@
     env: E,
     front: Arc<Front<E>>,
     caller: Caller,
-    behaviour: Behaviour,
-    deal: Deal,
+    behaviour: ClientBehaviour,
+    deal: GatewaySelector,
     start: Time,
     /// For so long beyond its patience a client would still take an answer.
     slack: Span,
@@ -120,8 +120,8 @@
             env: env.clone(),
             front,
             caller: Caller::new(&site, draws),
-            behaviour: Behaviour::new(&site, &traffic, seed),
-            deal: Deal::new(&site, &traffic, seed).leaning(&config.leans),
+            behaviour: ClientBehaviour::new(&site, &traffic, seed),
+            deal: GatewaySelector::new(&site, &traffic, seed).with_biases(&config.leans),
             start,
             slack: site.rules.answer_slack,
             impatient: traffic.impatient,
@@ -130,7 +130,8 @@
             recorder,
         });
         let open = Open::default();
-        let arrivals = Arrivals::new(&site, &traffic, seed).leaning(&config.leans).scaled(&config.scales);
+        let arrivals =
+            Arrivals::new(&site, &traffic, seed).with_biases(&config.leans).with_windows(&config.scales);
         env.spawn(drive(crowd.clone(), arrivals, length, open.hold()));
         Clients { rude: Rude::new(seed), crowd, open }
     }
--- a/crates/fake-services/src/client/call.rs
+++ b/crates/fake-services/src/client/call.rs
@@ -1,9 +1,9 @@
 //! Commands as clients write them, and answers as they read them.
 
 use bytes::{Bytes, BytesMut};
-use cluster_model::draw::{self, Draws, TRY_BITS};
+use cluster_model::observation::ClientOutcome;
+use cluster_model::requests::{self, RequestSampler, RETRY_BITS};
 use cluster_model::scenario::{Effect, Site};
-use cluster_model::seen::Got;
 use cluster_model::traffic::Arrival;
 use cluster_model::MS;
 use resp::Frame;
@@ -15,11 +15,11 @@
     classes: Vec<(String, bool)>,
     /// Names of the plans.
     plans: Vec<String>,
-    draws: Draws,
+    draws: RequestSampler,
 }
 
 impl Caller {
-    pub(super) fn new(site: &Site, draws: Draws) -> Caller {
+    pub(super) fn new(site: &Site, draws: RequestSampler) -> Caller {
         let classes = site.classes.iter().map(|class| (class.name.clone(), class.effect == Effect::Safe));
         let plans = site.plans.iter().map(|plan| plan.name.clone());
         Caller { classes: classes.collect(), plans: plans.collect(), draws }
@@ -32,24 +32,24 @@
 
     /// The units that a request names.
     pub(super) fn units(&self, id: u64) -> u32 {
-        self.draws.guess(id)
+        self.draws.estimated_units(id)
     }
 
     /// The command of a try with this id, for whose answer the client waits so long.
     pub(super) fn command(&self, arrival: &Arrival, id: u64, patience: Span) -> Bytes {
         let (class, safe) = self.classes.get(arrival.class as usize).map_or(("", true), |c| (&c.0, c.1));
         let plan = self.plans.get(arrival.plan as usize).map_or("", |name| name);
-        let Arrival { customer, spread, first, .. } = arrival;
+        let Arrival { customer, gateway_set_size: spread, first_gateway: first, .. } = arrival;
         let (wait, units) = (patience / MS, self.units(id));
         let mut list = format!("c={class},t={plan},d={wait},units={units},spread={spread},first={first}");
-        if id != draw::first_try(id) {
+        if id != requests::first_request_id(id) {
             list.push_str(",r=1");
         }
         let name = if safe { "CALL.GET" } else { "CALL.POST" };
         let mut words = vec![name.to_owned(), format!("{customer:016x}"), format!("{id:016x}"), list];
         if !safe {
             // Tries of one thing are alike.
-            words.push(format!("order-{}", id >> TRY_BITS));
+            words.push(format!("order-{}", id >> RETRY_BITS));
         }
         command(&words)
     }
@@ -64,16 +64,16 @@
 }
 
 /// What a whole answer to the request with this id means.
-pub(super) fn read(answer: &Frame, id: u64) -> Got {
-    let served = |value: &Bytes| Got::Served(*value == draw::value(id).as_bytes());
+pub(super) fn read(answer: &Frame, id: u64) -> ClientOutcome {
+    let served = |value: &Bytes| ClientOutcome::Served(*value == requests::response_value(id).as_bytes());
     match answer {
         Frame::Bulk(value) => served(value),
         Frame::Array(items) => match items.first() {
             Some(Frame::Bulk(value)) => served(value),
-            _ => Got::Failed,
+            _ => ClientOutcome::Failed,
         },
-        Frame::Error(text) => busy(text).map_or(Got::Failed, Got::Busy),
-        _ => Got::Failed,
+        Frame::Error(text) => busy(text).map_or(ClientOutcome::Failed, ClientOutcome::Rejected),
+        _ => ClientOutcome::Failed,
     }
 }
 
@@ -95,20 +95,20 @@
     #[test]
     fn answers_are_read_as_the_protocol_says() {
         let text = |text: &str| Bytes::copy_from_slice(text.as_bytes());
-        let value = Frame::Bulk(text(&draw::value(0x20)));
+        let value = Frame::Bulk(text(&requests::response_value(0x20)));
         for (answer, got) in [
-            (value.clone(), Got::Served(true)),
-            (Frame::Array(vec![value.clone(), Frame::Null]), Got::Served(true)),
-            (Frame::Bulk(text(&draw::value(0x21))), Got::Served(false)),
-            (Frame::Array(vec![Frame::Null, value]), Got::Failed),
-            (Frame::Array(vec![]), Got::Failed),
-            (Frame::Null, Got::Failed),
-            (Frame::Simple(text("OK")), Got::Failed),
-            (Frame::Error(text("BUSY")), Got::Busy(None)),
-            (Frame::Error(text("BUSY 70")), Got::Busy(Some(70 * MS))),
-            (Frame::Error(text("BUSY later")), Got::Busy(None)),
-            (Frame::Error(text("BUSYBODY")), Got::Failed),
-            (Frame::Error(text("ERR failed")), Got::Failed),
+            (value.clone(), ClientOutcome::Served(true)),
+            (Frame::Array(vec![value.clone(), Frame::Null]), ClientOutcome::Served(true)),
+            (Frame::Bulk(text(&requests::response_value(0x21))), ClientOutcome::Served(false)),
+            (Frame::Array(vec![Frame::Null, value]), ClientOutcome::Failed),
+            (Frame::Array(vec![]), ClientOutcome::Failed),
+            (Frame::Null, ClientOutcome::Failed),
+            (Frame::Simple(text("OK")), ClientOutcome::Failed),
+            (Frame::Error(text("BUSY")), ClientOutcome::Rejected(None)),
+            (Frame::Error(text("BUSY 70")), ClientOutcome::Rejected(Some(70 * MS))),
+            (Frame::Error(text("BUSY later")), ClientOutcome::Rejected(None)),
+            (Frame::Error(text("BUSYBODY")), ClientOutcome::Failed),
+            (Frame::Error(text("ERR failed")), ClientOutcome::Failed),
         ] {
             assert_eq!(read(&answer, 0x20), got, "{answer:?}");
         }
@@ -116,15 +116,15 @@
 
     #[test]
     fn commands_are_written_as_the_protocol_says() {
-        let caller = Caller::new(&Site::default(), Draws::new(1, &Traffic::default()));
+        let caller = Caller::new(&Site::default(), RequestSampler::new(1, &Traffic::default()));
         let mut arrival = Arrival {
             at: 0,
-            thing: 2,
+            operation: 2,
             customer: 0xb4d6_5521,
             plan: 1,
             class: 0,
-            spread: 3,
-            first: 1,
+            gateway_set_size: 3,
+            first_gateway: 1,
             gateway: 2,
         };
         let words = |arrival: &Arrival, id| {
--- a/crates/fake-services/src/client/line.rs
+++ b/crates/fake-services/src/client/line.rs
@@ -4,7 +4,7 @@
 use super::front::Front;
 use crate::Recorder;
 use bytes::{Bytes, BytesMut};
-use cluster_model::seen::{Got, What};
+use cluster_model::observation::{ClientOutcome, ObservationKind};
 use cluster_model::MS;
 use resp::{Frame, RespError};
 use runtime::{Env, Span, Time};
@@ -30,7 +30,7 @@
     pub id: u64,
     pub command: Bytes,
     /// What to write down at its last byte.
-    pub asked: What,
+    pub asked: ObservationKind,
     /// When it was written first, if this is not the first time.
     pub since: Option<Time>,
     pub stay: Stay,
@@ -47,7 +47,7 @@
     /// It was written at that time, and crossed with the end of the connection.
     Crossed(Time),
     /// It has ended so, which has been written down.
-    Ended(Got),
+    Ended(ClientOutcome),
     /// The client has left, which has been written down.
     Left,
 }
@@ -95,7 +95,7 @@
             biased;
             read = resp::fill(&mut self.stream, &mut self.input) => {
                 if read.is_ok() {
-                    self.see(What::Unasked { gateway: self.gateway });
+                    self.see(ObservationKind::UnexpectedResponse { gateway: self.gateway });
                 }
             }
             job = &mut next => return job.ok(),
@@ -105,7 +105,7 @@
         None
     }
 
-    fn see(&self, what: What) {
+    fn see(&self, what: ObservationKind) {
         self.recorder.see(self.env.now(), what);
     }
 
@@ -126,10 +126,10 @@
             Ok(Err(RespError::Closed)) if self.has_crossed(now) => (Carried::Crossed(since), false),
             Ok(answer) => self.ended(job.id, answer),
             Err(_) if job.stay.leave.is_some() => {
-                self.see(What::Left { request: job.id });
+                self.see(ObservationKind::ClientDisconnected { request: job.id });
                 (Carried::Left, false)
             }
-            Err(_) => (self.answered(job.id, Got::Nothing), false),
+            Err(_) => (self.answered(job.id, ClientOutcome::NoResponse), false),
         }
     }
 
@@ -141,18 +141,18 @@
     fn ended(&self, id: u64, answer: Result<Frame, RespError>) -> (Carried, bool) {
         let (got, readable) = match answer {
             Ok(frame) => (call::read(&frame, id), true),
-            Err(RespError::Closed | RespError::Io(_)) => (Got::Broken, false),
-            Err(RespError::Malformed(_) | RespError::TooLong(_)) => (Got::Failed, false),
+            Err(RespError::Closed | RespError::Io(_)) => (ClientOutcome::ConnectionClosed, false),
+            Err(RespError::Malformed(_) | RespError::TooLong(_)) => (ClientOutcome::Failed, false),
         };
         let carried = self.answered(id, got);
         if readable && !self.input.is_empty() {
-            self.see(What::Unasked { gateway: self.gateway });
+            self.see(ObservationKind::UnexpectedResponse { gateway: self.gateway });
         }
         (carried, readable && self.input.is_empty())
     }
 
-    fn answered(&self, request: u64, got: Got) -> Carried {
-        self.see(What::Answered { request, gateway: self.gateway, got });
+    fn answered(&self, request: u64, got: ClientOutcome) -> Carried {
+        self.see(ObservationKind::RequestEnded { request, gateway: self.gateway, outcome: got });
         Carried::Ended(got)
     }
 }
--- a/crates/fake-services/src/client/rude.rs
+++ b/crates/fake-services/src/client/rude.rs
@@ -1,7 +1,7 @@
 //! Clients that are a burden: they ask and never read, or connect and say nothing.
 
 use super::{lock, Crowd};
-use cluster_model::draw;
+use cluster_model::requests;
 use cluster_model::rng::Rng;
 use cluster_model::traffic::Arrival;
 use runtime::{Env, Task};
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::io::{copy, sink, AsyncWriteExt};
 
-/// What clients ask for that never read is numbered from here on, see [`draw::id`]: far above all others.
+/// What clients ask for that never read is numbered from here on, see [`requests::request_id`]: far above all others.
 pub const RUDE_THINGS: u64 = 1 << 55;
 
 /// The connections of rude clients.
@@ -68,9 +68,18 @@
     let class = crowd.caller.safe_class();
     for thing in things {
         let plan = 0;
-        let arrival = Arrival { at: 0, thing, customer, plan, class, spread: 1, first: gateway, gateway };
-        let patience = crowd.behaviour.patience(thing, class);
-        let command = crowd.caller.command(&arrival, draw::id(thing, 0), patience);
+        let arrival = Arrival {
+            at: 0,
+            operation: thing,
+            customer,
+            plan,
+            class,
+            gateway_set_size: 1,
+            first_gateway: gateway,
+            gateway,
+        };
+        let patience = crowd.behaviour.first_timeout(thing, class);
+        let command = crowd.caller.command(&arrival, requests::request_id(thing, 0), patience);
         if stream.write_all(&command).await.is_err() {
             return;
         }
--- a/crates/fake-services/src/client/thing.rs
+++ b/crates/fake-services/src/client/thing.rs
@@ -4,9 +4,9 @@
 use super::line::{Carried, Job, Line, Stay};
 use super::open::Hold;
 use super::Crowd;
-use cluster_model::draw;
-use cluster_model::seen::What;
-use cluster_model::traffic::{Arrival, Ended};
+use cluster_model::observation::ObservationKind;
+use cluster_model::requests;
+use cluster_model::traffic::{Arrival, RequestOutcome};
 use cluster_model::MS;
 use runtime::{Env, Span, Time};
 use std::sync::atomic::Ordering;
@@ -15,16 +15,16 @@
 
 /// Asks until it is served or the client gives up.
 pub(super) async fn see_through<E: Env>(crowd: Arc<Crowd<E>>, arrival: Arrival, _hold: Hold) {
-    let (thing, class) = (arrival.thing, arrival.class);
+    let (thing, class) = (arrival.operation, arrival.class);
     let began = crowd.env.now();
-    let mut patience = crowd.behaviour.patience(thing, class);
+    let mut patience = crowd.behaviour.first_timeout(thing, class);
     for tries in 1.. {
         let until = crowd.env.now().saturating_add(patience);
         let ended = Try::new(&crowd, &arrival, tries - 1, until).run().await;
         let spent = crowd.env.now().saturating_sub(began);
-        let Some(again) = crowd.behaviour.again(thing, class, tries, spent, ended) else { return };
-        crowd.env.sleep(again.wait).await;
-        patience = again.patience;
+        let Some(again) = crowd.behaviour.next_retry(thing, class, tries, spent, ended) else { return };
+        crowd.env.sleep(again.delay).await;
+        patience = again.timeout;
     }
 }
 /// One try.
@@ -54,20 +54,20 @@
 
 impl<'a, E: Env> Try<'a, E> {
     fn new(crowd: &'a Arc<Crowd<E>>, arrival: &'a Arrival, number: u32, until: Time) -> Try<'a, E> {
-        let id = draw::id(arrival.thing, number);
+        let id = requests::request_id(arrival.operation, number);
         Try { crowd, arrival, number, id, until, stay: None, asked: None, again: false }
     }
 
-    async fn run(mut self) -> Ended {
+    async fn run(mut self) -> RequestOutcome {
         loop {
             let at = self.crowd.env.now().saturating_sub(self.crowd.start);
             let usable = |gateway| self.crowd.front.is_usable(gateway, self.again);
-            let gateway = self.crowd.deal.pick(self.arrival, self.number, at, usable);
+            let gateway = self.crowd.deal.select(self.arrival, self.number, at, usable);
             let Some(gateway) = gateway else { return self.given_up() };
             match self.pass(gateway).await {
                 Passed::Nowhere => {}
                 Passed::Carried(Carried::Ended(got)) => return got.into(),
-                Passed::Carried(Carried::Left) => return Ended::Done,
+                Passed::Carried(Carried::Left) => return RequestOutcome::Done,
                 Passed::Carried(Carried::Unsent) if !self.again => self.again = true,
                 Passed::Carried(Carried::Crossed(at)) if !self.again => {
                     self.asked = Some(at);
@@ -83,13 +83,15 @@
     /// The end of a try that could not be carried. A command that was never written whole has not run, nor has
     /// one that crossed the end of its connection: whoever closed it has not read it. The client then goes
     /// without an answer, and nobody owes it one.
-    fn given_up(&self) -> Ended {
+    fn given_up(&self) -> RequestOutcome {
         if self.asked.is_some() {
-            self.crowd.recorder.see(self.crowd.env.now(), What::Left { request: self.id });
+            self.crowd
+                .recorder
+                .see(self.crowd.env.now(), ObservationKind::ClientDisconnected { request: self.id });
         } else {
             self.crowd.unreached.fetch_add(1, Ordering::Relaxed);
         }
-        Ended::Unreached
+        RequestOutcome::NoGateway
     }
 
     /// Passes the request to a gateway.
@@ -131,22 +133,22 @@
         })
     }
 
-    fn sighting(&self, gateway: u32, patience: Span) -> What {
-        What::Asked {
+    fn sighting(&self, gateway: u32, patience: Span) -> ObservationKind {
+        ObservationKind::RequestSent {
             request: self.id,
-            first_try: draw::first_try(self.id),
+            first_request: requests::first_request_id(self.id),
             gateway,
             customer: self.arrival.customer,
             class: self.arrival.class,
             plan: self.arrival.plan,
             units: f64::from(self.crowd.caller.units(self.id)),
-            patience,
+            timeout: patience,
         }
     }
 }
 
 /// How long the client stays, drawn when it asks.
 fn stay<E: Env>(crowd: &Crowd<E>, arrival: &Arrival, number: u32, patience: Span) -> Stay {
-    let leave = crowd.behaviour.leaves(arrival.thing, number, patience, crowd.impatience());
+    let leave = crowd.behaviour.disconnects_after(arrival.operation, number, patience, crowd.impatience());
     Stay { leave, nothing: patience.saturating_add(crowd.slack) }
 }
--- a/crates/fake-services/src/counter/desk.rs
+++ b/crates/fake-services/src/counter/desk.rs
@@ -5,10 +5,10 @@
 use super::pipe::{Answer, Batch, Pipe, Settled};
 use crate::Recorder;
 use bytes::{Bytes, BytesMut};
-use cluster_model::counter::{Amount, Counter, End, Taken, Ticket};
+use cluster_model::counter::{Amount, CallAdmission, CallId, CallOutcome, Counter};
+use cluster_model::observation::ObservationKind;
 use cluster_model::rng::Rng;
 use cluster_model::scenario::CounterFault;
-use cluster_model::seen::What;
 use cluster_model::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -78,7 +78,7 @@
     rng: Rng,
     silent: Vec<bool>,
     pipes: BTreeMap<PipeId, Pipe>,
-    calls: BTreeMap<Ticket, (Origin, Amount)>,
+    calls: BTreeMap<CallId, (Origin, Amount)>,
     passing: BTreeMap<(Time, u64), Passing>,
     next: u64,
     /// The counter's resets that have been carried out.
@@ -126,14 +126,14 @@
 
     /// See [`Counter::fail`].
     pub fn fail(&mut self, now: Time, fault: CounterFault, span: Span) {
-        self.counter.fail(now, fault, now.saturating_add(span));
+        self.counter.inject_fault(now, fault, now.saturating_add(span));
         self.run(now);
     }
 
     /// See [`Counter::heal`]; spoilt answers are over as well.
     pub fn heal(&mut self, now: Time) {
         self.garble = None;
-        self.counter.heal(now);
+        self.counter.clear_faults(now);
         self.run(now);
     }
 
@@ -168,12 +168,12 @@
 
     /// How many names there are.
     pub fn distinct(&self, now: Time) -> usize {
-        self.counter.distinct(now)
+        self.counter.name_count(now)
     }
 
     /// How a gateway reaches the counter.
     pub fn way(&self, gateway: u32) -> Way {
-        if self.counter.lost() {
+        if self.counter.is_unreachable() {
             return Way::Shut;
         }
         let silent = self.silent.get(gateway as usize).is_some_and(|silent| *silent);
@@ -188,7 +188,7 @@
     pub fn connect(&mut self, now: Time, gateway: u32) -> Option<PipeId> {
         self.run(now);
         let held = self.pipes.values().filter(|pipe| pipe.gateway == gateway).count();
-        if self.counter.lost() || held >= MAX_PIPES {
+        if self.counter.is_unreachable() || held >= MAX_PIPES {
             return None;
         }
         let id = self.number();
@@ -251,7 +251,7 @@
     /// When [`Desk::run`] is to be called next.
     pub fn next_due(&self) -> Option<Time> {
         let passing = self.passing.keys().next().map(|(at, _)| *at);
-        [passing, self.counter.next_due()].into_iter().flatten().min()
+        [passing, self.counter.next_event()].into_iter().flatten().min()
     }
 
     /// Does what is due.
@@ -270,16 +270,16 @@
     /// What is due at one instant: faults first.
     fn advance(&mut self, now: Time, at: Time) {
         for ended in self.counter.advance(at) {
-            if let Some((origin, amount)) = self.calls.remove(&ended.ticket) {
-                self.settled(now, at, origin, amount, ended.end);
+            if let Some((origin, amount)) = self.calls.remove(&ended.call) {
+                self.settled(now, at, origin, amount, ended.outcome);
             }
         }
-        if self.counter.resets() != self.resets {
-            self.resets = self.counter.resets();
+        if self.counter.connection_resets() != self.resets {
+            self.resets = self.counter.connection_resets();
             self.reset_all();
         }
-        if self.counter.lost() != self.was_lost {
-            self.was_lost = self.counter.lost();
+        if self.counter.is_unreachable() != self.was_lost {
+            self.was_lost = self.counter.is_unreachable();
             self.stirred.gateways.extend((0..).take(self.silent.len()));
         }
         while let Some(entry) = self.passing.first_entry().filter(|entry| entry.key().0 <= at) {
@@ -300,14 +300,14 @@
         };
         let taken = match self.is_open {
             true => self.counter.call(at, origin.gateway, &name, amount, keep),
-            false => Taken::Refused,
+            false => CallAdmission::Rejected,
         };
         let call = Settled::unsaid(amount.as_f64(), false, origin.came);
         match taken {
-            Taken::Waiting(ticket) => {
+            CallAdmission::Accepted(ticket) => {
                 self.calls.insert(ticket, (origin, amount));
             }
-            Taken::Refused => {
+            CallAdmission::Rejected => {
                 let text = Bytes::from_static(b"-BUSY\r\n");
                 self.answer(
                     at,
@@ -315,16 +315,16 @@
                     Answer { text, call: Some(Settled { refused: true, ..call }), spoils: false },
                 );
             }
-            Taken::Lost => self.never(now, origin, call),
+            CallAdmission::Unreachable => self.never(now, origin, call),
         }
     }
 
-    fn settled(&mut self, now: Time, at: Time, origin: Origin, amount: Amount, end: End) {
+    fn settled(&mut self, now: Time, at: Time, origin: Origin, amount: Amount, end: CallOutcome) {
         let amount = amount.as_f64();
         match end {
-            End::Dropped => self.never(now, origin, Settled::unsaid(amount, false, origin.came)),
-            End::Unsaid => self.never(now, origin, Settled::unsaid(amount, true, origin.came)),
-            End::Total(total) => {
+            CallOutcome::Dropped => self.never(now, origin, Settled::unsaid(amount, false, origin.came)),
+            CallOutcome::NoReply => self.never(now, origin, Settled::unsaid(amount, true, origin.came)),
+            CallOutcome::Replied(total) => {
                 let (text, spoils) = self.word(at, total);
                 let call = Settled { total: !spoils, ..Settled::unsaid(amount, true, origin.came) };
                 self.answer(at, origin, Answer { text, call: Some(call), spoils });
@@ -393,7 +393,17 @@
     fn record(&self, now: Time, gateway: u32, call: Settled, written: bool) {
         let Settled { amount, added, total, refused: turned_away, came } = call;
         let (answered, took) = (written && total, now.saturating_sub(came));
-        self.recorder.see(now, What::Counted { gateway, amount, added, answered, turned_away, took });
+        self.recorder.see(
+            now,
+            ObservationKind::CounterCall {
+                gateway,
+                amount,
+                added,
+                answered,
+                rejected: turned_away,
+                duration: took,
+            },
+        );
     }
 
     fn doom(&mut self, which: impl Fn(&Pipe) -> bool) {
@@ -440,8 +450,8 @@
 
     fn counted(desk: &Desk) -> Vec<(bool, bool)> {
         let seen = desk.recorder.take().into_iter();
-        seen.filter_map(|seen| match seen.what {
-            What::Counted { added, answered, .. } => Some((added, answered)),
+        seen.filter_map(|seen| match seen.kind {
+            ObservationKind::CounterCall { added, answered, .. } => Some((added, answered)),
             _ => None,
         })
         .collect()
--- a/crates/fake-services/src/host.rs
+++ b/crates/fake-services/src/host.rs
@@ -13,7 +13,7 @@
 pub use settled::Settled;
 
 use crate::Recorder;
-use cluster_model::draw::Draws;
+use cluster_model::requests::RequestSampler;
 use cluster_model::scenario::{ClassSpec, HostSpec, Mishap, RulesSpec};
 use cluster_model::MS;
 use connection::Connection;
@@ -41,7 +41,7 @@
     /// Classes of requests.
     pub classes: Vec<ClassSpec>,
     /// What requests are like.
-    pub draws: Draws,
+    pub draws: RequestSampler,
     /// Seed of the site.
     pub seed: u64,
     /// It has just started; else it has run for long.
@@ -165,12 +165,12 @@
 
     /// It was pushed over while it was cold, and stays down.
     pub fn fallen(&self) -> bool {
-        self.0.lock().model.fallen()
+        self.0.lock().model.crashed_by_overload()
     }
 
     /// Requests in work and waiting.
     pub fn held(&self) -> usize {
-        self.0.lock().model.held()
+        self.0.lock().model.request_count()
     }
 
     /// Commands so far in a form that no client sends, and connections ended by bytes that cannot be read.
--- a/crates/fake-services/src/host/answer.rs
+++ b/crates/fake-services/src/host/answer.rs
@@ -1,7 +1,7 @@
 //! Bytes of a host's answers, good ones and spoilt ones.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use cluster_model::draw;
+use cluster_model::requests;
 use cluster_model::rng::Rng;
 use resp::{encode_array_header, encode_bulk};
 
@@ -38,7 +38,7 @@
 fn array(id: u64, figures: Option<&str>) -> Bytes {
     let mut out = BytesMut::with_capacity(96);
     encode_array_header(&mut out, 3);
-    encode_bulk(&mut out, draw::value(id).as_bytes());
+    encode_bulk(&mut out, requests::response_value(id).as_bytes());
     match figures {
         Some(text) => encode_bulk(&mut out, text.as_bytes()),
         None => out.put_slice(NULL),
@@ -128,7 +128,7 @@
 }
 
 fn with_length(id: u64, length: impl Fn(i64) -> i64) -> Bytes {
-    let value = draw::value(id);
+    let value = requests::response_value(id);
     let claimed = length(value.len() as i64);
     format!("*3\r\n${claimed}\r\n{value}\r\n$-1\r\n$-1\r\n").into()
 }
@@ -156,11 +156,11 @@
     #[test]
     fn a_good_answer_has_value_figures_and_no_report() {
         let bulk = |text: &str| Frame::Bulk(Bytes::copy_from_slice(text.as_bytes()));
-        let first = Frame::Array(vec![bulk(&draw::value(7)), bulk("cost=4"), Frame::Null]);
+        let first = Frame::Array(vec![bulk(&requests::response_value(7)), bulk("cost=4"), Frame::Null]);
         assert_eq!(read(&served(7, Some(4))), Some(first));
         assert_eq!(
             read(&served(7, None)),
-            Some(Frame::Array(vec![bulk(&draw::value(7)), Frame::Null, Frame::Null]))
+            Some(Frame::Array(vec![bulk(&requests::response_value(7)), Frame::Null, Frame::Null]))
         );
     }
 
@@ -172,7 +172,7 @@
                 let answer = spoiling.apply(&mut rng, 7, served(7, Some(4)));
                 let found = read(&answer).as_ref().and_then(value);
                 assert_eq!(found.is_some(), answer.good, "{spoiling:?}");
-                assert!(found.is_none_or(|value| value == draw::value(7)), "{spoiling:?}");
+                assert!(found.is_none_or(|value| value == requests::response_value(7)), "{spoiling:?}");
                 assert!(answer.bytes.len() <= HUGE_SENT, "{spoiling:?}");
             }
         }
--- a/crates/fake-services/src/host/state.rs
+++ b/crates/fake-services/src/host/state.rs
@@ -6,11 +6,11 @@
 use super::{HostConfig, Settled};
 use crate::Recorder;
 use bytes::Bytes;
-use cluster_model::draw::Draws;
-use cluster_model::host::{Ending, Finished, Host, JobId, Offer, Request, Setup, Stage};
+use cluster_model::host::{Admission, FinishedJob, Host, HostSetup, JobId, JobOutcome, JobStage, Request};
+use cluster_model::observation::{HostOutcome, ObservationKind};
+use cluster_model::requests::RequestSampler;
 use cluster_model::rng::Rng;
 use cluster_model::scenario::{ClassSpec, HostSpec, Mishap};
-use cluster_model::seen::{Dealt, What};
 use cluster_model::{Span, Time};
 use resp::Frame;
 use std::collections::{BTreeMap, VecDeque};
@@ -65,7 +65,7 @@
     Failed,
     TurnedAway,
     /// Not at all: the host is down.
-    Lost(Stage),
+    Lost(JobStage),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -108,7 +108,7 @@
     number: u32,
     spec: HostSpec,
     classes: Vec<ClassSpec>,
-    draws: Draws,
+    draws: RequestSampler,
     settled: Settled,
     recorder: Recorder,
     conns: BTreeMap<ConnId, Conn>,
@@ -136,13 +136,13 @@
     pub(super) fn new(config: &HostConfig, now: Time) -> State {
         let shares: f64 = config.classes.iter().map(|class| class.share).sum();
         let works: f64 = config.classes.iter().map(|class| class.share * class.work as f64).sum();
-        let setup = Setup {
+        let setup = HostSetup {
             spec: config.spec.clone(),
             rules: config.rules.clone(),
             mean_work: if shares > 0.0 { (works / shares) as Span } else { 0 },
             number: config.number,
             seed: config.seed,
-            cold: config.cold,
+            warming_up: config.cold,
         };
         let state = State {
             model: Host::new(setup, now),
@@ -168,11 +168,19 @@
             malformed: 0,
         };
         let (share, cold) = if config.cold { (config.spec.cold_share, config.spec.cold) } else { (1.0, 0) };
-        state.see(now, What::Started { host: config.number, full: state.model.full(), share, cold });
+        state.see(
+            now,
+            ObservationKind::HostStarted {
+                host: config.number,
+                full_capacity: state.model.full_capacity(),
+                initial_share: share,
+                warm_up: cold,
+            },
+        );
         state
     }
 
-    fn see(&self, now: Time, what: What) {
+    fn see(&self, now: Time, what: ObservationKind) {
         self.recorder.see(now, what);
     }
 
@@ -183,7 +191,7 @@
 
     /// When the driver has to come back; `Time::MAX`: not by itself.
     pub(super) fn due(&self) -> Time {
-        self.model.next_due().unwrap_or(Time::MAX)
+        self.model.next_event().unwrap_or(Time::MAX)
     }
 
     pub(super) fn malformed(&self) -> u64 {
@@ -202,15 +210,15 @@
         finished.iter().for_each(|ended| self.on_finished(now, ended));
     }
 
-    fn on_finished(&mut self, now: Time, ended: &Finished) {
+    fn on_finished(&mut self, now: Time, ended: &FinishedJob) {
         let Some(conn) = self.jobs.remove(&ended.job).and_then(|id| self.conns.get_mut(&id)) else { return };
         let held = |entry: &&mut Entry| matches!(entry.progress, Progress::Held(job) if job == ended.job);
         let Some(entry) = conn.entries.iter_mut().find(held) else { return };
-        entry.progress = Progress::Ready(match ended.ending {
-            Ending::Served => Reply::Served,
-            Ending::Failed | Ending::Expired(Stage::InWork) => Reply::Failed,
-            Ending::Expired(Stage::Waiting) => Reply::TurnedAway,
-            Ending::Lost(stage) => Reply::Lost(stage),
+        entry.progress = Progress::Ready(match ended.outcome {
+            JobOutcome::Served => Reply::Served,
+            JobOutcome::Failed | JobOutcome::Expired(JobStage::Running) => Reply::Failed,
+            JobOutcome::Expired(JobStage::Queued) => Reply::TurnedAway,
+            JobOutcome::Lost(stage) => Reply::Lost(stage),
         });
         entry.ready = now;
         conn.signals.answers.notify_one();
@@ -221,7 +229,7 @@
         if self.is_down() || !self.model.connect(now) {
             return None;
         }
-        self.see(now, What::Connected { host: self.number, gateway });
+        self.see(now, ObservationKind::HostConnectionOpened { host: self.number, gateway });
         let id = self.next_conn;
         self.next_conn += 1;
         let signals = Arc::<Signals>::default();
@@ -236,7 +244,7 @@
     pub(super) fn close(&mut self, now: Time, id: ConnId) {
         let Some(conn) = self.conns.remove(&id) else { return };
         self.model.disconnect();
-        self.see(now, What::Disconnected { host: self.number, gateway: conn.gateway });
+        self.see(now, ObservationKind::HostConnectionClosed { host: self.number, gateway: conn.gateway });
         conn.signals.cut.notify_one();
         // From the back: those that wait do not come into work by the end of those before them.
         for entry in conn.entries.iter().rev() {
@@ -256,18 +264,21 @@
         };
         let dealt = match (entry.progress, stage) {
             (Progress::Leaving, _) => None,
-            (Progress::Ready(Reply::TurnedAway), _) => Some(Dealt::TurnedAway),
-            (_, Some(Stage::Waiting)) => Some(Dealt::Dropped),
-            _ => Some(Dealt::Unheard),
+            (Progress::Ready(Reply::TurnedAway), _) => Some(HostOutcome::Rejected),
+            (_, Some(JobStage::Queued)) => Some(HostOutcome::Dropped),
+            _ => Some(HostOutcome::Undelivered),
         };
         if let Some(dealt) = dealt {
             self.see_ended(now, gateway, request, dealt, None);
         }
-        self.see(now, What::Out { request, host: self.number, gateway });
+        self.see(now, ObservationKind::AttemptClosed { request, host: self.number, gateway });
     }
 
-    fn see_ended(&self, now: Time, gateway: u32, request: u64, dealt: Dealt, units: Option<f64>) {
-        self.see(now, What::Ended { request, host: self.number, gateway, dealt, units });
+    fn see_ended(&self, now: Time, gateway: u32, request: u64, dealt: HostOutcome, units: Option<f64>) {
+        self.see(
+            now,
+            ObservationKind::AttemptEnded { request, host: self.number, gateway, outcome: dealt, units },
+        );
     }
 
     /// Bytes came.
@@ -299,7 +310,7 @@
             Command::Call(call) => self.on_call(now, id, call, first_byte),
             Command::Line(line) => {
                 if let Some(gateway) = self.conns.get(&id).map(|conn| conn.gateway) {
-                    self.see(now, What::Probed { host: self.number, gateway });
+                    self.see(now, ObservationKind::HealthCheckReceived { host: self.number, gateway });
                 }
                 self.enter(now, id, None, Progress::Ready(Reply::Line(line)));
             }
@@ -320,22 +331,31 @@
         let work =
             heavy.map_or(usual, |heavy| self.draws.work(call.id, class, Some((heavy.share, heavy.times))));
         let deadline = now.saturating_add(call.wait);
-        let request = Request { id: call.id, work, usual, deadline, effect: class.effect };
-        let offer = self.model.offer(now, request);
-        let work = if offer == Offer::Remembered { 0 } else { usual };
-        self.see(now, What::Received { request: call.id, host: self.number, gateway, first_byte, work });
+        let request = Request { id: call.id, work, expected_work: usual, deadline, effect: class.effect };
+        let offer = self.model.submit(now, request);
+        let work = if offer == Admission::Cached { 0 } else { usual };
+        self.see(
+            now,
+            ObservationKind::AttemptReceived {
+                request: call.id,
+                host: self.number,
+                gateway,
+                first_byte,
+                expected_work: work,
+            },
+        );
         let progress = match offer {
-            Offer::Taken(job) => {
+            Admission::Accepted(job) => {
                 self.jobs.insert(job, id);
                 Progress::Held(job)
             }
-            Offer::TurnedAway => Progress::Ready(Reply::TurnedAway),
-            Offer::Remembered => Progress::Ready(Reply::Served),
-            Offer::Down => Progress::Ready(Reply::Lost(Stage::Waiting)),
+            Admission::Rejected => Progress::Ready(Reply::TurnedAway),
+            Admission::Cached => Progress::Ready(Reply::Served),
+            Admission::Down => Progress::Ready(Reply::Lost(JobStage::Queued)),
         };
         self.enter(now, id, Some(call.id), progress);
         self.befall(now, id);
-        if offer == Offer::Down {
+        if offer == Admission::Down {
             self.go_down(now, Down::Fell);
         }
     }
@@ -390,8 +410,8 @@
         let (line, dealt) = match (reply, request) {
             (Reply::Line(line), _) => return Some(Bytes::from(format!("{line}\r\n"))),
             (Reply::Served, Some(request)) => return Some(self.serve(now, id, request, alone)),
-            (Reply::TurnedAway, _) => ("-BUSY\r\n", Dealt::TurnedAway),
-            _ => ("-ERR failed\r\n", Dealt::Failed),
+            (Reply::TurnedAway, _) => ("-BUSY\r\n", HostOutcome::Rejected),
+            _ => ("-ERR failed\r\n", HostOutcome::Failed),
         };
         if let Some(request) = request {
             self.see_ended(now, gateway, request, dealt, None);
@@ -411,7 +431,7 @@
         }
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.mute = !answer.good;
-            let dealt = if answer.good { Dealt::Served } else { Dealt::Failed };
+            let dealt = if answer.good { HostOutcome::Served } else { HostOutcome::Failed };
             let gateway = conn.gateway;
             self.see_ended(now, gateway, request, dealt, units.map(f64::from));
         }
@@ -436,13 +456,13 @@
         }
         let gateway = conn.gateway;
         if let Some(request) = conn.entries.pop_front().and_then(|entry| entry.request) {
-            self.see(now, What::Out { request, host: self.number, gateway });
+            self.see(now, ObservationKind::AttemptClosed { request, host: self.number, gateway });
         }
     }
 
     pub(super) fn slow(&mut self, now: Time, times: f64) {
-        self.model.slow(now, times);
-        self.see(now, What::Slowed { host: self.number, times });
+        self.model.set_slowdown(now, times);
+        self.see(now, ObservationKind::HostSlowed { host: self.number, factor: times });
     }
 
     pub(super) fn pause(&mut self, now: Time, until: Time) {
@@ -484,9 +504,9 @@
     }
 
     pub(super) fn sample(&mut self, now: Time) {
-        let busy = self.model.busy_since_last(now);
-        let held = self.model.held() as u32;
-        self.see(now, What::Load { host: self.number, held, busy });
+        let busy = self.model.utilization_since_last(now);
+        let held = self.model.request_count() as u32;
+        self.see(now, ObservationKind::HostLoad { host: self.number, requests: held, utilization: busy });
     }
 
     fn go_down(&mut self, now: Time, down: Down) {
@@ -494,8 +514,8 @@
         self.see(
             now,
             match down {
-                Down::Fell => What::Fell { host: self.number },
-                Down::Stopped => What::Stopped { host: self.number },
+                Down::Fell => ObservationKind::HostOverloadCrash { host: self.number },
+                Down::Stopped => ObservationKind::HostStopped { host: self.number },
             },
         );
         // All that the model held has ended there as lost.
--- a/crates/fake-services/tests/agent.rs
+++ b/crates/fake-services/tests/agent.rs
@@ -4,9 +4,9 @@
 #[path = "client/memory.rs"]
 mod memory;
 
-use cluster_model::agent::{Member, Notice, Registry};
+use cluster_model::agent::{Detection, Endpoint, Registry};
+use cluster_model::observation::{Lifecycle, Observation, ObservationKind};
 use cluster_model::scenario::{DiscoveryFault, DiscoverySpec};
-use cluster_model::seen::{Seen, Told, What};
 use cluster_model::{MS, SECOND};
 use fake_services::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fake_services::Recorder;
@@ -28,8 +28,8 @@
     agent: AgentStandIn<E>,
 }
 
-fn member(host: u32, lifecycle: Told) -> Member {
-    Member {
+fn member(host: u32, lifecycle: Lifecycle) -> Endpoint {
+    Endpoint {
         id: format!("s-{host}"),
         host,
         addrs: [SocketAddr::from(HERE), SocketAddr::from(([10, 1, 0, host as u8], 6379))].into(),
@@ -50,7 +50,7 @@
 /// Two gateways and two hosts; the agent of the second gateway.
 fn site_in<E: Env>(env: E, notice: (Span, Span)) -> Site<E> {
     let spec = DiscoverySpec { notice, silent_notice: (0, 0) };
-    let members = (0..2).map(|host| member(host, Told::InService)).collect();
+    let members = (0..2).map(|host| member(host, Lifecycle::InService)).collect();
     let recorder = Recorder::default();
     let registry = SharedRegistry::new(Registry::new(&spec, 5, 2, members), recorder.clone());
     let agent = start(env.clone(), &registry);
@@ -63,27 +63,32 @@
 }
 
 impl<E: Env> Site<E> {
-    fn change(&self, host: u32, lifecycle: Told) {
-        self.registry.change(self.env.now(), member(host, lifecycle), Notice::Given);
+    fn change(&self, host: u32, lifecycle: Lifecycle) {
+        self.registry.change(self.env.now(), member(host, lifecycle), Detection::Announced);
     }
 
     /// What has been told since this was last asked.
-    fn told(&self) -> Vec<(u32, Told)> {
-        let seen = self.recorder.take().into_iter().map(|seen| seen.what);
+    fn told(&self) -> Vec<(u32, Lifecycle)> {
+        let seen = self.recorder.take().into_iter().map(|seen| seen.kind);
         seen.filter_map(|what| match what {
-            What::Told { gateway: 1, host, state, started } if started == 7 * MS => Some((host, state)),
-            What::Heard { gateway: 1, .. } => None,
-            What::ListAsked { gateway: 1, .. } | What::ListLine { gateway: 1 } => None,
+            ObservationKind::GatewayNotified { gateway: 1, host, state, started } if started == 7 * MS => {
+                Some((host, state))
+            }
+            ObservationKind::AgentNotified { gateway: 1, .. } => None,
+            ObservationKind::DiscoveryRequest { gateway: 1, .. }
+            | ObservationKind::DiscoveryMessage { gateway: 1 } => None,
             other => panic!("{other:?}"),
         })
         .collect()
     }
 
     /// What has been heard within so long from now on, and when. Nothing has been told.
-    async fn heard_within(&self, span: Span) -> Vec<(Time, Told)> {
+    async fn heard_within(&self, span: Span) -> Vec<(Time, Lifecycle)> {
         self.env.sleep(span).await;
-        let heard = |seen: Seen| match seen.what {
-            What::Heard { gateway: 1, host: 0, state, started } if started == 7 * MS => (seen.at, state),
+        let heard = |seen: Observation| match seen.kind {
+            ObservationKind::AgentNotified { gateway: 1, host: 0, state, started } if started == 7 * MS => {
+                (seen.at, state)
+            }
             other => panic!("{other:?}"),
         };
         self.recorder.take().into_iter().map(heard).collect()
@@ -191,25 +196,25 @@
     let list = http.list().await;
     assert_eq!(gist(&list), (1, true, both()));
     assert_eq!(list["instances"][1]["hostPort"], "10.1.0.1:6379", "as this gateway reaches it");
-    assert_eq!(site.told(), [(0, Told::InService), (1, Told::InService)]);
-    site.change(0, Told::Gone);
+    assert_eq!(site.told(), [(0, Lifecycle::InService), (1, Lifecycle::InService)]);
+    site.change(0, Lifecycle::Removed);
     assert_eq!(gist(&http.list().await), (2, true, vec![host("s-1", "in_service")]));
-    assert_eq!(site.told(), [(0, Told::Gone), (1, Told::InService)]);
+    assert_eq!(site.told(), [(0, Lifecycle::Removed), (1, Lifecycle::InService)]);
 }
 
 #[tokio::test]
 async fn a_watch_begins_with_what_changed_and_goes_on_with_what_changes() {
     let site = site();
-    site.change(0, Told::Draining);
+    site.change(0, Lifecycle::Draining);
     let mut http = Http::connect(&site.agent).await;
     let first = http.watch("watch=1&after=1").await;
     assert_eq!(gist(&first), (2, false, vec![host("s-0", "terminating")]));
-    assert_eq!(site.told(), [(0, Told::Draining)]);
-    site.change(0, Told::Gone);
-    site.change(2, Told::InService);
+    assert_eq!(site.told(), [(0, Lifecycle::Draining)]);
+    site.change(0, Lifecycle::Removed);
+    site.change(2, Lifecycle::InService);
     assert_eq!(gist(&http.news().await), (3, false, vec![host("s-0", "terminated")]));
     assert_eq!(gist(&http.news().await), (4, false, vec![host("s-2", "in_service")]));
-    assert_eq!(site.told(), [(0, Told::Gone), (2, Told::InService)]);
+    assert_eq!(site.told(), [(0, Lifecycle::Removed), (2, Lifecycle::InService)]);
     let mut resumed = Http::connect(&site.agent).await;
     assert_eq!(gist(&resumed.watch("watch=1&after=3").await).2, [host("s-2", "in_service")]);
 }
@@ -245,7 +250,7 @@
     let mut watch = Http::connect(&site.agent).await;
     watch.watch("watch=1&after=1").await;
     site.registry.fail(site.env.now(), DiscoveryFault::Silent, LONG);
-    site.change(0, Told::Draining);
+    site.change(0, Lifecycle::Draining);
     let mut new = Http::connect(&site.agent).await;
     new.get("/registry/instances").await;
     for _ in 0..100 {
@@ -279,12 +284,12 @@
     while TcpStream::connect(site.agent.addr()).await.is_ok() {}
     let mut new = Http::connect(&next).await;
     new.watch("watch=1&after=1").await;
-    site.change(0, Told::Draining);
+    site.change(0, Lifecycle::Draining);
     assert_eq!(gist(&old.news().await).0, 2);
     assert_eq!(gist(&new.news().await).0, 2, "both are told");
     site.agent.stop();
     assert!(old.chunk().await.is_err(), "its connections end");
-    site.change(1, Told::Draining);
+    site.change(1, Lifecycle::Draining);
     assert_eq!(gist(&new.news().await).0, 3);
 }
 
@@ -301,35 +306,43 @@
     let site = site();
     let mut watch = Http::connect(&site.agent).await;
     watch.watch("watch=1&after=1").await;
-    site.change(0, Told::Draining);
+    site.change(0, Lifecycle::Draining);
     watch.news().await;
-    let (gateway, host, state, started) = (1, 0, Told::Draining, 7 * MS);
-    let seen: Vec<What> = site.recorder.take().into_iter().map(|seen| seen.what).collect();
-    let (heard, told) =
-        (What::Heard { gateway, host, state, started }, What::Told { gateway, host, state, started });
+    let (gateway, host, state, started) = (1, 0, Lifecycle::Draining, 7 * MS);
+    let seen: Vec<ObservationKind> = site.recorder.take().into_iter().map(|seen| seen.kind).collect();
+    let (heard, told) = (
+        ObservationKind::AgentNotified { gateway, host, state, started },
+        ObservationKind::GatewayNotified { gateway, host, state, started },
+    );
     // The watch's first line is empty: the generation that it asked after is the newest.
-    let (asked, line) = (What::ListAsked { gateway, watch: true }, What::ListLine { gateway });
+    let (asked, line) = (
+        ObservationKind::DiscoveryRequest { gateway, watch: true },
+        ObservationKind::DiscoveryMessage { gateway },
+    );
     assert_eq!(seen, [asked, line.clone(), heard, line, told]);
     // Also by whoever writes the list into a configuration.
-    site.change(0, Told::Gone);
+    site.change(0, Lifecycle::Removed);
     site.registry.list(site.env.now(), 1).expect("it speaks");
-    let first = site.recorder.take().into_iter().next().map(|seen| seen.what);
-    assert_eq!(first, Some(What::Heard { gateway, host, state: Told::Gone, started }));
+    let first = site.recorder.take().into_iter().next().map(|seen| seen.kind);
+    assert_eq!(
+        first,
+        Some(ObservationKind::AgentNotified { gateway, host, state: Lifecycle::Removed, started })
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn news_is_heard_when_it_is_due_though_nobody_watches() {
     let site = site_in(Memory::new(), (500 * MS, 3 * SECOND));
     let began = site.env.now();
-    site.change(0, Told::Draining);
+    site.change(0, Lifecycle::Draining);
     assert_eq!(site.heard_within(500 * MS - MS).await, []);
     let heard = site.heard_within(10 * SECOND).await;
-    assert!(matches!(heard[..], [(_, Told::Draining)]), "{heard:?}");
+    assert!(matches!(heard[..], [(_, Lifecycle::Draining)]), "{heard:?}");
     // Not before the first moment, nor (to the millisecond of the runtime's clock) after the last.
     assert!((began + 500 * MS..=began + 3_001 * MS).contains(&heard[0].0), "{heard:?}");
-    site.change(0, Told::Gone);
+    site.change(0, Lifecycle::Removed);
     let later = site.heard_within(10 * SECOND).await;
-    assert!(matches!(later[..], [(_, Told::Gone)]), "{later:?}");
+    assert!(matches!(later[..], [(_, Lifecycle::Removed)]), "{later:?}");
 }
 
 #[tokio::test(start_paused = true)]
@@ -337,22 +350,25 @@
     let site = site_in(Memory::new(), (0, 0));
     let over = site.env.now() + 20 * SECOND;
     site.registry.fail(site.env.now(), DiscoveryFault::Silent, 20 * SECOND);
-    site.change(0, Told::Draining);
+    site.change(0, Lifecycle::Draining);
     assert_eq!(site.heard_within(20 * SECOND - MS).await, []);
     let heard = site.heard_within(10 * SECOND).await;
-    assert!(matches!(heard[..], [(at, Told::Draining)] if (over..=over + MS).contains(&at)), "{heard:?}");
+    assert!(
+        matches!(heard[..], [(at, Lifecycle::Draining)] if (over..=over + MS).contains(&at)),
+        "{heard:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_agent_that_follows_another_hears_in_its_place() {
     let site = site_in(Memory::new(), (0, 0));
     let next = start(site.env.clone(), &site.registry);
-    site.change(0, Told::Draining);
+    site.change(0, Lifecycle::Draining);
     assert_eq!(site.heard_within(SECOND).await.len(), 1, "once, though there are two for a while");
     site.agent.retire();
-    site.change(0, Told::Gone);
+    site.change(0, Lifecycle::Removed);
     assert_eq!(site.heard_within(SECOND).await.len(), 1);
     next.stop();
-    site.change(0, Told::InService);
+    site.change(0, Lifecycle::InService);
     assert_eq!(site.heard_within(SECOND).await, [], "nobody is there");
 }
--- a/crates/fake-services/tests/client/gateway.rs
+++ b/crates/fake-services/tests/client/gateway.rs
@@ -1,7 +1,7 @@
 //! Gateways that do as a script tells them.
 
 use bytes::BytesMut;
-use cluster_model::draw;
+use cluster_model::requests;
 use resp::Frame;
 use runtime::{Env, Listener, Span, Stream, Task, Writer};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 
     /// The answer with the value that a host makes for it.
     pub fn served(&self) -> String {
-        let value = draw::value(self.id());
+        let value = requests::response_value(self.id());
         format!("${}\r\n{value}\r\n", value.len())
     }
 }
--- a/crates/fake-services/tests/client/main.rs
+++ b/crates/fake-services/tests/client/main.rs
@@ -4,9 +4,9 @@
 mod gateway;
 mod memory;
 
-use cluster_model::draw::{self, Draws};
+use cluster_model::observation::{ClientOutcome, Observation, ObservationKind};
+use cluster_model::requests::{self, RequestSampler};
 use cluster_model::scenario::{Effect, Site, Traffic};
-use cluster_model::seen::{Got, Seen, What};
 use cluster_model::{Span, MS, SECOND};
 use fake_services::client::{ClientConfig, Clients, RUDE_THINGS};
 use fake_services::Recorder;
@@ -32,7 +32,7 @@
     let traffic = Traffic { rate: 50.0, retries: 0, try_share: (1.0, 1.0), ..calm };
     ClientConfig {
         site,
-        draws: Draws::new(SEED, &traffic),
+        draws: RequestSampler::new(SEED, &traffic),
         traffic,
         seed: SEED,
         gateways: gateways.iter().map(|gateway| gateway.address).collect(),
@@ -53,7 +53,7 @@
     env.timeout(60 * SECOND, clients.done()).await.expect("does not end");
 }
 
-async fn play<E: Env>(env: &E, config: ClientConfig) -> Vec<Seen> {
+async fn play<E: Env>(env: &E, config: ClientConfig) -> Vec<Observation> {
     let recorder = config.recorder.clone();
     done(env, &start(env, config)).await;
     recorder.take()
@@ -86,11 +86,19 @@
 
 /// Requests by id, as they were asked first. One is asked again only where its command crossed the end of its
 /// connection: by the same client, with no more time, and once.
-fn asked(seen: &[Seen]) -> BTreeMap<u64, Asked> {
+fn asked(seen: &[Observation]) -> BTreeMap<u64, Asked> {
     let mut all: BTreeMap<u64, Asked> = BTreeMap::new();
     let mut again = BTreeSet::new();
-    for Seen { at, what } in seen {
-        if let What::Asked { request, first_try, gateway, class, patience, .. } = *what {
+    for Observation { at, kind: what } in seen {
+        if let ObservationKind::RequestSent {
+            request,
+            first_request: first_try,
+            gateway,
+            class,
+            timeout: patience,
+            ..
+        } = *what
+        {
             let asked = Asked { at: *at, gateway, class, first_try, patience };
             let Some(first) = all.insert(request, asked) else { continue };
             let goes_on = asked.at >= first.at && asked.patience <= first.patience;
@@ -106,11 +114,11 @@
 }
 
 /// When and what the requests got, by id. None gets two answers, or one that it has not asked for.
-fn got(seen: &[Seen]) -> BTreeMap<u64, (Time, Got)> {
+fn got(seen: &[Observation]) -> BTreeMap<u64, (Time, ClientOutcome)> {
     let asked = asked(seen);
     let mut all = BTreeMap::new();
-    for Seen { at, what } in seen {
-        if let What::Answered { request, got, .. } = *what {
+    for Observation { at, kind: what } in seen {
+        if let ObservationKind::RequestEnded { request, outcome: got, .. } = *what {
             assert!(asked.contains_key(&request));
             assert_eq!(all.insert(request, (*at, got)), None, "{request:x} is answered twice");
         }
@@ -119,7 +127,7 @@
 }
 
 /// All requests, none of which got anything else.
-fn all_got(seen: &[Seen], wanted: Got) -> BTreeMap<u64, Asked> {
+fn all_got(seen: &[Observation], wanted: ClientOutcome) -> BTreeMap<u64, Asked> {
     let (asked, got) = (asked(seen), got(seen));
     assert!(asked.len() > 20, "{}", asked.len());
     assert!(asked.keys().eq(got.keys()));
@@ -127,8 +135,8 @@
     asked
 }
 
-fn count_unasked(seen: &[Seen]) -> usize {
-    seen.iter().filter(|seen| seen.what == What::Unasked { gateway: 0 }).count()
+fn count_unasked(seen: &[Observation]) -> usize {
+    seen.iter().filter(|seen| seen.kind == ObservationKind::UnexpectedResponse { gateway: 0 }).count()
 }
 
 #[tokio::test(start_paused = true)]
@@ -136,7 +144,7 @@
     let env = Memory::new();
     let gateway = Gateway::serving(&env);
     let seen = play(&env, config(&[&gateway])).await;
-    let asked = all_got(&seen, Got::Served(true));
+    let asked = all_got(&seen, ClientOutcome::Served(true));
     let calls = gateway.calls();
     assert!(calls.iter().map(Command::id).collect::<BTreeSet<_>>().iter().eq(asked.keys()));
     let connections: BTreeSet<usize> = calls.iter().map(|call| call.connection).collect();
@@ -153,7 +161,7 @@
 #[tokio::test(start_paused = true)]
 async fn what_was_turned_away_comes_again_under_a_new_id() {
     let env = Memory::new();
-    let gateway = Gateway::ready(&env, |call| match call.id() == draw::first_try(call.id()) {
+    let gateway = Gateway::ready(&env, |call| match call.id() == requests::first_request_id(call.id()) {
         true => Act::Answer("-BUSY 1\r\n".into()),
         false => Act::Answer(call.served()),
     });
@@ -163,16 +171,16 @@
     let (asked, got) = (asked(&seen), got(&seen));
     assert!(asked.len() > 40);
     for (id, first) in asked.iter().filter(|(id, asked)| asked.is_first(**id)) {
-        assert_eq!(got[id], (first.at, Got::Busy(Some(MS))));
+        assert_eq!(got[id], (first.at, ClientOutcome::Rejected(Some(MS))));
         let again = asked[&(id + 1)];
         assert_eq!((again.at, again.first_try, again.class), (first.at + 100 * MS, *id, first.class));
         assert_eq!(again.patience, 1900 * MS);
-        assert_eq!(got[&(id + 1)].1, Got::Served(true));
+        assert_eq!(got[&(id + 1)].1, ClientOutcome::Served(true));
     }
     assert!(gateway.calls().iter().all(|call| call.words[3].ends_with(",r=1") == (call.id() & 1 == 1)));
 }
 
-async fn fails_with<E: Env>(env: &E, act: fn() -> Act, wanted: Got) {
+async fn fails_with<E: Env>(env: &E, act: fn() -> Act, wanted: ClientOutcome) {
     let gateway = Gateway::ready(env, move |_| act());
     let mut config = config(&[&gateway]);
     config.traffic.retries = 1;
@@ -185,10 +193,10 @@
 #[tokio::test(start_paused = true)]
 async fn only_what_may_run_again_comes_again_after_a_failure() {
     let env = Memory::new();
-    fails_with(&env, || Act::Answer("-ERR failed\r\n".into()), Got::Failed).await;
-    fails_with(&env, || Act::Answer("?\r\n".into()), Got::Failed).await;
-    fails_with(&env, || Act::End(0, "$9\r\nvalu".into()), Got::Broken).await;
-    fails_with(&env, || Act::Reset, Got::Broken).await;
+    fails_with(&env, || Act::Answer("-ERR failed\r\n".into()), ClientOutcome::Failed).await;
+    fails_with(&env, || Act::Answer("?\r\n".into()), ClientOutcome::Failed).await;
+    fails_with(&env, || Act::End(0, "$9\r\nvalu".into()), ClientOutcome::ConnectionClosed).await;
+    fails_with(&env, || Act::Reset, ClientOutcome::ConnectionClosed).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -198,7 +206,7 @@
     let config = config(&[&gateway]);
     let slack = config.site.rules.answer_slack;
     let seen = play(&env, config).await;
-    let asked = all_got(&seen, Got::Nothing);
+    let asked = all_got(&seen, ClientOutcome::NoResponse);
     assert!(got(&seen).iter().all(|(id, (at, _))| *at == asked[id].at + 2 * SECOND + slack));
     until(&env, || gateway.book.lock().unwrap().open == 0).await;
 }
@@ -208,14 +216,14 @@
     let env = Memory::new();
     let late = |call: &Command| Act::Late(2 * SECOND + 60 * MS, call.served());
     let gateway = Gateway::ready(&env, late);
-    all_got(&play(&env, config(&[&gateway])).await, Got::Served(true));
+    all_got(&play(&env, config(&[&gateway])).await, ClientOutcome::Served(true));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_value_that_no_host_made_for_the_request_is_told_apart() {
     let env = Memory::new();
     let gateway = Gateway::ready(&env, |_| Act::Answer("$5\r\nwrong\r\n".into()));
-    all_got(&play(&env, config(&[&gateway])).await, Got::Served(false));
+    all_got(&play(&env, config(&[&gateway])).await, ClientOutcome::Served(false));
 }
 
 #[tokio::test(start_paused = true)]
@@ -224,13 +232,13 @@
     let at_once = |call: &Command| Act::Answer(call.served().repeat(2));
     let gateway = Gateway::ready(&env, at_once);
     let seen = play(&env, config(&[&gateway])).await;
-    assert_eq!(count_unasked(&seen), all_got(&seen, Got::Served(true)).len());
+    assert_eq!(count_unasked(&seen), all_got(&seen, ClientOutcome::Served(true)).len());
 
     // When the connection lies idle; a request that comes in between takes it for its own answer.
     let later = |call: &Command| Act::Again(call.served(), 5 * MS, "-ERR late\r\n".into());
     let gateway = Gateway::ready(&env, later);
     let seen = play(&env, config(&[&gateway])).await;
-    let taken = got(&seen).values().filter(|(_, got)| *got == Got::Failed).count();
+    let taken = got(&seen).values().filter(|(_, got)| *got == ClientOutcome::Failed).count();
     assert!(count_unasked(&seen) > 20);
     // The last one is served, and so all is done, before more comes.
     assert_eq!(count_unasked(&seen) + 2 * taken + 1, asked(&seen).len());
@@ -257,7 +265,7 @@
     let (recorder, began) = (config.recorder.clone(), env.now());
     let clients = start(&env, config);
     done(&env, &clients).await;
-    let asked = all_got(&recorder.take(), Got::Served(true));
+    let asked = all_got(&recorder.take(), ClientOutcome::Served(true));
     // 100 ms after each of two answers, and after a second without one.
     let ready = began + 1300 * MS;
     let first = asked.values().map(|asked| asked.at).min().unwrap();
@@ -340,7 +348,7 @@
         _ => Act::End(0, String::new()),
     });
     let seen = play(&env, config(&[&gateway])).await;
-    let asked = all_got(&seen, Got::Served(true));
+    let asked = all_got(&seen, ClientOutcome::Served(true));
     let mut sent: BTreeMap<u64, Vec<Command>> = BTreeMap::new();
     gateway.calls().into_iter().for_each(|call| sent.entry(call.id()).or_default().push(call));
     assert!(sent.keys().eq(asked.keys()));
@@ -354,7 +362,7 @@
     let env = Memory::new();
     // A new connection that ends has been closed by somebody who had time to read.
     let gateway = Gateway::ready(&env, |_| Act::End(0, String::new()));
-    let asked_once = all_got(&play(&env, config(&[&gateway])).await, Got::Broken);
+    let asked_once = all_got(&play(&env, config(&[&gateway])).await, ClientOutcome::ConnectionClosed);
     assert_eq!(gateway.calls().len(), asked_once.len());
 
     let gateway = Gateway::ready(&env, |call| match call.place {
@@ -362,7 +370,7 @@
         _ => Act::End(250 * MS, String::new()),
     });
     let seen = play(&env, config(&[&gateway])).await;
-    let broken = got(&seen).values().filter(|(_, got)| *got == Got::Broken).count();
+    let broken = got(&seen).values().filter(|(_, got)| *got == ClientOutcome::ConnectionClosed).count();
     assert!(broken > 10);
     assert_eq!(gateway.calls().len(), asked(&seen).len());
 }
@@ -389,9 +397,9 @@
     assert!(asked(&seen).into_keys().eq(ended));
 }
 
-fn left_request(seen: &Seen) -> Option<u64> {
-    match seen.what {
-        What::Left { request } => Some(request),
+fn left_request(seen: &Observation) -> Option<u64> {
+    match seen.kind {
+        ObservationKind::ClientDisconnected { request } => Some(request),
         _ => None,
     }
 }
@@ -410,15 +418,15 @@
     let (asked, got) = (asked(&seen), got(&seen));
     let left: BTreeMap<u64, Time> = seen
         .iter()
-        .filter_map(|Seen { at, what }| match what {
-            What::Left { request } => Some((*request, *at)),
+        .filter_map(|Observation { at, kind: what }| match what {
+            ObservationKind::ClientDisconnected { request } => Some((*request, *at)),
             _ => None,
         })
         .collect();
     assert!(left.len() > 10);
     assert!(left.iter().all(|(id, at)| asked[id].is_first(*id) && *at < asked[id].at + 2 * SECOND));
     // Later ones stay.
-    assert!(got.len() > 10 && got.values().all(|(_, got)| *got == Got::Nothing));
+    assert!(got.len() > 10 && got.values().all(|(_, got)| *got == ClientOutcome::NoResponse));
     assert_eq!(asked.len(), got.len() + left.len());
     until(&env, || gateway.book.lock().unwrap().open == 0).await;
 }
@@ -428,7 +436,7 @@
     let env = Memory::new();
     let gateway = Gateway::ready(&env, |call| Act::Late(50 * MS, call.served()));
     let config = ClientConfig { most_connections: 2, ..config(&[&gateway]) };
-    all_got(&play(&env, config).await, Got::Served(true));
+    all_got(&play(&env, config).await, ClientOutcome::Served(true));
     assert_eq!(gateway.book.lock().unwrap().most_open, 2);
     assert_eq!(gateway.book.lock().unwrap().connections, 3, "one of them for the PING");
 }
@@ -462,7 +470,7 @@
     let last = before.iter().map(|call| call.connection).max();
     assert!(calls.iter().all(|call| Some(call.connection) <= last));
     // What crosses the end of a connection goes to the other one, which has all from then on.
-    all_got(&recorder.take(), Got::Served(true));
+    all_got(&recorder.take(), ClientOutcome::Served(true));
     let crossed: Vec<u64> = calls.iter().filter(|call| call.place > 60).map(Command::id).collect();
     assert!(!crossed.is_empty());
     assert!(crossed.iter().all(|id| steady.calls().iter().any(|call| call.id() == *id)));
@@ -484,7 +492,7 @@
     assert_eq!(gateway.book.lock().unwrap().connections, 9, "one of them for the PING");
     let ids: BTreeSet<u64> = gateway.calls().iter().map(Command::id).collect();
     assert_eq!((ids.len(), gateway.calls().len()), (17, 17));
-    assert!(ids.iter().all(|id| *id >= draw::id(RUDE_THINGS, 0)));
+    assert!(ids.iter().all(|id| *id >= requests::request_id(RUDE_THINGS, 0)));
     assert!(recorder.take().is_empty());
     assert!(gateway.book.lock().unwrap().ended < 2, "they stay");
     clients.rude_leave();
@@ -507,7 +515,7 @@
         config.traffic.retries = 1;
         let start = env.now();
         let seen = play(&env, config).await;
-        seen.into_iter().map(|seen| (seen.at - start, seen.what)).collect::<Vec<_>>()
+        seen.into_iter().map(|seen| (seen.at - start, seen.kind)).collect::<Vec<_>>()
     };
     let first = once().await;
     assert!(first.len() > 100);
@@ -529,7 +537,7 @@
         _ => Act::End(0, String::new()),
     });
     let seen = play(&env, config_for_sockets(&gateway)).await;
-    let asked = all_got(&seen, Got::Served(true));
+    let asked = all_got(&seen, ClientOutcome::Served(true));
     assert!(gateway.calls().len() > asked.len());
 }
 
@@ -539,7 +547,7 @@
     let gateway = Gateway::ready(&env, |_| Act::Reset);
     let mut config = config_for_sockets(&gateway);
     config.site.classes.iter_mut().for_each(|class| class.effect = Effect::Unsafe);
-    all_got(&play(&env, config).await, Got::Broken);
+    all_got(&play(&env, config).await, ClientOutcome::ConnectionClosed);
 }
 
 #[tokio::test]
--- a/crates/fake-services/tests/counter.rs
+++ b/crates/fake-services/tests/counter.rs
@@ -1,7 +1,7 @@
 //! The stand-in counter on loopback sockets.
 
+use cluster_model::observation::{Observation, ObservationKind};
 use cluster_model::scenario::{CounterFault, CounterSpec};
-use cluster_model::seen::{Seen, What};
 use cluster_model::SECOND;
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
@@ -41,8 +41,8 @@
     /// Whether and how the next call was counted: added, answered.
     async fn counted(&self) -> (bool, bool) {
         loop {
-            let seen = self.recorder.take().into_iter().map(|seen| seen.what).next();
-            if let Some(What::Counted { added, answered, .. }) = seen {
+            let seen = self.recorder.take().into_iter().map(|seen| seen.kind).next();
+            if let Some(ObservationKind::CounterCall { added, answered, .. }) = seen {
                 return (added, answered);
             }
             tokio::task::yield_now().await;
@@ -125,8 +125,15 @@
     let seen = site.recorder.take();
     assert_eq!(seen.len(), 3, "what is no call is not counted");
     assert!(matches!(
-        seen[0].what,
-        What::Counted { gateway: 0, amount: 2.5, added: true, answered: true, turned_away: false, .. }
+        seen[0].kind,
+        ObservationKind::CounterCall {
+            gateway: 0,
+            amount: 2.5,
+            added: true,
+            answered: true,
+            rejected: false,
+            ..
+        }
     ));
 }
 
@@ -181,8 +188,8 @@
     assert!(ask(&mut stream, &["ADDGET", "name", "x", "4000"]).await.starts_with("-ERR"));
     counter.open();
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "1", "4000"]).await, "$1\r\n1\r\n");
-    let call = |seen: Seen| match seen.what {
-        What::Counted { amount, added, answered, turned_away, .. } => {
+    let call = |seen: Observation| match seen.kind {
+        ObservationKind::CounterCall { amount, added, answered, rejected: turned_away, .. } => {
             (amount, [added, answered, turned_away])
         }
         other => panic!("{other:?}"),
