--- a/crates/fake-services/tests/host.rs
+++ b/crates/fake-services/tests/host.rs
@@ -1,9 +1,9 @@
 //! A stand-in host on loopback sockets: each row of the protocol's table, and the ways in which hosts fail.
 
 use bytes::BytesMut;
-use cluster_model::draw::{self, Draws};
+use cluster_model::observation::{HostOutcome, Observation, ObservationKind};
+use cluster_model::requests::{self, RequestSampler};
 use cluster_model::scenario::{ClassSpec, Effect, HostSpec, RulesSpec, Site, Traffic};
-use cluster_model::seen::{Dealt, Seen, What};
 use cluster_model::{MS, SECOND};
 use fake_services::host::{HostConfig, HostStandIn, Settled};
 use fake_services::Recorder;
@@ -19,9 +19,9 @@
 struct Rig {
     host: HostStandIn<SystemEnv>,
     env: SystemEnv,
-    draws: Draws,
+    draws: RequestSampler,
     recorder: Recorder,
-    seen: Vec<Seen>,
+    seen: Vec<Observation>,
 }
 
 /// Classes: quick ones, one whose requests never end, and one that drops repeats.
@@ -52,7 +52,7 @@
         spec,
         rules: RulesSpec::default(),
         classes: classes(),
-        draws: Draws::new(7, &Traffic::default()),
+        draws: RequestSampler::new(7, &Traffic::default()),
         seed: 7,
         cold: false,
         listen: vec!["127.0.0.1:0".parse().unwrap(); 2],
@@ -79,22 +79,22 @@
         Peer { stream, buf: BytesMut::new() }
     }
 
-    fn seen(&mut self) -> &[Seen] {
+    fn seen(&mut self) -> &[Observation] {
         self.seen.extend(self.recorder.take());
         &self.seen
     }
 
     /// Rests until something of this kind was seen so many times.
-    async fn until(&mut self, count: usize, wanted: impl Fn(&What) -> bool) {
-        while self.seen().iter().filter(|seen| wanted(&seen.what)).count() < count {
+    async fn until(&mut self, count: usize, wanted: impl Fn(&ObservationKind) -> bool) {
+        while self.seen().iter().filter(|seen| wanted(&seen.kind)).count() < count {
             tokio::task::yield_now().await;
         }
     }
 
     /// How this request's command was dealt with, each time that one came.
-    fn dealt(&mut self, id: u64) -> Vec<Dealt> {
-        let dealt = |seen: &Seen| match seen.what {
-            What::Ended { request, dealt, .. } if request == id => Some(dealt),
+    fn dealt(&mut self, id: u64) -> Vec<HostOutcome> {
+        let dealt = |seen: &Observation| match seen.kind {
+            ObservationKind::AttemptEnded { request, outcome: dealt, .. } if request == id => Some(dealt),
             _ => None,
         };
         self.seen().iter().filter_map(dealt).collect()
@@ -166,7 +166,7 @@
 
 fn served(id: u64, units: Option<u32>) -> Frame {
     let figures = units.map_or(Frame::Null, |units| bulk(&format!("cost={units}")));
-    Frame::Array(vec![bulk(&draw::value(id)), figures, Frame::Null])
+    Frame::Array(vec![bulk(&requests::response_value(id)), figures, Frame::Null])
 }
 
 fn error(line: &str) -> Frame {
@@ -184,19 +184,25 @@
     let units = rig.draws.units(0x50);
     assert_eq!(peer.ask(&call("quick", 0x50)).await, served(0x50, Some(units)));
     assert_eq!(peer.ask(&call("quick", 0x50)).await, served(0x50, None));
-    rig.until(2, |what| matches!(what, What::Out { .. })).await;
-    let whats: Vec<What> = rig.seen().iter().map(|seen| seen.what.clone()).collect();
+    rig.until(2, |what| matches!(what, ObservationKind::AttemptClosed { .. })).await;
+    let whats: Vec<ObservationKind> = rig.seen().iter().map(|seen| seen.kind.clone()).collect();
     let work = rig.draws.work(0x50, &classes()[0], None);
     let (request, host, gateway) = (0x50, 3, 0);
-    assert!(matches!(whats[0], What::Started { host: 3, share: 1.0, cold: 0, .. }));
-    assert_eq!(whats[1], What::Connected { host, gateway });
+    assert!(matches!(whats[0], ObservationKind::HostStarted { host: 3, initial_share: 1.0, warm_up: 0, .. }));
+    assert_eq!(whats[1], ObservationKind::HostConnectionOpened { host, gateway });
     assert!(
-        matches!(whats[2], What::Received { request: 0x50, host: 3, gateway: 0, work: w, .. } if w == work)
+        matches!(whats[2], ObservationKind::AttemptReceived { request: 0x50, host: 3, gateway: 0, expected_work: w, .. } if w == work)
     );
     let told = Some(f64::from(units));
-    assert_eq!(whats[3], What::Ended { request, host, gateway, dealt: Dealt::Served, units: told });
-    assert_eq!(whats[4], What::Out { request, host, gateway });
-    assert_eq!(whats[6], What::Ended { request, host, gateway, dealt: Dealt::Served, units: None });
+    assert_eq!(
+        whats[3],
+        ObservationKind::AttemptEnded { request, host, gateway, outcome: HostOutcome::Served, units: told }
+    );
+    assert_eq!(whats[4], ObservationKind::AttemptClosed { request, host, gateway });
+    assert_eq!(
+        whats[6],
+        ObservationKind::AttemptEnded { request, host, gateway, outcome: HostOutcome::Served, units: None }
+    );
     assert!(rig.seen.is_sorted_by_key(|seen| seen.at));
 }
 
@@ -205,7 +211,7 @@
     let mut rig = Rig::new(HostSpec { error_rate: 1.0, ..spec() });
     let mut peer = rig.connect(0).await;
     assert_eq!(peer.ask(&call("quick", 1)).await, error("ERR failed"));
-    assert_eq!(rig.dealt(1), [Dealt::Failed]);
+    assert_eq!(rig.dealt(1), [HostOutcome::Failed]);
 }
 
 #[tokio::test]
@@ -213,10 +219,10 @@
     let mut rig = Rig::new(HostSpec { slots: 1, queue: 0, ..spec() });
     let mut first = rig.connect(0).await;
     first.send(&call("endless", 1)).await;
-    rig.until(1, |what| matches!(what, What::Received { .. })).await;
+    rig.until(1, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     let mut second = rig.connect(1).await;
     assert_eq!(second.ask(&call("quick", 2)).await, error("BUSY"));
-    assert_eq!((rig.dealt(1), rig.dealt(2)), (vec![], vec![Dealt::TurnedAway]));
+    assert_eq!((rig.dealt(1), rig.dealt(2)), (vec![], vec![HostOutcome::Rejected]));
 }
 
 #[tokio::test]
@@ -225,7 +231,7 @@
     let mut peers = [rig.connect(0).await, rig.connect(1).await];
     for (id, peer) in (1..).zip(&mut peers) {
         peer.send(&call("endless", id)).await;
-        rig.until(id as usize, |what| matches!(what, What::Received { .. })).await;
+        rig.until(id as usize, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     }
     rig.host.stop();
     rig.host.stop();
@@ -234,8 +240,9 @@
     }
     rig.until_refused(0).await;
     rig.until_refused(1).await;
-    assert_eq!((rig.dealt(1), rig.dealt(2)), (vec![Dealt::Unheard], vec![Dealt::Dropped]));
-    let stops = rig.seen.iter().filter(|seen| matches!(seen.what, What::Stopped { host: 3 })).count();
+    assert_eq!((rig.dealt(1), rig.dealt(2)), (vec![HostOutcome::Undelivered], vec![HostOutcome::Dropped]));
+    let stops =
+        rig.seen.iter().filter(|seen| matches!(seen.kind, ObservationKind::HostStopped { host: 3 })).count();
     assert_eq!((stops, rig.host.held()), (1, 0));
 }
 
@@ -250,9 +257,10 @@
     assert_eq!(peer.answer().await.unwrap(), served(0x20, Some(rig.draws.units(0x20))));
     assert_eq!(peer.answer().await.unwrap(), pong());
     let seen = rig.seen();
-    let place = |wanted: &dyn Fn(&What) -> bool| seen.iter().position(|seen| wanted(&seen.what)).unwrap();
-    let began = place(&|what| matches!(what, What::Received { request: 0x20, .. }));
-    assert!(began < place(&|what| matches!(what, What::Ended { request: 0x10, .. })));
+    let place =
+        |wanted: &dyn Fn(&ObservationKind) -> bool| seen.iter().position(|seen| wanted(&seen.kind)).unwrap();
+    let began = place(&|what| matches!(what, ObservationKind::AttemptReceived { request: 0x20, .. }));
+    assert!(began < place(&|what| matches!(what, ObservationKind::AttemptEnded { request: 0x10, .. })));
 }
 
 #[tokio::test]
@@ -261,13 +269,13 @@
     let mut peer = rig.connect(0).await;
     let calls: String = (0..200).map(|id| call("endless", id)).collect();
     peer.send(&calls).await;
-    rig.until(64, |what| matches!(what, What::Received { .. })).await;
+    rig.until(64, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     // Another connection has its whole turn in the meantime.
     assert_eq!(rig.connect(0).await.ask(&command(&["PING"])).await, pong());
     assert_eq!(rig.host.held(), 64);
     drop(peer);
-    rig.until(64, |what| matches!(what, What::Out { .. })).await;
-    assert_eq!((rig.host.held(), rig.dealt(63)), (0, vec![Dealt::Dropped]));
+    rig.until(64, |what| matches!(what, ObservationKind::AttemptClosed { .. })).await;
+    assert_eq!((rig.host.held(), rig.dealt(63)), (0, vec![HostOutcome::Dropped]));
 }
 
 #[tokio::test]
@@ -276,7 +284,7 @@
     rig.host.heavy(2, 1.0, 300.0, Time::MAX);
     let mut first = rig.connect(0).await;
     first.send(&call("keyed", 1)).await;
-    rig.until(1, |what| matches!(what, What::Received { .. })).await;
+    rig.until(1, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     rig.host.drain();
     assert_eq!(rig.connect(0).await.ask(&call("quick", 2)).await, error("BUSY"));
     assert_eq!(first.answer().await.unwrap(), served(1, Some(rig.draws.units(1))));
@@ -285,7 +293,9 @@
 #[tokio::test]
 async fn a_cold_host_that_is_pushed_over_resets_all_and_stays_down() {
     let mut rig = Rig::start(HostConfig { cold: true, ..config(spec()) });
-    assert!(matches!(rig.seen()[0].what, What::Started { share: 0.25, cold, .. } if cold == 10 * SECOND));
+    assert!(
+        matches!(rig.seen()[0].kind, ObservationKind::HostStarted { initial_share: 0.25, warm_up: cold, .. } if cold == 10 * SECOND)
+    );
     let mut idle = rig.connect(0).await;
     assert_eq!(idle.ask(&command(&["PING"])).await, pong());
     let mut peer = rig.connect(1).await;
@@ -294,8 +304,13 @@
     assert!(rig.host.fallen());
     rig.until_refused(0).await;
     rig.host.stop();
-    assert_eq!(rig.dealt(1), [Dealt::Dropped]);
-    let downs = |seen: &&Seen| matches!(seen.what, What::Fell { host: 3 } | What::Stopped { host: 3 });
+    assert_eq!(rig.dealt(1), [HostOutcome::Dropped]);
+    let downs = |seen: &&Observation| {
+        matches!(
+            seen.kind,
+            ObservationKind::HostOverloadCrash { host: 3 } | ObservationKind::HostStopped { host: 3 }
+        )
+    };
     assert_eq!(rig.seen.iter().filter(downs).count(), 2);
 }
 
@@ -304,8 +319,8 @@
     let mut rig = Rig::new(spec());
     rig.connect(1).await.ask(&call("quick", 1)).await;
     rig.connect(0).await.ask(&call("quick", 2)).await;
-    let of = |seen: &Seen| match seen.what {
-        What::Received { request, gateway, .. } => Some((request, gateway)),
+    let of = |seen: &Observation| match seen.kind {
+        ObservationKind::AttemptReceived { request, gateway, .. } => Some((request, gateway)),
         _ => None,
     };
     assert_eq!(rig.seen().iter().filter_map(of).collect::<Vec<_>>(), [(1, 1), (2, 0)]);
@@ -323,17 +338,17 @@
         peers.push(peer);
     }
     // None of them has been ended by the host, and nothing follows a spoilt answer.
-    rig.until(120, |what| matches!(what, What::Received { .. })).await;
+    rig.until(120, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     while rig.host.held() > 0 {
         tokio::task::yield_now().await;
     }
     assert_eq!(rig.connect(1).await.ask(&command(&["PING"])).await, pong());
-    let failed: Vec<u64> = (0..60).filter(|id| rig.dealt(*id) == [Dealt::Failed]).collect();
+    let failed: Vec<u64> = (0..60).filter(|id| rig.dealt(*id) == [HostOutcome::Failed]).collect();
     assert!((20..60).contains(&failed.len()), "{failed:?}");
     assert!(failed.iter().all(|id| rig.dealt(id + 100).is_empty()));
     drop(peers);
-    rig.until(120, |what| matches!(what, What::Out { .. })).await;
-    assert!(failed.iter().all(|id| rig.dealt(id + 100) == [Dealt::Unheard]));
+    rig.until(120, |what| matches!(what, ObservationKind::AttemptClosed { .. })).await;
+    assert!(failed.iter().all(|id| rig.dealt(id + 100) == [HostOutcome::Undelivered]));
     rig.host.garble(0.0, 0);
     let mut fresh = rig.connect(0).await;
     assert_eq!(fresh.ask(&call("quick", 99)).await, served(99, Some(rig.draws.units(99))));
@@ -344,16 +359,16 @@
     let mut rig = Rig::new(HostSpec { slots: 1, ..spec() });
     let mut closing = rig.connect(0).await;
     closing.send(&call("endless", 1)).await;
-    rig.until(1, |what| matches!(what, What::Received { .. })).await;
+    rig.until(1, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     let mut shutting = rig.connect(0).await;
     shutting.send(&call("endless", 2)).await;
-    rig.until(2, |what| matches!(what, What::Received { .. })).await;
+    rig.until(2, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     shutting.stream.shutdown().await.unwrap();
-    rig.until(1, |what| matches!(what, What::Out { .. })).await;
-    assert_eq!((rig.dealt(2), rig.host.held()), (vec![Dealt::Dropped], 1));
+    rig.until(1, |what| matches!(what, ObservationKind::AttemptClosed { .. })).await;
+    assert_eq!((rig.dealt(2), rig.host.held()), (vec![HostOutcome::Dropped], 1));
     drop(closing);
-    rig.until(2, |what| matches!(what, What::Out { .. })).await;
-    assert_eq!((rig.dealt(1), rig.host.held()), (vec![Dealt::Unheard], 0));
+    rig.until(2, |what| matches!(what, ObservationKind::AttemptClosed { .. })).await;
+    assert_eq!((rig.dealt(1), rig.host.held()), (vec![HostOutcome::Undelivered], 0));
 }
 
 #[tokio::test]
@@ -361,13 +376,13 @@
     let mut rig = Rig::new(HostSpec { slots: 1, ..spec() });
     let mut first = rig.connect(0).await;
     first.send(&call("endless", 1)).await;
-    rig.until(1, |what| matches!(what, What::Received { .. })).await;
+    rig.until(1, |what| matches!(what, ObservationKind::AttemptReceived { .. })).await;
     let mut peer = rig.connect(0).await;
     assert_eq!(peer.ask(&call_within("endless", 2, 10)).await, error("BUSY"));
     drop(first);
-    rig.until(2, |what| matches!(what, What::Out { .. })).await;
+    rig.until(2, |what| matches!(what, ObservationKind::AttemptClosed { .. })).await;
     assert_eq!(peer.ask(&call_within("endless", 3, 10)).await, error("ERR failed"));
-    assert_eq!((rig.dealt(2), rig.dealt(3)), (vec![Dealt::TurnedAway], vec![Dealt::Failed]));
+    assert_eq!((rig.dealt(2), rig.dealt(3)), (vec![HostOutcome::Rejected], vec![HostOutcome::Failed]));
 }
 
 #[tokio::test]
@@ -419,8 +434,8 @@
     for id in 10..20 {
         other.ask(&call("quick", id)).await;
     }
-    let of = |what: &What, wanted: u64| matches!(what, What::Received { request, .. } if *request == wanted);
-    assert!(!rig.seen().iter().any(|seen| of(&seen.what, 1) || of(&seen.what, 2)));
+    let of = |what: &ObservationKind, wanted: u64| matches!(what, ObservationKind::AttemptReceived { request, .. } if *request == wanted);
+    assert!(!rig.seen().iter().any(|seen| of(&seen.kind, 1) || of(&seen.kind, 2)));
     rig.host.set_silent(0, false);
     assert_eq!(cut.answer().await.unwrap(), served(1, Some(rig.draws.units(1))));
     assert_eq!(late.answer().await.unwrap(), served(2, Some(rig.draws.units(2))));
@@ -451,7 +466,7 @@
             break;
         }
     }
-    let connected = |seen: &&Seen| matches!(seen.what, What::Connected { .. });
+    let connected = |seen: &&Observation| matches!(seen.kind, ObservationKind::HostConnectionOpened { .. });
     assert_eq!(rig.seen().iter().filter(connected).count(), 2);
 }
 
@@ -462,7 +477,8 @@
     let sent = rig.env.now();
     peer.ask(&call("quick", 1)).await;
     assert!(rig.env.now() >= sent + 30 * MS);
-    let received = rig.seen().iter().find(|seen| matches!(seen.what, What::Received { .. })).unwrap();
+    let received =
+        rig.seen().iter().find(|seen| matches!(seen.kind, ObservationKind::AttemptReceived { .. })).unwrap();
     assert!(received.at >= sent + 15 * MS);
 }
 
@@ -475,8 +491,8 @@
     assert_eq!(peer.ask(&[&command(&["PING"]), head].concat()).await, pong());
     let between = rig.env.now();
     peer.ask(tail).await;
-    let received = |seen: &Seen| match seen.what {
-        What::Received { first_byte, .. } => Some((first_byte, seen.at)),
+    let received = |seen: &Observation| match seen.kind {
+        ObservationKind::AttemptReceived { first_byte, .. } => Some((first_byte, seen.at)),
         _ => None,
     };
     let (first_byte, at) = rig.seen().iter().find_map(received).unwrap();
@@ -495,13 +511,13 @@
     rig.host.sample();
     let usual = rig.draws.work(1, &classes()[0], None);
     assert!(took > 20 * usual, "{took} ns, for {usual} ns of usual work");
-    let work = |seen: &Seen| match seen.what {
-        What::Received { work, .. } => Some(work),
+    let work = |seen: &Observation| match seen.kind {
+        ObservationKind::AttemptReceived { expected_work: work, .. } => Some(work),
         _ => None,
     };
     assert_eq!(rig.seen().iter().find_map(work), Some(usual));
-    assert!(rig.seen.iter().any(|seen| seen.what == What::Slowed { host: 3, times: 2.0 }));
-    let load = |seen: &Seen| matches!(seen.what, What::Load { host: 3, held: 0, busy } if busy > 0.0);
+    assert!(rig.seen.iter().any(|seen| seen.kind == ObservationKind::HostSlowed { host: 3, factor: 2.0 }));
+    let load = |seen: &Observation| matches!(seen.kind, ObservationKind::HostLoad { host: 3, requests: 0, utilization: busy } if busy > 0.0);
     assert!(rig.seen.iter().any(load));
 }
 
@@ -511,8 +527,8 @@
     let mut peer = rig.connect(0).await;
     peer.ask(&call("keyed", 1)).await;
     assert_eq!(peer.ask(&call("keyed", 1)).await, served(1, None));
-    let works = |seen: &Seen| match seen.what {
-        What::Received { work, .. } => Some(work > 0),
+    let works = |seen: &Observation| match seen.kind {
+        ObservationKind::AttemptReceived { expected_work: work, .. } => Some(work > 0),
         _ => None,
     };
     assert_eq!(rig.seen().iter().filter_map(works).collect::<Vec<_>>(), [true, false]);
--- a/crates/history-checker/src/answers.rs
+++ b/crates/history-checker/src/answers.rs
@@ -5,22 +5,34 @@
 use crate::tale::{Asked, End, Tale};
 use crate::terms::Terms;
 use crate::{ms, nth};
-use cluster_model::seen::Got;
+use cluster_model::observation::ClientOutcome;
 use cluster_model::Time;
 
 /// Checks one request of a run that ended at `end`.
 pub(crate) fn check(id: u64, tale: &Tale, downs: &Downs, terms: &Terms, end: Time, found: &mut Findings) {
     let Some(asked) = tale.asked.last() else { return };
-    let mut answer: Option<(Time, u32, Got)> = None;
+    let mut answer: Option<(Time, u32, ClientOutcome)> = None;
     let mut broken = None;
     for (at, what) in &tale.ends {
         match (*what, answer) {
             // What crossed the client's leaving reached nobody.
             (End::Left, _) => return,
-            (End::Got(gateway, got @ (Got::Served(_) | Got::Busy(_) | Got::Failed)), None) => {
+            (
+                End::Got(
+                    gateway,
+                    got @ (ClientOutcome::Served(_) | ClientOutcome::Rejected(_) | ClientOutcome::Failed),
+                ),
+                None,
+            ) => {
                 answer = Some((*at, gateway, got));
             }
-            (End::Got(gateway, got @ (Got::Served(_) | Got::Busy(_) | Got::Failed)), Some(first)) => {
+            (
+                End::Got(
+                    gateway,
+                    got @ (ClientOutcome::Served(_) | ClientOutcome::Rejected(_) | ClientOutcome::Failed),
+                ),
+                Some(first),
+            ) => {
                 return second(id, asked, first, (*at, gateway, got), found);
             }
             (End::Got(..), _) => broken = broken.or(Some(*at)),
@@ -38,9 +50,16 @@
     found.add(Rule::OneAnswer, at, text, vec![step]);
 }
 
-fn second(id: u64, asked: &Asked, first: (Time, u32, Got), next: (Time, u32, Got), found: &mut Findings) {
-    let step =
-        |(at, gateway, got): (Time, u32, Got)| (at, format!("gateway {} {}", nth(gateway), words(got)));
+fn second(
+    id: u64,
+    asked: &Asked,
+    first: (Time, u32, ClientOutcome),
+    next: (Time, u32, ClientOutcome),
+    found: &mut Findings,
+) {
+    let step = |(at, gateway, got): (Time, u32, ClientOutcome)| {
+        (at, format!("gateway {} {}", nth(gateway), words(got)))
+    };
     let text = format!("request {id:016x} got a second answer, {} after the first", ms(next.0 - first.0));
     found.add(Rule::OneAnswer, next.0, text, vec![written(id, asked), step(first), step(next)]);
 }
@@ -75,12 +94,12 @@
 }
 
 /// What a client got, in words.
-fn words(got: Got) -> &'static str {
+fn words(got: ClientOutcome) -> &'static str {
     match got {
-        Got::Served(true) => "answered with a value",
-        Got::Served(false) => "answered with a value that no host made",
-        Got::Busy(_) => "refused it",
-        Got::Failed => "answered that it failed",
-        Got::Broken | Got::Nothing => "gave no whole answer",
+        ClientOutcome::Served(true) => "answered with a value",
+        ClientOutcome::Served(false) => "answered with a value that no host made",
+        ClientOutcome::Rejected(_) => "refused it",
+        ClientOutcome::Failed => "answered that it failed",
+        ClientOutcome::ConnectionClosed | ClientOutcome::NoResponse => "gave no whole answer",
     }
 }
--- a/crates/history-checker/src/claims.rs
+++ b/crates/history-checker/src/claims.rs
@@ -10,7 +10,7 @@
 use crate::finding::{Findings, Rule};
 use crate::news::{News, Pair};
 use crate::{after, ms, nth, ALLOWANCE, LATEST};
-use cluster_model::seen::Told;
+use cluster_model::observation::Lifecycle;
 use cluster_model::{Span, Time};
 
 /// Somebody used a verdict.
@@ -60,10 +60,10 @@
             // A host that leaves is the matter of another rule.
             match (news.told, news.state) {
                 (true, _) => told = Some(*news),
-                (false, Told::InService) if heard.is_none_or(|heard| heard.started != news.started) => {
+                (false, Lifecycle::InService) if heard.is_none_or(|heard| heard.started != news.started) => {
                     heard = Some(*news);
                 }
-                (false, Told::InService) => {}
+                (false, Lifecycle::InService) => {}
                 (false, _) => heard = None,
             }
             place += 1;
--- a/crates/history-checker/src/downs.rs
+++ b/crates/history-checker/src/downs.rs
@@ -1,7 +1,7 @@
 //! Which gateways ran when, and what excuses them for answers that clients never got.
 
 use crate::{after, ALLOWANCE};
-use cluster_model::seen::What;
+use cluster_model::observation::ObservationKind;
 use cluster_model::{Span, Time, MS};
 use std::collections::BTreeMap;
 
@@ -24,13 +24,15 @@
 }
 
 impl Downs {
-    pub(crate) fn see(&mut self, at: Time, what: &What) {
+    pub(crate) fn see(&mut self, at: Time, what: &ObservationKind) {
         let (gateway, change) = match *what {
-            What::GatewayUp { gateway } => (gateway, Change::Up),
-            What::GatewayDown { gateway, .. } => (gateway, Change::Down),
-            What::GatewaySignalled { gateway, kill } => (gateway, Change::Told { kill }),
-            What::ClientsCut { gateway, cut } => (gateway, Change::Cut(cut)),
-            What::GatewayStopped { gateway, stopped } => (gateway, Change::Still(stopped)),
+            ObservationKind::GatewayUp { gateway } => (gateway, Change::Up),
+            ObservationKind::GatewayDown { gateway, .. } => (gateway, Change::Down),
+            ObservationKind::GatewaySignalled { gateway, kill } => (gateway, Change::Told { kill }),
+            ObservationKind::ClientLinksCut { gateway, cut } => (gateway, Change::Cut(cut)),
+            ObservationKind::GatewaySuspended { gateway, suspended: stopped } => {
+                (gateway, Change::Still(stopped))
+            }
             _ => return,
         };
         self.changes.entry(gateway).or_default().push((at, change));
--- a/crates/history-checker/src/drains.rs
+++ b/crates/history-checker/src/drains.rs
@@ -7,7 +7,7 @@
 use crate::news::{News, Pair};
 use crate::terms::Terms;
 use crate::{ms, nth, LATEST};
-use cluster_model::seen::Told;
+use cluster_model::observation::Lifecycle;
 use cluster_model::Time;
 
 /// What counts of the news so far. Of draining, then gone, or the same news again, the first counts.
@@ -21,7 +21,7 @@
 
 impl Known {
     fn take(&mut self, news: &News) {
-        let leaving = news.state != Told::InService;
+        let leaving = news.state != Lifecycle::InService;
         let first = if news.told { &mut self.told } else { &mut self.heard };
         *first = if leaving { first.or(Some(news.at)) } else { None };
         if !news.told {
--- a/crates/history-checker/src/ears.rs
+++ b/crates/history-checker/src/ears.rs
@@ -4,7 +4,7 @@
 //! a link to a host that holds bytes back lets that host see late what was sent in time.
 
 use crate::{ALLOWANCE, LATEST};
-use cluster_model::seen::What;
+use cluster_model::observation::ObservationKind;
 use cluster_model::Time;
 use std::collections::BTreeMap;
 
@@ -30,11 +30,18 @@
 
 impl Ears {
     /// Takes down where a gap begins or ends; the order does not matter.
-    pub(crate) fn see(&mut self, at: Time, what: &What) {
+    pub(crate) fn see(&mut self, at: Time, what: &ObservationKind) {
         let (gap, begins) = match *what {
-            What::GatewayStopped { gateway, stopped } => (Gap::Still(gateway), stopped),
-            What::NewsCut { gateway, cut } => (Gap::News(gateway), cut),
-            What::CallsLate { gateway, host, late, blind } => {
+            ObservationKind::GatewaySuspended { gateway, suspended: stopped } => {
+                (Gap::Still(gateway), stopped)
+            }
+            ObservationKind::DiscoveryLinkFault { gateway, active: cut } => (Gap::News(gateway), cut),
+            ObservationKind::HostTrafficDelayed {
+                gateway,
+                host,
+                delayed: late,
+                send_time_unknown: blind,
+            } => {
                 self.blind |= blind;
                 (Gap::Calls(gateway, host), late)
             }
@@ -95,13 +102,18 @@
     #[test]
     fn news_counts_from_the_end_of_all_gaps_that_it_fell_into_and_late_calls_from_their_beginning() {
         let mut ears = Ears::default();
-        let turn = |ears: &mut Ears, at: Time, what: What| ears.see(at * SECOND, &what);
+        let turn = |ears: &mut Ears, at: Time, what: ObservationKind| ears.see(at * SECOND, &what);
         // Out of order, and a process that stands still while its link fails.
-        turn(&mut ears, 15, What::GatewayStopped { gateway: 1, stopped: false });
-        turn(&mut ears, 10, What::GatewayStopped { gateway: 1, stopped: true });
-        turn(&mut ears, 12, What::NewsCut { gateway: 1, cut: true });
-        turn(&mut ears, 20, What::NewsCut { gateway: 1, cut: false });
-        let late = |late| What::CallsLate { gateway: 1, host: 2, late, blind: true };
+        turn(&mut ears, 15, ObservationKind::GatewaySuspended { gateway: 1, suspended: false });
+        turn(&mut ears, 10, ObservationKind::GatewaySuspended { gateway: 1, suspended: true });
+        turn(&mut ears, 12, ObservationKind::DiscoveryLinkFault { gateway: 1, active: true });
+        turn(&mut ears, 20, ObservationKind::DiscoveryLinkFault { gateway: 1, active: false });
+        let late = |late| ObservationKind::HostTrafficDelayed {
+            gateway: 1,
+            host: 2,
+            delayed: late,
+            send_time_unknown: true,
+        };
         turn(&mut ears, 30, late(true));
         turn(&mut ears, 40, late(false));
         ears.settle();
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -8,7 +8,7 @@
 use crate::terms::Terms;
 use crate::units::Spent;
 use crate::{answers, claims, drains, twice, units, Claim};
-use cluster_model::seen::{Seen, Told, What};
+use cluster_model::observation::{Lifecycle, Observation, ObservationKind};
 use cluster_model::Time;
 use std::collections::BTreeMap;
 
@@ -41,33 +41,33 @@
     }
 
     /// Takes down a sighting; the order does not matter. What no rule speaks of is left out.
-    pub fn see(&mut self, seen: &Seen) {
+    pub fn see(&mut self, seen: &Observation) {
         let at = seen.at;
-        match seen.what {
-            What::Asked { .. } => self.asked(seen),
-            What::Answered { request, gateway, got } => {
+        match seen.kind {
+            ObservationKind::RequestSent { .. } => self.asked(seen),
+            ObservationKind::RequestEnded { request, gateway, outcome: got } => {
                 self.tale(request).ends.push((at, End::Got(gateway, got)));
             }
-            What::Left { request } => self.tale(request).ends.push((at, End::Left)),
-            What::Received { request, host, gateway, first_byte, .. } => {
+            ObservationKind::ClientDisconnected { request } => self.tale(request).ends.push((at, End::Left)),
+            ObservationKind::AttemptReceived { request, host, gateway, first_byte, .. } => {
                 let attempt = Attempt { host, gateway, first_byte, came: at, ended: None };
                 self.tale(request).attempts.push(attempt);
                 let pair = self.pairs.entry((gateway, host)).or_default();
                 pair.sent.push(Sent { first_byte, request });
             }
-            What::Ended { request, host, gateway, dealt, units } => {
+            ObservationKind::AttemptEnded { request, host, gateway, outcome: dealt, units } => {
                 self.tale(request).through.push(Through { at, host, gateway, dealt, units });
             }
-            What::Heard { gateway, host, state, started } => {
+            ObservationKind::AgentNotified { gateway, host, state, started } => {
                 self.news(at, false, (gateway, host), state, started)
             }
-            What::Told { gateway, host, state, started } => {
+            ObservationKind::GatewayNotified { gateway, host, state, started } => {
                 self.news(at, true, (gateway, host), state, started)
             }
-            What::Unasked { gateway } => self.unasked.push((at, gateway)),
+            ObservationKind::UnexpectedResponse { gateway } => self.unasked.push((at, gateway)),
             _ => {
-                self.downs.see(at, &seen.what);
-                self.ears.see(at, &seen.what);
+                self.downs.see(at, &seen.kind);
+                self.ears.see(at, &seen.kind);
             }
         }
     }
@@ -81,8 +81,18 @@
         self.tales.entry(request).or_default()
     }
 
-    fn asked(&mut self, seen: &Seen) {
-        let What::Asked { request, gateway, customer, class, plan, units, patience, .. } = seen.what else {
+    fn asked(&mut self, seen: &Observation) {
+        let ObservationKind::RequestSent {
+            request,
+            gateway,
+            customer,
+            class,
+            plan,
+            units,
+            timeout: patience,
+            ..
+        } = seen.kind
+        else {
             return;
         };
         let tale = self.tale(request);
@@ -90,7 +100,7 @@
         tale.asked.push(Asked { at: seen.at, gateway, patience });
     }
 
-    fn news(&mut self, at: Time, told: bool, pair: (u32, u32), state: Told, started: Time) {
+    fn news(&mut self, at: Time, told: bool, pair: (u32, u32), state: Lifecycle, started: Time) {
         self.pairs.entry(pair).or_default().news.push(News { at, told, state, started });
     }
 
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -1,8 +1,8 @@
 //! Checks the history of a run after the fact: what the wires showed, against rules that hold for any run of any
 //! fleet, in virtual time or on sockets. A breach is explained by the shortest chain of events that makes it.
 //!
-//! A [`History`] takes the judge's [sightings](cluster_model::seen::Seen), in any order, and [`Claim`]s. It does no
-//! I/O and reads no clock. [`History::check`] goes over the whole of it at the end:
+//! A [`History`] takes the judge's [sightings](cluster_model::observation::Observation), in any order, and
+//! [`Claim`]s. It does no I/O and reads no clock. [`History::check`] goes over the whole of it at the end:
 //!
 //! 1. `tale` holds what was seen of each request, `downs` which gateways ran, `news` who was told what of hosts,
 //!    `ears` what could not be heard or came late meanwhile.
--- a/crates/history-checker/src/news.rs
+++ b/crates/history-checker/src/news.rs
@@ -1,7 +1,7 @@
 //! What gateways and their agents were told of hosts, and when.
 
 use crate::ears::Ears;
-use cluster_model::seen::Told;
+use cluster_model::observation::Lifecycle;
 use cluster_model::Time;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     pub at: Time,
     /// Written to the gateway; else its agent has heard it.
     pub told: bool,
-    pub state: Told,
+    pub state: Lifecycle,
     /// When the host had started by it; 0: long ago.
     pub started: Time,
 }
--- a/crates/history-checker/src/tale.rs
+++ b/crates/history-checker/src/tale.rs
@@ -1,7 +1,7 @@
 //! What was seen of one request.
 
 use crate::ears::Ears;
-use cluster_model::seen::{Dealt, Got};
+use cluster_model::observation::{ClientOutcome, HostOutcome};
 use cluster_model::{Span, Time};
 
 /// A client wrote it.
@@ -15,7 +15,7 @@
 /// What a client saw of its end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum End {
-    Got(u32, Got),
+    Got(u32, ClientOutcome),
     Left,
 }
 
@@ -27,13 +27,13 @@
     pub first_byte: Time,
     pub came: Time,
     /// When the host was through with it, and how.
-    pub ended: Option<(Time, Dealt)>,
+    pub ended: Option<(Time, HostOutcome)>,
 }
 
 impl Attempt {
     /// Only a host that had turned it away by then, or dropped it before it began, proves that it never ran.
     pub fn may_have_run(&self, by: Time) -> bool {
-        !matches!(self.ended, Some((at, Dealt::TurnedAway | Dealt::Dropped)) if at <= by)
+        !matches!(self.ended, Some((at, HostOutcome::Rejected | HostOutcome::Dropped)) if at <= by)
     }
 }
 
@@ -43,7 +43,7 @@
     pub at: Time,
     pub host: u32,
     pub gateway: u32,
-    pub dealt: Dealt,
+    pub dealt: HostOutcome,
     pub units: Option<f64>,
 }
 
@@ -84,7 +84,7 @@
     /// The true units and when they were told, where the first good answer did.
     pub fn true_units(&self) -> Option<(Time, f64)> {
         let told = |through: &Through| match through.dealt {
-            Dealt::Served => through.units.map(|units| (through.at, units)),
+            HostOutcome::Served => through.units.map(|units| (through.at, units)),
             _ => None,
         };
         self.through.iter().find_map(told)
--- a/crates/history-checker/src/twice.rs
+++ b/crates/history-checker/src/twice.rs
@@ -10,8 +10,8 @@
 use crate::tale::{Attempt, End, Tale};
 use crate::terms::Terms;
 use crate::{ms, nth, ALLOWANCE};
+use cluster_model::observation::{ClientOutcome, HostOutcome};
 use cluster_model::scenario::Effect;
-use cluster_model::seen::{Dealt, Got};
 use cluster_model::{Span, Time};
 
 pub(crate) fn check(id: u64, tale: &Tale, downs: &Downs, terms: &Terms, found: &mut Findings) {
@@ -94,7 +94,7 @@
 
 fn refusal(tale: &Tale) -> Option<(Time, u32)> {
     tale.ends.iter().find_map(|(at, end)| match end {
-        End::Got(gateway, Got::Busy(_)) => Some((*at, *gateway)),
+        End::Got(gateway, ClientOutcome::Rejected(_)) => Some((*at, *gateway)),
         _ => None,
     })
 }
@@ -109,12 +109,14 @@
     let host = nth(attempt.host);
     let became = match attempt.ended.filter(|(at, _)| *at <= by) {
         None => (by, format!("{name} had no end yet: it may have run")),
-        Some((at, Dealt::Served)) => (at, format!("host {host} ran {name} and answered")),
-        Some((at, Dealt::Failed)) => {
+        Some((at, HostOutcome::Served)) => (at, format!("host {host} ran {name} and answered")),
+        Some((at, HostOutcome::Failed)) => {
             (at, format!("host {host} ran {name} and its answer was an error or spoilt"))
         }
-        Some((at, Dealt::Unheard)) => (at, format!("host {host} ran {name}, the answer was lost")),
-        Some((at, Dealt::TurnedAway | Dealt::Dropped)) => (at, format!("host {host} never ran {name}")),
+        Some((at, HostOutcome::Undelivered)) => (at, format!("host {host} ran {name}, the answer was lost")),
+        Some((at, HostOutcome::Rejected | HostOutcome::Dropped)) => {
+            (at, format!("host {host} never ran {name}"))
+        }
     };
     vec![sent(attempt, name), became]
 }
--- a/crates/history-checker/tests/history/chains.rs
+++ b/crates/history-checker/tests/history/chains.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{first, order, read, Ask, Day, SERVED};
 use crate::found;
-use cluster_model::seen::{Dealt, Told};
+use cluster_model::observation::{HostOutcome, Lifecycle};
 
 const ID: u64 = 16;
 
@@ -17,9 +17,9 @@
 #[test]
 fn an_order_that_ran_twice_is_three_events() {
     let mut day = Day::default();
-    day.ask(0, order(ID)).receive(1, ID, 3).done(2, ID, 3, Dealt::TurnedAway);
-    day.receive(5, ID, 0).done(100, ID, 0, Dealt::Unheard).receive(102, ID, 1);
-    day.receive(104, ID, 2).done(150, ID, 1, Dealt::Served).answer(151, ID, SERVED);
+    day.ask(0, order(ID)).receive(1, ID, 3).done(2, ID, 3, HostOutcome::Rejected);
+    day.receive(5, ID, 0).done(100, ID, 0, HostOutcome::Undelivered).receive(102, ID, 1);
+    day.receive(104, ID, 2).done(150, ID, 1, HostOutcome::Served).answer(151, ID, SERVED);
     let wanted = [
         "0.005000 s  attempt A had come whole to host 1 from gateway 1",
         "0.100000 s  host 1 ran attempt A, the answer was lost",
@@ -48,7 +48,7 @@
 #[test]
 fn a_send_to_a_host_that_left_names_who_was_told_when() {
     let mut day = Day::default();
-    day.hear(500, 0, 0, Told::Draining).serve(8_000, read(ID));
+    day.hear(500, 0, 0, Lifecycle::Draining).serve(8_000, read(ID));
     let lines = chain(&day);
     assert!(lines[0].starts_with("0.500000 s  the agent of gateway 1 heard that host 1 drains"), "{lines:?}");
     assert!(lines[1].starts_with("6.500000 s  gateway 1 counts as told"), "{lines:?}");
--- a/crates/history-checker/tests/history/edges.rs
+++ b/crates/history-checker/tests/history/edges.rs
@@ -2,26 +2,26 @@
 
 use crate::day::{first, order, read, Ask, Day, SERVED, START};
 use crate::{rules, terms};
-use cluster_model::seen::{Dealt, Got, Told, What};
+use cluster_model::observation::{ClientOutcome, HostOutcome, Lifecycle, ObservationKind};
 use cluster_model::{MS, SECOND};
 use history_checker::{Claim, History, Rule};
 use invariants::Rule as Judged;
 
 const ID: u64 = 16;
 
-fn down() -> What {
-    What::GatewayDown { gateway: 0, meant: true }
+fn down() -> ObservationKind {
+    ObservationKind::GatewayDown { gateway: 0, expected: true }
 }
 
-fn signal(kill: bool) -> What {
-    What::GatewaySignalled { gateway: 0, kill }
+fn signal(kill: bool) -> ObservationKind {
+    ObservationKind::GatewaySignalled { gateway: 0, kill }
 }
 
 #[test]
 fn what_a_gateway_took_with_it_is_the_clients_to_repeat_unless_it_was_asked_to_stop() {
-    let lost = |before: &[(u64, What)]| {
+    let lost = |before: &[(u64, ObservationKind)]| {
         let mut day = Day::default();
-        day.ask(5_000, read(ID)).answer(5_050, ID, Got::Broken);
+        day.ask(5_000, read(ID)).answer(5_050, ID, ClientOutcome::ConnectionClosed);
         before.iter().for_each(|(ms, what)| {
             day.see(*ms, what.clone());
         });
@@ -36,9 +36,9 @@
     assert_eq!(lost(&[(2_400, early.clone()), (5_100, late.clone()), (5_100, down())]), [Rule::OneAnswer]);
     assert_eq!(lost(&[(2_401, early), (5_100, late), (5_100, down())]), [], "sooner than a restart kills");
     assert_eq!(lost(&[(10, down())]), [], "no gateway ran");
-    let up = What::GatewayUp { gateway: 0 };
+    let up = ObservationKind::GatewayUp { gateway: 0 };
     assert_eq!(lost(&[(10, down()), (400, up)]), [Rule::OneAnswer], "it ran again");
-    let cut = |cut: bool| What::ClientsCut { gateway: 0, cut };
+    let cut = |cut: bool| ObservationKind::ClientLinksCut { gateway: 0, cut };
     assert_eq!(lost(&[(5_010, cut(true)), (9_000, cut(false))]), []);
     assert_eq!(lost(&[(4_000, cut(true)), (4_999, cut(false))]), [Rule::OneAnswer]);
 }
@@ -64,13 +64,29 @@
 fn an_order_whose_gateway_died_may_be_written_to_another_one() {
     let acts = |refuses: bool, died_ms: Option<u64>| {
         let mut day = Day::default();
-        day.ask(0, order(ID)).receive(2, ID, 0).done(30, ID, 0, Dealt::Unheard);
+        day.ask(0, order(ID)).receive(2, ID, 0).done(30, ID, 0, HostOutcome::Undelivered);
         day.ask(20, Ask { gateway: 1, ..order(ID) });
         if refuses {
-            day.see(22, What::Answered { request: ID, gateway: 1, got: Got::Busy(None) });
+            day.see(
+                22,
+                ObservationKind::RequestEnded {
+                    request: ID,
+                    gateway: 1,
+                    outcome: ClientOutcome::Rejected(None),
+                },
+            );
         } else {
             let first_byte = START + 21 * MS;
-            day.see(22, What::Received { request: ID, host: 1, gateway: 1, first_byte, work: MS });
+            day.see(
+                22,
+                ObservationKind::AttemptReceived {
+                    request: ID,
+                    host: 1,
+                    gateway: 1,
+                    first_byte,
+                    expected_work: MS,
+                },
+            );
             day.answer(40, ID, SERVED);
         }
         if let Some(ms) = died_ms {
@@ -90,7 +106,10 @@
 #[test]
 fn nobody_minds_what_comes_after_a_client_has_left() {
     let mut day = Day::default();
-    day.ask(0, read(ID)).see(30, What::Left { request: ID }).answer(40, ID, SERVED).answer(50, ID, SERVED);
+    day.ask(0, read(ID))
+        .see(30, ObservationKind::ClientDisconnected { request: ID })
+        .answer(40, ID, SERVED)
+        .answer(50, ID, SERVED);
     assert_eq!(rules(&day), []);
 }
 
@@ -98,7 +117,7 @@
 fn units_count_once_a_try_and_are_put_right_when_the_truth_is_told() {
     let broken = |units: f64, truth: f64| {
         let (mut day, id) = (Day::default(), first(1));
-        day.ask(0, Ask { units, ..read(id) }).receive(2, id, 0).done(9, id, 0, Dealt::TurnedAway);
+        day.ask(0, Ask { units, ..read(id) }).receive(2, id, 0).done(9, id, 0, HostOutcome::Rejected);
         day.receive(12, id, 1).done_for(13, id, 1, truth).answer(14, id, SERVED);
         rules(&day)
     };
@@ -116,7 +135,7 @@
     let sent = |ms: u64, tell: &dyn Fn(&mut Day)| {
         let mut day = Day::default();
         tell(&mut day);
-        day.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, Dealt::Served).answer(
+        day.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, HostOutcome::Served).answer(
             ms + 1,
             ID,
             SERVED,
@@ -124,27 +143,27 @@
         rules(&day)
     };
     let told = |day: &mut Day| {
-        day.tell(0, 0, 0, Told::Draining);
+        day.tell(0, 0, 0, Lifecycle::Draining);
     };
     assert_eq!(sent(grace, &told), []);
     assert_eq!(sent(grace + 1, &told), [Rule::Drains]);
     let heard = |day: &mut Day| {
-        day.hear(0, 0, 0, Told::Gone);
+        day.hear(0, 0, 0, Lifecycle::Removed);
     };
     assert_eq!(sent(6_000 + grace, &heard), []);
     assert_eq!(sent(6_001 + grace, &heard), [Rule::Drains]);
     let started_late = |day: &mut Day| {
         {
-            day.hear(0, 0, 0, Told::Gone).see(20_000, What::GatewayUp { gateway: 0 });
+            day.hear(0, 0, 0, Lifecycle::Removed).see(20_000, ObservationKind::GatewayUp { gateway: 0 });
         };
     };
     assert_eq!(sent(20_000 + grace, &started_late), [], "nobody is told before it runs");
     let back = |day: &mut Day| {
-        day.tell(0, 0, 0, Told::Gone).tell(5_000, 0, 0, Told::InService);
+        day.tell(0, 0, 0, Lifecycle::Removed).tell(5_000, 0, 0, Lifecycle::InService);
     };
     assert_eq!(sent(9_000, &back), [], "it is back");
     let other = |day: &mut Day| {
-        day.tell(0, 1, 0, Told::Gone).tell(0, 0, 1, Told::Gone);
+        day.tell(0, 1, 0, Lifecycle::Removed).tell(0, 0, 1, Lifecycle::Removed);
     };
     assert_eq!(sent(9_000, &other), [], "another gateway, another host");
 }
@@ -165,12 +184,12 @@
 fn the_news_of_a_start_may_be_six_seconds_old() {
     let sent = |ms: u64, told_ms: Option<u64>| {
         let mut day = Day::default();
-        let (gateway, host, state, started) = (0, 0, Told::InService, 77);
-        day.see(0, What::Heard { gateway, host, state, started });
+        let (gateway, host, state, started) = (0, 0, Lifecycle::InService, 77);
+        day.see(0, ObservationKind::AgentNotified { gateway, host, state, started });
         told_ms.iter().for_each(|ms| {
-            day.see(*ms, What::Told { gateway, host, state, started });
+            day.see(*ms, ObservationKind::GatewayNotified { gateway, host, state, started });
         });
-        day.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, Dealt::Served).answer(
+        day.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, HostOutcome::Served).answer(
             ms + 1,
             ID,
             SERVED,
--- a/crates/history-checker/tests/history/wrongdoers.rs
+++ b/crates/history-checker/tests/history/wrongdoers.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{first, order, read, Ask, Day, SERVED, START};
 use crate::{rules, site, KEYED};
-use cluster_model::seen::{Dealt, Got, Told, What};
+use cluster_model::observation::{ClientOutcome, HostOutcome, Lifecycle, ObservationKind};
 use cluster_model::SECOND;
 use history_checker::Rule;
 use invariants::Rule as Judged;
@@ -27,7 +27,7 @@
         "answers twice",
         || {
             day(|d| {
-                d.serve(0, read(ID)).answer(120, ID, Got::Failed);
+                d.serve(0, read(ID)).answer(120, ID, ClientOutcome::Failed);
             })
         },
         Rule::OneAnswer,
@@ -37,7 +37,7 @@
         "talks to itself",
         || {
             day(|d| {
-                d.see(9, What::Unasked { gateway: 0 });
+                d.see(9, ObservationKind::UnexpectedResponse { gateway: 0 });
             })
         },
         Rule::OneAnswer,
@@ -57,7 +57,7 @@
         "cuts a client off",
         || {
             day(|d| {
-                d.ask(0, read(ID)).answer(20, ID, Got::Broken);
+                d.ask(0, read(ID)).answer(20, ID, ClientOutcome::ConnectionClosed);
             })
         },
         Rule::OneAnswer,
@@ -74,9 +74,9 @@
     // rule: it counts what went beyond.
     ("lets too much in at once", lets_too_much_in, Rule::Units, &[]),
     ("sends to a draining host", sends_to_draining, Rule::Drains, DRAINS),
-    ("never hears of drains", || sends_after_hearing(Told::Gone, 0), Rule::Drains, DRAINS),
+    ("never hears of drains", || sends_after_hearing(Lifecycle::Removed, 0), Rule::Drains, DRAINS),
     // It may push the host over or not: the judge speaks of it only where one falls.
-    ("never hears of starts", || sends_after_hearing(Told::InService, START), Rule::Claims, &[]),
+    ("never hears of starts", || sends_after_hearing(Lifecycle::InService, START), Rule::Claims, &[]),
 ];
 const ONE: &[Judged] = &[Judged::OneAnswer];
 const TWICE: &[Judged] = &[Judged::NothingTwice];
@@ -86,8 +86,11 @@
 
 fn repeats_an_order() -> Day {
     day(|day| {
-        day.ask(0, order(ID)).receive(2, ID, 0).done(100, ID, 0, Dealt::Unheard).receive(102, ID, 1);
-        day.done(150, ID, 1, Dealt::Served).answer(151, ID, SERVED);
+        day.ask(0, order(ID))
+            .receive(2, ID, 0)
+            .done(100, ID, 0, HostOutcome::Undelivered)
+            .receive(102, ID, 1);
+        day.done(150, ID, 1, HostOutcome::Served).answer(151, ID, SERVED);
     })
 }
 
@@ -95,32 +98,37 @@
     day(|day| {
         day.ask(0, order(ID)).receive(2, ID, 0).receive(10, ID, 1);
         // The gateway could not know that the host would turn it away.
-        day.done(20, ID, 0, Dealt::TurnedAway).done(150, ID, 1, Dealt::Served).answer(151, ID, SERVED);
+        day.done(20, ID, 0, HostOutcome::Rejected)
+            .done(150, ID, 1, HostOutcome::Served)
+            .answer(151, ID, SERVED);
     })
 }
 
 fn refuses_one_that_ran() -> Day {
     day(|day| {
-        day.ask(0, order(ID)).receive(2, ID, 0).done(100, ID, 0, Dealt::Failed);
-        day.answer(102, ID, Got::Busy(None));
+        day.ask(0, order(ID)).receive(2, ID, 0).done(100, ID, 0, HostOutcome::Failed);
+        day.answer(102, ID, ClientOutcome::Rejected(None));
     })
 }
 
 fn sends_after_refusal() -> Day {
     day(|day| {
-        day.ask(0, order(ID)).answer(2, ID, Got::Busy(None)).receive(90, ID, 0).done(
+        day.ask(0, order(ID)).answer(2, ID, ClientOutcome::Rejected(None)).receive(90, ID, 0).done(
             99,
             ID,
             0,
-            Dealt::Served,
+            HostOutcome::Served,
         );
     })
 }
 
 fn repeats_keyed(ms: u64, host: u32) -> Day {
     day(|day| {
-        day.ask(0, keyed()).receive(2, ID, 0).done(100, ID, 0, Dealt::Unheard).receive(ms, ID, host);
-        day.done(ms + 50, ID, host, Dealt::Served).answer(ms + 51, ID, SERVED);
+        day.ask(0, keyed())
+            .receive(2, ID, 0)
+            .done(100, ID, 0, HostOutcome::Undelivered)
+            .receive(ms, ID, host);
+        day.done(ms + 50, ID, host, HostOutcome::Served).answer(ms + 51, ID, SERVED);
     })
 }
 
@@ -134,13 +142,13 @@
 
 fn sends_to_draining() -> Day {
     day(|day| {
-        day.tell(0, 0, 0, Told::Draining).serve(1_000, read(ID));
+        day.tell(0, 0, 0, Lifecycle::Draining).serve(1_000, read(ID));
     })
 }
 
-fn sends_after_hearing(state: Told, started: u64) -> Day {
+fn sends_after_hearing(state: Lifecycle, started: u64) -> Day {
     day(|day| {
-        day.see(0, What::Heard { gateway: 0, host: 0, state, started });
+        day.see(0, ObservationKind::AgentNotified { gateway: 0, host: 0, state, started });
         day.serve(6_000, read(first(2))).serve(7_000, read(ID));
     })
 }
@@ -158,17 +166,27 @@
 fn a_gateway_that_does_no_wrong_is_not_caught() {
     let id = first(50);
     let day = day(|day| {
-        day.tell(0, 0, 3, Told::Draining).hear(0, 0, 3, Told::Draining);
+        day.tell(0, 0, 3, Lifecycle::Draining).hear(0, 0, 3, Lifecycle::Draining);
         (1..=40).for_each(|n| {
             day.serve(250 * n, read(first(n)));
         });
-        day.ask(50, order(id)).receive(60, id, 1).done(65, id, 1, Dealt::TurnedAway);
-        day.receive(70, id, 2).done(90, id, 2, Dealt::Dropped).answer(95, id, Got::Busy(None));
-        day.see(5_000, What::GatewayDown { gateway: 1, meant: true })
-            .see(6_000, What::GatewayUp { gateway: 1 });
+        day.ask(50, order(id)).receive(60, id, 1).done(65, id, 1, HostOutcome::Rejected);
+        day.receive(70, id, 2).done(90, id, 2, HostOutcome::Dropped).answer(
+            95,
+            id,
+            ClientOutcome::Rejected(None),
+        );
+        day.see(5_000, ObservationKind::GatewayDown { gateway: 1, expected: true })
+            .see(6_000, ObservationKind::GatewayUp { gateway: 1 });
         let started = START + SECOND;
-        day.see(1_000, What::Heard { gateway: 0, host: 0, state: Told::InService, started });
-        day.see(1_010, What::Told { gateway: 0, host: 0, state: Told::InService, started });
+        day.see(
+            1_000,
+            ObservationKind::AgentNotified { gateway: 0, host: 0, state: Lifecycle::InService, started },
+        );
+        day.see(
+            1_010,
+            ObservationKind::GatewayNotified { gateway: 0, host: 0, state: Lifecycle::InService, started },
+        );
     });
     assert_eq!(rules(&day), []);
 }
--- a/crates/invariants/examples/pace.rs
+++ b/crates/invariants/examples/pace.rs
@@ -1,8 +1,8 @@
 //! Prints how long 100,000 sightings take: `cargo run --release -p invariants --example pace`.
 
-use cluster_model::draw;
+use cluster_model::observation::{ClientOutcome, HostOutcome, Observation, ObservationKind};
+use cluster_model::requests;
 use cluster_model::scenario::{Site, Traffic};
-use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::{Time, MS};
 use invariants::Judge;
 use std::time::Instant;
@@ -10,32 +10,51 @@
 const REQUESTS: u64 = 20_000;
 
 /// Five sightings each: asked, received, ended, out, answered; one request every 5 ms.
-fn sightings() -> Vec<Seen> {
+fn sightings() -> Vec<Observation> {
     let life = |thing: u64| {
-        let request = draw::id(thing, 0);
+        let request = requests::request_id(thing, 0);
         let at: Time = thing * 5 * MS;
         let (gateway, host, units) = (thing as u32 % 3, thing as u32 % 10, (1 + thing % 6) as f64);
-        let asked = What::Asked {
+        let asked = ObservationKind::RequestSent {
             request,
-            first_try: request,
+            first_request: request,
             gateway,
             customer: thing % 500,
             class: u32::from(thing % 6 == 0),
             plan: thing as u32 % 2,
             units,
-            patience: 1_500 * MS,
+            timeout: 1_500 * MS,
+        };
+        let received = ObservationKind::AttemptReceived {
+            request,
+            host,
+            gateway,
+            first_byte: at + MS,
+            expected_work: 75 * MS,
+        };
+        let ended = ObservationKind::AttemptEnded {
+            request,
+            host,
+            gateway,
+            outcome: HostOutcome::Served,
+            units: Some(units),
         };
-        let received = What::Received { request, host, gateway, first_byte: at + MS, work: 75 * MS };
-        let ended = What::Ended { request, host, gateway, dealt: Dealt::Served, units: Some(units) };
         [
-            Seen { at, what: asked },
-            Seen { at: at + 2 * MS, what: received },
-            Seen { at: at + 80 * MS, what: ended },
-            Seen { at: at + 80 * MS, what: What::Out { request, host, gateway } },
-            Seen { at: at + 82 * MS, what: What::Answered { request, gateway, got: Got::Served(true) } },
+            Observation { at, kind: asked },
+            Observation { at: at + 2 * MS, kind: received },
+            Observation { at: at + 80 * MS, kind: ended },
+            Observation { at: at + 80 * MS, kind: ObservationKind::AttemptClosed { request, host, gateway } },
+            Observation {
+                at: at + 82 * MS,
+                kind: ObservationKind::RequestEnded {
+                    request,
+                    gateway,
+                    outcome: ClientOutcome::Served(true),
+                },
+            },
         ]
     };
-    let mut seen: Vec<Seen> = (1..=REQUESTS).flat_map(life).collect();
+    let mut seen: Vec<Observation> = (1..=REQUESTS).flat_map(life).collect();
     seen.sort_by_key(|seen| seen.at);
     seen
 }
--- a/crates/invariants/src/answers.rs
+++ b/crates/invariants/src/answers.rs
@@ -4,7 +4,7 @@
 use crate::gateways::Gateways;
 use crate::tries::Try;
 use crate::{Rule, ALLOWANCE};
-use cluster_model::seen::Got;
+use cluster_model::observation::ClientOutcome;
 use cluster_model::{Span, Time};
 use std::collections::BTreeSet;
 
@@ -51,10 +51,12 @@
         }
     }
 
-    pub(crate) fn answered(&mut self, now: Time, request: &mut Try, got: Got, log: &mut Log) {
+    pub(crate) fn answered(&mut self, now: Time, request: &mut Try, got: ClientOutcome, log: &mut Log) {
         match got {
-            Got::Broken | Got::Nothing => self.missed(now, request),
-            Got::Served(_) | Got::Busy(_) | Got::Failed => self.given(now, request, got, log),
+            ClientOutcome::ConnectionClosed | ClientOutcome::NoResponse => self.missed(now, request),
+            ClientOutcome::Served(_) | ClientOutcome::Rejected(_) | ClientOutcome::Failed => {
+                self.given(now, request, got, log)
+            }
         }
     }
 
@@ -67,7 +69,7 @@
         request.answer = Answer::Missed(judged);
     }
 
-    fn given(&mut self, now: Time, request: &mut Try, got: Got, log: &mut Log) {
+    fn given(&mut self, now: Time, request: &mut Try, got: ClientOutcome, log: &mut Log) {
         let (id, gateway) = (request.id, Nth(request.gateway));
         let mut breach = |what: &str| {
             let text = || format!("request {id:016x} {what} gateway {gateway}");
@@ -82,7 +84,7 @@
             // What comes too late is lost and judged by now.
             Answer::Unowed | Answer::Settled => {}
         }
-        if got == Got::Served(false) {
+        if got == ClientOutcome::Served(false) {
             breach("was served with what no host made for it by");
         }
         request.answer = Answer::Given(now);
--- a/crates/invariants/src/drains.rs
+++ b/crates/invariants/src/drains.rs
@@ -3,7 +3,7 @@
 use crate::breaches::{Log, Nth, Subject};
 use crate::news::{News, LATEST};
 use crate::{Rule, ALLOWANCE};
-use cluster_model::seen::Told;
+use cluster_model::observation::Lifecycle;
 use cluster_model::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -29,20 +29,20 @@
         Drains { grace: grace.saturating_add(ALLOWANCE), known: BTreeMap::new() }
     }
 
-    pub(crate) fn told(&mut self, now: Time, gateway: u32, host: u32, state: Told) {
+    pub(crate) fn told(&mut self, now: Time, gateway: u32, host: u32, state: Lifecycle) {
         let known = self.known.entry((gateway, host)).or_default();
         match state {
-            Told::InService => known.leaving.forget_told(),
-            Told::Draining | Told::Gone => known.leaving.told(now),
+            Lifecycle::InService => known.leaving.forget_told(),
+            Lifecycle::Draining | Lifecycle::Removed => known.leaving.told(now),
         }
     }
 
-    pub(crate) fn heard(&mut self, now: Time, gateway: u32, host: u32, state: Told) {
+    pub(crate) fn heard(&mut self, now: Time, gateway: u32, host: u32, state: Lifecycle) {
         let known = self.known.entry((gateway, host)).or_default();
-        known.back = (state == Told::InService).then_some(now);
+        known.back = (state == Lifecycle::InService).then_some(now);
         match state {
-            Told::InService => known.leaving.forget_heard(),
-            Told::Draining | Told::Gone => known.leaving.heard(now),
+            Lifecycle::InService => known.leaving.forget_heard(),
+            Lifecycle::Draining | Lifecycle::Removed => known.leaving.heard(now),
         }
     }
 
--- a/crates/invariants/src/effects.rs
+++ b/crates/invariants/src/effects.rs
@@ -5,8 +5,8 @@
 use crate::gateways::Gateways;
 use crate::tries::Try;
 use crate::{Rule, ALLOWANCE};
+use cluster_model::observation::HostOutcome;
 use cluster_model::scenario::{Effect, Site};
-use cluster_model::seen::Dealt;
 use cluster_model::Time;
 
 /// What is said of an unsafe request's further attempt.
@@ -18,7 +18,7 @@
     host: u32,
     gateway: u32,
     first_byte: Time,
-    dealt: Option<Dealt>,
+    dealt: Option<HostOutcome>,
     out: bool,
     /// Since when a copy that was sent later was out beside it, where there may be none.
     doubled: Option<Time>,
@@ -27,7 +27,7 @@
 impl Attempt {
     /// Only a host that turned it away, or dropped it before it began, proves that it never ran.
     fn may_have_run(&self) -> bool {
-        !matches!(self.dealt, Some(Dealt::TurnedAway | Dealt::Dropped))
+        !matches!(self.dealt, Some(HostOutcome::Rejected | HostOutcome::Dropped))
     }
 
     /// Since when it was out together with another, where it is out up to `to`. A connection's end may come to one
@@ -190,7 +190,7 @@
 }
 
 /// A host is through with an attempt; false: no such attempt is known yet.
-pub(crate) fn ended(request: &mut Try, host: u32, gateway: u32, dealt: Dealt) -> bool {
+pub(crate) fn ended(request: &mut Try, host: u32, gateway: u32, dealt: HostOutcome) -> bool {
     let mut live = request.attempts.live.iter_mut();
     let Some(attempt) = live.find(|attempt| attempt.is(host, gateway) && attempt.dealt.is_none()) else {
         return false;
--- a/crates/invariants/src/figures.rs
+++ b/crates/invariants/src/figures.rs
@@ -1,7 +1,7 @@
 //! Latencies, hosts, and the run second by second.
 
 use crate::{seconds, HostFigures, Latency, SecondFigures};
-use cluster_model::seen::Dealt;
+use cluster_model::observation::HostOutcome;
 use cluster_model::{Span, Time, SECOND};
 use std::collections::BTreeMap;
 
@@ -101,11 +101,11 @@
         self.host(host).received += 1;
     }
 
-    pub(crate) fn dealt(&mut self, host: u32, dealt: Dealt) {
+    pub(crate) fn dealt(&mut self, host: u32, dealt: HostOutcome) {
         match dealt {
-            Dealt::Served => self.host(host).served += 1,
-            Dealt::TurnedAway => self.host(host).turned_away += 1,
-            Dealt::Failed | Dealt::Dropped | Dealt::Unheard => {}
+            HostOutcome::Served => self.host(host).served += 1,
+            HostOutcome::Rejected => self.host(host).turned_away += 1,
+            HostOutcome::Failed | HostOutcome::Dropped | HostOutcome::Undelivered => {}
         }
     }
 
--- a/crates/invariants/src/judge.rs
+++ b/crates/invariants/src/judge.rs
@@ -14,9 +14,9 @@
 use crate::tries::Try;
 use crate::worth::{Outcome, Worth};
 use crate::{Breach, ClassFigures, Counts, PlanFigures, Rule, Verdict};
-use cluster_model::draw::Draws;
+use cluster_model::observation::{ClientOutcome, HostOutcome, Observation, ObservationKind};
+use cluster_model::requests::RequestSampler;
 use cluster_model::scenario::{Site, Traffic};
-use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
     fleet: Fleet,
     tries: BTreeMap<u64, Try>,
     /// Seen of requests that nobody has asked yet, or of attempts that no host has received yet.
-    early: BTreeMap<u64, Vec<Seen>>,
+    early: BTreeMap<u64, Vec<Observation>>,
 }
 
 impl Judge {
@@ -55,7 +55,7 @@
         let longest = site.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         Judge {
             site: site.clone(),
-            mean_units: Draws::new(0, traffic).mean_units(),
+            mean_units: RequestSampler::new(0, traffic).mean_units(),
             now: 0,
             log: Log::new(start),
             ears: Ears::default(),
@@ -81,7 +81,7 @@
     }
 
     /// Takes in the next sighting. One that is older than the last is taken as it is, but moves no clock back.
-    pub fn see(&mut self, seen: &Seen) {
+    pub fn see(&mut self, seen: &Observation) {
         self.now = self.now.max(seen.at);
         self.cold.advance(self.now, &mut self.log);
         self.judge_overdue();
@@ -110,57 +110,72 @@
         }
     }
 
-    fn take(&mut self, seen: &Seen) {
-        match &seen.what {
-            What::Asked { .. } => self.asked(seen),
-            What::Answered { .. } | What::Left { .. } => self.client_saw(seen),
-            What::Received { .. } | What::Ended { .. } | What::Out { .. } => self.host_saw(seen),
-            What::Unasked { gateway } => answers::unasked(seen.at, *gateway, &mut self.log),
-            What::GatewayUp { .. }
-            | What::GatewayDown { .. }
-            | What::GatewaySignalled { .. }
-            | What::ClientsCut { .. }
-            | What::GatewayStopped { .. }
-            | What::NewsCut { .. }
-            | What::CallsLate { .. } => self.gateway(seen.at, &seen.what),
-            What::Counted { amount, answered, turned_away, took, .. } => {
+    fn take(&mut self, seen: &Observation) {
+        match &seen.kind {
+            ObservationKind::RequestSent { .. } => self.asked(seen),
+            ObservationKind::RequestEnded { .. } | ObservationKind::ClientDisconnected { .. } => {
+                self.client_saw(seen)
+            }
+            ObservationKind::AttemptReceived { .. }
+            | ObservationKind::AttemptEnded { .. }
+            | ObservationKind::AttemptClosed { .. } => self.host_saw(seen),
+            ObservationKind::UnexpectedResponse { gateway } => {
+                answers::unasked(seen.at, *gateway, &mut self.log)
+            }
+            ObservationKind::GatewayUp { .. }
+            | ObservationKind::GatewayDown { .. }
+            | ObservationKind::GatewaySignalled { .. }
+            | ObservationKind::ClientLinksCut { .. }
+            | ObservationKind::GatewaySuspended { .. }
+            | ObservationKind::DiscoveryLinkFault { .. }
+            | ObservationKind::HostTrafficDelayed { .. } => self.gateway(seen.at, &seen.kind),
+            ObservationKind::CounterCall {
+                amount, answered, rejected: turned_away, duration: took, ..
+            } => {
                 self.figures.counted(seen.at);
                 let call =
                     Call { amount: *amount, answered: *answered, turned_away: *turned_away, took: *took };
                 self.fleet.counted(seen.at, call);
             }
-            What::Probed { .. } => self.fleet.probed(seen.at),
-            What::Disconnected { .. } => self.fleet.disconnected(),
-            What::ListAsked { watch, .. } => {
+            ObservationKind::HealthCheckReceived { .. } => self.fleet.probed(seen.at),
+            ObservationKind::HostConnectionClosed { .. } => self.fleet.disconnected(),
+            ObservationKind::DiscoveryRequest { watch, .. } => {
                 self.fleet.news(seen.at, if *watch { News::Watch } else { News::List });
             }
-            What::ListLine { .. } => self.fleet.news(seen.at, News::Line),
-            What::Event { text } => self.figures.event(seen.at, text),
-            What::Connected { .. }
-            | What::Started { .. }
-            | What::Slowed { .. }
-            | What::Fell { .. }
-            | What::Stopped { .. }
-            | What::Heard { .. }
-            | What::Told { .. }
-            | What::Load { .. } => self.host(seen.at, &seen.what),
+            ObservationKind::DiscoveryMessage { .. } => self.fleet.news(seen.at, News::Line),
+            ObservationKind::ScenarioEvent { text } => self.figures.event(seen.at, text),
+            ObservationKind::HostConnectionOpened { .. }
+            | ObservationKind::HostStarted { .. }
+            | ObservationKind::HostSlowed { .. }
+            | ObservationKind::HostOverloadCrash { .. }
+            | ObservationKind::HostStopped { .. }
+            | ObservationKind::AgentNotified { .. }
+            | ObservationKind::GatewayNotified { .. }
+            | ObservationKind::HostLoad { .. } => self.host(seen.at, &seen.kind),
         }
     }
 
-    fn gateway(&mut self, at: Time, what: &What) {
+    fn gateway(&mut self, at: Time, what: &ObservationKind) {
         match *what {
-            What::GatewayUp { gateway } => self.gateways.up(at, gateway),
-            What::GatewaySignalled { gateway, kill } => self.gateways.signalled(at, gateway, kill),
-            What::ClientsCut { gateway, cut } => return self.gateways.cut(at, gateway, cut),
-            What::GatewayStopped { gateway, stopped } => {
+            ObservationKind::GatewayUp { gateway } => self.gateways.up(at, gateway),
+            ObservationKind::GatewaySignalled { gateway, kill } => self.gateways.signalled(at, gateway, kill),
+            ObservationKind::ClientLinksCut { gateway, cut } => return self.gateways.cut(at, gateway, cut),
+            ObservationKind::GatewaySuspended { gateway, suspended: stopped } => {
                 self.gateways.stopped(at, gateway, stopped);
                 return self.ears.stopped(at, gateway, stopped);
             }
-            What::NewsCut { gateway, cut } => return self.ears.news_cut(at, gateway, cut),
-            What::CallsLate { gateway, host, late, blind } => {
+            ObservationKind::DiscoveryLinkFault { gateway, active: cut } => {
+                return self.ears.news_cut(at, gateway, cut)
+            }
+            ObservationKind::HostTrafficDelayed {
+                gateway,
+                host,
+                delayed: late,
+                send_time_unknown: blind,
+            } => {
                 return self.ears.calls_late(at, (gateway, host), late, blind);
             }
-            What::GatewayDown { gateway, meant } => {
+            ObservationKind::GatewayDown { gateway, expected: meant } => {
                 self.gateways.down(at, gateway);
                 if !meant {
                     self.log.breach(at, Rule::NoCrash, Subject::Gateway(gateway), || {
@@ -173,37 +188,50 @@
         self.figures.gateways_up(at, self.gateways.running());
     }
 
-    fn host(&mut self, at: Time, what: &What) {
+    fn host(&mut self, at: Time, what: &ObservationKind) {
         match *what {
-            What::Connected { host, .. } => {
+            ObservationKind::HostConnectionOpened { host, .. } => {
                 self.figures.connected(host);
                 self.fleet.connected(at);
             }
-            What::Started { host, full, share, cold } => {
+            ObservationKind::HostStarted {
+                host,
+                full_capacity: full,
+                initial_share: share,
+                warm_up: cold,
+            } => {
                 self.cold.started(at, host, full, (share, cold), &mut self.log);
                 self.figures.started(host);
             }
-            What::Slowed { host, times } => self.cold.slowed(at, host, times),
-            What::Fell { host } => {
+            ObservationKind::HostSlowed { host, factor: times } => self.cold.slowed(at, host, times),
+            ObservationKind::HostOverloadCrash { host } => {
                 self.cold.fell(at, host);
                 self.figures.fell(host);
             }
-            What::Heard { gateway, host, state, started } => {
+            ObservationKind::AgentNotified { gateway, host, state, started } => {
                 self.drains.heard(at, gateway, host, state);
                 self.cold.heard(at, gateway, host, started);
             }
-            What::Told { gateway, host, state, started } => {
+            ObservationKind::GatewayNotified { gateway, host, state, started } => {
                 self.drains.told(at, gateway, host, state);
                 self.cold.told(at, gateway, host, started);
             }
-            What::Load { host, busy, .. } => self.figures.load(at, host, busy),
+            ObservationKind::HostLoad { host, utilization: busy, .. } => self.figures.load(at, host, busy),
             _ => {}
         }
     }
 
-    fn asked(&mut self, seen: &Seen) {
-        let What::Asked { request: id, first_try, gateway, customer, class, plan, units, patience } =
-            seen.what
+    fn asked(&mut self, seen: &Observation) {
+        let ObservationKind::RequestSent {
+            request: id,
+            first_request: first_try,
+            gateway,
+            customer,
+            class,
+            plan,
+            units,
+            timeout: patience,
+        } = seen.kind
         else {
             return;
         };
@@ -277,14 +305,18 @@
         }
     }
 
-    fn client_saw(&mut self, seen: &Seen) {
-        let (What::Answered { request: id, .. } | What::Left { request: id }) = seen.what else { return };
+    fn client_saw(&mut self, seen: &Observation) {
+        let (ObservationKind::RequestEnded { request: id, .. }
+        | ObservationKind::ClientDisconnected { request: id }) = seen.kind
+        else {
+            return;
+        };
         let Some(request) = self.tries.get_mut(&id) else {
             self.early.entry(id).or_default().push(seen.clone());
             return;
         };
-        match seen.what {
-            What::Answered { got, .. } => self.answered(seen.at, id, got),
+        match seen.kind {
+            ObservationKind::RequestEnded { outcome: got, .. } => self.answered(seen.at, id, got),
             _ => {
                 if let Answer::Owed(_) | Answer::Unowed = request.answer {
                     self.worth.unserved(request.thing, Outcome::Left);
@@ -295,18 +327,18 @@
         }
     }
 
-    fn answered(&mut self, now: Time, id: u64, got: Got) {
+    fn answered(&mut self, now: Time, id: u64, got: ClientOutcome) {
         let Some(request) = self.tries.get_mut(&id) else { return };
         let open = matches!(request.answer, Answer::Owed(_) | Answer::Unowed);
         let settled = request.answer == Answer::Settled;
         let owed = request.answer != Answer::Unowed;
         self.answers.answered(now, request, got, &mut self.log);
-        if let Got::Busy(_) = got {
+        if let ClientOutcome::Rejected(_) = got {
             self.effects.refused(now, request, &mut self.log);
         }
         if open {
             self.end(now, id, got, owed);
-        } else if settled && got == Got::Served(true) {
+        } else if settled && got == ClientOutcome::Served(true) {
             // Given up for lost, it has ended for the figures already; it may still be worth something.
             let inside = request.passed.is_none_or(|sent| sent.inside);
             self.worth.served(request.thing, now, inside);
@@ -315,13 +347,13 @@
     }
 
     /// A try has ended for its client. `owed`: a gateway ran that had taken it.
-    fn end(&mut self, now: Time, id: u64, got: Got, owed: bool) {
+    fn end(&mut self, now: Time, id: u64, got: ClientOutcome, owed: bool) {
         let Some(request) = self.tries.get(&id) else { return };
         let latency = now.saturating_sub(request.asked);
         let inside = request.passed.is_none_or(|sent| sent.inside);
         let held = owed && request.passed.is_none() && latency > request.patience / 2;
         let end = match got {
-            Got::Served(true) => {
+            ClientOutcome::Served(true) => {
                 self.figures.latency(request.class, latency);
                 if self.worth.served(request.thing, now, inside) {
                     End::Served
@@ -329,16 +361,19 @@
                     End::Late
                 }
             }
-            Got::Busy(_) => {
+            ClientOutcome::Rejected(_) => {
                 self.worth.unserved(request.thing, Outcome::Refused);
                 End::Refused
             }
-            Got::Served(false) | Got::Failed | Got::Broken | Got::Nothing => {
+            ClientOutcome::Served(false)
+            | ClientOutcome::Failed
+            | ClientOutcome::ConnectionClosed
+            | ClientOutcome::NoResponse => {
                 self.worth.unserved(request.thing, Outcome::Failed);
                 End::Failed
             }
         };
-        if held && matches!(got, Got::Busy(_) | Got::Failed) {
+        if held && matches!(got, ClientOutcome::Rejected(_) | ClientOutcome::Failed) {
             self.worth.held(request.thing);
         }
         match end {
@@ -348,23 +383,25 @@
         self.figures.ended(now, end);
     }
 
-    fn host_saw(&mut self, seen: &Seen) {
-        let (What::Received { request: id, .. }
-        | What::Ended { request: id, .. }
-        | What::Out { request: id, .. }) = seen.what
+    fn host_saw(&mut self, seen: &Observation) {
+        let (ObservationKind::AttemptReceived { request: id, .. }
+        | ObservationKind::AttemptEnded { request: id, .. }
+        | ObservationKind::AttemptClosed { request: id, .. }) = seen.kind
         else {
             return;
         };
         let known = self.tries.contains_key(&id)
-            && match seen.what {
-                What::Received { host, gateway, first_byte, work, .. } => {
+            && match seen.kind {
+                ObservationKind::AttemptReceived {
+                    host, gateway, first_byte, expected_work: work, ..
+                } => {
                     self.received(seen.at, id, (host, gateway), first_byte, work);
                     true
                 }
-                What::Ended { host, gateway, dealt, units, .. } => {
+                ObservationKind::AttemptEnded { host, gateway, outcome: dealt, units, .. } => {
                     self.ended(seen.at, id, (host, gateway), dealt, units)
                 }
-                What::Out { host, gateway, .. } => self.out(seen.at, id, host, gateway),
+                ObservationKind::AttemptClosed { host, gateway, .. } => self.out(seen.at, id, host, gateway),
                 _ => true,
             };
         if !known {
@@ -400,7 +437,7 @@
         now: Time,
         id: u64,
         (host, gateway): (u32, u32),
-        dealt: Dealt,
+        dealt: HostOutcome,
         units: Option<f64>,
     ) -> bool {
         let Some(request) = self.tries.get_mut(&id) else { return false };
@@ -409,7 +446,7 @@
         }
         self.figures.dealt(host, dealt);
         self.worth.dealt(request.thing, dealt);
-        if let (Dealt::Served, Some(units)) = (dealt, units) {
+        if let (HostOutcome::Served, Some(units)) = (dealt, units) {
             if let Some((more, let_in)) = self.worth.settle(request.thing, units) {
                 self.quotas.settle_thing(now, request.customer, more, let_in);
             }
@@ -450,7 +487,7 @@
     fn note_unmatched(&mut self) {
         for (id, seen) in &self.early {
             let asked = if self.tries.contains_key(id) { "received" } else { "asked" };
-            let (first, count) = (seen.first().map(|seen| &seen.what), seen.len());
+            let (first, count) = (seen.first().map(|seen| &seen.kind), seen.len());
             self.log.note(|| {
                 format!("request {id:016x} was never {asked} as {count} sightings say, the first of them {first:?}")
             });
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,7 +1,7 @@
 //! Judges a site by what passed on its wires, never by a gateway's own books.
 //!
-//! A [`Judge`] does no I/O and reads no clock. It is fed with [sightings](cluster_model::seen::Seen) in the
-//! order of time, keeps five rules and a few that any run has to keep, and ends with a [`Verdict`]. Each rule has a
+//! A [`Judge`] does no I/O and reads no clock. It is fed with [sightings](cluster_model::observation::Observation)
+//! in the order of time, keeps five rules and a few that any run has to keep, and ends with a [`Verdict`]. Each rule has a
 //! module: `answers` (one answer for each request), `effects` (nothing twice), `drains`, `cold` (no cold host
 //! pushed over) and `ceilings`. `quota` counts what customers were let in, `worth` what that was good for,
 //! `figures` the rest.
@@ -14,10 +14,11 @@
 //! ```
 //! use invariants::{Judge, Rule};
 //! use cluster_model::scenario::{Site, Traffic};
-//! use cluster_model::seen::{Seen, What};
+//! use cluster_model::observation::{Observation, ObservationKind};
 //!
 //! let mut judge = Judge::new(&Site::default(), &Traffic::default(), 0);
-//! judge.see(&Seen { at: 5, what: What::GatewayDown { gateway: 1, meant: false } });
+//! let kind = ObservationKind::GatewayDown { gateway: 1, expected: false };
+//! judge.see(&Observation { at: 5, kind });
 //! assert_eq!(judge.breaches()[0].rule, Rule::NoCrash);
 //! assert_eq!(judge.finish(10).counts.asked, 0);
 //! ```
--- a/crates/invariants/src/worth.rs
+++ b/crates/invariants/src/worth.rs
@@ -5,8 +5,8 @@
 //! names.
 
 use crate::{Cause, CauseFigures, Counts};
+use cluster_model::observation::HostOutcome;
 use cluster_model::scenario::{ClassSpec, PlanSpec, Site};
-use cluster_model::seen::Dealt;
 use cluster_model::{Time, SECOND};
 use std::collections::BTreeMap;
 
@@ -159,10 +159,10 @@
     }
 
     /// An attempt has ended there.
-    pub(crate) fn dealt(&mut self, thing: usize, dealt: Dealt) {
+    pub(crate) fn dealt(&mut self, thing: usize, dealt: HostOutcome) {
         let thing = &mut self.things[thing];
         thing.ended = thing.ended.saturating_add(1);
-        thing.unheard |= matches!(dealt, Dealt::Failed | Dealt::Unheard);
+        thing.unheard |= matches!(dealt, HostOutcome::Failed | HostOutcome::Undelivered);
     }
 
     /// A try was sent on beyond the quota.
--- a/crates/invariants/tests/judge/ceilings.rs
+++ b/crates/invariants/tests/judge/ceilings.rs
@@ -1,8 +1,8 @@
 //! Hard ceilings.
 
 use crate::day::{first, read, Ask, Day, PREMIUM, SERVED};
+use cluster_model::observation::HostOutcome;
 use cluster_model::scenario::Site;
-use cluster_model::seen::Dealt;
 use invariants::Rule;
 
 /// 2 units a second up to 10, and 3 units of slack.
@@ -42,7 +42,7 @@
 fn a_try_takes_the_units_that_it_names_and_takes_them_once() {
     let id = first(1);
     let mut day = Day::default();
-    day.ask(0, Ask { units: 13.0, ..read(id) }).receive(5, id, 0).done(9, id, 0, Dealt::TurnedAway);
+    day.ask(0, Ask { units: 13.0, ..read(id) }).receive(5, id, 0).done(9, id, 0, HostOutcome::Rejected);
     day.receive(12, id, 1).done_for(50, id, 1, 40.0).answer(51, id, SERVED);
     assert_eq!(day.broken_at(&site()), []);
 }
--- a/crates/invariants/tests/judge/cold.rs
+++ b/crates/invariants/tests/judge/cold.rs
@@ -2,8 +2,8 @@
 //! 10 s. It falls when sent more than 3 times what it can do for 1.5 s.
 
 use crate::day::{first, read, Day, SERVED, START};
+use cluster_model::observation::{HostOutcome, Lifecycle, ObservationKind};
 use cluster_model::scenario::Site;
-use cluster_model::seen::{Dealt, Told, What};
 use cluster_model::{Time, MS, SECOND};
 use invariants::{Rule, Verdict};
 
@@ -12,12 +12,23 @@
 /// Host 10 starts at 1000 ms.
 fn started() -> Day {
     let mut day = Day::default();
-    day.see(1_000, What::Started { host: HOST, full: 2e9, share: 0.25, cold: 10 * SECOND });
+    day.see(
+        1_000,
+        ObservationKind::HostStarted {
+            host: HOST,
+            full_capacity: 2e9,
+            initial_share: 0.25,
+            warm_up: 10 * SECOND,
+        },
+    );
     day
 }
 
 fn tell(day: &mut Day, ms: u64, gateway: u32, started: Time) {
-    day.see(ms, What::Told { gateway, host: HOST, state: Told::InService, started });
+    day.see(
+        ms,
+        ObservationKind::GatewayNotified { gateway, host: HOST, state: Lifecycle::InService, started },
+    );
 }
 
 /// A gateway sends it a request that costs so much work.
@@ -25,13 +36,29 @@
     let request = first(thing);
     day.ask(ms, read(request));
     let first_byte = START + ms * MS;
-    day.see(ms, What::Received { request, host: HOST, gateway, first_byte, work });
-    day.see(ms + 10, What::Ended { request, host: HOST, gateway, dealt: Dealt::Served, units: None });
-    day.see(ms + 10, What::Out { request, host: HOST, gateway }).answer(ms + 11, request, SERVED);
+    day.see(
+        ms,
+        ObservationKind::AttemptReceived { request, host: HOST, gateway, first_byte, expected_work: work },
+    );
+    day.see(
+        ms + 10,
+        ObservationKind::AttemptEnded {
+            request,
+            host: HOST,
+            gateway,
+            outcome: HostOutcome::Served,
+            units: None,
+        },
+    );
+    day.see(ms + 10, ObservationKind::AttemptClosed { request, host: HOST, gateway }).answer(
+        ms + 11,
+        request,
+        SERVED,
+    );
 }
 
 fn fell(day: &mut Day, ms: u64) -> Verdict {
-    day.see(ms, What::Fell { host: HOST }).verdict(&Site::default())
+    day.see(ms, ObservationKind::HostOverloadCrash { host: HOST }).verdict(&Site::default())
 }
 
 fn rules(verdict: &Verdict) -> Vec<Rule> {
@@ -62,8 +89,8 @@
 fn a_start_that_an_agent_has_heard_of_counts_as_told_six_seconds_later() {
     let flood = |heard_ms: u64, told_ms: Option<u64>| {
         let (mut day, start) = (started(), START + SECOND);
-        let (gateway, state, started) = (0, Told::InService, start);
-        day.see(heard_ms, What::Heard { gateway, host: HOST, state, started });
+        let (gateway, state, started) = (0, Lifecycle::InService, start);
+        day.see(heard_ms, ObservationKind::AgentNotified { gateway, host: HOST, state, started });
         told_ms.iter().for_each(|ms| tell(&mut day, *ms, 0, start));
         (0..10).for_each(|n| work(&mut day, 7_900 + 10 * n, n + 1, 0, 1_000 * MS));
         rules(&fell(&mut day, 8_000))
@@ -100,7 +127,7 @@
 fn what_pushed_a_host_over_may_be_written_down_after_its_fall() {
     let mut day = started();
     tell(&mut day, 1_100, 0, START + SECOND);
-    day.see(2_000, What::Fell { host: HOST });
+    day.see(2_000, ObservationKind::HostOverloadCrash { host: HOST });
     work(&mut day, 2_000, 1, 0, 4_000 * MS);
     let verdict = day.verdict(&Site::default());
     assert_eq!((rules(&verdict), verdict.notes), (vec![Rule::ColdHosts], vec![]));
@@ -122,7 +149,15 @@
     // 0.75 s of warming up at 0.625 of 2 s of work a second on average, then 0.75 s at full pace; 3 times that.
     for (work_us, notes) in [(7_312_400, 1), (7_312_600, 0)] {
         let mut day = Day::default();
-        day.see(1_000, What::Started { host: HOST, full: 2e9, share: 0.25, cold: 750 * MS });
+        day.see(
+            1_000,
+            ObservationKind::HostStarted {
+                host: HOST,
+                full_capacity: 2e9,
+                initial_share: 0.25,
+                warm_up: 750 * MS,
+            },
+        );
         work(&mut day, 1_700, 1, 0, work_us * 1_000);
         assert_eq!(fell(&mut day, 1_740).notes.len(), notes, "{work_us}");
     }
@@ -144,8 +179,8 @@
     // Half a second at full pace and one at half: (0.26875 + 0.325) x 3 s of work.
     for (work_us, notes) in [(1_781_200, 1), (1_781_300, 0)] {
         let mut day = started();
-        day.see(500, What::Slowed { host: HOST, times: 1.0 })
-            .see(1_500, What::Slowed { host: HOST, times: 2.0 });
+        day.see(500, ObservationKind::HostSlowed { host: HOST, factor: 1.0 })
+            .see(1_500, ObservationKind::HostSlowed { host: HOST, factor: 2.0 });
         work(&mut day, 1_900, 1, 0, work_us * 1_000);
         assert_eq!(fell(&mut day, 2_000).notes.len(), notes, "{work_us}");
     }
--- a/crates/invariants/tests/judge/day.rs
+++ b/crates/invariants/tests/judge/day.rs
@@ -1,8 +1,8 @@
 //! A day written by hand: sightings at milliseconds from the first request.
 
-use cluster_model::draw;
+use cluster_model::observation::{ClientOutcome, HostOutcome, Lifecycle, Observation, ObservationKind};
+use cluster_model::requests;
 use cluster_model::scenario::{Site, Traffic};
-use cluster_model::seen::{Dealt, Got, Seen, Told, What};
 use cluster_model::{Time, MS, SECOND};
 use invariants::{Judge, Rule, Verdict};
 
@@ -12,11 +12,11 @@
 pub const ORDER: u32 = 1;
 pub const STANDARD: u32 = 0;
 pub const PREMIUM: u32 = 1;
-pub const SERVED: Got = Got::Served(true);
+pub const SERVED: ClientOutcome = ClientOutcome::Served(true);
 
 /// The id of the first try of a thing.
 pub fn first(thing: u64) -> u64 {
-    draw::id(thing, 0)
+    requests::request_id(thing, 0)
 }
 
 /// A request, by default a read of one unit by a premium customer.
@@ -40,30 +40,42 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Day {
-    seen: Vec<Seen>,
+    seen: Vec<Observation>,
 }
 
 impl Day {
     /// Something seen so many nanoseconds after the first request.
-    pub fn see_at(&mut self, span: u64, what: What) -> &mut Day {
-        self.seen.push(Seen { at: START + span, what });
+    pub fn see_at(&mut self, span: u64, what: ObservationKind) -> &mut Day {
+        self.seen.push(Observation { at: START + span, kind: what });
         self
     }
 
-    pub fn see(&mut self, ms: u64, what: What) -> &mut Day {
+    pub fn see(&mut self, ms: u64, what: ObservationKind) -> &mut Day {
         self.see_at(ms * MS, what)
     }
 
     /// Its client waits for 1000 ms.
     pub fn ask(&mut self, ms: u64, ask: Ask) -> &mut Day {
         let Ask { request, gateway, customer, class, plan, units } = ask;
-        let first_try = draw::first_try(request);
+        let first_try = requests::first_request_id(request);
         let patience = SECOND;
-        self.see(ms, What::Asked { request, first_try, gateway, customer, class, plan, units, patience })
+        self.see(
+            ms,
+            ObservationKind::RequestSent {
+                request,
+                first_request: first_try,
+                gateway,
+                customer,
+                class,
+                plan,
+                units,
+                timeout: patience,
+            },
+        )
     }
 
-    pub fn answer(&mut self, ms: u64, request: u64, got: Got) -> &mut Day {
-        self.see(ms, What::Answered { request, gateway: 0, got })
+    pub fn answer(&mut self, ms: u64, request: u64, got: ClientOutcome) -> &mut Day {
+        self.see(ms, ObservationKind::RequestEnded { request, gateway: 0, outcome: got })
     }
 
     /// A command from gateway 0, sent and come within the millisecond.
@@ -73,26 +85,38 @@
 
     pub fn receive_sent(&mut self, sent_ms: u64, ms: u64, request: u64, host: u32) -> &mut Day {
         let first_byte = START + sent_ms * MS;
-        self.see(ms, What::Received { request, host, gateway: 0, first_byte, work: 50 * MS })
+        self.see(
+            ms,
+            ObservationKind::AttemptReceived {
+                request,
+                host,
+                gateway: 0,
+                first_byte,
+                expected_work: 50 * MS,
+            },
+        )
     }
 
-    pub fn end(&mut self, ms: u64, request: u64, host: u32, dealt: Dealt) -> &mut Day {
-        self.see(ms, What::Ended { request, host, gateway: 0, dealt, units: None })
+    pub fn end(&mut self, ms: u64, request: u64, host: u32, dealt: HostOutcome) -> &mut Day {
+        self.see(ms, ObservationKind::AttemptEnded { request, host, gateway: 0, outcome: dealt, units: None })
     }
 
     pub fn out(&mut self, ms: u64, request: u64, host: u32) -> &mut Day {
-        self.see(ms, What::Out { request, host, gateway: 0 })
+        self.see(ms, ObservationKind::AttemptClosed { request, host, gateway: 0 })
     }
 
     /// A host has dealt with a command, and its answer is written or its connection has ended.
-    pub fn done(&mut self, ms: u64, request: u64, host: u32, dealt: Dealt) -> &mut Day {
+    pub fn done(&mut self, ms: u64, request: u64, host: u32, dealt: HostOutcome) -> &mut Day {
         self.end(ms, request, host, dealt).out(ms, request, host)
     }
 
     /// The true units come with the good answer.
     pub fn done_for(&mut self, ms: u64, request: u64, host: u32, units: f64) -> &mut Day {
-        let dealt = Dealt::Served;
-        self.see(ms, What::Ended { request, host, gateway: 0, dealt, units: Some(units) });
+        let dealt = HostOutcome::Served;
+        self.see(
+            ms,
+            ObservationKind::AttemptEnded { request, host, gateway: 0, outcome: dealt, units: Some(units) },
+        );
         self.out(ms, request, host)
     }
 
@@ -103,26 +127,26 @@
 
     pub fn serve_after(&mut self, ms: u64, after: u64, ask: Ask) -> &mut Day {
         let request = ask.request;
-        self.ask(ms, ask).receive(ms + 2, request, 0).done(ms + after - 1, request, 0, Dealt::Served);
+        self.ask(ms, ask).receive(ms + 2, request, 0).done(ms + after - 1, request, 0, HostOutcome::Served);
         self.answer(ms + after, request, SERVED)
     }
 
     /// Asked and refused at once.
     pub fn refuse(&mut self, ms: u64, ask: Ask) -> &mut Day {
-        self.ask(ms, ask).answer(ms + 1, ask.request, Got::Busy(None))
+        self.ask(ms, ask).answer(ms + 1, ask.request, ClientOutcome::Rejected(None))
     }
 
-    pub fn tell(&mut self, ms: u64, gateway: u32, host: u32, state: Told) -> &mut Day {
-        self.see(ms, What::Told { gateway, host, state, started: 0 })
+    pub fn tell(&mut self, ms: u64, gateway: u32, host: u32, state: Lifecycle) -> &mut Day {
+        self.see(ms, ObservationKind::GatewayNotified { gateway, host, state, started: 0 })
     }
 
     /// The agent of a gateway hears it.
-    pub fn hear(&mut self, ms: u64, gateway: u32, host: u32, state: Told) -> &mut Day {
-        self.see(ms, What::Heard { gateway, host, state, started: 0 })
+    pub fn hear(&mut self, ms: u64, gateway: u32, host: u32, state: Lifecycle) -> &mut Day {
+        self.see(ms, ObservationKind::AgentNotified { gateway, host, state, started: 0 })
     }
 
     /// All that was seen, in the order of time.
-    pub fn sightings(&self) -> Vec<Seen> {
+    pub fn sightings(&self) -> Vec<Observation> {
         let mut seen = self.seen.clone();
         seen.sort_by_key(|seen| seen.at);
         seen
--- a/crates/invariants/tests/judge/figures.rs
+++ b/crates/invariants/tests/judge/figures.rs
@@ -1,9 +1,9 @@
 //! Latencies, hosts and the run second by second.
 
 use crate::day::{first, read, Ask, Day, PREMIUM, READ, SERVED, STANDARD, START};
-use cluster_model::draw;
+use cluster_model::observation::{ClientOutcome, HostOutcome, Observation, ObservationKind};
+use cluster_model::requests;
 use cluster_model::scenario::{Site, Traffic};
-use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::{MS, SECOND};
 use invariants::{FleetFigures, Judge};
 
@@ -22,16 +22,19 @@
 
 #[test]
 fn a_thing_ends_as_its_last_try_does() {
-    let ended = |last: Got| {
-        let mut day = Day::default();
-        day.refuse(0, read(draw::id(1, 0))).ask(100, read(draw::id(1, 1))).answer(120, draw::id(1, 1), last);
-        let counts = day.verdict(&Site::default()).counts;
-        [counts.asked, counts.served, counts.refused, counts.failed]
-    };
+    let ended =
+        |last: ClientOutcome| {
+            let mut day = Day::default();
+            day.refuse(0, read(requests::request_id(1, 0)))
+                .ask(100, read(requests::request_id(1, 1)))
+                .answer(120, requests::request_id(1, 1), last);
+            let counts = day.verdict(&Site::default()).counts;
+            [counts.asked, counts.served, counts.refused, counts.failed]
+        };
     assert_eq!(ended(SERVED), [1, 1, 0, 0]);
-    assert_eq!(ended(Got::Busy(None)), [1, 0, 1, 0]);
-    assert_eq!(ended(Got::Failed), [1, 0, 0, 1]);
-    assert_eq!(ended(Got::Broken), [1, 0, 0, 1]);
+    assert_eq!(ended(ClientOutcome::Rejected(None)), [1, 0, 1, 0]);
+    assert_eq!(ended(ClientOutcome::Failed), [1, 0, 0, 1]);
+    assert_eq!(ended(ClientOutcome::ConnectionClosed), [1, 0, 0, 1]);
 }
 
 #[test]
@@ -51,7 +54,7 @@
 #[test]
 fn a_broken_answer_fails_a_try_once() {
     let mut day = Day::default();
-    day.ask(0, read(first(1))).answer(10, first(1), Got::Broken);
+    day.ask(0, read(first(1))).answer(10, first(1), ClientOutcome::ConnectionClosed);
     let failed: Vec<u32> =
         day.verdict(&Site::default()).timeline.iter().map(|second| second.failed).collect();
     assert_eq!(failed, [1, 0, 0, 0]);
@@ -76,12 +79,19 @@
     day.ask(900, Ask { units: 3.0, ..read(id) }).receive(950, id, 0).done_for(1_050, id, 0, 5.0);
     day.answer(1_051, id, SERVED);
     day.serve(1_100, Ask { customer: 8, plan: STANDARD, ..read(first(2)) });
-    day.see(1_000, What::Load { host: 2, held: 1, busy: 0.25 });
-    day.see(1_500, What::GatewayDown { gateway: 2, meant: true });
-    day.see(2_500, What::GatewayUp { gateway: 2 });
+    day.see(1_000, ObservationKind::HostLoad { host: 2, requests: 1, utilization: 0.25 });
+    day.see(1_500, ObservationKind::GatewayDown { gateway: 2, expected: true });
+    day.see(2_500, ObservationKind::GatewayUp { gateway: 2 });
     day.see(
         2_500,
-        What::Counted { gateway: 0, amount: 1.0, added: true, answered: true, turned_away: false, took: 0 },
+        ObservationKind::CounterCall {
+            gateway: 0,
+            amount: 1.0,
+            added: true,
+            answered: true,
+            rejected: false,
+            duration: 0,
+        },
     );
     let verdict = day.verdict(&Site::default());
     let timeline = &verdict.timeline;
@@ -99,9 +109,14 @@
 fn hosts_count_what_came_to_them() {
     let mut day = Day::default();
     let id = first(1);
-    day.see(0, What::Connected { host: 1, gateway: 0 }).ask(0, read(id));
-    day.receive(5, id, 1).done(6, id, 1, Dealt::TurnedAway).receive(9, id, 0).done(60, id, 0, Dealt::Served);
-    day.answer(61, id, SERVED).ask(70, read(first(2))).answer(71, first(2), Got::Failed);
+    day.see(0, ObservationKind::HostConnectionOpened { host: 1, gateway: 0 }).ask(0, read(id));
+    day.receive(5, id, 1).done(6, id, 1, HostOutcome::Rejected).receive(9, id, 0).done(
+        60,
+        id,
+        0,
+        HostOutcome::Served,
+    );
+    day.answer(61, id, SERVED).ask(70, read(first(2))).answer(71, first(2), ClientOutcome::Failed);
     let verdict = day.verdict(&Site::default());
     let hosts: Vec<[u64; 4]> = verdict
         .hosts
@@ -116,33 +131,34 @@
 fn the_fleet_is_summed_from_the_first_request_to_the_last_try() {
     let mut day = Day::default();
     let id = first(1);
-    let counted = |amount, answered, turned_away, ms| What::Counted {
+    let counted = |amount, answered, turned_away, ms| ObservationKind::CounterCall {
         gateway: 0,
         amount,
         added: answered,
         answered,
-        turned_away,
-        took: ms * MS,
+        rejected: turned_away,
+        duration: ms * MS,
     };
-    let connected = |host| What::Connected { host, gateway: 1 };
+    let connected = |host| ObservationKind::HostConnectionOpened { host, gateway: 1 };
     day.ask(0, Ask { units: 3.0, ..read(id) });
-    day.receive_sent(30, 31, id, 0).done(60, id, 0, Dealt::Served).answer(61, id, SERVED);
+    day.receive_sent(30, 31, id, 0).done(60, id, 0, HostOutcome::Served).answer(61, id, SERVED);
     day.see(100, counted(1.0, true, false, 2)).see(110, counted(0.0, true, false, 51));
     day.see(120, counted(1.0, false, true, 0)).see(130, counted(0.0, false, false, 9));
     day.see(200, connected(0)).see(210, connected(1));
-    day.see(220, What::Disconnected { host: 0, gateway: 1 }).see(230, connected(2));
-    day.see(240, connected(3)).see(300, What::Probed { host: 1, gateway: 2 });
-    day.see(310, What::ListAsked { gateway: 2, watch: false });
-    for (count, what) in
-        [(2, What::ListAsked { gateway: 2, watch: true }), (3, What::ListLine { gateway: 2 })]
-    {
+    day.see(220, ObservationKind::HostConnectionClosed { host: 0, gateway: 1 }).see(230, connected(2));
+    day.see(240, connected(3)).see(300, ObservationKind::HealthCheckReceived { host: 1, gateway: 2 });
+    day.see(310, ObservationKind::DiscoveryRequest { gateway: 2, watch: false });
+    for (count, what) in [
+        (2, ObservationKind::DiscoveryRequest { gateway: 2, watch: true }),
+        (3, ObservationKind::DiscoveryMessage { gateway: 2 }),
+    ] {
         (0..count).for_each(|_| {
             day.see(320, what.clone());
         });
     }
     // One of 100 units is beyond the store of 65, and one is refused with all of it there.
     day.ask(1_000, Ask { units: 100.0, ..read(first(2)) });
-    day.receive_sent(1_050, 1_051, first(2), 0).done(1_090, first(2), 0, Dealt::Served);
+    day.receive_sent(1_050, 1_051, first(2), 0).done(1_090, first(2), 0, HostOutcome::Served);
     day.answer(1_091, first(2), SERVED).refuse(2_000, read(first(3)));
     let wanted = FleetFigures {
         gateways: 3,
@@ -165,8 +181,9 @@
     assert_eq!(day.verdict(&Site::default()).fleet, wanted);
     // What was before the first request is none of the day, but what is open is open.
     let mut judge = Judge::new(&Site::default(), &Traffic::default(), START);
-    for what in [counted(1.0, false, true, 0), What::ListLine { gateway: 2 }, connected(0)] {
-        judge.see(&Seen { at: START - 1, what });
+    for what in [counted(1.0, false, true, 0), ObservationKind::DiscoveryMessage { gateway: 2 }, connected(0)]
+    {
+        judge.see(&Observation { at: START - 1, kind: what });
     }
     day.sightings().iter().for_each(|seen| judge.see(seen));
     let fleet = judge.finish(START + 3 * SECOND).fleet;
@@ -179,7 +196,7 @@
     for (at, text) in
         [(START - SECOND, "the hosts are up"), (START + 1_500 * MS, "kill 41 % of the gateways")]
     {
-        judge.see(&Seen { at, what: What::Event { text: text.into() } });
+        judge.see(&Observation { at, kind: ObservationKind::ScenarioEvent { text: text.into() } });
     }
     let verdict = judge.finish(START + 2 * SECOND);
     assert_eq!(
--- a/crates/invariants/tests/judge/order.rs
+++ b/crates/invariants/tests/judge/order.rs
@@ -1,13 +1,13 @@
 //! Sightings of one instant, in any order; and those that fit nowhere.
 
 use crate::day::{first, order, read, Ask, Day, SERVED, START};
+use cluster_model::observation::{ClientOutcome, HostOutcome, Observation, ObservationKind};
 use cluster_model::rng::Rng;
 use cluster_model::scenario::{Site, Traffic};
-use cluster_model::seen::{Dealt, Got, Seen, What};
 use cluster_model::SECOND;
 use invariants::{Judge, Verdict};
 
-fn judged(seen: &[Seen]) -> Verdict {
+fn judged(seen: &[Observation]) -> Verdict {
     let mut judge = Judge::new(&Site::default(), &Traffic::default(), START);
     seen.iter().for_each(|seen| judge.see(seen));
     judge.finish(START + 10 * SECOND)
@@ -37,9 +37,9 @@
     let mut rng = Rng::stream(2, "order", 0);
     for _ in 0..200 {
         let mut day = Day::default();
-        day.ask(0, read(first(1))).answer(0, first(1), Got::Broken);
-        day.see(0, What::GatewaySignalled { gateway: 0, kill: true });
-        day.see(0, What::GatewayDown { gateway: 0, meant: true });
+        day.ask(0, read(first(1))).answer(0, first(1), ClientOutcome::ConnectionClosed);
+        day.see(0, ObservationKind::GatewaySignalled { gateway: 0, kill: true });
+        day.see(0, ObservationKind::GatewayDown { gateway: 0, expected: true });
         let mut seen = day.sightings();
         rng.shuffle(&mut seen);
         assert_eq!(judged(&seen).breaches, [], "{seen:?}");
@@ -51,7 +51,7 @@
     let mut day = Day::default();
     let id = first(1);
     // On sockets the client's note of its last byte may come after the host's of the whole command.
-    day.receive(4, id, 0).done(5, id, 0, Dealt::Served).ask(6, read(id)).answer(9, id, SERVED);
+    day.receive(4, id, 0).done(5, id, 0, HostOutcome::Served).ask(6, read(id)).answer(9, id, SERVED);
     let verdict = day.verdict(&Site::default());
     assert_eq!((verdict.breaches, verdict.notes), (vec![], vec![]));
     assert_eq!((verdict.hosts[0].received, verdict.hosts[0].served), (1, 1));
@@ -60,7 +60,7 @@
 #[test]
 fn what_fits_nowhere_is_noted() {
     let mut day = Day::default();
-    day.receive(4, first(1), 0).serve(10, read(first(2))).end(300, first(2), 5, Dealt::Served);
+    day.receive(4, first(1), 0).serve(10, read(first(2))).end(300, first(2), 5, HostOutcome::Served);
     day.ask(20, Ask { class: 9, ..read(first(3)) });
     let verdict = day.verdict(&Site::default());
     assert_eq!((verdict.breaches, verdict.notes.len()), (vec![], 3));
--- a/crates/invariants/tests/judge/quota.rs
+++ b/crates/invariants/tests/judge/quota.rs
@@ -1,9 +1,9 @@
 //! Quotas. The standard plan: 4.5 units a second up to 23, and 4 attempts out.
 
 use crate::day::{first, read, Ask, Day, SERVED, STANDARD};
-use cluster_model::draw;
+use cluster_model::observation::{ClientOutcome, HostOutcome};
+use cluster_model::requests;
 use cluster_model::scenario::Site;
-use cluster_model::seen::{Dealt, Got};
 use invariants::{CustomerFigures, Verdict};
 
 fn ask(request: u64, units: f64) -> Ask {
@@ -104,7 +104,7 @@
     let fifth = |day: &mut Day| day.serve(10, ask(first(3), 1.0)).clone();
     assert_eq!(customer(&fifth(&mut day.clone())).beyond_units, 1.0);
     // Dropped, but still out by its connection; then out no more.
-    day.end(5, first(1), 0, Dealt::Dropped);
+    day.end(5, first(1), 0, HostOutcome::Dropped);
     assert_eq!(customer(&fifth(&mut day.clone())).beyond_units, 1.0);
     day.out(5, first(1), 0);
     assert_eq!(customer(&fifth(&mut day.clone())).beyond_units, 0.0);
@@ -113,13 +113,14 @@
 #[test]
 fn a_clients_retry_takes_its_units_anew_but_was_asked_once() {
     let mut day = Day::default();
-    day.ask(0, ask(draw::id(1, 0), 20.0)).receive(0, draw::id(1, 0), 0).done(
+    day.ask(0, ask(requests::request_id(1, 0), 20.0)).receive(0, requests::request_id(1, 0), 0).done(
         5,
-        draw::id(1, 0),
+        requests::request_id(1, 0),
         0,
-        Dealt::Failed,
+        HostOutcome::Failed,
     );
-    day.answer(6, draw::id(1, 0), Got::Failed).serve(10, ask(draw::id(1, 1), 20.0));
+    day.answer(6, requests::request_id(1, 0), ClientOutcome::Failed)
+        .serve(10, ask(requests::request_id(1, 1), 20.0));
     let customer = customer(&day);
     assert_eq!((customer.asked, customer.asked_units), (2, 20.0));
     assert_eq!((customer.passed_units, customer.beyond_units), (40.0, 20.0));
--- a/crates/invariants/tests/judge/worth.rs
+++ b/crates/invariants/tests/judge/worth.rs
@@ -2,9 +2,9 @@
 //! quota; premium counts 1.6 times, and beyond its quota earns nothing and costs 0.6.
 
 use crate::day::{first, order, read, Ask, Day, ORDER, PREMIUM, SERVED, STANDARD};
-use cluster_model::draw;
+use cluster_model::observation::{ClientOutcome, HostOutcome};
+use cluster_model::requests;
 use cluster_model::scenario::Site;
-use cluster_model::seen::{Dealt, Got};
 use invariants::Verdict;
 
 fn verdict(day: &Day) -> Verdict {
@@ -48,7 +48,7 @@
 fn time_runs_from_the_first_try_and_a_thing_counts_once() {
     let retried = |again_ms: u64| {
         let mut day = Day::default();
-        day.refuse(0, read(draw::id(1, 0))).serve(again_ms, read(draw::id(1, 1)));
+        day.refuse(0, read(requests::request_id(1, 0))).serve(again_ms, read(requests::request_id(1, 1)));
         verdict(&day)
     };
     assert_near(retried(500).worth_whole, 1.0);
@@ -63,7 +63,7 @@
 #[test]
 fn the_first_good_answer_counts() {
     let mut day = Day::default();
-    day.serve(0, read(draw::id(1, 0))).serve_after(200, 500, read(draw::id(1, 1)));
+    day.serve(0, read(requests::request_id(1, 0))).serve_after(200, 500, read(requests::request_id(1, 1)));
     assert_near(verdict(&day).worth_whole, 1.0);
 }
 
@@ -102,9 +102,9 @@
     day.serve(0, Ask { units: 65.0, ..read(first(1)) });
     let over = Ask { units: 10.0, ..read(first(2)) };
     assert_near(verdict(day.clone().serve(5, over)).worth_whole, (65.0 - 6.0) / 65.0);
-    let retry = Ask { request: draw::id(2, 1), ..over };
-    day.ask(5, over).receive(6, over.request, 0).done(7, over.request, 0, Dealt::TurnedAway);
-    day.answer(8, over.request, Got::Busy(None)).serve(20, retry);
+    let retry = Ask { request: requests::request_id(2, 1), ..over };
+    day.ask(5, over).receive(6, over.request, 0).done(7, over.request, 0, HostOutcome::Rejected);
+    day.answer(8, over.request, ClientOutcome::Rejected(None)).serve(20, retry);
     assert_near(verdict(&day).worth_whole, (65.0 - 12.0) / 65.0);
 }
 
@@ -157,22 +157,22 @@
 
 #[test]
 fn a_request_held_in_vain_for_over_half_of_its_time_costs_extra() {
-    let held = |ms: u64, got: Got, sent: bool| {
+    let held = |ms: u64, got: ClientOutcome, sent: bool| {
         let mut day = Day::default();
         let id = first(1);
         day.serve(0, read(first(2))).ask(0, read(id));
         if sent {
-            day.receive(1, id, 1).done(2, id, 1, Dealt::TurnedAway);
+            day.receive(1, id, 1).done(2, id, 1, HostOutcome::Rejected);
         }
         verdict(day.answer(ms, id, got)).worth_whole
     };
-    assert_near(held(500, Got::Failed, false), 0.5);
-    assert_near(held(501, Got::Failed, false), 0.35);
-    assert_near(held(501, Got::Busy(None), false), 0.35);
-    assert_near(held(501, Got::Failed, true), 0.5);
+    assert_near(held(500, ClientOutcome::Failed, false), 0.5);
+    assert_near(held(501, ClientOutcome::Failed, false), 0.35);
+    assert_near(held(501, ClientOutcome::Rejected(None), false), 0.35);
+    assert_near(held(501, ClientOutcome::Failed, true), 0.5);
     // Never answered costs the same, whenever its client learns of that.
-    assert_near(held(100, Got::Nothing, false), 0.35);
-    assert_near(held(600, Got::Nothing, false), 0.35);
+    assert_near(held(100, ClientOutcome::NoResponse, false), 0.35);
+    assert_near(held(600, ClientOutcome::NoResponse, false), 0.35);
 }
 
 #[test]
--- a/crates/invariants/tests/judge/wrongdoers.rs
+++ b/crates/invariants/tests/judge/wrongdoers.rs
@@ -1,8 +1,8 @@
 //! Gateways that do wrong: each is caught by its own rule and by no other, and does no wrong without its deed.
 
 use crate::day::{first, order, read, Ask, Day, PREMIUM, SERVED, START};
+use cluster_model::observation::{ClientOutcome, HostOutcome, Lifecycle, ObservationKind};
 use cluster_model::scenario::Site;
-use cluster_model::seen::{Dealt, Got, Told, What};
 use cluster_model::{MS, SECOND};
 use invariants::Rule;
 
@@ -26,54 +26,76 @@
 
 fn talks_to_itself() -> Day {
     let mut day = Day::default();
-    day.serve(0, read(ID)).see(120, What::Unasked { gateway: 0 });
+    day.serve(0, read(ID)).see(120, ObservationKind::UnexpectedResponse { gateway: 0 });
     day
 }
 
 fn repeats_an_order() -> Day {
     let mut day = sent_order();
-    day.done(100, ID, 0, Dealt::Unheard).receive(102, ID, 1).done(150, ID, 1, Dealt::Served);
+    day.done(100, ID, 0, HostOutcome::Undelivered).receive(102, ID, 1).done(150, ID, 1, HostOutcome::Served);
     day.answer(151, ID, SERVED);
     day
 }
 
 fn refuses_an_order_that_ran() -> Day {
     let mut day = sent_order();
-    day.done(100, ID, 0, Dealt::Failed).answer(102, ID, Got::Busy(None));
+    day.done(100, ID, 0, HostOutcome::Failed).answer(102, ID, ClientOutcome::Rejected(None));
     day
 }
 
 fn sends_to_a_draining_host() -> Day {
     let mut day = Day::default();
-    day.tell(0, 0, 0, Told::Draining).serve(1_000, read(ID));
+    day.tell(0, 0, 0, Lifecycle::Draining).serve(1_000, read(ID));
     day
 }
 
 fn never_hears_of_drains() -> Day {
     let mut day = Day::default();
-    day.hear(0, 0, 0, Told::Draining).serve(6_000, read(first(2))).serve(7_000, read(ID));
+    day.hear(0, 0, 0, Lifecycle::Draining).serve(6_000, read(first(2))).serve(7_000, read(ID));
     day
 }
 
 fn never_hears_of_starts() -> Day {
     let mut day = Day::default();
-    day.see(0, What::Started { host: 0, full: 1e9, share: 0.25, cold: 10 * SECOND });
-    day.see(100, What::Heard { gateway: 0, host: 0, state: Told::InService, started: START });
+    day.see(
+        0,
+        ObservationKind::HostStarted {
+            host: 0,
+            full_capacity: 1e9,
+            initial_share: 0.25,
+            warm_up: 10 * SECOND,
+        },
+    );
+    day.see(
+        100,
+        ObservationKind::AgentNotified { gateway: 0, host: 0, state: Lifecycle::InService, started: START },
+    );
     (1..=80).for_each(|n| {
         day.serve(7_000, Ask { customer: n, ..read(first(n)) });
     });
-    day.see(7_050, What::Fell { host: 0 });
+    day.see(7_050, ObservationKind::HostOverloadCrash { host: 0 });
     day
 }
 
 fn floods_a_cold_host() -> Day {
     let mut day = Day::default();
-    day.see(0, What::Started { host: 0, full: 1e9, share: 0.25, cold: 10 * SECOND });
-    day.see(100, What::Told { gateway: 0, host: 0, state: Told::InService, started: START });
+    day.see(
+        0,
+        ObservationKind::HostStarted {
+            host: 0,
+            full_capacity: 1e9,
+            initial_share: 0.25,
+            warm_up: 10 * SECOND,
+        },
+    );
+    day.see(
+        100,
+        ObservationKind::GatewayNotified { gateway: 0, host: 0, state: Lifecycle::InService, started: START },
+    );
     (1..=40).for_each(|n| {
         day.serve(1_000, read(first(n)));
     });
-    day.see(1_050, What::Fell { host: 0 });
+    day.see(1_050, ObservationKind::HostOverloadCrash { host: 0 });
     day
 }
 
@@ -85,7 +107,7 @@
 
 fn cuts_a_client_off() -> Day {
     let mut day = Day::default();
-    day.ask(10, read(ID)).answer(20, ID, Got::Broken);
+    day.ask(10, read(ID)).answer(20, ID, ClientOutcome::ConnectionClosed);
     day
 }
 
@@ -99,14 +121,14 @@
 
 fn serves_a_value_that_no_host_made() -> Day {
     let mut day = Day::default();
-    day.ask(0, read(ID)).answer(20, ID, Got::Served(false));
+    day.ask(0, read(ID)).answer(20, ID, ClientOutcome::Served(false));
     day
 }
 
 fn crashes() -> Day {
     let mut day = Day::default();
-    day.ask(0, read(ID)).see(20, What::GatewayDown { gateway: 0, meant: false });
-    day.answer(21, ID, Got::Broken);
+    day.ask(0, read(ID)).see(20, ObservationKind::GatewayDown { gateway: 0, expected: false });
+    day.answer(21, ID, ClientOutcome::ConnectionClosed);
     day
 }
 
@@ -148,15 +170,28 @@
 #[test]
 fn a_gateway_that_does_no_wrong_is_not_caught() {
     let mut day = Day::default();
-    day.see(0, What::Started { host: 0, full: 2e9, share: 1.0, cold: 10 * SECOND });
-    day.tell(0, 0, 3, Told::Draining);
+    day.see(
+        0,
+        ObservationKind::HostStarted {
+            host: 0,
+            full_capacity: 2e9,
+            initial_share: 1.0,
+            warm_up: 10 * SECOND,
+        },
+    );
+    day.tell(0, 0, 3, Lifecycle::Draining);
     (1..=40).for_each(|n| {
         day.serve(100 * n, Ask { customer: n % 4, ..read(first(n)) });
     });
     let id = first(50);
-    day.ask(50, order(id)).receive(60, id, 1).done(65, id, 1, Dealt::TurnedAway);
-    day.receive(70, id, 2).done(90, id, 2, Dealt::Dropped).answer(95, id, Got::Busy(Some(50 * MS)));
-    day.see(5_000, What::GatewayDown { gateway: 1, meant: true }).see(6_000, What::GatewayUp { gateway: 1 });
+    day.ask(50, order(id)).receive(60, id, 1).done(65, id, 1, HostOutcome::Rejected);
+    day.receive(70, id, 2).done(90, id, 2, HostOutcome::Dropped).answer(
+        95,
+        id,
+        ClientOutcome::Rejected(Some(50 * MS)),
+    );
+    day.see(5_000, ObservationKind::GatewayDown { gateway: 1, expected: true })
+        .see(6_000, ObservationKind::GatewayUp { gateway: 1 });
     let verdict = day.verdict(&site());
     assert_eq!((verdict.breaches, verdict.notes), (vec![], vec![]));
     assert_eq!((verdict.counts.asked, verdict.counts.served, verdict.counts.refused), (41, 40, 1));
@@ -172,5 +207,8 @@
     let named = ["request 0000000000000010", "host 1", "customer 0000000000000007"];
     assert_eq!(texts.len(), named.len());
     named.iter().zip(&texts).for_each(|(name, text)| assert!(text.contains(name), "{text}"));
-    assert_eq!(day.see(0, What::Unasked { gateway: 2 }).verdict(&site()).breaches[0].at_s, 0.0);
+    assert_eq!(
+        day.see(0, ObservationKind::UnexpectedResponse { gateway: 2 }).verdict(&site()).breaches[0].at_s,
+        0.0
+    );
 }
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -9,10 +9,10 @@
 use crate::spec::Spec;
 use crate::stats::{Counts, Latency, Stats};
 use anyhow::{Context, Result};
-use cluster_model::agent::{Member, Registry};
+use cluster_model::agent::{Endpoint, Registry};
+use cluster_model::observation::Lifecycle;
 use cluster_model::scenario::{PlanSpec, Scenario};
-use cluster_model::seen::Told;
-use cluster_model::settings::{building, document, machine_type, Start};
+use cluster_model::settings::{config_document, machine_type, zone_name, GatewayStart};
 use fake_services::agent::{AgentConfig, AgentStandIn, SharedRegistry};
 use fake_services::Recorder;
 use runtime::SystemEnv;
@@ -166,14 +166,14 @@
         let hosts = hosts::start(spec.hosts, host, &work).await.context("cannot put up the hosts")?;
         let (counter, counter_at) = counter::start().await.context("cannot put up the counter")?;
         let scenario = scenario(spec);
-        let member = |(number, addr): (u32, &SocketAddr)| Member {
+        let member = |(number, addr): (u32, &SocketAddr)| Endpoint {
             id: format!("s-{number:08x}"),
             host: number,
             addrs: [*addr].into(),
-            zone: building(0),
+            zone: zone_name(0),
             machine_type: machine_type(&scenario),
             cell: number / 3,
-            lifecycle: Told::InService,
+            lifecycle: Lifecycle::InService,
             weight: 1.0,
             started_ms: 0,
         };
@@ -192,15 +192,15 @@
             .registry
             .list(now, 0)
             .map_or_else(|| json!({}), |line| serde_json::from_str(&line.text).unwrap_or_else(|_| json!({})));
-        let start = Start {
+        let start = GatewayStart {
             name: "load".into(),
             listen,
             discovery: self.agent.addr(),
             counter: self.counter_at,
             seed,
-            known,
+            known_endpoints: known,
         };
-        document(&self.scenario, 0, &start)
+        config_document(&self.scenario, 0, &start)
     }
 }
 
