--- a/crates/cluster-model/src/lib.rs
+++ b/crates/cluster-model/src/lib.rs
@@ -1,6 +1,7 @@
-//! A model of a whole site: hosts, the shared counter, discovery and clients. It does no I/O, reads no clock
-//! and draws all chance from seeds, so that the same seed gives the same run on every machine: floating-point
-//! numbers are only added, multiplied and divided, or go through `libm`, which does not ask the processor.
+//! A deterministic model of a whole site: hosts, the shared counter, discovery and clients. The model does no
+//! I/O, reads no clock and derives all randomness from seeds, so that a seed gives the same run on every
+//! machine. Floating-point numbers are therefore only added, multiplied and divided, or go through `libm`,
+//! whose results do not depend on the processor.
 
 pub mod agent;
 pub mod counter;
@@ -14,12 +15,12 @@
 pub mod settings;
 pub mod traffic;
 
-/// A moment in nanoseconds.
+/// A point in time in nanoseconds.
 pub type Time = u64;
-/// A span of time in nanoseconds.
+/// A duration in nanoseconds.
 pub type Span = u64;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Span = 1_000_000;
-/// A second.
+/// One second.
 pub const SECOND: Span = 1_000 * MS;
--- a/crates/cluster-model/src/observation.rs
+++ b/crates/cluster-model/src/observation.rs
@@ -1,297 +1,299 @@
-//! What passed on the wires, as the stand-ins at their far ends saw it, and the facts of the site that the
-//! rules speak of. Nothing here comes from a gateway's own books.
+//! Observations of a run: network traffic as seen by the fake services at the far end of each connection, and
+//! the state changes of the site that the invariants depend on. Nothing here is reported by a gateway itself.
 
 use crate::{Span, Time};
 
-/// Something seen, and when. Sightings come in the order of time.
+/// An observation with its time. Observations are recorded in time order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// When, on the clock of the rehearsal.
+    /// Time on the clock of the run.
     pub at: Time,
-    /// What.
+    /// The observed event.
     pub kind: ObservationKind,
 }
 
-/// State of a host, as discovery tells it.
+/// State of a host in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes work.
+    /// The host accepts requests.
     InService,
-    /// It wants nothing new.
+    /// The host accepts no new requests.
     Draining,
-    /// It is gone.
+    /// The host has been removed.
     Removed,
 }
 
-/// What a client got.
+/// Outcome of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// A value; true: it is the one that a host made for this request.
+    /// A value was returned; true if it is the value that a host computed for this request.
     Served(bool),
-    /// Turned away, perhaps with advice when to come back.
+    /// The request was rejected, with an optional retry-after delay.
     Rejected(Option<Span>),
-    /// Failed: any other whole answer.
+    /// Any other complete response.
     Failed,
-    /// The connection ended, or was reset, before a whole answer.
+    /// The connection was closed or reset before the response was complete.
     ConnectionClosed,
-    /// Nothing came, up to a while after the client's time.
+    /// No response arrived within the client's timeout and a grace period after it.
     NoResponse,
 }
 
-/// How a host dealt with a command that had come whole.
+/// Outcome of a completely received command at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostOutcome {
-    /// It ran and was answered with a value.
+    /// The command ran and a value was returned.
     Served,
-    /// It ran and was answered with an error or a spoilt answer.
+    /// The command ran and an error or a corrupted response was returned.
     Failed,
-    /// It was turned away and never ran.
+    /// The command was rejected and never ran.
     Rejected,
-    /// It was dropped before it ran: its connection ended first.
+    /// The connection closed before the command ran, so it was dropped.
     Dropped,
-    /// It ran, or ran in part, and nobody was there for the answer.
+    /// The command ran at least in part, but the response could not be delivered.
     Undelivered,
 }
 
-/// What was seen. Requests are numbered by the ids that stand in their commands.
+/// An observed event. Requests are identified by the ids in their commands; gateways, hosts, classes and plans
+/// are numbered from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ObservationKind {
     /// A client wrote the last byte of a request.
     RequestSent {
-        /// Its id.
+        /// Id of the request.
         request: u64,
-        /// The id of the client's first try of the same thing.
+        /// Id of the first request of the same operation.
         first_request: u64,
-        /// Where.
+        /// Gateway that the request was sent to.
         gateway: u32,
-        /// Who.
+        /// Customer who sent the request.
         customer: u64,
-        /// Position of its class in the site.
+        /// Index of the request's class in the site.
         class: u32,
-        /// Position of its plan in the site.
+        /// Index of the customer's plan in the site.
         plan: u32,
-        /// Units, as the request names them.
+        /// Units that the request declares.
         units: f64,
-        /// How long the client waits.
+        /// How long the client waits for the response.
         timeout: Span,
     },
-    /// A client got the end of a request: the one answer, or none.
+    /// A request ended for its client: with its one response, or without any.
     RequestEnded {
-        /// Its id.
+        /// Id of the request.
         request: u64,
-        /// From where.
+        /// Gateway that the request was sent to.
         gateway: u32,
-        /// What.
+        /// Outcome at the client.
         outcome: ClientOutcome,
     },
-    /// A client closed its connection with the request unanswered.
+    /// A client closed its connection before the request was answered.
     ClientDisconnected {
-        /// Its id.
+        /// Id of the request.
         request: u64,
     },
-    /// A client got bytes that belong to no request of its own.
+    /// A client received bytes that belong to none of its requests.
     UnexpectedResponse {
-        /// From where.
+        /// Gateway that sent the bytes.
         gateway: u32,
     },
-    /// A command has come whole to a host.
+    /// A host received a complete command.
     AttemptReceived {
-        /// Its id.
+        /// Id of the request.
         request: u64,
-        /// Number of the host, in the order of their coming, from 0.
+        /// Number of the host, in the order in which hosts were added.
         host: u32,
-        /// From where.
+        /// Gateway that forwarded the request.
         gateway: u32,
-        /// When the first byte was sent (as far as the host can tell).
+        /// When the first byte was sent, as far as the host can tell.
         first_byte: Time,
-        /// Work that one like it usually costs, in nanoseconds of one core at speed 1.
+        /// Usual work of such a request, in nanoseconds of one core at speed 1.
         expected_work: Span,
     },
-    /// A host is through with a command.
+    /// A host finished processing a command.
     AttemptEnded {
-        /// Its id.
+        /// Id of the request.
         request: u64,
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// From where it had come.
+        /// Gateway that forwarded the request.
         gateway: u32,
-        /// How.
+        /// Outcome at the host.
         outcome: HostOutcome,
-        /// The true units, where the answer told them.
+        /// Actual units, if the response contained them.
         units: Option<f64>,
     },
-    /// The connection that carried a command has ended, or its answer is written: the attempt is out no more.
+    /// An attempt is no longer in flight: its connection closed, or its response has been written.
     AttemptClosed {
-        /// Its id.
+        /// Id of the request.
         request: u64,
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// From where.
+        /// Gateway that forwarded the request.
         gateway: u32,
     },
-    /// A connection to a host was opened.
+    /// A gateway opened a connection to a host.
     HostConnectionOpened {
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// From where.
+        /// Gateway that opened the connection.
         gateway: u32,
     },
-    /// A connection to a host is open no more.
+    /// A connection to a host was closed.
     HostConnectionClosed {
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// From where it came.
+        /// Gateway that had opened the connection.
         gateway: u32,
     },
-    /// A host was asked whether it is there.
+    /// A host received a health check.
     HealthCheckReceived {
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// From where.
+        /// Gateway that sent the health check.
         gateway: u32,
     },
-    /// A host started. It can do `full` nanoseconds of work a second when warm; it starts at `share` of that
-    /// and rises evenly to it over `cold`.
+    /// A host started. Its capacity rises linearly from `initial_share` of `full_capacity` to all of it over
+    /// `warm_up`.
     HostStarted {
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// Work a second when warm.
+        /// Nanoseconds of work per second after warming up.
         full_capacity: f64,
-        /// Share at the start, 1 if it is warm.
+        /// Share of the capacity at the start; 1 for a host that does not warm up.
         initial_share: f64,
-        /// Span of the rise.
+        /// Duration of the warm-up.
         warm_up: Span,
     },
-    /// A host works this many times slower from now on; 1: as usual.
+    /// A host's speed changed: requests take `factor` times as long from now on.
     HostSlowed {
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// How many times.
+        /// Slowdown factor; 1 for the usual speed.
         factor: f64,
     },
-    /// A host was pushed over while it was cold, and stays down.
+    /// A host crashed because it was overloaded while warming up; it does not recover.
     HostOverloadCrash {
-        /// The host.
+        /// Number of the host.
         host: u32,
     },
-    /// A host died, or went in the ordinary way.
+    /// A host crashed or shut down.
     HostStopped {
-        /// The host.
+        /// Number of the host.
         host: u32,
     },
-    /// A gateway's agent has heard this of a host, whether or not it comes to tell the gateway.
+    /// The discovery agent of a gateway learned the state of a host, whether or not the gateway is notified.
     AgentNotified {
-        /// The gateway.
+        /// Gateway of the agent.
         gateway: u32,
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// Its state.
+        /// State of the host.
         state: Lifecycle,
-        /// When the host had started by what was heard; 0: long ago.
+        /// Start time of the host in this update; 0 if it started before the run.
         started: Time,
     },
-    /// Discovery wrote this to a gateway.
+    /// Discovery sent the state of a host to a gateway.
     GatewayNotified {
-        /// The gateway.
+        /// Gateway that was notified.
         gateway: u32,
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// Its state.
+        /// State of the host.
         state: Lifecycle,
-        /// When the host had started by what was told; 0: long ago.
+        /// Start time of the host in this update; 0 if it started before the run.
         started: Time,
     },
-    /// A gateway asked discovery for the whole list, or opened a watch.
+    /// A gateway requested the endpoint list or opened a watch.
     DiscoveryRequest {
-        /// The gateway.
+        /// Gateway that sent the request.
         gateway: u32,
-        /// It is a watch.
+        /// True for a watch.
         watch: bool,
     },
-    /// Discovery wrote a whole list to a gateway, or a line of a watch, be it an empty one.
+    /// Discovery sent a complete endpoint list, a watch event or a heartbeat to a gateway.
     DiscoveryMessage {
-        /// The gateway.
+        /// Gateway that the message was sent to.
         gateway: u32,
     },
-    /// A gateway took a counter call to the counter.
+    /// The counter finished a call.
     CounterCall {
-        /// From where.
+        /// Gateway that made the call.
         gateway: u32,
-        /// Amount.
+        /// Amount of the call.
         amount: f64,
-        /// It was added.
+        /// Whether the amount was added.
         added: bool,
-        /// An answer with the total was written.
+        /// Whether a reply with the total was written.
         answered: bool,
-        /// It was turned away.
+        /// Whether the call was rejected.
         rejected: bool,
-        /// From its coming until its answer was written, or it was known that there would be none.
+        /// Time from receipt of the call until its reply was written, or until it was certain to get none.
         duration: Span,
     },
-    /// A gateway's process was started.
+    /// A gateway process started.
     GatewayUp {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u32,
     },
-    /// A gateway's process ended; true: it was killed by the scenario, or ended after SIGTERM as asked.
+    /// A gateway process ended.
     GatewayDown {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u32,
-        /// It was meant to.
+        /// True if the scenario killed the process, or if it ended after SIGTERM as requested.
         expected: bool,
     },
-    /// The scenario sent a gateway a signal. Without this sighting a meant end is held for a kill.
+    /// The scenario sent a signal to a gateway. An expected end of the process without this observation counts
+    /// as a kill.
     GatewaySignalled {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u32,
-        /// True: SIGKILL; else SIGTERM, after which it owes an answer to all that it has taken.
+        /// True for SIGKILL; false for SIGTERM, after which the gateway still answers every accepted request.
         kill: bool,
     },
-    /// From now on nothing passes between the clients and a gateway, or it passes again.
+    /// The links between the clients and a gateway were cut or restored.
     ClientLinksCut {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u32,
-        /// Nothing passes.
+        /// True if nothing gets through from now on.
         cut: bool,
     },
-    /// A gateway's process stands still from now on (SIGSTOP), or goes on.
+    /// A gateway process was suspended (SIGSTOP) or resumed.
     GatewaySuspended {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u32,
-        /// It stands still.
+        /// True if suspended.
         suspended: bool,
     },
-    /// Its link to discovery fails from now on, or is whole again.
+    /// A fault began or ended on the link between a gateway and discovery.
     DiscoveryLinkFault {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u32,
-        /// It fails.
+        /// True if the link is faulty from now on.
         active: bool,
     },
-    /// What a gateway sends may come late to a host from now on, or comes as usual again: also the end of a
-    /// connection, by which a host learns that an attempt is withdrawn.
+    /// Traffic from a gateway to a host may be delayed from now on, or no longer is. This includes connection
+    /// closes, by which a host learns that an attempt was cancelled.
     HostTrafficDelayed {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u32,
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// It may come late.
+        /// True if traffic may be delayed.
         delayed: bool,
-        /// The host cannot tell when it was sent.
+        /// True if the host cannot tell when the traffic was sent.
         send_time_unknown: bool,
     },
-    /// An event of the scenario, in words.
+    /// An event of the scenario took place.
     ScenarioEvent {
-        /// Its words.
+        /// Description of the event.
         text: String,
     },
-    /// Load of a host, taken once a second for the plots.
+    /// Load of a host, sampled once a second for the plots.
     HostLoad {
-        /// The host.
+        /// Number of the host.
         host: u32,
-        /// Requests in work and waiting.
+        /// Requests running and queued.
         requests: u32,
-        /// Share of its present capacity in use since the last one.
+        /// Share of the current capacity that was used since the previous sample.
         utilization: f64,
     },
 }
--- a/crates/cluster-model/src/traffic.rs
+++ b/crates/cluster-model/src/traffic.rs
@@ -1,15 +1,15 @@
-//! What clients do: who asks for what and when ([`Arrivals`]), through which gateway ([`GatewaySelector`]), and what a
-//! client does with the answer that it gets ([`ClientBehaviour`]).
+//! Client behaviour: which operations customers start and when ([`Arrivals`]), through which gateway
+//! ([`GatewaySelector`]), and how a client reacts to the outcome of a request ([`ClientBehaviour`]).
 //!
-//! Each customer asks on its own, by a Poisson stream whose rate changes with its spells. Each stream of
-//! chance belongs to one customer or one thing asked for, so that neither the order of events nor a window of
-//! [`TrafficWindow`] changes what is drawn for anything else.
+//! Each customer starts operations independently, as a Poisson process whose rate changes between its phases
+//! of high and usual demand. Each random stream belongs to one customer or one operation, so that neither the
+//! order of events nor a [`TrafficWindow`] changes the values drawn for any other.
 
 mod arrivals;
 mod behaviour;
 mod customers;
+mod demand_phases;
 mod gateway_selector;
-mod spells;
 mod traffic_window;
 
 pub use arrivals::{Arrival, Arrivals, OPERATION_INDEX_BITS};
--- a/crates/cluster-model/src/traffic/arrivals.rs
+++ b/crates/cluster-model/src/traffic/arrivals.rs
@@ -1,8 +1,8 @@
-//! Who asks for what, and when.
+//! The sequence of operations that customers start.
 
 use super::customers::{self, Customer, PlanRates};
-use super::spells::Spells;
-use super::traffic_window::{self as scale, TrafficWindow};
+use super::demand_phases::DemandPhases;
+use super::traffic_window::{self, TrafficWindow};
 use super::{BuildingBias, GatewaySelector};
 use crate::requests::RequestSampler;
 use crate::rng::Rng;
@@ -11,98 +11,99 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Bits of a thing's number that count. The bits above them are 0 for the usual traffic, and name the window,
-/// from 1, of what comes on top: a window renumbers nothing.
+/// Bits of an operation's number that hold its index. The bits above are the layer: 0 for the usual traffic,
+/// `n` for the additional traffic of the `n`-th window. Adding a window therefore renumbers no other operation.
 pub const OPERATION_INDEX_BITS: u32 = 40;
 
-/// Somebody asks for something.
+/// The start of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, from the first moment of the traffic.
+    /// Time from the start of the traffic.
     pub at: Span,
-    /// Its number: from 1 in the order of time, with holes where a window takes traffic away. What a window
-    /// adds is counted in a range of its own, see [`OPERATION_INDEX_BITS`].
+    /// Number of the operation: from 1 in time order, with gaps where a window removes traffic. Additional
+    /// traffic of a window has a number range of its own, see [`OPERATION_INDEX_BITS`].
     pub operation: u64,
-    /// Who asks.
+    /// Customer who starts the operation.
     pub customer: u64,
-    /// Position of its plan in the site.
+    /// Index of the customer's plan in the site.
     pub plan: u32,
-    /// Position of the class in the site.
+    /// Index of the operation's class in the site.
     pub class: u32,
-    /// Gateways in the customer's set.
+    /// Number of gateways in the customer's set.
     pub gateway_set_size: u32,
-    /// The first of them; the others follow in a row, counted round.
+    /// First gateway of the set; the others follow it in sequence, wrapping around.
     pub first_gateway: u32,
-    /// The one that this comes through, if it is up.
+    /// Gateway that the first request is sent to if it is up.
     pub gateway: u32,
 }
 
-/// One stream of requests: a customer's usual ones, or what a window adds to them.
+/// The arrivals of one customer in one layer: its usual traffic, or the additional traffic of a window.
 #[derive(Clone, Debug)]
-struct Flow {
+struct ArrivalStream {
     customer: u32,
-    lane: u32,
+    layer: u32,
     rng: Rng,
-    spells: Spells,
+    phases: DemandPhases,
     at: Span,
 }
 
-impl Flow {
-    fn new(customer: u32, of: &Customer, lane: u32, from: Span, seed: u64) -> Flow {
-        let mut spells = Spells::new(of.kind, Rng::stream(seed, "spells", u64::from(customer)));
-        spells.seek(from);
-        let number = u64::from(lane) << 32 | u64::from(customer);
-        Flow { customer, lane, rng: Rng::stream(seed, "arrivals", number), spells, at: from }
+impl ArrivalStream {
+    fn new(index: u32, customer: &Customer, layer: u32, from: Span, seed: u64) -> ArrivalStream {
+        let mut phases = DemandPhases::new(customer.pattern, Rng::stream(seed, "spells", u64::from(index)));
+        phases.seek(from);
+        let number = u64::from(layer) << 32 | u64::from(index);
+        ArrivalStream { customer: index, layer, rng: Rng::stream(seed, "arrivals", number), phases, at: from }
     }
 
-    /// The next event of a Poisson stream of `times` the customer's rate. `None`: never.
-    fn step(&mut self, of: &Customer, times: f64) -> Option<Span> {
-        let mut left = self.rng.exponential(1.0);
+    /// Next event of a Poisson process at `factor` times the customer's rate; `None` if there is none.
+    fn next_event(&mut self, customer: &Customer, factor: f64) -> Option<Span> {
+        let mut remaining = self.rng.exponential(1.0);
         loop {
-            let rate = times * if self.spells.loud() { of.loud } else { of.quiet };
-            let until = self.spells.until();
+            let rate = factor * if self.phases.is_high() { customer.high_rate } else { customer.base_rate };
+            let until = self.phases.ends_at();
             let passed = (until - self.at) as f64 / SECOND as f64 * rate;
-            if left < passed {
-                let ahead = (left / rate * SECOND as f64) as Span;
+            if remaining < passed {
+                let ahead = (remaining / rate * SECOND as f64) as Span;
                 self.at = self.at.saturating_add(ahead).min(until);
                 return Some(self.at);
             }
-            left -= passed;
+            remaining -= passed;
             self.at = until;
-            if !self.spells.turn() {
+            if !self.phases.advance() {
                 return None;
             }
         }
     }
 
-    /// When this stream's next request comes.
-    fn next(&mut self, of: &Customer, scales: &[TrafficWindow]) -> Option<Span> {
-        let Some(window) = (self.lane as usize).checked_sub(1).and_then(|n| scales.get(n)) else {
-            return self.step(of, 1.0);
+    /// Time of the next arrival in this stream.
+    fn next(&mut self, customer: &Customer, windows: &[TrafficWindow]) -> Option<Span> {
+        let Some(window) = (self.layer as usize).checked_sub(1).and_then(|n| windows.get(n)) else {
+            return self.next_event(customer, 1.0);
         };
         loop {
-            let at = self.step(of, window.most_more()).filter(|at| *at < window.until)?;
-            if self.rng.chance(window.more(at) / window.most_more()) {
+            let at = self.next_event(customer, window.max_increase()).filter(|at| *at < window.until)?;
+            if self.rng.chance(window.increase(at) / window.max_increase()) {
                 return Some(at);
             }
         }
     }
 }
 
-/// All that is asked for, in the order of time and without an end.
+/// An endless iterator over all arrivals in time order.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     seed: u64,
     customers: Vec<Customer>,
     rates: Vec<PlanRates>,
-    flows: Vec<Flow>,
-    due: BinaryHeap<Reverse<(Span, usize)>>,
-    scales: Vec<TrafficWindow>,
-    /// Requests so far, by lane.
+    streams: Vec<ArrivalStream>,
+    /// Time of the next arrival and index of its stream.
+    next_arrivals: BinaryHeap<Reverse<(Span, usize)>>,
+    windows: Vec<TrafficWindow>,
+    /// Operations so far, by layer.
     counts: Vec<u64>,
     /// Shares of the classes.
     classes: Vec<f64>,
-    deal: GatewaySelector,
+    selector: GatewaySelector,
 }
 
 impl Arrivals {
@@ -113,87 +114,87 @@
         let mut arrivals = Arrivals {
             seed,
             rates,
-            flows: Vec::with_capacity(customers.len()),
-            due: BinaryHeap::with_capacity(customers.len()),
+            streams: Vec::with_capacity(customers.len()),
+            next_arrivals: BinaryHeap::with_capacity(customers.len()),
             customers,
-            scales: Vec::new(),
+            windows: Vec::new(),
             counts: Vec::new(),
             classes: site.classes.iter().map(|class| class.share.max(0.0)).collect(),
-            deal: GatewaySelector::new(site, traffic, seed),
+            selector: GatewaySelector::new(site, traffic, seed),
         };
-        arrivals.open_lane(0);
+        arrivals.add_layer(0);
         arrivals
     }
 
-    /// The same with windows of more or less traffic, before anything has been asked for. What comes outside
-    /// the windows stays as it is.
-    pub fn with_windows(mut self, scales: &[TrafficWindow]) -> Arrivals {
-        for scale in scales {
-            self.scales.push(*scale);
-            self.open_lane(scale.from);
+    /// Adds traffic windows; to be called before the first arrival is taken. Arrivals outside the windows stay
+    /// the same.
+    pub fn with_windows(mut self, windows: &[TrafficWindow]) -> Arrivals {
+        for window in windows {
+            self.windows.push(*window);
+            self.add_layer(window.from);
         }
         self
     }
 
-    /// The same, leaning to a building now and then.
-    pub fn with_biases(self, leans: &[BuildingBias]) -> Arrivals {
-        Arrivals { deal: self.deal.with_biases(leans), ..self }
+    /// Returns the arrivals with these building biases.
+    pub fn with_biases(self, biases: &[BuildingBias]) -> Arrivals {
+        Arrivals { selector: self.selector.with_biases(biases), ..self }
     }
 
-    /// Starts a stream of each customer, for the usual traffic or for the newest window.
-    fn open_lane(&mut self, from: Span) {
-        let lane = self.counts.len() as u32;
+    /// Adds a stream for each customer, for the usual traffic or for the window added last.
+    fn add_layer(&mut self, from: Span) {
+        let layer = self.counts.len() as u32;
         self.counts.push(0);
-        if lane > 0 && self.scales.last().is_none_or(|scale| scale.most_more() <= 0.0) {
+        if layer > 0 && self.windows.last().is_none_or(|window| window.max_increase() <= 0.0) {
             return;
         }
-        for (number, customer) in self.customers.iter().enumerate() {
-            let mut flow = Flow::new(number as u32, customer, lane, from, self.seed);
-            if let Some(at) = flow.next(customer, &self.scales) {
-                self.due.push(Reverse((at, self.flows.len())));
-                self.flows.push(flow);
+        for (index, customer) in self.customers.iter().enumerate() {
+            let mut stream = ArrivalStream::new(index as u32, customer, layer, from, self.seed);
+            if let Some(at) = stream.next(customer, &self.windows) {
+                self.next_arrivals.push(Reverse((at, self.streams.len())));
+                self.streams.push(stream);
             }
         }
     }
 
-    /// What the customers of each plan ask for outside windows, on average over time.
+    /// Mean demand of the customers of each plan, outside traffic windows.
     pub fn rates(&self) -> &[PlanRates] {
         &self.rates
     }
 
-    /// How many times the usual traffic there is at that time.
+    /// Traffic at `at` as a multiple of the usual traffic.
     pub fn traffic_factor(&self, at: Span) -> f64 {
-        scale::factor(&self.scales, at)
+        traffic_window::traffic_factor(&self.windows, at)
     }
 
-    /// Whether the windows leave this thing its place.
-    fn is_kept(&self, thing: u64, at: Span) -> bool {
-        let left = scale::left(&self.scales, at);
-        left >= 1.0 || Rng::stream(self.seed, "kept", thing).chance(left)
+    /// Whether an operation is retained by windows that reduce the traffic.
+    fn is_kept(&self, operation: u64, at: Span) -> bool {
+        let share = traffic_window::remaining_share(&self.windows, at);
+        share >= 1.0 || Rng::stream(self.seed, "kept", operation).chance(share)
     }
 
-    fn class(&self, thing: u64) -> u32 {
-        let all: f64 = self.classes.iter().sum();
-        let mut left = Rng::stream(self.seed, "class", thing).unit() * all;
+    fn class(&self, operation: u64) -> u32 {
+        let total: f64 = self.classes.iter().sum();
+        let mut remaining = Rng::stream(self.seed, "class", operation).unit() * total;
         let found = self.classes.iter().position(|share| {
-            left -= share;
-            left < 0.0
+            remaining -= share;
+            remaining < 0.0
         });
         found.unwrap_or(self.classes.len().saturating_sub(1)) as u32
     }
 
-    fn arrival(&self, at: Span, thing: u64, customer: &Customer) -> Arrival {
+    fn arrival(&self, at: Span, operation: u64, customer: &Customer) -> Arrival {
         let mut arrival = Arrival {
             at,
-            operation: thing,
+            operation,
             customer: customer.number,
             plan: customer.plan,
-            class: self.class(thing),
-            gateway_set_size: customer.spread,
-            first_gateway: customer.first,
-            gateway: customer.first,
+            class: self.class(operation),
+            gateway_set_size: customer.gateway_set_size,
+            first_gateway: customer.first_gateway,
+            gateway: customer.first_gateway,
         };
-        arrival.gateway = self.deal.select(&arrival, 0, at, |_| true).unwrap_or(customer.first);
+        arrival.gateway = self.selector.select(&arrival, 0, at, |_| true).unwrap_or(customer.first_gateway);
         arrival
     }
 }
@@ -202,17 +203,17 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        while let Some(Reverse((at, number))) = self.due.pop() {
-            let flow = &mut self.flows[number];
-            let (lane, customer) = (flow.lane, flow.customer as usize);
-            if let Some(next) = flow.next(&self.customers[customer], &self.scales) {
-                self.due.push(Reverse((next, number)));
+        while let Some(Reverse((at, index))) = self.next_arrivals.pop() {
+            let stream = &mut self.streams[index];
+            let (layer, customer) = (stream.layer, stream.customer as usize);
+            if let Some(next) = stream.next(&self.customers[customer], &self.windows) {
+                self.next_arrivals.push(Reverse((next, index)));
             }
-            let count = &mut self.counts[lane as usize];
+            let count = &mut self.counts[layer as usize];
             *count += 1;
-            let thing = u64::from(lane) << OPERATION_INDEX_BITS | *count;
-            if self.is_kept(thing, at) {
-                return Some(self.arrival(at, thing, &self.customers[customer]));
+            let operation = u64::from(layer) << OPERATION_INDEX_BITS | *count;
+            if self.is_kept(operation, at) {
+                return Some(self.arrival(at, operation, &self.customers[customer]));
             }
         }
         None
--- a/crates/cluster-model/src/traffic/behaviour.rs
+++ b/crates/cluster-model/src/traffic/behaviour.rs
@@ -1,4 +1,4 @@
-//! What a client does with its time and with the answer that it gets.
+//! How long a client waits for a response, and how it reacts to the outcome of a request.
 
 use crate::observation::ClientOutcome;
 use crate::requests::{self, RETRY_BITS};
@@ -6,25 +6,25 @@
 use crate::scenario::{Effect, Site, Traffic};
 use crate::{Span, MS};
 
-/// How a try ended, as far as it matters to what the client does next.
+/// Outcome of a request, as far as it determines whether the client retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served, or the client has left: nothing more comes of it.
+    /// The request was served, or its client has disconnected; there is no retry.
     Done,
-    /// Turned away, perhaps with advice when to come back: it has not run.
+    /// The request was rejected without running, with an optional retry-after delay.
     Rejected(Option<Span>),
-    /// Failed in any way that leaves open whether it has run.
+    /// The request failed and may have run.
     Failed,
-    /// No gateway could be reached, so it has not run.
+    /// No gateway could be reached, so the request has not run.
     NoGateway,
 }
 
 impl From<ClientOutcome> for RequestOutcome {
-    fn from(got: ClientOutcome) -> RequestOutcome {
-        match got {
-            // The client takes what it got for what it wanted.
+    fn from(outcome: ClientOutcome) -> RequestOutcome {
+        match outcome {
+            // The client cannot tell a wrong value from the right one.
             ClientOutcome::Served(_) => RequestOutcome::Done,
-            ClientOutcome::Rejected(advice) => RequestOutcome::Rejected(advice),
+            ClientOutcome::Rejected(retry_after) => RequestOutcome::Rejected(retry_after),
             ClientOutcome::Failed | ClientOutcome::ConnectionClosed | ClientOutcome::NoResponse => {
                 RequestOutcome::Failed
             }
@@ -32,17 +32,17 @@
     }
 }
 
-/// Another try.
+/// A retry by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retry {
-    /// It is made after this.
+    /// Delay before the retry.
     pub delay: Span,
-    /// Then the client waits for this long.
+    /// How long the client then waits for the response.
     pub timeout: Span,
 }
 
-/// How clients behave. All is drawn from the number of the thing that is asked for, so the order in which
-/// clients act does not matter.
+/// Behaviour of the clients. All random values are drawn from the number of the operation, so the order in
+/// which clients act does not matter.
 #[derive(Clone, Debug)]
 pub struct ClientBehaviour {
     seed: u64,
@@ -50,23 +50,23 @@
     classes: Vec<(Span, Effect)>,
     retries: u32,
     backoff: Span,
-    honour: f64,
-    longest_advice: Option<Span>,
-    try_share: (f64, f64),
+    retry_after_share: f64,
+    max_retry_after: Option<Span>,
+    first_timeout_share: (f64, f64),
 }
 
 impl ClientBehaviour {
-    /// The clients of this site.
+    /// Creates the behaviour of the clients of a site.
     pub fn new(site: &Site, traffic: &Traffic, seed: u64) -> ClientBehaviour {
         ClientBehaviour {
             seed,
             classes: site.classes.iter().map(|class| (class.deadline, class.effect)).collect(),
-            // More would not fit into an id.
+            // Request ids have room for no more.
             retries: traffic.retries.min((1 << RETRY_BITS) - 1),
             backoff: traffic.backoff,
-            honour: traffic.honour,
-            longest_advice: site.retry_after,
-            try_share: traffic.try_share,
+            retry_after_share: traffic.honour,
+            max_retry_after: site.retry_after,
+            first_timeout_share: traffic.try_share,
         }
     }
 
@@ -74,61 +74,64 @@
         self.classes.get(class as usize).copied().unwrap_or((0, Effect::Unsafe))
     }
 
-    /// How long a client waits for the answer to its first try: whole milliseconds, as on the wire.
-    pub fn first_timeout(&self, thing: u64, class: u32) -> Span {
-        let (low, high) = self.try_share;
-        let share = Rng::stream(self.seed, "patience", thing).between(low, high).clamp(0.0, 1.0);
+    /// How long a client waits for the response to the first request of an operation, in whole milliseconds as
+    /// on the wire.
+    pub fn first_timeout(&self, operation: u64, class: u32) -> Span {
+        let (low, high) = self.first_timeout_share;
+        let share = Rng::stream(self.seed, "patience", operation).between(low, high).clamp(0.0, 1.0);
         whole_ms((self.class(class).0 as f64 * share) as Span).max(MS)
     }
 
-    /// What a client does once it has made `tries` tries, the last of which ended so, and `spent` has passed
-    /// since it set out. `None`: it gives up, or has what it wanted.
+    /// Returns the client's next retry after `requests` requests of the operation, the last of which had this
+    /// outcome, when `elapsed` has passed since the start of the operation. Returns `None` if the client has a
+    /// result or gives up.
     pub fn next_retry(
         &self,
-        thing: u64,
+        operation: u64,
         class: u32,
-        tries: u32,
-        spent: Span,
-        ended: RequestOutcome,
+        requests: u32,
+        elapsed: Span,
+        outcome: RequestOutcome,
     ) -> Option<Retry> {
         let (deadline, effect) = self.class(class);
-        let allowed = match ended {
+        let allowed = match outcome {
             RequestOutcome::Done => false,
             RequestOutcome::Rejected(_) | RequestOutcome::NoGateway => true,
             RequestOutcome::Failed => effect == Effect::Safe,
         };
-        if !allowed || tries == 0 || tries > self.retries {
+        if !allowed || requests == 0 || requests > self.retries {
             return None;
         }
-        let wait = self.backoff.saturating_mul(1 << (tries - 1)).max(self.advice(thing, ended));
-        let patience = whole_ms(deadline.checked_sub(spent)?.checked_sub(wait)?);
-        (patience > 0).then_some(Retry { delay: wait, timeout: patience })
+        let delay =
+            self.backoff.saturating_mul(1 << (requests - 1)).max(self.retry_after(operation, outcome));
+        let timeout = whole_ms(deadline.checked_sub(elapsed)?.checked_sub(delay)?);
+        (timeout > 0).then_some(Retry { delay, timeout })
     }
 
-    /// The advice that this client follows.
-    fn advice(&self, thing: u64, ended: RequestOutcome) -> Span {
-        match (ended, self.longest_advice) {
-            (RequestOutcome::Rejected(Some(advice)), Some(longest)) if self.follows_retry_after(thing) => {
-                advice.min(longest)
+    /// The retry-after delay that this client follows; 0 if it follows none.
+    fn retry_after(&self, operation: u64, outcome: RequestOutcome) -> Span {
+        match (outcome, self.max_retry_after) {
+            (RequestOutcome::Rejected(Some(delay)), Some(max)) if self.follows_retry_after(operation) => {
+                delay.min(max)
             }
             _ => 0,
         }
     }
 
-    /// Whether this client follows advice.
-    pub fn follows_retry_after(&self, thing: u64) -> bool {
-        Rng::stream(self.seed, "honour", thing).chance(self.honour)
+    /// Whether the client of this operation follows retry-after delays.
+    pub fn follows_retry_after(&self, operation: u64) -> bool {
+        Rng::stream(self.seed, "honour", operation).chance(self.retry_after_share)
     }
 
-    /// When a client leaves a try for which it would wait for `patience`, where this share of the clients
-    /// leaves early. Those who leave at some share leave at any greater one too. `None`: it stays.
-    pub fn disconnects_after(&self, thing: u64, try_number: u32, patience: Span, share: f64) -> Option<Span> {
-        let mut rng = Rng::stream(self.seed, "leaves", requests::request_id(thing, try_number));
-        rng.chance(share).then(|| (patience as f64 * rng.between(0.1, 0.9)) as Span)
+    /// When a client disconnects before the end of `timeout`, given the share of clients that do so; `None` if
+    /// it waits. Clients that disconnect at some share also disconnect at any greater one.
+    pub fn disconnects_after(&self, operation: u64, retry: u32, timeout: Span, share: f64) -> Option<Span> {
+        let mut rng = Rng::stream(self.seed, "leaves", requests::request_id(operation, retry));
+        rng.chance(share).then(|| (timeout as f64 * rng.between(0.1, 0.9)) as Span)
     }
 }
 
-/// Without the part of the last millisecond.
+/// Rounds down to whole milliseconds.
 fn whole_ms(span: Span) -> Span {
     span / MS * MS
 }
--- a/crates/cluster-model/src/traffic/gateway_selector.rs
+++ b/crates/cluster-model/src/traffic/gateway_selector.rs
@@ -1,43 +1,38 @@
-//! Through which gateway a request comes.
+//! Selection of the gateway that a request is sent to.
 
 use super::Arrival;
 use crate::rng::Rng;
 use crate::scenario::{Event, Site, Timed, Traffic};
 use crate::Span;
 
-/// A while in which the gateways of a building get another part of the traffic than usual.
+/// A time window in which the gateways of a building get more or less of the traffic than usual.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BuildingBias {
-    /// From here, from the first moment of the traffic.
+    /// Start of the window, from the start of the traffic.
     pub from: Span,
-    /// To here.
+    /// End of the window.
     pub until: Span,
     /// The building, numbered from 0.
     pub building: u32,
-    /// How many times its usual weight.
+    /// Multiple of the building's usual weight.
     pub factor: f64,
 }
 
 impl BuildingBias {
-    /// All that a scenario's events speak of.
+    /// The building biases of a scenario.
     pub fn from_events(events: &[Timed]) -> Vec<BuildingBias> {
-        let lean = |timed: &Timed| match timed.event {
-            Event::Lean(building, times, span) => {
+        let bias = |timed: &Timed| match timed.event {
+            Event::Lean(building, factor, span) => {
                 let until = timed.at.saturating_add(span);
-                Some(BuildingBias {
-                    from: timed.at,
-                    until,
-                    building: building.saturating_sub(1),
-                    factor: times,
-                })
+                Some(BuildingBias { from: timed.at, until, building: building.saturating_sub(1), factor })
             }
             _ => None,
         };
-        events.iter().filter_map(lean).collect()
+        events.iter().filter_map(bias).collect()
     }
 }
 
-/// Deals out each customer's requests among the gateways of its set, by weights that change now and then.
+/// Distributes each customer's requests over the gateways of its set, by weights that change periodically.
 #[derive(Clone, Debug)]
 pub struct GatewaySelector {
     seed: u64,
@@ -45,48 +40,50 @@
     buildings: u32,
     skew: f64,
     shift: Span,
-    /// Of each gateway, whoever asks; empty: all the same.
-    uneven: Vec<f64>,
-    leans: Vec<BuildingBias>,
+    /// Weight of each gateway for all customers; empty if all weights are equal.
+    gateway_weights: Vec<f64>,
+    biases: Vec<BuildingBias>,
 }
 
 impl GatewaySelector {
-    /// For this site.
+    /// Creates the selector for a site.
     pub fn new(site: &Site, traffic: &Traffic, seed: u64) -> GatewaySelector {
         let gateways = site.gateways.max(1);
         let weight = |gateway: u32| {
-            let place = Rng::stream(seed, "uneven", u64::from(gateway)).unit();
-            libm::pow(1.0 - place, traffic.uneven)
+            let draw = Rng::stream(seed, "uneven", u64::from(gateway)).unit();
+            libm::pow(1.0 - draw, traffic.uneven)
         };
-        let uneven = (0..gateways).filter(|_| traffic.uneven > 0.0).map(weight).collect();
+        let gateway_weights = (0..gateways).filter(|_| traffic.uneven > 0.0).map(weight).collect();
         let (skew, shift, buildings) = (traffic.skew.max(0.0), traffic.shift, site.buildings.max(1));
-        GatewaySelector { seed, gateways, buildings, skew, shift, uneven, leans: Vec::new() }
+        GatewaySelector { seed, gateways, buildings, skew, shift, gateway_weights, biases: Vec::new() }
     }
 
-    /// The same, leaning to a building now and then.
-    pub fn with_biases(self, leans: &[BuildingBias]) -> GatewaySelector {
-        GatewaySelector { leans: leans.to_vec(), ..self }
+    /// Returns the selector with these building biases.
+    pub fn with_biases(self, biases: &[BuildingBias]) -> GatewaySelector {
+        GatewaySelector { biases: biases.to_vec(), ..self }
     }
 
-    /// The gateway for a try, numbered from 0, that is made at `at`; only `usable` ones come into question,
-    /// and one that is not leaves the requests of the others where they are. `None`: there is none.
+    /// Selects the gateway, numbered from 0, for a request sent at `at`; `retry` is 0 for the first request of
+    /// the operation. Only gateways that are `usable` are selected; an unusable gateway does not change the
+    /// selection of requests that go to other gateways. Returns `None` if no gateway is usable.
     pub fn select(
         &self,
         arrival: &Arrival,
-        try_number: u32,
+        retry: u32,
         at: Span,
         mut usable: impl FnMut(u32) -> bool,
     ) -> Option<u32> {
-        let mut weights = self.weights(arrival.customer, at);
-        let mut race =
-            Rng::stream(self.seed, "gateway", crate::requests::request_id(arrival.operation, try_number));
+        let mut weights = self.customer_weights(arrival.customer, at);
+        let mut rng =
+            Rng::stream(self.seed, "gateway", crate::requests::request_id(arrival.operation, retry));
         let mut best: Option<(f64, u32)> = None;
         for step in 0..arrival.gateway_set_size {
             let gateway =
                 ((u64::from(arrival.first_gateway) + u64::from(step)) % u64::from(self.gateways)) as u32;
-            // Whoever has the first event of a stream with its weight as the rate: by its share of all weights.
-            let weight = self.weight(&mut weights) * self.favour(gateway, at);
-            let event = race.exponential(1.0) / weight;
+            // The first event among Poisson processes whose rates are the weights: each gateway is selected
+            // with a probability proportional to its weight.
+            let weight = self.next_weight(&mut weights) * self.shared_weight(gateway, at);
+            let event = rng.exponential(1.0) / weight;
             if best.is_none_or(|(least, _)| event < least) && usable(gateway) {
                 best = Some((event, gateway));
             }
@@ -94,22 +91,23 @@
         best.map(|(_, gateway)| gateway)
     }
 
-    /// What a gateway's weight is multiplied by, whoever asks.
-    fn favour(&self, gateway: u32, at: Span) -> f64 {
+    /// The part of a gateway's weight that is the same for all customers.
+    fn shared_weight(&self, gateway: u32, at: Span) -> f64 {
         let building = gateway % self.buildings;
-        let now = |lean: &&BuildingBias| lean.building == building && (lean.from..lean.until).contains(&at);
-        let leans: f64 = self.leans.iter().filter(now).map(|lean| lean.factor).product();
-        self.uneven.get(gateway as usize).copied().unwrap_or(1.0) * leans
+        let active =
+            |bias: &&BuildingBias| bias.building == building && (bias.from..bias.until).contains(&at);
+        let biases: f64 = self.biases.iter().filter(active).map(|bias| bias.factor).product();
+        self.gateway_weights.get(gateway as usize).copied().unwrap_or(1.0) * biases
     }
 
-    /// Where a customer's weights are drawn from at that time.
-    fn weights(&self, customer: u64, at: Span) -> Rng {
-        let turn = at.checked_div(self.shift).unwrap_or(0);
-        Rng::stream(self.seed, "weights", customer ^ turn << 33)
+    /// Random stream of a customer's weights at `at`.
+    fn customer_weights(&self, customer: u64, at: Span) -> Rng {
+        let period = at.checked_div(self.shift).unwrap_or(0);
+        Rng::stream(self.seed, "weights", customer ^ period << 33)
     }
 
-    /// Above 0, up to 1.
-    fn weight(&self, weights: &mut Rng) -> f64 {
+    /// Draws the next weight, above 0 and at most 1.
+    fn next_weight(&self, weights: &mut Rng) -> f64 {
         libm::pow(1.0 - weights.unit(), self.skew)
     }
 }
--- a/crates/cluster-model/src/traffic/traffic_window.rs
+++ b/crates/cluster-model/src/traffic/traffic_window.rs
@@ -1,72 +1,70 @@
-//! Windows in which there is more or less traffic than usual.
+//! Time windows with more or less traffic than usual.
 
 use crate::scenario::{Event, Timed};
 use crate::Span;
 
-/// Traffic is `factor` times the usual in a window.
+/// A time window in which the traffic is `factor` times the usual.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficWindow {
-    /// Begins.
+    /// Start of the window, from the start of the traffic.
     pub from: Span,
-    /// Is over.
+    /// End of the window.
     pub until: Span,
-    /// How many times.
+    /// Multiple of the usual traffic.
     pub factor: f64,
-    /// It rises evenly over this span at the beginning, and falls over as much at the end.
+    /// Duration of the linear ramps at the start and at the end of the window.
     pub ramp: Span,
 }
 
 impl TrafficWindow {
-    /// The windows of a scenario.
+    /// The traffic windows of a scenario.
     pub fn from_events(events: &[Timed]) -> Vec<TrafficWindow> {
         let window = |timed: &Timed| match timed.event {
-            Event::Traffic(factor, length, rise) => Some(TrafficWindow {
-                from: timed.at,
-                until: timed.at.saturating_add(length),
-                factor,
-                ramp: rise,
-            }),
+            Event::Traffic(factor, length, ramp) => {
+                Some(TrafficWindow { from: timed.at, until: timed.at.saturating_add(length), factor, ramp })
+            }
             _ => None,
         };
         events.iter().filter_map(window).collect()
     }
 
-    /// Share of the change that is in force: 0 outside, 1 after the rise.
+    /// Share of the change that is in effect at `at`: 0 outside the window, 1 after the ramp.
     fn share(&self, at: Span) -> f64 {
         if at < self.from || at >= self.until {
             return 0.0;
         }
-        let rise = self.ramp.min((self.until - self.from) / 2);
-        if rise == 0 {
+        let ramp = self.ramp.min((self.until - self.from) / 2);
+        if ramp == 0 {
             return 1.0;
         }
-        let near = (at - self.from).min(self.until - at);
-        (near as f64 / rise as f64).min(1.0)
+        let to_edge = (at - self.from).min(self.until - at);
+        (to_edge as f64 / ramp as f64).min(1.0)
     }
 
-    /// Greatest traffic on top of the usual, as a share of that.
-    pub(super) fn most_more(&self) -> f64 {
+    /// Maximum additional traffic, as a multiple of the usual traffic.
+    pub(super) fn max_increase(&self) -> f64 {
         (self.factor - 1.0).max(0.0)
     }
 
-    /// Traffic on top of the usual, as a share of that.
-    pub(super) fn more(&self, at: Span) -> f64 {
-        self.most_more() * self.share(at)
+    /// Additional traffic at `at`, as a multiple of the usual traffic.
+    pub(super) fn increase(&self, at: Span) -> f64 {
+        self.max_increase() * self.share(at)
     }
 
-    /// Share of the traffic that is left.
-    pub(super) fn left(&self, at: Span) -> f64 {
+    /// Share of the usual traffic that remains at `at`.
+    pub(super) fn remaining_share(&self, at: Span) -> f64 {
         1.0 - (1.0 - self.factor.clamp(0.0, 1.0)) * self.share(at)
     }
 }
 
-/// How many times the usual traffic there is: rises add up, falls multiply.
-pub(super) fn factor(scales: &[TrafficWindow], at: Span) -> f64 {
-    let more: f64 = scales.iter().map(|scale| scale.more(at)).sum();
-    (1.0 + more) * left(scales, at)
+/// Traffic at `at` as a multiple of the usual traffic. Increases of overlapping windows add up; decreases
+/// multiply.
+pub(super) fn traffic_factor(windows: &[TrafficWindow], at: Span) -> f64 {
+    let increase: f64 = windows.iter().map(|window| window.increase(at)).sum();
+    (1.0 + increase) * remaining_share(windows, at)
 }
 
-/// Share of the traffic that is left by all windows.
-pub(super) fn left(scales: &[TrafficWindow], at: Span) -> f64 {
-    scales.iter().map(|scale| scale.left(at)).product()
+/// Share of the usual traffic that remains at `at` under all windows.
+pub(super) fn remaining_share(windows: &[TrafficWindow], at: Span) -> f64 {
+    windows.iter().map(|window| window.remaining_share(at)).product()
 }
