--- a/crates/cluster-model/src/agent.rs
+++ b/crates/cluster-model/src/agent.rs
@@ -1,13 +1,13 @@
-//! Discovery: the truth about the hosts, and an agent on each gateway's machine that hears of changes late.
+//! Discovery: the registry of hosts, and an agent on each gateway's machine that learns of changes with a delay.
 //!
-//! Each agent draws its own delay for each change, and hears of changes in their order. What it has heard it
-//! tells to the watches that are open on it, and to whoever asks for the list. Agents are numbered from 0, as
-//! the gateways whose machines they are on.
+//! Each agent draws its own delay for each change, and learns of changes in their order. It sends what it has
+//! learned to the watches that are open on it, and to clients that request the list. Agents have the numbers of
+//! their gateways, from 0.
 
-mod line;
+mod message;
 mod watch;
 
-pub use line::{DiscoveryMessage, EndpointStatus};
+pub use message::{DiscoveryMessage, EndpointStatus};
 pub use watch::{Watch, HEARTBEAT_INTERVAL};
 
 use crate::observation::Lifecycle;
@@ -21,233 +21,236 @@
 /// Generation of the list that all agents have at the start.
 pub const FIRST_GENERATION: u64 = 1;
 
-/// A host, as discovery knows it.
+/// A host in discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id, the same at every gateway.
+    /// Id of the host, the same at every gateway.
     pub id: String,
-    /// Its number, in the order of the hosts' coming. Lists are in this order.
+    /// Number of the host, in the order in which hosts were added. Lists are in this order.
     pub host: u32,
-    /// Where each gateway reaches it; one without an address here is not told of it. Shared: each agent holds
-    /// each host, and a copy for each would grow with the square of the fleet.
+    /// Address of the host at each gateway; a gateway without an address here is not notified of the host. Shared,
+    /// because each agent stores each host, and a copy for each would grow with the square of the fleet.
     pub addrs: Arc<[SocketAddr]>,
-    /// Its building.
+    /// Building of the host.
     pub zone: String,
-    /// What kind of machine it is.
+    /// Machine type of the host.
     pub machine_type: String,
-    /// Its cell.
+    /// Cell of the host.
     pub cell: u32,
-    /// Its state.
+    /// State of the host.
     pub lifecycle: Lifecycle,
-    /// Its size beside others.
+    /// Size of the host relative to others.
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// When the host last started, Unix time in milliseconds; 0 if it started before the run.
     pub started_ms: u64,
 }
 
-/// How discovery gets to know of a change.
+/// How discovery learns of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Detection {
-    /// The host says so itself.
+    /// The host announces the change itself.
     Announced,
-    /// The host died without a word, and is missed after a while.
+    /// The host crashed silently, and discovery detects it after a timeout.
     TimedOut,
 }
 
-/// A change as it was told.
+/// A change in the registry.
 #[derive(Clone, Debug)]
 struct Change {
     generation: u64,
-    member: Endpoint,
+    endpoint: Endpoint,
 }
 
-/// A change that an agent has not heard of yet.
+/// A change that an agent has not learned of yet.
 #[derive(Debug)]
-struct Waiting {
-    due: Time,
+struct PendingChange {
+    deliver_at: Time,
     change: Change,
-    /// It has changed places with its neighbour.
+    /// Whether the change has swapped places with its neighbour.
     swapped: bool,
 }
 
 #[derive(Debug, Default)]
 struct Agent {
-    waiting: VecDeque<Waiting>,
-    /// The latest that it has heard of each host, also of those that are gone.
+    pending: VecDeque<PendingChange>,
+    /// The latest known change of each host, including removed ones.
     known: BTreeMap<String, Change>,
-    /// All that it has heard since the first list, in the order in which it heard it.
+    /// All changes that the agent has learned of since the first list, in the order of delivery.
     log: Vec<Change>,
-    /// What was new to it and nobody has asked for, see [`Registry::take_updates`].
-    news: Vec<Endpoint>,
-    /// The latest generation that it has heard of.
+    /// New states that have not been taken by [`Registry::take_updates`].
+    updates: Vec<Endpoint>,
+    /// The latest generation that the agent has learned of.
     generation: u64,
 }
 
 #[derive(Debug)]
-struct Active {
+struct ActiveFault {
     fault: DiscoveryFault,
     until: Time,
 }
 
-/// The truth about the hosts, and what each agent has heard of it.
+/// The actual state of the hosts, and what each agent knows of it.
 #[derive(Debug)]
 pub struct Registry {
     spec: DiscoverySpec,
     seed: u64,
     generation: u64,
-    truth: BTreeMap<String, Endpoint>,
+    endpoints: BTreeMap<String, Endpoint>,
     agents: Vec<Agent>,
-    faults: Vec<Active>,
+    faults: Vec<ActiveFault>,
 }
 
 impl Registry {
-    /// With these hosts, of which the agents of so many gateways know from the start.
-    pub fn new(spec: &DiscoverySpec, seed: u64, gateways: u32, members: Vec<Endpoint>) -> Registry {
-        let truth: BTreeMap<_, _> = members.into_iter().map(|member| (member.id.clone(), member)).collect();
-        let first = |member: &Endpoint| Change { generation: FIRST_GENERATION, member: member.clone() };
-        let known: BTreeMap<_, _> = truth.iter().map(|(id, member)| (id.clone(), first(member))).collect();
+    /// Creates a registry with these hosts, which the agents of all gateways know from the start.
+    pub fn new(spec: &DiscoverySpec, seed: u64, gateways: u32, endpoints: Vec<Endpoint>) -> Registry {
+        let endpoints: BTreeMap<_, _> =
+            endpoints.into_iter().map(|endpoint| (endpoint.id.clone(), endpoint)).collect();
+        let first = |endpoint: &Endpoint| Change { generation: FIRST_GENERATION, endpoint: endpoint.clone() };
+        let known: BTreeMap<_, _> =
+            endpoints.iter().map(|(id, endpoint)| (id.clone(), first(endpoint))).collect();
         let agent = |_| Agent { known: known.clone(), generation: FIRST_GENERATION, ..Agent::default() };
         Registry {
             spec: spec.clone(),
             seed,
             generation: FIRST_GENERATION,
             agents: (0..gateways).map(agent).collect(),
-            truth,
+            endpoints,
             faults: Vec::new(),
         }
     }
 
-    /// How many agents there are.
+    /// Number of agents.
     pub fn agent_count(&self) -> u32 {
         self.agents.len() as u32
     }
 
-    /// All hosts as they are, those that are gone left out, by number.
+    /// The current state of all hosts except removed ones, by number.
     pub fn endpoints(&self) -> Vec<&Endpoint> {
-        let mut members: Vec<_> = self.truth.values().collect();
-        members.sort_by_key(|member| member.host);
-        members
+        let mut endpoints: Vec<_> = self.endpoints.values().collect();
+        endpoints.sort_by_key(|endpoint| endpoint.host);
+        endpoints
     }
 
-    /// A host is new, or is no longer what it was: all of it as it is from now on. Gives the generation.
-    pub fn update(&mut self, now: Time, member: Endpoint, notice: Detection) -> u64 {
+    /// Adds a host or replaces its state with this one, and returns the new generation.
+    pub fn update(&mut self, now: Time, endpoint: Endpoint, detection: Detection) -> u64 {
         self.generation += 1;
-        if member.lifecycle == Lifecycle::Removed {
-            self.truth.remove(&member.id);
+        if endpoint.lifecycle == Lifecycle::Removed {
+            self.endpoints.remove(&endpoint.id);
         } else {
-            self.truth.insert(member.id.clone(), member.clone());
+            self.endpoints.insert(endpoint.id.clone(), endpoint.clone());
         }
-        let late = self.late(now);
-        let reordered = self.fails(now, |fault| matches!(fault, DiscoveryFault::Reordered));
+        let lateness = self.lateness(now);
+        let reordered = self.has_fault(now, |fault| matches!(fault, DiscoveryFault::Reordered));
         for number in 0..self.agents.len() {
-            let due = now.saturating_add(self.delay(number, notice)).saturating_add(late);
-            let change = Change { generation: self.generation, member: member.clone() };
-            self.agents[number].wait(now, due, change, reordered);
+            let deliver_at = now.saturating_add(self.delay(number, detection)).saturating_add(lateness);
+            let change = Change { generation: self.generation, endpoint: endpoint.clone() };
+            self.agents[number].enqueue(now, deliver_at, change, reordered);
         }
         self.generation
     }
 
-    /// Discovery fails until `until`, beside what fails already. [`DiscoveryFault::Late`] and
-    /// [`DiscoveryFault::Reordered`] are for the changes that come meanwhile, the others for what is told
-    /// meanwhile.
+    /// Adds a fault that lasts until `until`, in addition to those already active. [`DiscoveryFault::Late`] and
+    /// [`DiscoveryFault::Reordered`] affect the changes that are made in that time, the others affect the messages
+    /// that are sent in that time.
     pub fn inject_fault(&mut self, now: Time, fault: DiscoveryFault, until: Time) {
         self.faults.retain(|active| active.until > now);
-        self.faults.push(Active { fault, until });
+        self.faults.push(ActiveFault { fault, until });
     }
 
-    /// All faults are over. Delays that were drawn meanwhile stay.
+    /// Ends all faults. Delays that have already been drawn remain.
     pub fn clear_faults(&mut self) {
         self.faults.clear();
     }
 
-    /// Until when agents are sent nothing and say nothing, if that is so now.
+    /// When the current silence ends, in which agents neither receive nor send anything; `None` if there is none.
     pub fn silent_until(&self, now: Time) -> Option<Time> {
-        let silences = self.active(now).filter(|active| matches!(active.fault, DiscoveryFault::Silent));
+        let silences =
+            self.active_faults(now).filter(|active| matches!(active.fault, DiscoveryFault::Silent));
         silences.map(|active| active.until).max()
     }
 
-    /// When a watch opened then is reset, as things are.
+    /// When a watch opened at `opened` is reset under the current faults.
     pub fn watch_reset_at(&self, now: Time, opened: Time) -> Option<Time> {
-        let cut = |active: &Active| match active.fault {
-            DiscoveryFault::Cut(every) => Some(opened.saturating_add(every)),
+        let reset_at = |active: &ActiveFault| match active.fault {
+            DiscoveryFault::Cut(interval) => Some(opened.saturating_add(interval)),
             _ => None,
         };
-        self.active(now).filter_map(cut).min()
+        self.active_faults(now).filter_map(reset_at).min()
     }
 
-    /// When an agent hears of something next, if it does.
+    /// When an agent learns of the next change, if one is pending.
     pub fn next_update(&self, now: Time, agent: u32) -> Option<Time> {
-        let due = self.agents[agent as usize].waiting.front()?.due;
-        Some(due.max(self.silent_until(now).unwrap_or(due)))
+        let deliver_at = self.agents[agent as usize].pending.front()?.deliver_at;
+        Some(deliver_at.max(self.silent_until(now).unwrap_or(deliver_at)))
     }
 
-    /// Lets an agent hear of what is due, and gives what of all that it has heard was new to it since this was
-    /// last asked. It counts as told to the agent's gateway after a while, whether or not that asks for it.
+    /// Delivers pending changes to an agent and returns the new states that it has learned of since the last call.
+    /// The agent's gateway is deemed notified of them after a delay, whether or not it requests the list.
     pub fn take_updates(&mut self, now: Time, agent: u32) -> Vec<EndpointStatus> {
-        self.take_in(now, agent);
-        let news = std::mem::take(&mut self.agents[agent as usize].news);
-        let is_told = |member: &&Endpoint| member.addrs.get(agent as usize).is_some();
-        news.iter().filter(is_told).map(EndpointStatus::of).collect()
+        self.deliver_updates(now, agent);
+        let updates = std::mem::take(&mut self.agents[agent as usize].updates);
+        let is_reachable = |endpoint: &&Endpoint| endpoint.addrs.get(agent as usize).is_some();
+        updates.iter().filter(is_reachable).map(EndpointStatus::of).collect()
     }
 
-    /// The whole list that an agent has; `None`: it is silent.
+    /// The complete list of an agent; `None` while the agent is silent.
     pub fn endpoint_list(&mut self, now: Time, agent: u32) -> Option<DiscoveryMessage> {
-        self.take_in(now, agent);
+        self.deliver_updates(now, agent);
         self.silent_until(now).is_none().then(|| self.agents[agent as usize].list(agent))
     }
 
-    /// What an agent has heard of after it had heard of this generation, or the whole list if it never has;
-    /// `None`: it is silent.
+    /// The changes that an agent has learned of after this generation, or the complete list if the agent does not
+    /// know the generation; `None` while the agent is silent.
     pub fn changes_after(&mut self, now: Time, agent: u32, generation: u64) -> Option<DiscoveryMessage> {
-        self.take_in(now, agent);
+        self.deliver_updates(now, agent);
         let known = &self.agents[agent as usize];
-        let line = || known.changes_after(agent, generation).unwrap_or_else(|| known.list(agent));
-        self.silent_until(now).is_none().then(line)
+        let message = || known.changes_after(agent, generation).unwrap_or_else(|| known.list(agent));
+        self.silent_until(now).is_none().then(message)
     }
 
-    fn take_in(&mut self, now: Time, agent: u32) {
+    fn deliver_updates(&mut self, now: Time, agent: u32) {
         if self.silent_until(now).is_some() {
             return;
         }
-        let repeats = self.fails(now, |fault| matches!(fault, DiscoveryFault::Repeats));
+        let repeats = self.has_fault(now, |fault| matches!(fault, DiscoveryFault::Repeats));
         let agent = &mut self.agents[agent as usize];
-        while agent.waiting.front().is_some_and(|waiting| waiting.due <= now) {
-            if let Some(waiting) = agent.waiting.pop_front() {
-                agent.hear(waiting.change, repeats);
+        while agent.pending.front().is_some_and(|pending| pending.deliver_at <= now) {
+            if let Some(pending) = agent.pending.pop_front() {
+                agent.learn(pending.change, repeats);
             }
         }
     }
 
-    /// Lines from this place in the log of an agent on.
-    fn lines_from(&self, agent: u32, place: usize) -> Vec<DiscoveryMessage> {
-        let heard = &self.agents[agent as usize].log[place..];
-        let line =
-            |change: &Change| DiscoveryMessage::new(agent, change.generation, false, &[&change.member]);
-        heard.iter().map(line).collect()
+    /// One message for each change in an agent's log from this index on.
+    fn messages_from(&self, agent: u32, index: usize) -> Vec<DiscoveryMessage> {
+        let changes = &self.agents[agent as usize].log[index..];
+        let message =
+            |change: &Change| DiscoveryMessage::new(agent, change.generation, false, &[&change.endpoint]);
+        changes.iter().map(message).collect()
     }
 
     fn log_length(&self, agent: u32) -> usize {
         self.agents[agent as usize].log.len()
     }
 
-    fn active(&self, now: Time) -> impl Iterator<Item = &Active> {
+    fn active_faults(&self, now: Time) -> impl Iterator<Item = &ActiveFault> {
         self.faults.iter().filter(move |active| active.until > now)
     }
 
-    fn fails(&self, now: Time, which: impl Fn(&DiscoveryFault) -> bool) -> bool {
-        self.active(now).any(|active| which(&active.fault))
+    fn has_fault(&self, now: Time, is_match: impl Fn(&DiscoveryFault) -> bool) -> bool {
+        self.active_faults(now).any(|active| is_match(&active.fault))
     }
 
-    fn late(&self, now: Time) -> Span {
-        let late = self.active(now).filter_map(|active| match active.fault {
+    fn lateness(&self, now: Time) -> Span {
+        let lateness = self.active_faults(now).filter_map(|active| match active.fault {
             DiscoveryFault::Late(by) => Some(by),
             _ => None,
         });
-        late.max().unwrap_or(0)
+        lateness.max().unwrap_or(0)
     }
 
-    fn delay(&self, agent: usize, notice: Detection) -> Span {
-        let (from, to) = match notice {
+    fn delay(&self, agent: usize, detection: Detection) -> Span {
+        let (from, to) = match detection {
             Detection::Announced => self.spec.notice,
             Detection::TimedOut => self.spec.silent_notice,
         };
@@ -257,24 +260,24 @@
 }
 
 impl Agent {
-    /// Will hear of a change when it is due and all before it have been heard.
-    fn wait(&mut self, now: Time, due: Time, change: Change, reordered: bool) {
-        let mut waiting = Waiting { due, change, swapped: false };
-        let last = self.waiting.back_mut().filter(|last| reordered && last.due > now && !last.swapped);
+    /// Enqueues a change for delivery at `deliver_at`, after all earlier changes.
+    fn enqueue(&mut self, now: Time, deliver_at: Time, change: Change, reordered: bool) {
+        let mut pending = PendingChange { deliver_at, change, swapped: false };
+        let last = self.pending.back_mut().filter(|last| reordered && last.deliver_at > now && !last.swapped);
         if let Some(last) = last {
-            std::mem::swap(&mut last.change, &mut waiting.change);
+            std::mem::swap(&mut last.change, &mut pending.change);
             last.swapped = true;
-            waiting.swapped = true;
+            pending.swapped = true;
         }
-        self.waiting.push_back(waiting);
+        self.pending.push_back(pending);
     }
 
-    fn hear(&mut self, change: Change, repeats: bool) {
+    fn learn(&mut self, change: Change, repeats: bool) {
         self.generation = self.generation.max(change.generation);
-        let older = |known: &Change| known.generation < change.generation;
-        if self.known.get(&change.member.id).is_none_or(older) {
-            self.known.insert(change.member.id.clone(), change.clone());
-            self.news.push(change.member.clone());
+        let is_older = |known: &Change| known.generation < change.generation;
+        if self.known.get(&change.endpoint.id).is_none_or(is_older) {
+            self.known.insert(change.endpoint.id.clone(), change.clone());
+            self.updates.push(change.endpoint.clone());
         }
         if repeats {
             self.log.push(change.clone());
@@ -283,21 +286,24 @@
     }
 
     fn list(&self, agent: u32) -> DiscoveryMessage {
-        let members: Vec<_> = self.known.values().map(|change| &change.member).collect();
-        DiscoveryMessage::new(agent, self.generation, true, &members)
+        let endpoints: Vec<_> = self.known.values().map(|change| &change.endpoint).collect();
+        DiscoveryMessage::new(agent, self.generation, true, &endpoints)
     }
 
-    /// `None`: it has never heard of this generation. Changes that were told out of order may be told again.
+    /// Returns `None` if the agent does not know this generation. Changes that were delivered out of order may be
+    /// sent again.
     fn changes_after(&self, agent: u32, generation: u64) -> Option<DiscoveryMessage> {
-        let heard = self.log.iter().rposition(|change| change.generation == generation);
-        let place = match heard {
-            Some(place) => place + 1,
+        let found = self.log.iter().rposition(|change| change.generation == generation);
+        let index = match found {
+            Some(index) => index + 1,
             None if generation == FIRST_GENERATION => 0,
             None => return None,
         };
-        let later: BTreeSet<&String> = self.log[place..].iter().map(|change| &change.member.id).collect();
-        let changed = |change: &&Change| change.generation > generation || later.contains(&change.member.id);
-        let members: Vec<_> = self.known.values().filter(changed).map(|change| &change.member).collect();
-        Some(DiscoveryMessage::new(agent, self.generation, false, &members))
+        let later: BTreeSet<&String> = self.log[index..].iter().map(|change| &change.endpoint.id).collect();
+        let is_changed =
+            |change: &&Change| change.generation > generation || later.contains(&change.endpoint.id);
+        let endpoints: Vec<_> =
+            self.known.values().filter(is_changed).map(|change| &change.endpoint).collect();
+        Some(DiscoveryMessage::new(agent, self.generation, false, &endpoints))
     }
 }
--- a/crates/cluster-model/src/agent/watch.rs
+++ b/crates/cluster-model/src/agent/watch.rs
@@ -1,24 +1,24 @@
-//! A watch: what it has told, and when it speaks next.
+//! A watch: what it has sent, and when it sends next.
 
 use super::{DiscoveryMessage, Registry};
 use crate::{Span, Time, SECOND};
 
-/// While nothing changes, an empty line comes this often.
+/// Interval of the heartbeats, which are sent while nothing changes.
 pub const HEARTBEAT_INTERVAL: Span = 2 * SECOND;
 
 /// A watch on an agent.
 #[derive(Debug)]
 pub struct Watch {
     agent: u32,
-    /// How much of the agent's log it has told.
-    place: usize,
-    /// When it last spoke.
-    spoke: Time,
+    /// Number of changes in the agent's log that have been sent.
+    sent: usize,
+    /// When the last message was sent.
+    last_message: Time,
 }
 
 impl Watch {
-    /// Opens a watch, and gives its first line: what has changed after this generation, or the whole list.
-    /// `None`: the agent is silent, ask again when it no longer is.
+    /// Opens a watch and returns it with its first message: the changes after this generation, or the complete
+    /// list. Returns `None` while the agent is silent; the caller is to try again after that.
     pub fn open(
         registry: &mut Registry,
         now: Time,
@@ -29,33 +29,33 @@
             Some(generation) => registry.changes_after(now, agent, generation),
             None => registry.endpoint_list(now, agent),
         };
-        let watch = Watch { agent, place: registry.log_length(agent), spoke: now };
-        first.map(|line| (watch, line))
+        let watch = Watch { agent, sent: registry.log_length(agent), last_message: now };
+        first.map(|message| (watch, message))
     }
 
-    /// When it has something to say next.
+    /// When the next message is to be sent.
     pub fn next_message_at(&self, registry: &Registry, now: Time) -> Time {
-        let beat = self.spoke.saturating_add(HEARTBEAT_INTERVAL);
-        let news = registry.next_update(now, self.agent).unwrap_or(beat);
-        let untold = registry.log_length(self.agent) > self.place;
-        let due = if untold { now } else { beat.min(news) };
-        due.max(registry.silent_until(now).unwrap_or(due))
+        let heartbeat = self.last_message.saturating_add(HEARTBEAT_INTERVAL);
+        let update = registry.next_update(now, self.agent).unwrap_or(heartbeat);
+        let has_unsent = registry.log_length(self.agent) > self.sent;
+        let next = if has_unsent { now } else { heartbeat.min(update) };
+        next.max(registry.silent_until(now).unwrap_or(next))
     }
 
-    /// What it has to say now.
+    /// Returns the messages to be sent now.
     pub fn take_messages(&mut self, registry: &mut Registry, now: Time) -> Vec<DiscoveryMessage> {
-        registry.take_in(now, self.agent);
+        registry.deliver_updates(now, self.agent);
         if registry.silent_until(now).is_some() {
             return Vec::new();
         }
-        let mut lines = registry.lines_from(self.agent, self.place);
-        self.place = registry.log_length(self.agent);
-        if lines.is_empty() && now >= self.spoke.saturating_add(HEARTBEAT_INTERVAL) {
-            lines.push(DiscoveryMessage::default());
+        let mut messages = registry.messages_from(self.agent, self.sent);
+        self.sent = registry.log_length(self.agent);
+        if messages.is_empty() && now >= self.last_message.saturating_add(HEARTBEAT_INTERVAL) {
+            messages.push(DiscoveryMessage::default());
         }
-        if !lines.is_empty() {
-            self.spoke = now;
+        if !messages.is_empty() {
+            self.last_message = now;
         }
-        lines
+        messages
     }
 }
--- a/crates/cluster-model/src/counter.rs
+++ b/crates/cluster-model/src/counter.rs
@@ -1,244 +1,244 @@
-//! The counter service: names and their totals, lines of calls that have their turns, and the ways to fail.
+//! The counter service: names with their totals, queues of calls, and faults.
 //!
-//! A call waits until its part has a turn for it, is added in that moment, and is answered a little later.
-//! Nobody who waits for it is asked: a call that was taken in has its turn also when its caller has gone.
-//! Gateways are numbered from 0 here, and from 1 in [`CounterFault::Split`], as scenarios number them.
+//! A call waits until its shard can start it, is added at that time, and is answered a little later. An accepted
+//! call is added even if its caller no longer waits for it. Gateways are numbered from 0 here, and from 1 in
+//! [`CounterFault::Split`], as in scenarios.
 
 mod amount;
-mod store;
+mod replica;
 
 pub use amount::Amount;
-pub use store::MAX_NAME_LIFETIME;
+pub use replica::MAX_NAME_LIFETIME;
 
 use crate::rng::Rng;
 use crate::scenario::{CounterFault, CounterSpec};
 use crate::{Span, Time, SECOND};
+use replica::Replica;
 use std::borrow::Cow;
 use std::collections::BTreeMap;
-use store::Side;
 
-/// A name: any bytes.
+/// Name of a total: any bytes.
 pub type Name = Box<[u8]>;
 
-/// Expired names are taken out this often.
-const SWEEP: Span = SECOND;
+/// Interval at which expired names are removed.
+const CLEANUP_INTERVAL: Span = SECOND;
 
-/// Number of a call that was taken in.
+/// Identifies an accepted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(u64);
 
-/// What became of a call as it came.
+/// Response of the counter to a new call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallAdmission {
-    /// CallAdmission in: its end comes with [`Counter::advance`].
+    /// The call was accepted; [`Counter::advance`] returns its outcome.
     Accepted(CallId),
-    /// Turned away, nothing added.
+    /// The call was rejected; nothing is added.
     Rejected,
-    /// The counter cannot be reached, nothing added.
+    /// The counter cannot be reached; nothing is added.
     Unreachable,
 }
 
-/// How a call that was taken in ended.
+/// Outcome of an accepted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Added; this total is to be told.
+    /// The amount was added; the reply contains this total.
     Replied(Amount),
-    /// Added; nothing is to be said.
+    /// The amount was added; there is no reply.
     NoReply,
-    /// Not added; nothing is to be said.
+    /// The amount was not added; there is no reply.
     Dropped,
 }
 
-/// The end of a call.
+/// An accepted call that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedCall {
-    /// Which call.
+    /// Id of the call.
     pub call: CallId,
-    /// When.
+    /// When the call ended.
     pub at: Time,
-    /// How.
+    /// How the call ended.
     pub outcome: CallOutcome,
 }
 
 #[derive(Debug)]
 struct Call {
-    ticket: CallId,
+    id: CallId,
     gateway: u32,
     name: Name,
     amount: Amount,
-    keep: Span,
+    lifetime: Span,
 }
 
 #[derive(Debug)]
 enum Step {
-    Turn(Call),
-    Answer(CallId, Amount),
+    Start(Call),
+    Reply(CallId, Amount),
 }
 
-/// A fault in force.
 #[derive(Debug)]
-struct Active {
+struct ActiveFault {
     fault: CounterFault,
     since: Time,
     until: Time,
 }
 
-/// Which store a gateway reaches in a split.
+/// Identifies the replica that a gateway reaches during a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Part {
+enum ReplicaKey {
     Group(usize),
-    /// A gateway in no group.
-    Alone(u32),
+    /// A gateway that is in no group.
+    Isolated(u32),
 }
 
 #[derive(Debug)]
-struct Split {
+struct Partition {
     groups: Vec<Vec<u32>>,
-    sides: BTreeMap<Part, Side>,
+    replicas: BTreeMap<ReplicaKey, Replica>,
 }
 
 /// The counter.
 #[derive(Debug)]
 pub struct Counter {
-    /// A part is taken up by a call for this long.
-    slot: Span,
-    call: Span,
-    room: u32,
+    /// How long a call occupies its shard.
+    service_time: Span,
+    /// Time from the start of a call to its reply.
+    reply_delay: Span,
+    queue_capacity: u32,
     rng: Rng,
-    /// In a split: what there was when it began.
-    whole: Side,
-    split: Option<Split>,
+    /// During a partition: the state at its start.
+    main: Replica,
+    partition: Option<Partition>,
     /// In the order in which they began.
-    faults: Vec<Active>,
-    /// What is due, by time and then in the order of the calls.
+    faults: Vec<ActiveFault>,
+    /// Scheduled steps, by time and then in the order in which they were scheduled.
     steps: BTreeMap<(Time, u64), Step>,
-    next: u64,
-    settled: Vec<FinishedCall>,
+    last_number: u64,
+    finished: Vec<FinishedCall>,
     clock: Time,
-    swept: Time,
-    lost: bool,
-    resets: u64,
+    last_cleanup: Time,
+    unreachable: bool,
+    connection_resets: u64,
 }
 
 impl Counter {
-    /// A counter that knows no names yet.
+    /// Creates a counter without any names.
     pub fn new(spec: &CounterSpec, seed: u64) -> Counter {
-        let parts = f64::from(spec.parts.max(1));
-        let slot = parts / spec.calls_per_s.max(1e-3) * SECOND as f64;
+        let shards = f64::from(spec.parts.max(1));
+        let service_time = shards / spec.calls_per_s.max(1e-3) * SECOND as f64;
         Counter {
-            slot: libm::round(slot) as Span,
-            call: spec.call,
-            room: spec.queue,
+            service_time: libm::round(service_time) as Span,
+            reply_delay: spec.call,
+            queue_capacity: spec.queue,
             rng: Rng::stream(seed, "counter", 0),
-            whole: Side::new(spec.parts),
-            split: None,
+            main: Replica::new(spec.parts),
+            partition: None,
             faults: Vec::new(),
             steps: BTreeMap::new(),
-            next: 0,
-            settled: Vec::new(),
+            last_number: 0,
+            finished: Vec::new(),
             clock: 0,
-            swept: 0,
-            lost: false,
-            resets: 0,
+            last_cleanup: 0,
+            unreachable: false,
+            connection_resets: 0,
         }
     }
 
-    /// A call comes from a gateway (numbered from 0). A new name lives for `keep`, [`MAX_NAME_LIFETIME`] at most.
+    /// Receives a call from a gateway. A new name expires after `lifetime`, at most [`MAX_NAME_LIFETIME`].
     pub fn call(
         &mut self,
         now: Time,
         gateway: u32,
         name: &[u8],
         amount: Amount,
-        keep: Span,
+        lifetime: Span,
     ) -> CallAdmission {
         self.run(now, now.saturating_add(1));
-        if self.lost {
+        if self.unreachable {
             return CallAdmission::Unreachable;
         }
-        let ticket = CallId(self.number());
-        if self.fails(|fault| matches!(fault, CounterFault::Silent)) {
-            self.settle(ticket, now, CallOutcome::Dropped);
-            return CallAdmission::Accepted(ticket);
+        let id = CallId(self.next_number());
+        if self.has_fault(|fault| matches!(fault, CounterFault::Silent)) {
+            self.finish(id, now, CallOutcome::Dropped);
+            return CallAdmission::Accepted(id);
         }
-        if self.fails(|fault| matches!(fault, CounterFault::Full)) {
+        if self.has_fault(|fault| matches!(fault, CounterFault::Full)) {
             return CallAdmission::Rejected;
         }
-        let (slot, room) = (self.slot, self.room);
-        let Some(turn) = self.side(gateway).queue(now, name, slot, room) else {
+        let (service_time, capacity) = (self.service_time, self.queue_capacity);
+        let Some(start) = self.replica(gateway).enqueue(now, name, service_time, capacity) else {
             return CallAdmission::Rejected;
         };
-        let call = Call { ticket, gateway, name: name.into(), amount, keep };
-        if turn > now {
-            self.put(turn, Step::Turn(call));
+        let call = Call { id, gateway, name: name.into(), amount, lifetime };
+        if start > now {
+            self.schedule(start, Step::Start(call));
         } else {
-            self.turn(now, call);
+            self.start(now, call);
         }
-        CallAdmission::Accepted(ticket)
+        CallAdmission::Accepted(id)
     }
 
-    /// When [`Counter::advance`] is to be called next, if it is.
+    /// When [`Counter::advance`] is to be called next; `None` if nothing is scheduled.
     pub fn next_event(&self) -> Option<Time> {
-        let settled = self.settled.first().map(|settled| settled.at);
+        let finished = self.finished.first().map(|finished| finished.at);
         let step = self.steps.keys().next().map(|(at, _)| *at);
-        [settled, step, self.next_shift()].into_iter().flatten().min()
+        [finished, step, self.next_fault_change()].into_iter().flatten().min()
     }
 
-    /// Does what is due up to `now`, and gives the calls that have ended since this was last asked.
+    /// Runs all steps up to `now` and returns the calls that have ended since the last call of this function.
     pub fn advance(&mut self, now: Time) -> Vec<FinishedCall> {
         self.run(now, now.saturating_add(1));
-        std::mem::take(&mut self.settled)
+        std::mem::take(&mut self.finished)
     }
 
-    /// The counter fails until `until`, beside what fails already; of splits only the last one is in force.
-    /// [`CounterFault::Fresh`] is done with at once.
+    /// Adds a fault that lasts until `until`, in addition to those already active; of partitions only the last one
+    /// is active. [`CounterFault::Fresh`] takes effect immediately and does not last.
     pub fn inject_fault(&mut self, now: Time, fault: CounterFault, until: Time) {
         self.run(now, now);
         if matches!(fault, CounterFault::Fresh) {
-            self.forget();
+            self.reset();
             return;
         }
         if until <= now {
             return;
         }
         if let CounterFault::Split(groups) = &fault {
-            self.join(now);
+            self.end_partition(now);
             self.faults.retain(|active| !matches!(active.fault, CounterFault::Split(_)));
-            self.whole.share();
-            self.split = Some(Split { groups: groups.clone(), sides: BTreeMap::new() });
+            self.main.mark_shared();
+            self.partition = Some(Partition { groups: groups.clone(), replicas: BTreeMap::new() });
         }
-        self.faults.push(Active { fault, since: now, until });
-        self.look_whether_lost();
+        self.faults.push(ActiveFault { fault, since: now, until });
+        self.update_reachability();
     }
 
-    /// All faults are over.
+    /// Ends all faults.
     pub fn clear_faults(&mut self, now: Time) {
         self.run(now, now);
         self.faults.clear();
-        self.join(now);
-        self.look_whether_lost();
+        self.end_partition(now);
+        self.update_reachability();
     }
 
-    /// Whether connections to it are refused.
+    /// Whether the counter refuses connections.
     pub fn is_unreachable(&self) -> bool {
-        self.lost
+        self.unreachable
     }
 
-    /// How many times all connections to it have been reset.
+    /// How many times the counter has reset all its connections.
     pub fn connection_resets(&self) -> u64 {
-        self.resets
+        self.connection_resets
     }
 
-    /// The total of a name, if it has one: in a split what it will be when that is over. Calls that still
-    /// wait for their turn are not in it.
+    /// The total of a name, if the name exists; during a partition the total that its end will give. Calls that
+    /// are still queued are not included.
     pub fn total(&self, now: Time, name: &[u8]) -> Option<Amount> {
-        self.joined(now).total(now, name)
+        self.merged(now).total(now, name)
     }
 
-    /// All names that have not expired and their totals, see [`Counter::total`].
+    /// All names that have not expired, with their totals as in [`Counter::total`].
     pub fn totals(&self, now: Time) -> BTreeMap<Name, Amount> {
-        let whole = self.joined(now);
-        whole.totals(now).map(|(name, total)| (name.clone(), total)).collect()
+        let merged = self.merged(now);
+        merged.totals(now).map(|(name, total)| (name.clone(), total)).collect()
     }
 
     /// All names that have not expired.
@@ -246,178 +246,180 @@
         self.totals(now).into_keys().collect()
     }
 
-    /// How many names have not expired.
+    /// Number of names that have not expired.
     pub fn name_count(&self, now: Time) -> usize {
-        self.joined(now).totals(now).count()
+        self.merged(now).totals(now).count()
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    fn put(&mut self, at: Time, step: Step) {
-        let number = self.number();
+    fn schedule(&mut self, at: Time, step: Step) {
+        let number = self.next_number();
         self.steps.insert((at, number), step);
     }
 
-    fn settle(&mut self, ticket: CallId, at: Time, end: CallOutcome) {
-        self.settled.push(FinishedCall { call: ticket, at, outcome: end });
+    fn finish(&mut self, call: CallId, at: Time, outcome: CallOutcome) {
+        self.finished.push(FinishedCall { call, at, outcome });
     }
 
-    fn fails(&self, which: impl Fn(&CounterFault) -> bool) -> bool {
-        self.faults.iter().any(|active| which(&active.fault))
+    fn has_fault(&self, is_match: impl Fn(&CounterFault) -> bool) -> bool {
+        self.faults.iter().any(|active| is_match(&active.fault))
     }
 
-    /// Lets faults begin and end up to `now`, and calls have their turns before `bound`: what happens at one
-    /// instant goes before the messages that are due then.
+    /// Begins and ends faults up to `now` and runs steps before `bound`. Fault changes take precedence over calls
+    /// and replies at the same time.
     fn run(&mut self, now: Time, bound: Time) {
         loop {
             let step = self.steps.keys().next().map(|(at, _)| *at).filter(|at| *at < bound);
-            let shift = self.next_shift().filter(|at| *at <= now);
-            match (shift, step) {
-                (Some(at), step) if step.is_none_or(|step| at <= step) => self.shift(at),
-                (_, Some(_)) => self.step(),
+            let fault_change = self.next_fault_change().filter(|at| *at <= now);
+            match (fault_change, step) {
+                (Some(at), step) if step.is_none_or(|step| at <= step) => self.change_faults(at),
+                (_, Some(_)) => self.run_step(),
                 _ => break,
             }
         }
         self.clock = self.clock.max(now);
-        if self.clock >= self.swept.saturating_add(SWEEP) {
-            self.sweep();
+        if self.clock >= self.last_cleanup.saturating_add(CLEANUP_INTERVAL) {
+            self.remove_expired();
         }
     }
 
-    fn step(&mut self) {
+    fn run_step(&mut self) {
         let Some(((at, _), step)) = self.steps.pop_first() else { return };
         self.clock = self.clock.max(at);
         match step {
-            Step::Turn(call) => self.turn(at, call),
-            Step::Answer(ticket, total) => {
-                let end = if self.mute() { CallOutcome::NoReply } else { CallOutcome::Replied(total) };
-                self.settle(ticket, at, end);
+            Step::Start(call) => self.start(at, call),
+            Step::Reply(id, total) => {
+                let outcome =
+                    if self.omits_replies() { CallOutcome::NoReply } else { CallOutcome::Replied(total) };
+                self.finish(id, at, outcome);
             }
         }
     }
 
-    fn mute(&self) -> bool {
-        self.fails(|fault| matches!(fault, CounterFault::Mute | CounterFault::Silent))
+    fn omits_replies(&self) -> bool {
+        self.has_fault(|fault| matches!(fault, CounterFault::Mute | CounterFault::Silent))
     }
 
-    /// A call has its turn.
-    fn turn(&mut self, at: Time, call: Call) {
-        if self.fails(|fault| matches!(fault, CounterFault::Silent)) {
-            return self.settle(call.ticket, at, CallOutcome::Dropped);
+    /// Adds a call's amount and schedules the reply.
+    fn start(&mut self, at: Time, call: Call) {
+        if self.has_fault(|fault| matches!(fault, CounterFault::Silent)) {
+            return self.finish(call.id, at, CallOutcome::Dropped);
         }
-        let total = self.side(call.gateway).add(at, &call.name, call.amount, call.keep);
-        if self.mute() {
-            return self.settle(call.ticket, at, CallOutcome::NoReply);
+        let total = self.replica(call.gateway).add(at, &call.name, call.amount, call.lifetime);
+        if self.omits_replies() {
+            return self.finish(call.id, at, CallOutcome::NoReply);
         }
-        let ready = at.saturating_add(self.answer_takes());
-        let ready = self.side(call.gateway).answer_at(&call.name, ready);
-        self.put(ready, Step::Answer(call.ticket, total));
+        let ready = at.saturating_add(self.draw_reply_delay());
+        let ready = self.replica(call.gateway).reply_at(&call.name, ready);
+        self.schedule(ready, Step::Reply(call.id, total));
     }
 
-    fn answer_takes(&mut self) -> Span {
+    fn draw_reply_delay(&mut self) -> Span {
         let slow = self.faults.iter().rev().find_map(|active| match active.fault {
             CounterFault::Slow(from, to) => Some((from, to)),
             _ => None,
         });
         match slow {
             Some((from, to)) => from + self.rng.below(to.saturating_sub(from).saturating_add(1)),
-            None => self.call,
+            None => self.reply_delay,
         }
     }
 
-    /// The store that a gateway reaches.
-    fn side(&mut self, gateway: u32) -> &mut Side {
-        let Some(split) = &mut self.split else { return &mut self.whole };
-        let group = split.groups.iter().position(|group| group.contains(&(gateway + 1)));
-        let part = group.map_or(Part::Alone(gateway), Part::Group);
-        split.sides.entry(part).or_insert_with(|| self.whole.clone())
+    /// The replica that a gateway reaches.
+    fn replica(&mut self, gateway: u32) -> &mut Replica {
+        let Some(partition) = &mut self.partition else { return &mut self.main };
+        let group = partition.groups.iter().position(|group| group.contains(&(gateway + 1)));
+        let key = group.map_or(ReplicaKey::Isolated(gateway), ReplicaKey::Group);
+        partition.replicas.entry(key).or_insert_with(|| self.main.clone())
     }
 
-    fn sides(&mut self) -> impl Iterator<Item = &mut Side> {
-        let sides = self.split.iter_mut().flat_map(|split| split.sides.values_mut());
-        std::iter::once(&mut self.whole).chain(sides)
+    fn replicas(&mut self) -> impl Iterator<Item = &mut Replica> {
+        let replicas = self.partition.iter_mut().flat_map(|partition| partition.replicas.values_mut());
+        std::iter::once(&mut self.main).chain(replicas)
     }
 
-    /// A split is over: the additions of its sides are summed.
-    fn join(&mut self, now: Time) {
-        if let Some(split) = self.split.take() {
-            split.sides.into_values().for_each(|side| self.whole.merge(now, side));
+    /// Ends a partition by merging the additions of its replicas.
+    fn end_partition(&mut self, now: Time) {
+        if let Some(partition) = self.partition.take() {
+            partition.replicas.into_values().for_each(|replica| self.main.merge(now, replica));
         }
     }
 
-    fn joined(&self, now: Time) -> Cow<'_, Side> {
-        let Some(split) = &self.split else { return Cow::Borrowed(&self.whole) };
-        let mut whole = self.whole.clone();
-        split.sides.values().for_each(|side| whole.merge(now, side.clone()));
-        Cow::Owned(whole)
+    fn merged(&self, now: Time) -> Cow<'_, Replica> {
+        let Some(partition) = &self.partition else { return Cow::Borrowed(&self.main) };
+        let mut merged = self.main.clone();
+        partition.replicas.values().for_each(|replica| merged.merge(now, replica.clone()));
+        Cow::Owned(merged)
     }
 
-    /// Another process takes its place: what the old one held goes with it.
-    fn forget(&mut self) {
-        self.sides().for_each(Side::clear);
+    /// Replaces the counter's process; all names and calls of the old one are lost.
+    fn reset(&mut self) {
+        self.replicas().for_each(Replica::clear);
         for (_, step) in std::mem::take(&mut self.steps) {
-            let (ticket, end) = match step {
-                Step::Turn(call) => (call.ticket, CallOutcome::Dropped),
-                Step::Answer(ticket, _) => (ticket, CallOutcome::NoReply),
+            let (id, outcome) = match step {
+                Step::Start(call) => (call.id, CallOutcome::Dropped),
+                Step::Reply(id, _) => (id, CallOutcome::NoReply),
             };
-            self.settle(ticket, self.clock, end);
+            self.finish(id, self.clock, outcome);
         }
-        self.resets += 1;
+        self.connection_resets += 1;
     }
 
-    fn sweep(&mut self) {
+    fn remove_expired(&mut self) {
         let now = self.clock;
-        self.swept = now;
-        self.sides().for_each(|side| side.sweep(now));
+        self.last_cleanup = now;
+        self.replicas().for_each(|replica| replica.remove_expired(now));
     }
 
-    /// When a fault ends, or turns into its other half.
-    fn next_shift(&self) -> Option<Time> {
-        self.faults.iter().map(|active| active.next_shift(self.clock)).min()
+    /// When a fault ends next, or a flapping one changes its state.
+    fn next_fault_change(&self) -> Option<Time> {
+        self.faults.iter().map(|active| active.next_change(self.clock)).min()
     }
 
-    fn shift(&mut self, at: Time) {
+    fn change_faults(&mut self, at: Time) {
         self.clock = self.clock.max(at);
-        let ended = |active: &Active| active.until <= at;
-        let joins = |active: &Active| ended(active) && matches!(active.fault, CounterFault::Split(_));
-        if self.faults.iter().any(joins) {
-            self.join(at);
+        let has_ended = |active: &ActiveFault| active.until <= at;
+        let ends_partition =
+            |active: &ActiveFault| has_ended(active) && matches!(active.fault, CounterFault::Split(_));
+        if self.faults.iter().any(ends_partition) {
+            self.end_partition(at);
         }
-        self.faults.retain(|active| !ended(active));
-        self.look_whether_lost();
+        self.faults.retain(|active| !has_ended(active));
+        self.update_reachability();
     }
 
-    fn look_whether_lost(&mut self) {
-        let lost = self.faults.iter().any(|active| active.is_lost(self.clock));
-        if lost && !self.lost {
-            self.resets += 1;
+    fn update_reachability(&mut self) {
+        let unreachable = self.faults.iter().any(|active| active.is_unreachable(self.clock));
+        if unreachable && !self.unreachable {
+            self.connection_resets += 1;
         }
-        self.lost = lost;
+        self.unreachable = unreachable;
     }
 }
 
-impl Active {
-    fn is_lost(&self, now: Time) -> bool {
+impl ActiveFault {
+    fn is_unreachable(&self, now: Time) -> bool {
         match self.fault {
             CounterFault::Lost => true,
-            CounterFault::Flapping(period) => self.turns(now, period) % 2 == 0,
+            CounterFault::Flapping(period) => self.completed_periods(now, period) % 2 == 0,
             _ => false,
         }
     }
 
-    /// Turns of a flapping counter that are over.
-    fn turns(&self, now: Time, period: Span) -> u64 {
+    /// Number of completed periods of a flapping counter.
+    fn completed_periods(&self, now: Time, period: Span) -> u64 {
         now.saturating_sub(self.since) / period.max(1)
     }
 
-    fn next_shift(&self, now: Time) -> Time {
+    fn next_change(&self, now: Time) -> Time {
         match self.fault {
             CounterFault::Flapping(period) => {
-                let turns = self.turns(now, period).saturating_add(1);
-                self.since.saturating_add(turns.saturating_mul(period.max(1))).min(self.until)
+                let periods = self.completed_periods(now, period).saturating_add(1);
+                self.since.saturating_add(periods.saturating_mul(period.max(1))).min(self.until)
             }
             _ => self.until,
         }
--- a/crates/cluster-model/src/host.rs
+++ b/crates/cluster-model/src/host.rs
@@ -1,104 +1,105 @@
-//! A host: requests share its cores, a bounded room holds those that wait, and it may be cold, slow, paused,
-//! draining, or pushed over. It does no I/O and reads no clock: callers pass `now`, which never goes back.
+//! A host: the running requests share its cores, a bounded queue holds the others, and it may be warming up, slow,
+//! paused, draining, or crashed by overload. It does no I/O and reads no clock: callers pass `now`, which never
+//! goes back.
 //!
-//! Between two events everything is integrated exactly: the processor knows when the next request is through,
-//! and [`Host::next_event`] tells the caller when to come back.
+//! The work between two events is integrated exactly: the processor computes when the next request completes,
+//! and [`Host::next_event`] tells the caller when to call [`Host::advance`].
 
-mod budget;
-mod memory;
+mod idempotency_cache;
+mod overload_budget;
 mod processor;
 
 use crate::rng::Rng;
 use crate::scenario::{Effect, HostSpec, RulesSpec};
 use crate::{Span, Time};
-use budget::Budget;
-use memory::Memory;
+use idempotency_cache::IdempotencyCache;
+use overload_budget::OverloadBudget;
 use processor::Processor;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Mean requests' worth of work that a cold host bears beyond its budget, for chance.
-const SLACK_REQUESTS: f64 = 2.0;
+/// Work that a warming host survives beyond its budget, in mean requests: tolerance for random variation.
+const BUDGET_SLACK_REQUESTS: f64 = 2.0;
 
-/// Number of a request held by a host. Numbers rise in the order of their coming and are not used again.
+/// Identifies an accepted request at a host. Numbers increase in the order of acceptance and are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobId(u64);
 
-/// What makes a host.
+/// Parameters of a host.
 #[derive(Clone, Debug)]
 pub struct HostSetup {
-    /// What it is like.
+    /// Size, speed and limits.
     pub spec: HostSpec,
-    /// What pushes it over while it is cold.
+    /// Conditions under which the host crashes while warming up.
     pub rules: RulesSpec,
     /// Mean work of a request, in nanoseconds of one core at speed 1.
     pub mean_work: Span,
-    /// Which host this is.
+    /// Number of the host.
     pub number: u32,
     /// Seed of the site.
     pub seed: u64,
-    /// It has just started.
+    /// Whether the host has just started and is warming up.
     pub warming_up: bool,
 }
 
-/// A request as it comes to a host.
+/// A request at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: u64,
-    /// Work that it costs, in nanoseconds of one core at speed 1.
+    /// Work that the request costs, in nanoseconds of one core at speed 1.
     pub work: Span,
-    /// Work that one like it usually costs: what counts against the budget of a cold host. That some are
-    /// heavier for a while is nothing that whoever sends them could know.
+    /// Usual work of such a request, which counts against the budget of a warming host. Gateways cannot know that
+    /// some requests are temporarily heavier.
     pub expected_work: Span,
-    /// When nobody waits for it any more.
+    /// When the client stops waiting.
     pub deadline: Time,
-    /// Whether it may run again.
+    /// Whether the request may run more than once.
     pub effect: Effect,
 }
 
-/// What a host does with a request that has come.
+/// Response of a host to a submitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is held until it ends.
+    /// The request was accepted and is running or queued.
     Accepted(JobId),
-    /// It is turned away unseen.
+    /// The request was rejected without running.
     Rejected,
-    /// It has run here before and is answered as then, at once.
+    /// The request has run here before and is answered from the cache at once.
     Cached,
-    /// The host is down: pushed over by this request, or before, or stopped.
+    /// The host is down: it stopped or crashed before, or this request overloaded it.
     Down,
 }
 
-/// How a request that was taken has ended.
+/// Outcome of an accepted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// It ran to its end.
+    /// The request completed successfully.
     Served,
-    /// It ran to its end, which was an error.
+    /// The request completed with an error.
     Failed,
-    /// Its time was over before its end.
+    /// The deadline passed before the request completed.
     Expired(JobStage),
-    /// The host was pushed over, or stopped.
+    /// The host crashed or stopped.
     Lost(JobStage),
 }
 
-/// How far a request had come.
+/// Stage that a request had reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStage {
-    /// It waited, and has not run.
+    /// The request was queued and had not run.
     Queued,
-    /// It was in work.
+    /// The request was running.
     Running,
 }
 
-/// A request that has ended.
+/// An accepted request that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedJob {
-    /// Which.
+    /// Id of the job.
     pub job: JobId,
-    /// When.
+    /// When the job ended.
     pub at: Time,
-    /// How.
+    /// How the job ended.
     pub outcome: JobOutcome,
 }
 
@@ -107,90 +108,90 @@
 pub struct Host {
     spec: HostSpec,
     processor: Processor,
-    /// `None` in a host that was warm from the start.
-    budget: Option<Budget>,
-    memory: Memory,
-    /// Seed of this host's own draws.
+    /// `None` in a host that is warm.
+    budget: Option<OverloadBudget>,
+    cache: IdempotencyCache,
+    /// Seed of this host's random values.
     seed: u64,
-    next: u64,
-    /// All that are held. Those that wait are served in the order of their numbers.
+    next_job: u64,
+    /// All accepted requests that have not ended. Queued ones run in the order of their numbers.
     jobs: BTreeMap<JobId, Request>,
-    waiting: BTreeSet<JobId>,
+    queued: BTreeSet<JobId>,
     deadlines: BTreeSet<(Time, JobId)>,
     finished: Vec<FinishedJob>,
     connections: u32,
     draining: bool,
-    /// It takes nothing and does nothing any more.
+    /// The host has crashed or stopped and processes nothing.
     down: bool,
-    fallen: bool,
+    crashed_by_overload: bool,
 }
 
 impl Host {
-    /// A host that starts now, or, if not `cold`, has run for long.
+    /// Creates a host that starts at `now`, or has been running for long if it is not `warming_up`.
     pub fn new(setup: HostSetup, now: Time) -> Host {
-        let HostSetup { spec, rules, mean_work, number, seed, warming_up: cold } = setup;
+        let HostSetup { spec, rules, mean_work, number, seed, warming_up } = setup;
         let mut rng = Rng::stream(seed, "host", u64::from(number));
         let speed = spec.speed * rng.between(1.0 - spec.speed_spread, 1.0 + spec.speed_spread);
-        let slack = SLACK_REQUESTS * mean_work as f64;
+        let slack = BUDGET_SLACK_REQUESTS * mean_work as f64;
         Host {
-            processor: Processor::new(&spec, speed, now, cold),
-            budget: cold.then(|| Budget::new(&rules, slack)),
-            memory: Memory::default(),
+            processor: Processor::new(&spec, speed, now, warming_up),
+            budget: warming_up.then(|| OverloadBudget::new(&rules, slack)),
+            cache: IdempotencyCache::default(),
             seed: rng.bits(),
-            next: 0,
+            next_job: 0,
             jobs: BTreeMap::new(),
-            waiting: BTreeSet::new(),
+            queued: BTreeSet::new(),
             deadlines: BTreeSet::new(),
             finished: Vec::new(),
             connections: 0,
             draining: false,
             down: false,
-            fallen: false,
+            crashed_by_overload: false,
             spec,
         }
     }
 
-    /// A request has come whole.
+    /// Submits a completely received request.
     pub fn submit(&mut self, now: Time, request: Request) -> Admission {
         self.run_to(now);
         let keyed = matches!(request.effect, Effect::Keyed(_));
-        if keyed && !self.down && self.memory.holds(now, request.id) {
+        if keyed && !self.down && self.cache.contains(now, request.id) {
             return Admission::Cached;
         }
-        if self.down || self.pushed_over(now, request.expected_work) {
+        if self.down || self.overloads(now, request.expected_work) {
             return Admission::Down;
         }
-        // A repeat of one that is still on its way through is dropped before it runs.
-        let again = keyed && self.jobs.values().any(|held| held.id == request.id);
-        if again || self.draining || request.deadline <= now {
+        // A repeat of a request that is still queued or running is rejected before it runs.
+        let duplicate = keyed && self.jobs.values().any(|job| job.id == request.id);
+        if duplicate || self.draining || request.deadline <= now {
             return Admission::Rejected;
         }
-        let room = self.spec.queue as usize + self.free_slots();
-        if self.waiting.len() >= room {
+        let capacity = self.spec.queue as usize + self.free_slots();
+        if self.queued.len() >= capacity {
             return Admission::Rejected;
         }
-        Admission::Accepted(self.hold(request))
+        Admission::Accepted(self.accept(request))
     }
 
-    fn hold(&mut self, request: Request) -> JobId {
-        let job = JobId(self.next);
-        self.next += 1;
+    fn accept(&mut self, request: Request) -> JobId {
+        let job = JobId(self.next_job);
+        self.next_job += 1;
         self.jobs.insert(job, request);
-        self.waiting.insert(job);
+        self.queued.insert(job);
         self.deadlines.insert((request.deadline, job));
         self.fill_slots();
         job
     }
 
-    /// Stops a request that nobody waits for any more. `None`: it had ended before.
+    /// Cancels a request. Returns the stage that it had reached, or `None` if it had already ended.
     pub fn cancel(&mut self, now: Time, job: JobId) -> Option<JobStage> {
         self.run_to(now);
-        let stage = self.release(job)?;
+        let stage = self.remove(job)?;
         self.fill_slots();
         Some(stage)
     }
 
-    /// When something ends next, if nothing else happens until then.
+    /// When the next request may end if nothing else happens before.
     pub fn next_event(&self) -> Option<Time> {
         if !self.finished.is_empty() {
             return Some(self.processor.at());
@@ -198,69 +199,69 @@
         (!self.jobs.is_empty()).then(|| self.next_change())
     }
 
-    /// Works on until now, and hands over all that has ended, in order.
+    /// Processes requests until `now` and appends those that have ended, in time order.
     pub fn advance(&mut self, now: Time, finished: &mut Vec<FinishedJob>) {
         self.run_to(now);
         finished.append(&mut self.finished);
     }
 
-    /// A connection is opened. False: it is reset, since the host holds as many as it can, or is down.
+    /// Opens a connection. Returns false if it is reset because the host is down or at its connection limit.
     pub fn connect(&mut self, now: Time) -> bool {
         self.run_to(now);
         if self.down || self.connections >= self.spec.connections {
             return false;
         }
         self.connections += 1;
-        self.processor.owe(self.spec.handshake);
+        self.processor.add_handshake(self.spec.handshake);
         true
     }
 
-    /// A connection that was opened has ended.
+    /// Closes an open connection.
     pub fn disconnect(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Works so many times slower from now on; 1: as usual.
-    pub fn set_slowdown(&mut self, now: Time, times: f64) {
+    /// Sets the slowdown factor from now on; 1 is the usual speed.
+    pub fn set_slowdown(&mut self, now: Time, factor: f64) {
         self.run_to(now);
-        self.processor.slow(times);
+        self.processor.set_slowdown(factor);
     }
 
-    /// Does nothing until then.
+    /// Pauses all processing until `until`.
     pub fn pause(&mut self, now: Time, until: Time) {
         self.run_to(now);
         self.processor.pause(until);
     }
 
-    /// Takes nothing new from now on.
+    /// Rejects all new requests from now on.
     pub fn drain(&mut self, now: Time) {
         self.run_to(now);
         self.draining = true;
     }
 
-    /// Its process ends: all that it held is lost.
+    /// Ends the host's process; all its requests are lost.
     pub fn stop(&mut self, now: Time) {
         self.run_to(now);
         self.go_down(now);
     }
 
-    /// It was pushed over while it was cold, and stays down.
+    /// Whether the host has crashed by overload while warming up. It does not recover.
     pub fn crashed_by_overload(&self) -> bool {
-        self.fallen
+        self.crashed_by_overload
     }
 
-    /// Requests in work and waiting.
+    /// Number of requests running and queued.
     pub fn request_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Share of its present capacity that was in use since this was last asked; 0 where there was none.
+    /// Share of its capacity that the host used since the last call; 0 if it had none.
     pub fn utilization_since_last(&mut self, now: Time) -> f64 {
         self.run_to(now);
-        self.processor.busy_since_last()
+        self.processor.utilization_since_last()
     }
 
-    /// What it can do at this moment with what it holds, in nanoseconds of work per second.
+    /// Current capacity with the current number of requests, in nanoseconds of work per second.
     pub fn capacity(&self, now: Time) -> f64 {
         if self.down {
             0.0
@@ -269,22 +270,23 @@
         }
     }
 
-    /// What it can do when it is warm, in nanoseconds of work per second.
+    /// Capacity after the warm-up, in nanoseconds of work per second.
     pub fn full_capacity(&self) -> f64 {
-        self.processor.full()
+        self.processor.full_capacity()
     }
 
-    /// Adds work to a cold host's budget. True: it is more than the host can bear, and all that it held is lost.
-    fn pushed_over(&mut self, now: Time, work: Span) -> bool {
+    /// Adds work to the overload budget of a warming host. Returns true if the work exceeds the budget: the host
+    /// crashes and all its requests are lost.
+    fn overloads(&mut self, now: Time, work: Span) -> bool {
         let Some(budget) = &mut self.budget else { return false };
         if self.processor.is_warm(now) {
             self.budget = None;
             return false;
         }
-        if budget.bears(now, work, self.processor.warmed_up(now)) {
+        if budget.add_and_check(now, work, self.processor.warm_up_capacity(now)) {
             return false;
         }
-        self.fallen = true;
+        self.crashed_by_overload = true;
         self.go_down(now);
         true
     }
@@ -293,51 +295,51 @@
         self.down = true;
         self.connections = 0;
         let all: Vec<JobId> = self.jobs.keys().copied().collect();
-        all.into_iter().for_each(|job| self.end(job, now, JobOutcome::Lost));
+        all.into_iter().for_each(|job| self.finish(job, now, JobOutcome::Lost));
     }
 
     fn run_to(&mut self, now: Time) {
         while !self.down && self.processor.at() < now {
             let until = self.next_change().min(now);
             self.processor.work_until(until);
-            self.settle(until);
+            self.finish_jobs(until);
         }
     }
 
-    /// The next moment at which the pace may change. It is later than the last one handled.
+    /// The next time at which the rate of work may change, later than the current time of the processor.
     fn next_change(&self) -> Time {
-        let over = self.deadlines.first().map_or(Time::MAX, |(deadline, _)| *deadline);
-        self.processor.next_change().min(over)
+        let expiry = self.deadlines.first().map_or(Time::MAX, |(deadline, _)| *deadline);
+        self.processor.next_change().min(expiry)
     }
 
-    /// Ends what is through or over at this moment, and lets others into the slots.
-    fn settle(&mut self, at: Time) {
-        for job in self.processor.through() {
+    /// Ends the requests that complete or expire at `at`, and starts queued ones in their slots.
+    fn finish_jobs(&mut self, at: Time) {
+        for job in self.processor.completed() {
             let Some(request) = self.jobs.get(&job).copied() else { continue };
             let failed = Rng::stream(self.seed, "error", request.id).chance(self.spec.error_rate);
             if let (Effect::Keyed(window), false) = (request.effect, failed) {
-                self.memory.keep(at, request.id, window);
+                self.cache.insert(at, request.id, window);
             }
-            let ending = if failed { JobOutcome::Failed } else { JobOutcome::Served };
-            self.end(job, at, |_| ending);
+            let outcome = if failed { JobOutcome::Failed } else { JobOutcome::Served };
+            self.finish(job, at, |_| outcome);
         }
         while let Some((_, job)) = self.deadlines.first().copied().filter(|(deadline, _)| *deadline <= at) {
-            self.end(job, at, JobOutcome::Expired);
+            self.finish(job, at, JobOutcome::Expired);
         }
         self.fill_slots();
     }
 
-    fn end(&mut self, job: JobId, at: Time, ending: impl Fn(JobStage) -> JobOutcome) {
-        if let Some(stage) = self.release(job) {
-            self.finished.push(FinishedJob { job, at, outcome: ending(stage) });
+    fn finish(&mut self, job: JobId, at: Time, outcome: impl Fn(JobStage) -> JobOutcome) {
+        if let Some(stage) = self.remove(job) {
+            self.finished.push(FinishedJob { job, at, outcome: outcome(stage) });
         }
     }
 
-    /// Takes a request out of everything that it is in.
-    fn release(&mut self, job: JobId) -> Option<JobStage> {
+    /// Removes a request from all collections and returns the stage that it had reached.
+    fn remove(&mut self, job: JobId) -> Option<JobStage> {
         let request = self.jobs.remove(&job)?;
         self.deadlines.remove(&(request.deadline, job));
-        if self.waiting.remove(&job) {
+        if self.queued.remove(&job) {
             return Some(JobStage::Queued);
         }
         self.processor.stop(job);
@@ -346,14 +348,14 @@
 
     fn fill_slots(&mut self) {
         while self.free_slots() > 0 {
-            let Some(job) = self.waiting.pop_first() else { break };
+            let Some(job) = self.queued.pop_first() else { break };
             let work = self.jobs.get(&job).map_or(0, |request| request.work);
             self.processor.start(job, work);
         }
-        self.processor.hold(self.jobs.len());
+        self.processor.set_request_count(self.jobs.len());
     }
 
     fn free_slots(&self) -> usize {
-        (self.spec.slots.max(1) as usize).saturating_sub(self.processor.in_work())
+        (self.spec.slots.max(1) as usize).saturating_sub(self.processor.running_count())
     }
 }
--- a/crates/cluster-model/src/host/processor.rs
+++ b/crates/cluster-model/src/host/processor.rs
@@ -1,38 +1,38 @@
-//! The cores of a host, shared evenly among the requests in its slots.
+//! The cores of a host, shared evenly among the running requests.
 
 use super::JobId;
 use crate::scenario::HostSpec;
 use crate::{Span, Time, SECOND};
 
-/// Work left over by rounding, in nanoseconds.
-const NOTHING: f64 = 0.5;
-/// However much it holds, a host keeps this share of its capacity.
-const LEAST_EFFICIENCY: f64 = 0.25;
-/// Bounds on how many times slower than usual.
-const SLOW: (f64, f64) = (0.001, 1e6);
-/// No host is slower than this (a speed of 0 would never end).
-const LEAST_SPEED: f64 = 1e-6;
+/// Remaining work in nanoseconds that counts as none, to absorb rounding.
+const ROUNDING_WORK: f64 = 0.5;
+/// Share of its capacity that a host keeps at any number of requests.
+const MIN_EFFICIENCY: f64 = 0.25;
+/// Minimum and maximum slowdown factor.
+const SLOWDOWN_RANGE: (f64, f64) = (0.001, 1e6);
+/// Minimum speed of a core; at a speed of 0 no request would ever end.
+const MIN_SPEED: f64 = 1e-6;
 
 #[derive(Clone, Debug)]
 pub(super) struct Processor {
     cores: f64,
-    /// Work per nanosecond when warm.
-    full: f64,
+    /// Work per nanosecond after the warm-up.
+    full_capacity: f64,
     thrash_at: f64,
     thrash: f64,
     started: Time,
-    /// Share of capacity at the start, which rises evenly to 1 at `warm_at`.
-    cold_share: f64,
+    /// Share of the capacity at the start; it rises linearly to 1 until `warm_at`.
+    initial_share: f64,
     warm_at: Time,
-    slow: f64,
+    slowdown: f64,
     paused_until: Time,
     efficiency: f64,
-    /// All up to here is done.
+    /// Time up to which all work has been simulated.
     at: Time,
-    /// Work on new connections, which goes ahead of all requests.
-    owed: f64,
+    /// Remaining work for new connections, which takes precedence over all requests.
+    handshake_work: f64,
     running: Vec<Running>,
-    /// Work done, and work that could have been done, since last asked.
+    /// Work done, and work that was possible, since the utilization was last read.
     done: f64,
     possible: f64,
 }
@@ -40,25 +40,25 @@
 #[derive(Clone, Copy, Debug)]
 struct Running {
     job: JobId,
-    left: f64,
+    remaining: f64,
 }
 
 impl Processor {
-    pub(super) fn new(spec: &HostSpec, speed: f64, now: Time, cold: bool) -> Processor {
+    pub(super) fn new(spec: &HostSpec, speed: f64, now: Time, warming_up: bool) -> Processor {
         let cores = f64::from(spec.cores.max(1));
         Processor {
             cores,
-            full: cores * speed.max(LEAST_SPEED),
+            full_capacity: cores * speed.max(MIN_SPEED),
             thrash_at: spec.thrash_at,
             thrash: spec.thrash,
             started: now,
-            cold_share: if cold { spec.cold_share.clamp(0.0, 1.0) } else { 1.0 },
-            warm_at: if cold { now.saturating_add(spec.cold) } else { now },
-            slow: 1.0,
+            initial_share: if warming_up { spec.cold_share.clamp(0.0, 1.0) } else { 1.0 },
+            warm_at: if warming_up { now.saturating_add(spec.cold) } else { now },
+            slowdown: 1.0,
             paused_until: now,
             efficiency: 1.0,
             at: now,
-            owed: 0.0,
+            handshake_work: 0.0,
             running: Vec::new(),
             done: 0.0,
             possible: 0.0,
@@ -69,139 +69,145 @@
         self.at
     }
 
-    pub(super) fn in_work(&self) -> usize {
+    pub(super) fn running_count(&self) -> usize {
         self.running.len()
     }
 
     pub(super) fn start(&mut self, job: JobId, work: Span) {
-        self.running.push(Running { job, left: work.max(1) as f64 });
+        self.running.push(Running { job, remaining: work.max(1) as f64 });
     }
 
     pub(super) fn stop(&mut self, job: JobId) {
         self.running.retain(|running| running.job != job);
     }
 
-    pub(super) fn owe(&mut self, work: Span) {
-        self.owed += work as f64;
+    pub(super) fn add_handshake(&mut self, work: Span) {
+        self.handshake_work += work as f64;
     }
 
-    pub(super) fn slow(&mut self, times: f64) {
-        self.slow = if times.is_nan() { 1.0 } else { times.clamp(SLOW.0, SLOW.1) };
+    pub(super) fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = if factor.is_nan() { 1.0 } else { factor.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1) };
     }
 
     pub(super) fn pause(&mut self, until: Time) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// So many requests are held, in work and waiting: beyond a point each costs efficiency.
-    pub(super) fn hold(&mut self, held: usize) {
-        let beyond = (held as f64 / self.cores - self.thrash_at).max(0.0);
-        self.efficiency = (1.0 - self.thrash * beyond).clamp(LEAST_EFFICIENCY, 1.0);
+    /// Sets the number of requests running and queued. Above a threshold each of them reduces the efficiency.
+    pub(super) fn set_request_count(&mut self, requests: usize) {
+        let excess = (requests as f64 / self.cores - self.thrash_at).max(0.0);
+        self.efficiency = (1.0 - self.thrash * excess).clamp(MIN_EFFICIENCY, 1.0);
     }
 
     pub(super) fn is_warm(&self, now: Time) -> bool {
         now >= self.warm_at
     }
 
-    /// Work per nanosecond that its warm-up allows. What ails it besides (thrashing, slow spells, pauses) does
-    /// not count: the rule on cold hosts speaks of the rise after a start, which gateways can know of.
-    pub(super) fn warmed_up(&self, now: Time) -> f64 {
-        self.full * self.share(now)
+    /// Work per nanosecond at this point of the warm-up. Thrashing, slowdowns and pauses do not count: the rule on
+    /// warming hosts covers only the capacity after a start, which gateways can know.
+    pub(super) fn warm_up_capacity(&self, now: Time) -> f64 {
+        self.full_capacity * self.share(now)
     }
 
-    /// Work per second.
-    pub(super) fn full(&self) -> f64 {
-        self.full * SECOND as f64
+    /// Work per second after the warm-up.
+    pub(super) fn full_capacity(&self) -> f64 {
+        self.full_capacity * SECOND as f64
     }
 
-    /// Work per second at this moment.
+    /// Work per second at `now`.
     pub(super) fn capacity(&self, now: Time) -> f64 {
         if now < self.paused_until {
             0.0
         } else {
-            self.steady() * self.share(now) * SECOND as f64
+            self.steady_capacity() * self.share(now) * SECOND as f64
         }
     }
 
-    /// Share of the work that could have been done since last asked that was done.
-    pub(super) fn busy_since_last(&mut self) -> f64 {
-        let busy = if self.possible > 0.0 { (self.done / self.possible).min(1.0) } else { 0.0 };
+    /// Work done since the last call, as a share of the work that was possible.
+    pub(super) fn utilization_since_last(&mut self) -> f64 {
+        let utilization = if self.possible > 0.0 { (self.done / self.possible).min(1.0) } else { 0.0 };
         self.done = 0.0;
         self.possible = 0.0;
-        busy
+        utilization
     }
 
-    /// Requests with nothing left to do.
-    pub(super) fn through(&self) -> Vec<JobId> {
-        self.running.iter().filter(|running| running.left <= NOTHING).map(|running| running.job).collect()
+    /// Running requests that have no work left.
+    pub(super) fn completed(&self) -> Vec<JobId> {
+        self.running
+            .iter()
+            .filter(|running| running.remaining <= ROUNDING_WORK)
+            .map(|running| running.job)
+            .collect()
     }
 
-    /// When the pace may change next, if nothing comes or goes: later than now, or never.
+    /// When the rate of work may change next without requests starting or stopping: later than `at`, or never.
     pub(super) fn next_change(&self) -> Time {
         if self.at < self.paused_until {
             return self.paused_until;
         }
         let warm = if self.at < self.warm_at { self.warm_at } else { Time::MAX };
-        let least = self.running.iter().map(|running| running.left).fold(f64::INFINITY, f64::min);
-        let work = if self.owed > NOTHING { self.owed } else { least * self.split() };
+        let least = self.running.iter().map(|running| running.remaining).fold(f64::INFINITY, f64::min);
+        let work =
+            if self.handshake_work > ROUNDING_WORK { self.handshake_work } else { least * self.divisor() };
         if work == f64::INFINITY {
             return warm;
         }
-        // The rise beyond `warm_at` is no concern: the work is looked at anew from there.
-        let span = libm::ceil(self.span_of(work)).max(1.0) as Span;
+        // Valid only up to `warm_at`: the remaining work is computed again from there.
+        let span = libm::ceil(self.duration_of(work)).max(1.0) as Span;
         self.at.saturating_add(span).min(warm)
     }
 
-    /// Works on up to `until`, which is not beyond the next change.
+    /// Simulates the work up to `until`, which is not after the next change.
     pub(super) fn work_until(&mut self, until: Time) {
         let span = until.saturating_sub(self.at) as f64;
         let paused = self.at < self.paused_until;
-        // The capacity is a straight line between two changes.
-        let mean = (self.share(self.at) + self.share(until)) / 2.0;
+        // The capacity is linear between two changes.
+        let mean_share = (self.share(self.at) + self.share(until)) / 2.0;
         self.at = until;
         if paused {
             return;
         }
-        let work = self.steady() * mean * span;
+        let work = self.steady_capacity() * mean_share * span;
         self.possible += work;
-        let paid = self.owed.min(work);
-        self.owed -= paid;
-        self.done += paid;
-        let each = (work - paid) / self.split();
+        let handshakes = self.handshake_work.min(work);
+        self.handshake_work -= handshakes;
+        self.done += handshakes;
+        let each = (work - handshakes) / self.divisor();
         for running in &mut self.running {
-            self.done += each.min(running.left);
-            running.left -= each;
+            self.done += each.min(running.remaining);
+            running.remaining -= each;
         }
     }
 
-    /// A request gets this part of the capacity: its share, and one core at the most.
-    fn split(&self) -> f64 {
+    /// Each request gets the capacity divided by this: an equal share, and at most one core.
+    fn divisor(&self) -> f64 {
         self.cores.max(self.running.len() as f64)
     }
 
-    /// Work per nanosecond, but for the warm-up.
-    fn steady(&self) -> f64 {
-        self.full * self.efficiency / self.slow
+    /// Work per nanosecond, apart from the warm-up.
+    fn steady_capacity(&self) -> f64 {
+        self.full_capacity * self.efficiency / self.slowdown
     }
 
     fn share(&self, now: Time) -> f64 {
         if now >= self.warm_at {
             return 1.0;
         }
-        self.cold_share + self.rise() * now.saturating_sub(self.started) as f64
+        self.initial_share + self.warm_up_rate() * now.saturating_sub(self.started) as f64
     }
 
-    /// Share gained per nanosecond while it warms up.
-    fn rise(&self) -> f64 {
-        (1.0 - self.cold_share) / (self.warm_at - self.started) as f64
+    /// Share of the capacity gained per nanosecond of warm-up.
+    fn warm_up_rate(&self) -> f64 {
+        (1.0 - self.initial_share) / (self.warm_at - self.started) as f64
     }
 
-    /// How long this much work takes the whole processor from now on: the positive root of
-    /// `share * x + rise / 2 * x^2 = work / steady`, in the form that has no difference of near numbers.
-    fn span_of(&self, work: f64) -> f64 {
-        let wanted = work / self.steady();
+    /// How long the whole processor takes for this work from now on: the positive root of
+    /// `share * x + rate / 2 * x^2 = work / steady_capacity`, in the form that does not subtract nearly equal
+    /// numbers.
+    fn duration_of(&self, work: f64) -> f64 {
+        let target = work / self.steady_capacity();
         let share = self.share(self.at);
-        let rise = if self.at < self.warm_at { self.rise() } else { 0.0 };
-        2.0 * wanted / (share + libm::sqrt(share * share + 2.0 * rise * wanted))
+        let rate = if self.at < self.warm_at { self.warm_up_rate() } else { 0.0 };
+        2.0 * target / (share + libm::sqrt(share * share + 2.0 * rate * target))
     }
 }
--- a/crates/cluster-model/src/resize.rs
+++ b/crates/cluster-model/src/resize.rs
@@ -1,41 +1,42 @@
-//! The same day at a site of another size.
+//! Scales a scenario to a site of another size.
 
 use crate::scenario::{CounterSpec, Event, LinkEnd, Scenario, Which};
 
-/// A customer's set is not scaled below this: fewer gateways would be another kind of customer.
-const LEAST_SPREAD: u32 = 3;
-/// Calls a second of a part of the counter are not scaled below this: one that takes more than 10 ms for a
-/// call turns nobody away, it lets all calls time out.
-const LEAST_CALLS: f64 = 100.0;
+/// Gateway sets of customers are not scaled below this size: customers with fewer gateways behave differently.
+const MIN_GATEWAY_SET: u32 = 3;
+/// Calls per second of a counter shard are not scaled below this: a shard that takes more than 10 ms per call
+/// rejects none, but lets all of them time out.
+const MIN_SHARD_CALLS_PER_S: f64 = 100.0;
 
 impl Scenario {
-    /// The same day with so many gateways, at least 1: hosts, requests, the counter's calls and customers'
-    /// sets go with them, and events that count hosts or gateways too. Shares stay as they are, and so does
-    /// what one gateway, host or customer is like. Sets stay at three gateways or what they were below that,
-    /// and as many as there are at the most. The counter has as many parts as go with it, one at the least;
-    /// each takes 100 calls a second or what it took below that, and a full line of calls takes as long as it
-    /// did.
+    /// Scales the scenario to this number of gateways, at least 1. The numbers of hosts and requests, the counter's
+    /// call rate, the sizes of customers' gateway sets and the machine counts in events are scaled in proportion.
+    /// Shares and the properties of a single gateway, host or customer stay the same. Gateway sets are not scaled
+    /// below three gateways (or their original size if that is smaller), nor above the number of gateways. The
+    /// number of counter shards is scaled in proportion, to at least one; the rate of a shard is not scaled below
+    /// 100 calls per second (or its original rate if that is lower), and the time to work off a full queue stays the
+    /// same.
     ///
-    /// Machines that events name by number keep their numbers; the reader of files tells where there is no
-    /// such machine any more.
+    /// Machines that events refer to by number keep their numbers; the file parser reports those that no longer
+    /// exist.
     pub fn with_gateways(mut self, gateways: u32) -> Scenario {
         let gateways = gateways.max(1);
-        let times = f64::from(gateways) / f64::from(self.site.gateways.max(1));
-        let scaled = |count: u32| (libm::round(f64::from(count) * times) as u32).max(1);
+        let factor = f64::from(gateways) / f64::from(self.site.gateways.max(1));
+        let scaled = |count: u32| (libm::round(f64::from(count) * factor) as u32).max(1);
         let site = &mut self.site;
         site.gateways = gateways;
         site.hosts = scaled(site.hosts);
-        resize_counter(&mut site.counter, times);
+        resize_counter(&mut site.counter, factor);
         for plan in &mut site.plans {
-            let least = plan.spread.min(LEAST_SPREAD);
-            plan.spread = scaled(plan.spread).max(least).min(gateways);
+            let min = plan.spread.min(MIN_GATEWAY_SET);
+            plan.spread = scaled(plan.spread).max(min).min(gateways);
         }
-        self.traffic.rate *= times;
+        self.traffic.rate *= factor;
         for timed in &mut self.events {
             if let Event::AddHosts(count) = &mut timed.event {
                 *count = scaled(*count);
             }
-            for which in whiches(&mut timed.event) {
+            for which in selections(&mut timed.event) {
                 if let Which::Count(count) = which {
                     *count = scaled(*count);
                 }
@@ -45,18 +46,18 @@
     }
 }
 
-fn resize_counter(counter: &mut CounterSpec, times: f64) {
-    let before = counter.calls_per_s / f64::from(counter.parts.max(1));
-    let parts = libm::round(f64::from(counter.parts) * times).max(1.0);
-    let each = (counter.calls_per_s * times / parts).max(before.min(LEAST_CALLS));
-    counter.parts = parts as u32;
-    counter.calls_per_s = each * parts;
-    let queue = libm::round(f64::from(counter.queue) * each / before);
+fn resize_counter(counter: &mut CounterSpec, factor: f64) {
+    let old_shard_rate = counter.calls_per_s / f64::from(counter.parts.max(1));
+    let shards = libm::round(f64::from(counter.parts) * factor).max(1.0);
+    let shard_rate = (counter.calls_per_s * factor / shards).max(old_shard_rate.min(MIN_SHARD_CALLS_PER_S));
+    counter.parts = shards as u32;
+    counter.calls_per_s = shard_rate * shards;
+    let queue = libm::round(f64::from(counter.queue) * shard_rate / old_shard_rate);
     counter.queue = (queue as u32).max(counter.queue.min(1));
 }
 
-/// The machines that an event hits, where it hits some; of links, those at both ends.
-fn whiches(event: &mut Event) -> Vec<&mut Which> {
+/// The machine selections of an event; for events on links, those at both ends.
+fn selections(event: &mut Event) -> Vec<&mut Which> {
     match event {
         Event::Links(gateways, LinkEnd::Hosts(hosts), ..) => vec![gateways, hosts],
         Event::Links(which, ..)
@@ -86,7 +87,7 @@
     use crate::scenario::{LinkFault, Site, Timed};
 
     #[test]
-    fn what_counts_goes_with_the_gateways_and_the_rest_stays() {
+    fn counts_are_scaled_with_the_gateways_and_the_rest_stays_the_same() {
         let mut site = Site { gateways: 300, hosts: 150, ..Site::default() };
         site.counter = CounterSpec { parts: 3, calls_per_s: 3000.0, queue: 20, ..CounterSpec::default() };
         (site.plans[0].spread, site.plans[1].spread) = (3, 100);
@@ -100,8 +101,8 @@
         let scenario = Scenario { site, events, ..Scenario::default() };
         let small = scenario.clone().with_gateways(60);
         assert_eq!((small.site.gateways, small.site.hosts, small.traffic.rate), (60, 30, 26.0));
-        let counter = |day: &Scenario| {
-            let CounterSpec { parts, calls_per_s, queue, .. } = day.site.counter;
+        let counter = |scenario: &Scenario| {
+            let CounterSpec { parts, calls_per_s, queue, .. } = scenario.site.counter;
             (parts, calls_per_s, queue)
         };
         assert_eq!(counter(&small), (1, 600.0, 12));
--- a/crates/cluster-model/src/settings.rs
+++ b/crates/cluster-model/src/settings.rs
@@ -1,20 +1,21 @@
-//! What the platform tells a gateway of this site at its start: the settings, and the configuration document
-//! around them. Times are whole nanoseconds, work and worth as in the scenario.
+//! The configuration that the platform passes to a gateway of this site at its start: the settings, and the
+//! configuration document that contains them. Durations are integers in nanoseconds; work and weights are as in the
+//! scenario.
 
 use crate::scenario::{ClassSpec, Effect, PlanSpec, Scenario};
 use crate::{Span, MS, SECOND};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A connection that is not up by then counts as failed.
+/// A connection attempt that takes longer counts as failed.
 pub const DIAL_TIMEOUT: Span = 250 * MS;
-/// Requests that a connection to a host carries at once.
+/// Concurrent requests on a connection to a host.
 pub const STREAMS_PER_CONNECTION: u32 = 1;
 
 /// The settings of a gateway, numbered from 0.
 ///
-/// Probes, load reports and messages between gateways are off: the model's hosts give none. What a scenario
-/// does not speak of (prices, weights of the result, CPU) is as at `iasi-park`.
+/// Health checks, load reports and messages between gateways are off, because the model does not support them.
+/// Values that scenarios do not contain (prices, weights of the result, CPU) are those of `iasi-park`.
 pub fn settings(scenario: &Scenario, gateway: u32) -> Value {
     let (site, traffic) = (&scenario.site, &scenario.traffic);
     let buildings: Vec<String> = (0..site.buildings).map(zone_name).collect();
@@ -60,12 +61,12 @@
     })
 }
 
-/// The kind of machine that all hosts are, as discovery and the settings name it.
+/// Machine type of all hosts, as in discovery and in the settings.
 pub fn machine_type(scenario: &Scenario) -> String {
     format!("std-{}core", scenario.site.host.cores)
 }
 
-/// The name of a building, numbered from 0, as discovery and the settings give it.
+/// Zone name of a building, numbered from 0, as in discovery and in the settings.
 pub fn zone_name(number: u32) -> String {
     format!("building-{}", number + 1)
 }
@@ -130,20 +131,20 @@
     })
 }
 
-/// What is a gateway's own at one start of its process.
+/// Parameters of one start of a gateway process.
 #[derive(Clone, Debug)]
 pub struct GatewayStart {
-    /// Its name, the same after a restart.
+    /// Name of the gateway, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address that the gateway listens on for clients.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The counter; told only where the site has one.
+    /// Address of the counter; omitted from the document if the site has none.
     pub counter: SocketAddr,
-    /// For random numbers, new with each start.
+    /// Seed for random numbers, different at each start.
     pub seed: u64,
-    /// The list of hosts as it last had it, in discovery's form.
+    /// The endpoint list that the gateway last had, in discovery's format.
     pub known_endpoints: Value,
 }
 
