--- a/crates/cluster-model/src/agent/watch.rs
+++ b/crates/cluster-model/src/agent/watch.rs
@@ -1,4 +1,4 @@
-//! A watch: what it has sent, and when it sends next.
+//! A watch on an agent, which sends each change and heartbeats in between.
 
 use super::{DiscoveryMessage, Registry};
 use crate::{Span, Time, SECOND};
--- a/crates/cluster-model/src/host/processor.rs
+++ b/crates/cluster-model/src/host/processor.rs
@@ -201,7 +201,7 @@
         (1.0 - self.initial_share) / (self.warm_at - self.started) as f64
     }
 
-    /// How long the whole processor takes for this work from now on: the positive root of
+    /// How long all cores together take for this work from now on: the positive root of
     /// `share * x + rate / 2 * x^2 = work / steady_capacity`, in the form that does not subtract nearly equal
     /// numbers.
     fn duration_of(&self, work: f64) -> f64 {
--- a/crates/cluster-model/src/lib.rs
+++ b/crates/cluster-model/src/lib.rs
@@ -1,4 +1,4 @@
-//! A deterministic model of a whole site: hosts, the shared counter, discovery and clients. The model does no
+//! A deterministic model of a site: hosts, the shared counter, discovery and clients. The model does no
 //! I/O, reads no clock and derives all randomness from seeds, so that a seed gives the same run on every
 //! machine. Floating-point numbers are therefore only added, multiplied and divided, or go through `libm`,
 //! whose results do not depend on the processor.
--- a/crates/cluster-model/src/observation.rs
+++ b/crates/cluster-model/src/observation.rs
@@ -3,7 +3,7 @@
 
 use crate::{Span, Time};
 
-/// An observation with its time. Observations are recorded in time order.
+/// A timestamped event. Observations are recorded in time order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
     /// Time on the clock of the run.
--- a/crates/cluster-model/src/traffic/arrivals.rs
+++ b/crates/cluster-model/src/traffic/arrivals.rs
@@ -21,7 +21,7 @@
     /// Time from the start of the traffic.
     pub at: Span,
     /// Number of the operation: from 1 in time order, with gaps where a window removes traffic. Additional
-    /// traffic of a window has a number range of its own, see [`OPERATION_INDEX_BITS`].
+    /// traffic of a window has a separate number range, see [`OPERATION_INDEX_BITS`].
     pub operation: u64,
     /// Customer who starts the operation.
     pub customer: u64,
@@ -126,7 +126,7 @@
         arrivals
     }
 
-    /// Adds traffic windows; to be called before the first arrival is taken. Arrivals outside the windows stay
+    /// Adds traffic windows; to be called before the first call of `next`. Arrivals outside the windows stay
     /// the same.
     pub fn with_windows(mut self, windows: &[TrafficWindow]) -> Arrivals {
         for window in windows {
--- a/crates/cluster-model/src/traffic/behaviour.rs
+++ b/crates/cluster-model/src/traffic/behaviour.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{Effect, Site, Traffic};
 use crate::{Span, MS};
 
-/// Outcome of a request, as far as it determines whether the client retries.
+/// Outcome of a request, reduced to the cases that the decision to retry depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// The request was served, or its client has disconnected; there is no retry.
@@ -61,7 +61,7 @@
         ClientBehaviour {
             seed,
             classes: site.classes.iter().map(|class| (class.deadline, class.effect)).collect(),
-            // Request ids have room for no more.
+            // The maximum that fits into a request id.
             retries: traffic.retries.min((1 << RETRY_BITS) - 1),
             backoff: traffic.backoff,
             retry_after_share: traffic.honour,
--- a/crates/cluster-model/src/traffic/customers.rs
+++ b/crates/cluster-model/src/traffic/customers.rs
@@ -108,7 +108,7 @@
 }
 
 /// Adds customers of a plan until their mean demand within the quotas is `target` units per second. The last
-/// customer's demand is set to what is missing.
+/// customer's demand is set to the remainder.
 fn draft_plan(
     index: usize,
     plan: &PlanSpec,
--- a/crates/cluster-model/tests/counter.rs
+++ b/crates/cluster-model/tests/counter.rs
@@ -1,4 +1,4 @@
-//! The counter: its lines of calls, its totals, and each of its ways to fail.
+//! The counter: call queues, totals and faults.
 
 use cluster_model::counter::{
     Amount, CallAdmission, CallId, CallOutcome, Counter, FinishedCall, MAX_NAME_LIFETIME,
@@ -7,7 +7,7 @@
 use cluster_model::{Span, Time, MS, SECOND};
 
 const START: Time = 1000 * SECOND;
-const LIFE: Span = 30 * SECOND;
+const LIFETIME: Span = 30 * SECOND;
 
 fn amount(text: &str) -> Amount {
     Amount::parse(text.as_bytes()).expect("a number")
@@ -17,22 +17,22 @@
     Counter::new(&CounterSpec::default(), 5)
 }
 
-/// A call that finds room.
+/// Makes a call that is accepted.
 fn call(counter: &mut Counter, now: Time, gateway: u32, name: &str, added: &str) -> CallId {
-    match counter.call(now, gateway, name.as_bytes(), amount(added), LIFE) {
-        CallAdmission::Accepted(ticket) => ticket,
-        other => panic!("not taken in: {other:?}"),
+    match counter.call(now, gateway, name.as_bytes(), amount(added), LIFETIME) {
+        CallAdmission::Accepted(id) => id,
+        other => panic!("not accepted: {other:?}"),
     }
 }
 
-/// Lets time pass, step by step as a driver would.
-fn pass(counter: &mut Counter, until: Time) -> Vec<FinishedCall> {
-    let mut settled = Vec::new();
-    while let Some(due) = counter.next_event().filter(|due| *due <= until) {
-        settled.extend(counter.advance(due));
+/// Advances the counter from event to event up to `until`.
+fn run_until(counter: &mut Counter, until: Time) -> Vec<FinishedCall> {
+    let mut finished = Vec::new();
+    while let Some(at) = counter.next_event().filter(|at| *at <= until) {
+        finished.extend(counter.advance(at));
     }
-    settled.extend(counter.advance(until));
-    settled
+    finished.extend(counter.advance(until));
+    finished
 }
 
 fn total(counter: &Counter, now: Time, name: &str) -> Option<Amount> {
@@ -40,35 +40,35 @@
 }
 
 #[test]
-fn a_call_is_added_in_its_turn_and_answered_a_little_later() {
+fn a_call_is_added_when_it_starts_and_answered_after_a_delay() {
     let mut counter = counter();
-    let ticket = call(&mut counter, START, 0, "a", "2.5");
+    let id = call(&mut counter, START, 0, "a", "2.5");
     assert_eq!(total(&counter, START, "a"), Some(amount("2.5")));
     assert_eq!(counter.next_event(), Some(START + MS));
     assert!(counter.advance(START + MS - 1).is_empty());
-    let settled = counter.advance(START + MS);
+    let finished = counter.advance(START + MS);
     assert_eq!(
-        settled,
-        [FinishedCall { call: ticket, at: START + MS, outcome: CallOutcome::Replied(amount("2.5")) }]
+        finished,
+        [FinishedCall { call: id, at: START + MS, outcome: CallOutcome::Replied(amount("2.5")) }]
     );
     assert_eq!(counter.next_event(), None);
 }
 
 #[test]
-fn a_new_name_lives_from_its_first_call_and_no_longer_than_a_minute() {
+fn a_name_expires_after_its_first_call_and_within_a_minute() {
     let mut counter = counter();
     call(&mut counter, START, 0, "a", "1");
-    call(&mut counter, START + LIFE - 10 * MS, 0, "a", "1");
-    assert_eq!(total(&counter, START + LIFE - 1, "a"), Some(amount("2")));
-    assert_eq!(total(&counter, START + LIFE, "a"), None, "later calls do not extend a life");
-    let again = START + LIFE;
+    call(&mut counter, START + LIFETIME - 10 * MS, 0, "a", "1");
+    assert_eq!(total(&counter, START + LIFETIME - 1, "a"), Some(amount("2")));
+    assert_eq!(total(&counter, START + LIFETIME, "a"), None, "later calls do not extend the lifetime");
+    let again = START + LIFETIME;
     counter.call(again, 0, b"a", amount("5"), 10 * MAX_NAME_LIFETIME);
-    assert_eq!(total(&counter, again, "a"), Some(amount("5")), "it starts anew");
+    assert_eq!(total(&counter, again, "a"), Some(amount("5")), "the total restarts");
     assert_eq!(total(&counter, again + MAX_NAME_LIFETIME, "a"), None);
 }
 
 #[test]
-fn expired_names_are_taken_out() {
+fn expired_names_are_removed() {
     let mut counter = counter();
     for n in 0..5000_u64 {
         counter.call(START + n * 10 * MS, 0, format!("{n}").as_bytes(), amount("1"), SECOND);
@@ -79,45 +79,49 @@
 }
 
 #[test]
-fn at_twice_the_rate_the_line_fills_and_half_of_the_calls_are_turned_away() {
+fn at_twice_the_capacity_the_queue_fills_and_half_of_the_calls_are_rejected() {
     let spec = CounterSpec { parts: 1, calls_per_s: 100.0, queue: 10, ..CounterSpec::default() };
     let mut counter = Counter::new(&spec, 5);
-    let taken: Vec<bool> = (0..400)
-        .map(|n| counter.call(START + n * 5 * MS, 0, b"a", amount("1"), LIFE))
-        .map(|taken| matches!(taken, CallAdmission::Accepted(_)))
+    let admitted: Vec<bool> = (0..400)
+        .map(|n| counter.call(START + n * 5 * MS, 0, b"a", amount("1"), LIFETIME))
+        .map(|admission| matches!(admission, CallAdmission::Accepted(_)))
         .collect();
-    assert!(taken[..20].iter().all(|taken| *taken), "the line has room at first");
-    let late = taken[200..].iter().filter(|taken| **taken).count();
-    assert_eq!(late, 100, "as many as the part serves");
-    let settled = pass(&mut counter, START + 10 * SECOND);
-    let most = settled.iter().enumerate().map(|(n, s)| s.at - (START + n as u64 * 10 * MS)).max();
-    assert_eq!(most, Some(MS), "one every 10 ms, each answered a millisecond after its turn");
-    let all = taken.iter().filter(|taken| **taken).count();
+    assert!(admitted[..20].iter().all(|is_admitted| *is_admitted), "the queue is not full at first");
+    let late = admitted[200..].iter().filter(|is_admitted| **is_admitted).count();
+    assert_eq!(late, 100, "as many as the shard processes");
+    let finished = run_until(&mut counter, START + 10 * SECOND);
+    let max_delay = finished.iter().enumerate().map(|(n, s)| s.at - (START + n as u64 * 10 * MS)).max();
+    assert_eq!(max_delay, Some(MS), "one call every 10 ms, each answered a millisecond after its start");
+    let all = admitted.iter().filter(|is_admitted| **is_admitted).count();
     let counted = total(&counter, START + 10 * SECOND, "a");
-    assert_eq!(counted, Some(amount(&all.to_string())), "also those for which nobody waits any more");
+    assert_eq!(
+        counted,
+        Some(amount(&all.to_string())),
+        "accepted calls are added even if nobody waits for the reply"
+    );
 }
 
 #[test]
-fn parts_work_side_by_side() {
+fn shards_process_calls_in_parallel() {
     let spec = CounterSpec { parts: 4, calls_per_s: 400.0, queue: 1000, ..CounterSpec::default() };
     let mut counter = Counter::new(&spec, 5);
     (0..400).for_each(|n| {
         call(&mut counter, START, 0, &format!("name {n}"), "1");
     });
-    let settled = pass(&mut counter, START + SECOND / 2);
-    assert!((190..=204).contains(&settled.len()), "{} in half a second", settled.len());
+    let finished = run_until(&mut counter, START + SECOND / 2);
+    assert!((190..=204).contains(&finished.len()), "{} in half a second", finished.len());
 }
 
 #[test]
-fn a_lost_counter_refuses_calls_and_keeps_its_counts() {
+fn an_unreachable_counter_refuses_calls_and_keeps_its_totals() {
     let mut counter = counter();
     call(&mut counter, START, 0, "a", "1");
-    pass(&mut counter, START + SECOND);
+    run_until(&mut counter, START + SECOND);
     let (lost, back) = (START + SECOND, START + 3 * SECOND);
     counter.inject_fault(lost, CounterFault::Lost, back);
     assert!(counter.is_unreachable());
     assert_eq!(counter.connection_resets(), 1);
-    assert_eq!(counter.call(back - 1, 0, b"a", amount("1"), LIFE), CallAdmission::Unreachable);
+    assert_eq!(counter.call(back - 1, 0, b"a", amount("1"), LIFETIME), CallAdmission::Unreachable);
     assert_eq!(counter.next_event(), Some(back));
     call(&mut counter, back, 0, "a", "1");
     assert!(!counter.is_unreachable());
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn a_flapping_counter_is_lost_and_back_by_turns() {
+fn a_flapping_counter_alternates_between_unreachable_and_reachable() {
     let mut counter = counter();
     counter.inject_fault(START, CounterFault::Flapping(SECOND), START + 5 * SECOND);
     let lost: Vec<bool> = (0..7)
@@ -140,32 +144,33 @@
 }
 
 #[test]
-fn a_silent_counter_adds_nothing_and_says_nothing() {
+fn a_silent_counter_adds_nothing_and_sends_no_replies() {
     let mut counter = Counter::new(&CounterSpec { parts: 1, ..CounterSpec::default() }, 5);
     let first = call(&mut counter, START, 0, "a", "1");
-    let waits = call(&mut counter, START, 0, "a", "1");
+    let queued = call(&mut counter, START, 0, "a", "1");
     counter.inject_fault(START, CounterFault::Silent, START + SECOND);
     let within = call(&mut counter, START, 0, "a", "1");
-    let ends: Vec<_> = pass(&mut counter, START + 2 * SECOND).iter().map(|s| (s.call, s.outcome)).collect();
+    let outcomes: Vec<_> =
+        run_until(&mut counter, START + 2 * SECOND).iter().map(|s| (s.call, s.outcome)).collect();
     assert_eq!(
-        ends,
-        [(within, CallOutcome::Dropped), (first, CallOutcome::NoReply), (waits, CallOutcome::Dropped)]
+        outcomes,
+        [(within, CallOutcome::Dropped), (first, CallOutcome::NoReply), (queued, CallOutcome::Dropped)]
     );
     assert_eq!(total(&counter, START + 2 * SECOND, "a"), Some(amount("1")));
 }
 
 #[test]
-fn a_mute_counter_adds_and_says_nothing() {
+fn a_mute_counter_adds_and_sends_no_replies() {
     let mut counter = counter();
     counter.inject_fault(START, CounterFault::Mute, START + SECOND);
-    let ticket = call(&mut counter, START, 0, "a", "1");
-    let settled = pass(&mut counter, START + 2 * SECOND);
-    assert_eq!(settled, [FinishedCall { call: ticket, at: START, outcome: CallOutcome::NoReply }]);
+    let id = call(&mut counter, START, 0, "a", "1");
+    let finished = run_until(&mut counter, START + 2 * SECOND);
+    assert_eq!(finished, [FinishedCall { call: id, at: START, outcome: CallOutcome::NoReply }]);
     assert_eq!(total(&counter, START + 2 * SECOND, "a"), Some(amount("1")));
 }
 
 #[test]
-fn a_slow_counter_adds_at_once_and_answers_in_the_order_of_the_calls() {
+fn a_slow_counter_adds_at_once_and_replies_in_call_order() {
     let mut counter = counter();
     counter.inject_fault(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
     let calls: Vec<(Time, CallId)> = (0..200)
@@ -174,148 +179,161 @@
         .collect();
     let last = calls[199].0;
     assert_eq!(total(&counter, last, "a"), Some(amount("200")));
-    let settled = pass(&mut counter, START + 10 * SECOND);
-    let order: Vec<CallId> = settled.iter().map(|s| s.call).collect();
-    assert_eq!(order, calls.iter().map(|(_, ticket)| *ticket).collect::<Vec<_>>());
-    let told: Vec<CallOutcome> = (1..=200).map(|n| CallOutcome::Replied(amount(&n.to_string()))).collect();
-    assert_eq!(settled.iter().map(|s| s.outcome).collect::<Vec<_>>(), told);
-    let took: Vec<Span> = settled.iter().zip(&calls).map(|(s, (at, _))| s.at - at).collect();
-    assert!(took.iter().all(|took| (80 * MS..=500 * MS).contains(took)), "{took:?}");
-    assert!(took.iter().min() < took.iter().max());
+    let finished = run_until(&mut counter, START + 10 * SECOND);
+    let order: Vec<CallId> = finished.iter().map(|s| s.call).collect();
+    assert_eq!(order, calls.iter().map(|(_, id)| *id).collect::<Vec<_>>());
+    let expected: Vec<CallOutcome> =
+        (1..=200).map(|n| CallOutcome::Replied(amount(&n.to_string()))).collect();
+    assert_eq!(finished.iter().map(|s| s.outcome).collect::<Vec<_>>(), expected);
+    let delays: Vec<Span> = finished.iter().zip(&calls).map(|(s, (at, _))| s.at - at).collect();
+    assert!(delays.iter().all(|delay| (80 * MS..=500 * MS).contains(delay)), "{delays:?}");
+    assert!(delays.iter().min() < delays.iter().max());
 }
 
 #[test]
-fn a_slow_answer_holds_up_no_other_names() {
+fn a_slow_reply_does_not_delay_other_names() {
     let mut counter = counter();
     counter.inject_fault(START, CounterFault::Slow(80 * MS, 500 * MS), START + 60 * SECOND);
     let calls = 0..100_u64;
     calls.for_each(|n| {
         call(&mut counter, START + n * 10 * MS, 0, &format!("{n}"), "1");
     });
-    let settled = pass(&mut counter, START + 10 * SECOND);
-    assert!(settled.windows(2).any(|pair| pair[0].call > pair[1].call), "draws differ");
+    let finished = run_until(&mut counter, START + 10 * SECOND);
+    assert!(finished.windows(2).any(|pair| pair[0].call > pair[1].call), "delays differ");
 }
 
 #[test]
-fn a_full_counter_refuses_and_serves_what_waits() {
+fn a_full_counter_rejects_new_calls_and_processes_queued_ones() {
     let mut counter = counter();
-    let ticket = call(&mut counter, START, 0, "a", "1");
+    let id = call(&mut counter, START, 0, "a", "1");
     counter.inject_fault(START, CounterFault::Full, START + SECOND);
-    assert_eq!(counter.call(START, 0, b"a", amount("1"), LIFE), CallAdmission::Rejected);
-    let settled = pass(&mut counter, START + SECOND - 1);
-    assert_eq!((settled.len(), settled[0].call), (1, ticket));
+    assert_eq!(counter.call(START, 0, b"a", amount("1"), LIFETIME), CallAdmission::Rejected);
+    let finished = run_until(&mut counter, START + SECOND - 1);
+    assert_eq!((finished.len(), finished[0].call), (1, id));
     call(&mut counter, START + SECOND, 0, "a", "1");
     assert_eq!(total(&counter, START + SECOND, "a"), Some(amount("2")));
 }
 
 #[test]
-fn a_fresh_counter_has_forgotten_everything() {
+fn a_fresh_counter_has_lost_all_names_and_calls() {
     let mut counter = Counter::new(&CounterSpec { parts: 1, ..CounterSpec::default() }, 5);
     let added = call(&mut counter, START, 0, "a", "1");
-    let waits = call(&mut counter, START, 0, "a", "1");
+    let queued = call(&mut counter, START, 0, "a", "1");
     let now = START + MS / 2;
     counter.inject_fault(now, CounterFault::Fresh, START + SECOND);
     assert!(!counter.is_unreachable());
     assert_eq!((counter.connection_resets(), counter.name_count(now)), (1, 0));
-    let ends: Vec<_> = pass(&mut counter, now).iter().map(|s| (s.call, s.outcome)).collect();
+    let outcomes: Vec<_> = run_until(&mut counter, now).iter().map(|s| (s.call, s.outcome)).collect();
     assert_eq!(
-        ends,
-        [(added, CallOutcome::NoReply), (waits, CallOutcome::Dropped)],
-        "they went with the old one"
+        outcomes,
+        [(added, CallOutcome::NoReply), (queued, CallOutcome::Dropped)],
+        "lost with the old process"
     );
     call(&mut counter, now, 0, "a", "3");
     assert_eq!(total(&counter, now, "a"), Some(amount("3")));
-    assert_eq!(pass(&mut counter, START + 2 * SECOND).len(), 1);
+    assert_eq!(run_until(&mut counter, START + 2 * SECOND).len(), 1);
 }
 
-/// The total that a gateway is told when it adds this.
-fn told(counter: &mut Counter, now: Time, gateway: u32, name: &str, added: &str) -> Amount {
-    let ticket = call(counter, now, gateway, name, added);
-    let settled = pass(counter, now + 10 * MS);
-    match settled.iter().find(|s| s.call == ticket).map(|s| s.outcome) {
+/// Makes a call and returns the total in its reply.
+fn reply_total(counter: &mut Counter, now: Time, gateway: u32, name: &str, added: &str) -> Amount {
+    let id = call(counter, now, gateway, name, added);
+    let finished = run_until(counter, now + 10 * MS);
+    match finished.iter().find(|s| s.call == id).map(|s| s.outcome) {
         Some(CallOutcome::Replied(total)) => total,
-        other => panic!("no total: {other:?}"),
+        other => panic!("no total in the reply: {other:?}"),
     }
 }
 
 #[test]
-fn sides_of_a_split_count_apart_and_are_summed_when_it_is_over() {
+fn partitioned_replicas_count_separately_and_are_merged_at_the_end() {
     let mut counter = counter();
     call(&mut counter, START, 0, "old", "10");
     call(&mut counter, START, 0, "untouched", "7");
-    let (split, healed) = (START + SECOND, START + 5 * SECOND);
-    counter.inject_fault(split, CounterFault::Split(vec![vec![1], vec![2, 3]]), healed);
-    let later = split + SECOND;
-    assert_eq!(told(&mut counter, later, 0, "old", "1"), amount("11"));
-    assert_eq!(told(&mut counter, later, 1, "old", "2"), amount("12"));
-    assert_eq!(told(&mut counter, later + MS, 2, "old", "3"), amount("15"), "with its group");
-    assert_eq!(told(&mut counter, later, 3, "old", "4"), amount("14"), "in no group: its own store");
-    assert_eq!(told(&mut counter, later, 4, "old", "5"), amount("15"), "and each its own");
-    assert_eq!(told(&mut counter, later, 0, "new", "1"), amount("1"));
-    assert_eq!(told(&mut counter, later, 1, "new", "2"), amount("2"));
+    let (partitioned, healed) = (START + SECOND, START + 5 * SECOND);
+    counter.inject_fault(partitioned, CounterFault::Split(vec![vec![1], vec![2, 3]]), healed);
+    let later = partitioned + SECOND;
+    assert_eq!(reply_total(&mut counter, later, 0, "old", "1"), amount("11"));
+    assert_eq!(reply_total(&mut counter, later, 1, "old", "2"), amount("12"));
+    assert_eq!(
+        reply_total(&mut counter, later + MS, 2, "old", "3"),
+        amount("15"),
+        "shares the replica of its group"
+    );
+    assert_eq!(reply_total(&mut counter, later, 3, "old", "4"), amount("14"), "in no group: its own replica");
+    assert_eq!(
+        reply_total(&mut counter, later, 4, "old", "5"),
+        amount("15"),
+        "each isolated gateway has its own replica"
+    );
+    assert_eq!(reply_total(&mut counter, later, 0, "new", "1"), amount("1"));
+    assert_eq!(reply_total(&mut counter, later, 1, "new", "2"), amount("2"));
     let before = counter.totals(healed - 1);
     counter.advance(healed);
-    assert_eq!(counter.totals(healed), before, "what a test reads in a split is what comes of it");
+    assert_eq!(counter.totals(healed), before, "totals during the partition equal the merged totals");
     assert_eq!(total(&counter, healed, "old"), Some(amount("25")));
     assert_eq!(total(&counter, healed, "new"), Some(amount("3")));
     assert_eq!(total(&counter, healed, "untouched"), Some(amount("7")));
-    assert_eq!(told(&mut counter, healed, 1, "old", "0"), amount("25"));
+    assert_eq!(reply_total(&mut counter, healed, 1, "old", "0"), amount("25"));
 }
 
 #[test]
-fn a_name_that_expires_in_a_split_counts_only_what_came_after() {
+fn a_name_that_expires_during_a_partition_counts_only_later_calls() {
     let mut counter = counter();
     call(&mut counter, START, 0, "a", "10");
-    let (split, healed) = (START + LIFE - SECOND, START + LIFE + 5 * SECOND);
-    counter.inject_fault(split, CounterFault::Split(vec![vec![1], vec![2]]), healed);
-    call(&mut counter, split, 0, "a", "1");
-    call(&mut counter, START + LIFE, 0, "a", "2");
-    call(&mut counter, START + LIFE + SECOND, 1, "a", "3");
+    let (partitioned, healed) = (START + LIFETIME - SECOND, START + LIFETIME + 5 * SECOND);
+    counter.inject_fault(partitioned, CounterFault::Split(vec![vec![1], vec![2]]), healed);
+    call(&mut counter, partitioned, 0, "a", "1");
+    call(&mut counter, START + LIFETIME, 0, "a", "2");
+    call(&mut counter, START + LIFETIME + SECOND, 1, "a", "3");
     counter.advance(healed);
     assert_eq!(total(&counter, healed, "a"), Some(amount("5")));
 }
 
 #[test]
-fn a_second_split_ends_the_first_and_healing_ends_all() {
+fn a_second_partition_ends_the_first_and_clearing_ends_all_faults() {
     let mut counter = counter();
     let until = START + 60 * SECOND;
     counter.inject_fault(START, CounterFault::Split(vec![vec![1], vec![2]]), START + 10 * SECOND);
     call(&mut counter, START, 0, "a", "1");
     call(&mut counter, START, 1, "a", "2");
     counter.inject_fault(START + SECOND, CounterFault::Split(vec![vec![1, 2]]), until);
-    assert_eq!(told(&mut counter, START + 11 * SECOND, 1, "a", "0"), amount("3"), "the first is over");
-    assert_eq!(told(&mut counter, START + 12 * SECOND, 5, "a", "1"), amount("4"));
+    assert_eq!(
+        reply_total(&mut counter, START + 11 * SECOND, 1, "a", "0"),
+        amount("3"),
+        "the first partition has ended"
+    );
+    assert_eq!(reply_total(&mut counter, START + 12 * SECOND, 5, "a", "1"), amount("4"));
     counter.inject_fault(START + 13 * SECOND, CounterFault::Lost, until);
     counter.inject_fault(START + 13 * SECOND, CounterFault::Full, until);
     counter.clear_faults(START + 14 * SECOND);
     assert!(!counter.is_unreachable());
-    assert_eq!(told(&mut counter, START + 14 * SECOND, 0, "a", "0"), amount("4"));
+    assert_eq!(reply_total(&mut counter, START + 14 * SECOND, 0, "a", "0"), amount("4"));
     assert_eq!(counter.next_event(), None);
 }
 
 #[test]
-fn what_happens_at_an_instant_goes_before_the_calls_of_that_instant() {
+fn faults_take_precedence_over_calls_at_the_same_time() {
     let mut counter = Counter::new(&CounterSpec { parts: 1, ..CounterSpec::default() }, 5);
     call(&mut counter, START, 0, "a", "1");
-    let waits = call(&mut counter, START, 0, "a", "1");
-    let turn = START + libm::round(1e9 / 870.0) as Time;
-    counter.inject_fault(turn, CounterFault::Silent, turn + SECOND);
-    let settled = pass(&mut counter, turn);
+    let queued = call(&mut counter, START, 0, "a", "1");
+    let second_start = START + libm::round(1e9 / 870.0) as Time;
+    counter.inject_fault(second_start, CounterFault::Silent, second_start + SECOND);
+    let finished = run_until(&mut counter, second_start);
     assert!(
-        settled.contains(&FinishedCall { call: waits, at: turn, outcome: CallOutcome::Dropped }),
-        "{settled:?}"
+        finished.contains(&FinishedCall { call: queued, at: second_start, outcome: CallOutcome::Dropped }),
+        "{finished:?}"
     );
 }
 
 #[test]
-fn the_same_seed_gives_the_same_answers() {
+fn the_same_seed_gives_the_same_replies() {
     let run = |seed| {
         let mut counter = Counter::new(&CounterSpec::default(), seed);
         counter.inject_fault(START, CounterFault::Slow(80 * MS, 500 * MS), START + SECOND);
         (0..50).for_each(|n| {
             call(&mut counter, START + n * MS * 10, 0, &format!("{n}"), "1");
         });
-        pass(&mut counter, START + 2 * SECOND)
+        run_until(&mut counter, START + 2 * SECOND)
     };
     assert_eq!(run(1), run(1));
     assert_ne!(run(1), run(2));
--- a/crates/cluster-model/tests/settings.rs
+++ b/crates/cluster-model/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What gateways of a scenario's site are told, as the gateway itself reads it.
+//! The configuration of the gateways of a scenario's site, as parsed by the gateway itself.
 
 use cluster_model::file::parse;
 use cluster_model::scenario::{Effect, Scenario};
@@ -8,12 +8,13 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-fn told(scenario: &Scenario, gateway: u32) -> PlatformSettings {
-    PlatformSettings::parse(&settings(scenario, gateway)).expect("the gateway reads what the model writes")
+fn parse_settings(scenario: &Scenario, gateway: u32) -> PlatformSettings {
+    PlatformSettings::parse(&settings(scenario, gateway))
+        .expect("the gateway parses the settings of the model")
 }
 
-/// A scenario that is as usual nowhere that gateways are told of.
-fn unusual() -> Scenario {
+/// A scenario that differs from the default in every value that gateways are configured with.
+fn unusual_scenario() -> Scenario {
     let text = "scenario \"unusual\"\nsite\n\
         gateways 5, buildings 2, max-attempts 3, second-copies no, retry-after 800 ms\n\
         sockets 512, memory 100 MB\n\
@@ -27,13 +28,13 @@
         plan gold spread 4 gateways\n\
         only plans gold, standard\n\
         traffic\nmost-units 9 units, guess-cv 0";
-    parse("unusual.scenario", text).expect("a scenario")
+    parse("unusual.scenario", text).expect("a valid scenario")
 }
 
 #[test]
-fn a_gateway_reads_the_figures_of_the_scenario() {
-    let scenario = unusual();
-    let site = told(&scenario, 3);
+fn the_settings_contain_the_values_of_the_scenario() {
+    let scenario = unusual_scenario();
+    let site = parse_settings(&scenario, 3);
     assert_eq!((site.settings.gateways, site.settings.zone), (5, 1));
     assert_eq!((site.settings.max_attempts, site.settings.may_hedge), (3, false));
     assert_eq!(site.settings.max_retry_after, Some(800 * MS));
@@ -51,80 +52,80 @@
 }
 
 #[test]
-fn a_gateway_reads_classes_and_plans_in_their_order() {
-    let scenario = unusual();
-    let site = told(&scenario, 0);
+fn the_settings_contain_classes_and_plans_in_order() {
+    let scenario = unusual_scenario();
+    let site = parse_settings(&scenario, 0);
     assert_eq!(site.class_names, ["bulk", "unit-order"]);
     assert_eq!(site.plan_names, ["gold", "standard"]);
-    for (told, class) in site.settings.classes.iter().zip(&scenario.site.classes) {
-        assert_eq!((told.latency_objective, told.deadline), (class.aim, class.deadline));
-        assert_eq!((told.priority_weight, told.late_fraction), (class.worth, class.late_worth));
+    for (parsed, class) in site.settings.classes.iter().zip(&scenario.site.classes) {
+        assert_eq!((parsed.latency_objective, parsed.deadline), (class.aim, class.deadline));
+        assert_eq!((parsed.priority_weight, parsed.late_fraction), (class.worth, class.late_worth));
         let effect = match class.effect {
             Effect::Safe => policy::api::Idempotency::Idempotent,
             Effect::Keyed(window) => policy::api::Idempotency::WithKey(policy::api::DedupScope::All, window),
             Effect::Unsafe => policy::api::Idempotency::NotIdempotent,
         };
-        assert_eq!(told.idempotency, effect);
+        assert_eq!(parsed.idempotency, effect);
     }
-    for (told, plan) in site.settings.plans.iter().zip(&scenario.site.plans) {
-        assert_eq!((told.rate, told.burst, told.max_concurrent), (plan.rate, plan.burst, plan.open));
-        assert_eq!((told.weight_factor, told.over_quota_weight), (plan.price, plan.extra_worth));
-        assert_eq!(told.over_quota_cost, plan.overrun_cost);
-        let ceiling = (told.ceiling_rate, told.ceiling_burst, told.ceiling_slack);
+    for (parsed, plan) in site.settings.plans.iter().zip(&scenario.site.plans) {
+        assert_eq!((parsed.rate, parsed.burst, parsed.max_concurrent), (plan.rate, plan.burst, plan.open));
+        assert_eq!((parsed.weight_factor, parsed.over_quota_weight), (plan.price, plan.extra_worth));
+        assert_eq!(parsed.over_quota_cost, plan.overrun_cost);
+        let ceiling = (parsed.ceiling_rate, parsed.ceiling_burst, parsed.ceiling_slack);
         assert_eq!(ceiling, (plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack));
     }
 }
 
 #[test]
-fn a_site_without_advice_or_counter_says_so() {
+fn retry_after_and_counter_are_absent_if_the_site_has_none() {
     let mut scenario = Scenario::default();
-    assert_eq!(told(&scenario, 0).settings.max_retry_after, None);
+    assert_eq!(parse_settings(&scenario, 0).settings.max_retry_after, None);
     scenario.site.counter.on = false;
-    assert!(!told(&scenario, 0).settings.has_counter);
-    assert_eq!(config_document(&scenario, 0, &start()).get("counter"), None);
+    assert!(!parse_settings(&scenario, 0).settings.has_counter);
+    assert_eq!(config_document(&scenario, 0, &gateway_start()).get("counter"), None);
 }
 
 #[test]
-fn the_settings_have_the_keys_of_the_platform_and_no_others() {
+fn the_settings_have_exactly_the_keys_of_the_platform() {
     let keys = |value: &Value| value.as_object().map(|map| map.keys().cloned().collect::<BTreeSet<_>>());
     let set = |names: &str| Some(names.split(' ').map(str::to_owned).collect::<BTreeSet<_>>());
-    let told = settings(&Scenario::default(), 2);
+    let settings = settings(&Scenario::default(), 2);
     assert_eq!(
-        keys(&told),
+        keys(&settings),
         set("allowed balancers clients discovery domain family feedback goal localities machine-types me prices \
              rules services tariffs tick tier tiers weights zone")
     );
     assert_eq!(
-        keys(&told["allowed"]),
+        keys(&settings["allowed"]),
         set("cancel conn-idle cpu-us-per-request cpu-us-per-s dial-timeout max-attempts max-open \
              max-retry-after max-streams may-duplicate peer-messages probes retry-after")
     );
     assert_eq!(
-        keys(&told["domain"]),
+        keys(&settings["domain"]),
         set("count-fee counter-timeout metering peer-intake post-paid shared-counter units-top")
     );
     assert_eq!(
-        keys(&told["rules"]),
+        keys(&settings["rules"]),
         set("answer-slack cold cold-share drain-grace fall fall-multiple must-ask-in")
     );
     assert_eq!(
-        keys(&told["services"][0]),
+        keys(&settings["services"][0]),
         set("aim dedup-scope hard-limit key-ttl late-worth name semantics stream worth")
     );
     assert_eq!(
-        keys(&told["tariffs"][0]),
+        keys(&settings["tariffs"][0]),
         set(
             "burst cap-slack ceiling-rate concurrency extra-worth name never-over-depth overrun-cost refill \
              worth-factor"
         )
     );
-    assert_eq!((told["me"].as_u64(), told["zone"].as_u64()), (Some(2), Some(2)));
-    // Spans are whole numbers, as the platform writes them.
-    assert_eq!(told["services"][0]["aim"], json!(600_000_000_u64));
-    assert_eq!(told["rules"]["drain-grace"], json!(250_000_000_u64));
+    assert_eq!((settings["me"].as_u64(), settings["zone"].as_u64()), (Some(2), Some(2)));
+    // Durations are integers, as the platform writes them.
+    assert_eq!(settings["services"][0]["aim"], json!(600_000_000_u64));
+    assert_eq!(settings["rules"]["drain-grace"], json!(250_000_000_u64));
 }
 
-fn start() -> GatewayStart {
+fn gateway_start() -> GatewayStart {
     GatewayStart {
         name: "gateway-2".into(),
         listen: ([127, 0, 0, 1], 7002).into(),
@@ -136,8 +137,8 @@
 }
 
 #[test]
-fn the_document_is_the_one_of_the_deployment_page() {
-    let scenario = unusual();
+fn the_config_document_has_the_documented_form() {
+    let scenario = unusual_scenario();
     let wanted = json!({
         "name": "gateway-2",
         "listen": "127.0.0.1:7002",
@@ -148,5 +149,5 @@
         "known": {"generation": 0, "reset": true, "instances": []},
         "settings": settings(&scenario, 1),
     });
-    assert_eq!(config_document(&scenario, 1, &start()), wanted);
+    assert_eq!(config_document(&scenario, 1, &gateway_start()), wanted);
 }
