--- a/crates/cluster-emulator/src/moments.rs
+++ b/crates/cluster-emulator/src/moments.rs
@@ -1,7 +1,7 @@
 //! Moments of a scenario that are named by something seen, and which of them have come.
 
+use cluster_model::observation::{ClientOutcome, ObservationKind};
 use cluster_model::scenario::{Scenario, Trigger};
-use cluster_model::seen::{Got, What};
 use cluster_model::SECOND;
 use runtime::{Span, Time};
 
@@ -41,7 +41,7 @@
     }
 
     /// Something was seen: places of the events that begin by it.
-    pub fn see(&mut self, at: Time, what: &What) -> Vec<usize> {
+    pub fn see(&mut self, at: Time, what: &ObservationKind) -> Vec<usize> {
         self.notice(at, |sign| shows(sign, what))
     }
 
@@ -100,23 +100,33 @@
 }
 
 /// Whether a sighting is one of those that a sign counts.
-fn shows(sign: &Trigger, what: &What) -> bool {
+fn shows(sign: &Trigger, what: &ObservationKind) -> bool {
     match (sign, what) {
-        (Trigger::CounterCall(of, _), What::Counted { gateway, .. })
-        | (Trigger::Request(of, _), What::Asked { gateway, .. })
-        | (Trigger::GatewayProcess(of, true), What::GatewayUp { gateway })
-        | (Trigger::GatewayProcess(of, false), What::GatewayDown { gateway, .. }) => *of == gateway + 1,
-        (Trigger::HostAttempt(of, to, _), What::Received { gateway, host, .. }) => {
-            *of == gateway + 1 && to.is_none_or(|to| to == host + 1)
+        (Trigger::CounterCall(of, _), ObservationKind::CounterCall { gateway, .. })
+        | (Trigger::Request(of, _), ObservationKind::RequestSent { gateway, .. })
+        | (Trigger::GatewayProcess(of, true), ObservationKind::GatewayUp { gateway })
+        | (Trigger::GatewayProcess(of, false), ObservationKind::GatewayDown { gateway, .. }) => {
+            *of == gateway + 1
         }
-        (Trigger::Response(of, _), What::Answered { gateway, got, .. }) => {
-            *of == gateway + 1 && matches!(got, Got::Served(_) | Got::Busy(_) | Got::Failed)
+        (Trigger::HostAttempt(of, to, _), ObservationKind::AttemptReceived { gateway, host, .. }) => {
+            *of == gateway + 1 && to.is_none_or(|to| to == host + 1)
         }
-        (Trigger::DiscoveryUpdate(of, about, told), What::Told { gateway, host, state, .. }) => {
-            (*of, *about, *told) == (gateway + 1, host + 1, *state)
+        (Trigger::Response(of, _), ObservationKind::RequestEnded { gateway, outcome: got, .. }) => {
+            *of == gateway + 1
+                && matches!(
+                    got,
+                    ClientOutcome::Served(_) | ClientOutcome::Rejected(_) | ClientOutcome::Failed
+                )
         }
-        (Trigger::HostProcess(of, true), What::Started { host, .. })
-        | (Trigger::HostProcess(of, false), What::Stopped { host } | What::Fell { host }) => *of == host + 1,
+        (
+            Trigger::DiscoveryUpdate(of, about, told),
+            ObservationKind::GatewayNotified { gateway, host, state, .. },
+        ) => (*of, *about, *told) == (gateway + 1, host + 1, *state),
+        (Trigger::HostProcess(of, true), ObservationKind::HostStarted { host, .. })
+        | (
+            Trigger::HostProcess(of, false),
+            ObservationKind::HostStopped { host } | ObservationKind::HostOverloadCrash { host },
+        ) => *of == host + 1,
         _ => false,
     }
 }
--- a/crates/cluster-model/src/file/check.rs
+++ b/crates/cluster-model/src/file/check.rs
@@ -8,7 +8,7 @@
 use super::suggestion::nearest;
 use super::triggers;
 use super::{MAX_CUSTOMERS, MAX_HOSTS};
-use crate::draw::Draws;
+use crate::requests::RequestSampler;
 use crate::scenario::{CounterFault, Event, LinkEnd, PartitionSide, Scenario, ScheduledEvent, Site, Trigger};
 
 /// Tolerance for the sum of shares, so that three thirds written as 33.3 % are accepted.
@@ -105,7 +105,7 @@
     /// Checks that no plan needs too many customers to generate its share of the load.
     fn check_customer_counts(&mut self) {
         let traffic = &self.scenario.traffic;
-        let units = traffic.rate * Draws::new(0, traffic).mean_units();
+        let units = traffic.rate * RequestSampler::new(0, traffic).mean_units();
         for plan in self.scenario.site.plans.iter().filter(|plan| plan.rate > 0.0) {
             // A lower bound: each customer uses its full rate.
             let customers = libm::round(units * plan.share / plan.rate) as u64;
--- a/crates/cluster-model/src/file/triggers.rs
+++ b/crates/cluster-model/src/file/triggers.rs
@@ -4,15 +4,15 @@
 use super::events::{NamePositions, Reference};
 use super::line::Line;
 use super::{MAX_GATEWAYS, MAX_HOSTS, MAX_LOG_TEXT_CHARS};
+use crate::observation::Lifecycle;
 use crate::scenario::Trigger;
-use crate::seen::Told;
 use std::fmt;
 
 /// Bounds of the ordinal number of a call or an answer.
 const ORDINAL: (u32, u32) = (1, 1_000_000);
 /// The states of a host that discovery announces, with their words.
-const HOST_STATES: [(&str, Told); 3] =
-    [("is there", Told::InService), ("drains", Told::Draining), ("is gone", Told::Gone)];
+const HOST_STATES: [(&str, Lifecycle); 3] =
+    [("is there", Lifecycle::InService), ("drains", Lifecycle::Draining), ("is gone", Lifecycle::Removed)];
 
 struct TriggerParser<'l, 'a> {
     line: &'l mut Line<'a>,
@@ -96,12 +96,12 @@
         Err(super::errors::ParseError::new(position, super::Reason::LogTextLength(length)))
     }
 
-    fn host_state(&mut self) -> ParseResult<Told> {
+    fn host_state(&mut self) -> ParseResult<Lifecycle> {
         if self.line.one_of("state of a host", &["is", "drains"])? == "drains" {
-            return Ok(Told::Draining);
+            return Ok(Lifecycle::Draining);
         }
         let in_service = self.line.one_of("state of a host", &["there", "gone"])? == "there";
-        Ok(if in_service { Told::InService } else { Told::Gone })
+        Ok(if in_service { Lifecycle::InService } else { Lifecycle::Removed })
     }
 
     fn require_words(&mut self, words: &[&str]) -> ParseResult<()> {
--- a/crates/cluster-model/src/host/budget.rs
+++ b/crates/cluster-model/src/host/overload_budget.rs
@@ -1,25 +1,25 @@
-//! What a cold host bears: all work that reaches it within any window of a stated length.
+//! Limit on the work that a host survives while warming up: the work received within any window of fixed length.
 
 use crate::scenario::RulesSpec;
 use crate::{Span, Time};
 use std::collections::VecDeque;
 
-/// Work that comes within this part of the window is kept as one entry, which bounds the entries.
-const PARTS: Span = 256;
+/// Work received within one such fraction of the window shares an entry, which bounds the number of entries.
+const ENTRIES_PER_WINDOW: Span = 256;
 
 #[derive(Clone, Debug)]
-pub(super) struct Budget {
+pub(super) struct OverloadBudget {
     multiple: f64,
     window: Span,
     slack: f64,
-    /// Work and when it came, the oldest first.
+    /// Receive time and amount of work, oldest first.
     recent: VecDeque<(Time, Span)>,
     sum: Span,
 }
 
-impl Budget {
-    pub(super) fn new(rules: &RulesSpec, slack: f64) -> Budget {
-        Budget {
+impl OverloadBudget {
+    pub(super) fn new(rules: &RulesSpec, slack: f64) -> OverloadBudget {
+        OverloadBudget {
             multiple: rules.overload_factor,
             window: rules.overload_span,
             slack,
@@ -28,17 +28,18 @@
         }
     }
 
-    /// Adds work; false: with it the window holds more than the host bears at `capacity` (work per nanosecond).
-    pub(super) fn bears(&mut self, now: Time, work: Span, capacity: f64) -> bool {
+    /// Adds work. Returns false if the window then holds more work than the host survives at `capacity`, in work
+    /// per nanosecond.
+    pub(super) fn add_and_check(&mut self, now: Time, work: Span, capacity: f64) -> bool {
         while let Some((_, old)) = self.recent.front().filter(|(at, _)| at.saturating_add(self.window) <= now)
         {
             self.sum -= old;
             self.recent.pop_front();
         }
-        // What would overflow is far beyond any budget.
+        // Avoids an overflow; a sum this large exceeds any budget.
         let work = work.min(Span::MAX - self.sum);
         match self.recent.back_mut() {
-            Some((at, sum)) if now - *at < self.window / PARTS => *sum += work,
+            Some((at, sum)) if now - *at < self.window / ENTRIES_PER_WINDOW => *sum += work,
             _ => self.recent.push_back((now, work)),
         }
         self.sum += work;
--- a/crates/cluster-model/src/scenario.rs
+++ b/crates/cluster-model/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios: the description of a site, its traffic, and the events that happen to it during a run.
 
-use crate::seen::Told;
+use crate::observation::Lifecycle;
 use crate::{Span, Time, MS, SECOND};
 
 /// The description of one run.
@@ -48,7 +48,7 @@
     /// Clients have received the n-th complete response from this gateway.
     Response(u32, u32),
     /// Discovery has written to this gateway that this host is in this state.
-    DiscoveryUpdate(u32, u32, Told),
+    DiscoveryUpdate(u32, u32, Lifecycle),
     /// This host is ordered to drain.
     HostDrain(u32),
     /// A process of this gateway has started (`true`) or ended (`false`).
--- a/crates/cluster-model/tests/file.rs
+++ b/crates/cluster-model/tests/file.rs
@@ -355,7 +355,7 @@
 
 #[test]
 fn triggers_are_formatted_as_parsed_and_expire_at_the_end_of_the_run_by_default() {
-    use cluster_model::seen::Told::{Draining, Gone, InService};
+    use cluster_model::observation::Lifecycle::{Draining, InService, Removed};
     let triggers = [
         ("call 100 from gateway 1 to the counter", Trigger::CounterCall(1, 100)),
         ("call 5 from gateway 1 to host 3", Trigger::HostAttempt(1, Some(3), 5)),
@@ -363,7 +363,7 @@
         ("call 50 from the clients to gateway 2", Trigger::Request(2, 50)),
         ("answer 50 from gateway 2 to the clients", Trigger::Response(2, 50)),
         ("gateway 1 is told that host 3 drains", Trigger::DiscoveryUpdate(1, 3, Draining)),
-        ("gateway 1 is told that host 3 is gone", Trigger::DiscoveryUpdate(1, 3, Gone)),
+        ("gateway 1 is told that host 3 is gone", Trigger::DiscoveryUpdate(1, 3, Removed)),
         ("gateway 1 is told that host 3 is there", Trigger::DiscoveryUpdate(1, 3, InService)),
         ("host 3 is told to drain", Trigger::HostDrain(3)),
         ("gateway 2 ends", Trigger::GatewayProcess(2, false)),
