--- a/crates/policy/tests/common/counter.rs
+++ b/crates/policy/tests/common/counter.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Executes a call of a gateway. `draw` is a random number from 0 to 1, which determines the time of a slow
-    /// reply.
+    /// Executes a call of a gateway. `draw` is a random number from 0 to 1, which determines the time of a
+    /// slow reply.
     pub fn call(&mut self, now: Time, gateway: usize, call: (CounterKey, f64, Span), draw: f64) -> Reply {
         self.apply_faults(now);
         self.calls.push(now);
--- a/crates/policy/tests/common/load.rs
+++ b/crates/policy/tests/common/load.rs
@@ -109,8 +109,8 @@
         }));
     }
 
-    /// Sends this number of requests, one per millisecond, spread over this number of customers. Returns the mean
-    /// work per request.
+    /// Sends this number of requests, one per millisecond, spread over this number of customers. Returns the
+    /// mean work per request.
     pub fn mean_work(&mut self, requests: u64, customers: u64) -> f64 {
         let (work_before, requests_before) = (self.policy.work(), self.last_id);
         for n in 0..requests {
--- a/crates/policy/tests/common/site.rs
+++ b/crates/policy/tests/common/site.rs
@@ -1,6 +1,6 @@
-//! A simulated site for quotas under failures: gateways, their counter, hosts that always respond, and customers
-//! with traffic patterns, with a record of the units that each customer got. Everything runs in virtual time, and
-//! the result depends on the scenario only.
+//! A simulated site for quotas under failures: gateways, their counter, hosts that always respond, and
+//! customers with traffic patterns, with a record of the units that each customer got. Everything runs in
+//! virtual time, and the result depends on the scenario only.
 use super::counter::{Counter, FaultWindow};
 use super::{class, entry, Prng, MS};
 use policy::api::*;
@@ -16,16 +16,16 @@
 const FAILOVER_TIME: Span = 1_000 * MS;
 pub const COUNTER_TIMEOUT: Span = 30 * MS;
 
-/// The traffic of a customer. Requests arrive at nearly even intervals up to the customer's rate, and at random
-/// beyond it.
+/// The traffic of a customer. Requests arrive at nearly even intervals up to the customer's rate, and at
+/// random beyond it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrafficPattern {
     /// A multiple of the rate, spread evenly over all of the customer's gateways.
     Even(f64),
     /// A multiple of the rate, all at one gateway, which changes each time this duration has passed.
     Shifting(f64, Span),
-    /// A multiple of the rate, spread evenly over all of the customer's gateways, except between these times, when
-    /// all of it is at one gateway and the others do not observe the customer.
+    /// A multiple of the rate, spread evenly over all of the customer's gateways, except between these times,
+    /// when all of it is at one gateway and the others do not observe the customer.
     Concentrated(f64, Span, Span),
 }
 
@@ -72,8 +72,8 @@
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub gateways: usize,
-    /// Number of sites among which the gateways are divided; usually one. Several sites have the same settings and
-    /// share the counter, which is a configuration error.
+    /// Number of sites among which the gateways are divided; usually one. Several sites have the same
+    /// settings and share the counter, which is a configuration error.
     pub sites: usize,
     pub start: Time,
     pub length: Span,
@@ -252,8 +252,8 @@
         self.requests.retain(|_, request| request.gateway != gateway || request.final_answers > 0);
     }
 
-    /// Returns the gateway that a customer's next request is sent to, `None` if it was killed. Clients fail over
-    /// from a gateway that they have detected as dead.
+    /// Returns the gateway that a customer's next request is sent to, `None` if it was killed. Clients fail
+    /// over from a gateway that they have detected as dead.
     fn route(&mut self, customer: usize) -> Option<usize> {
         let c = &self.scenario.customers[customer];
         let position = match c.traffic {
@@ -419,8 +419,8 @@
         record.longest_rejection = record.longest_rejection.max((now - since, now));
     }
 
-    /// Returns the units of a customer that are on the counter, leased or reconciled. Units that the counter has
-    /// lost during their epoch are not included: the gateways add them again.
+    /// Returns the units of a customer that are on the counter, leased or reconciled. Units that the counter
+    /// has lost during their epoch are not included: the gateways add them again.
     pub fn counted_units(&self, customer: usize) -> f64 {
         let id = CustomerId(1 + customer as u64);
         let units_of_entry = |key, epoch| {
--- a/crates/policy/tests/common/slow_start.rs
+++ b/crates/policy/tests/common/slow_start.rs
@@ -1,6 +1,6 @@
-//! A small simulated site for slow start: gateways, hosts that share their cores among their attempts, and the
-//! rule by which a host is overloaded while it warms up. The parameters are those of the operators' site, but the
-//! simulation is not a model of it.
+//! A small simulated site for slow start: gateways, hosts that share their cores among their attempts, and
+//! the rule by which a host is overloaded while it warms up. The parameters are those of the operators' site,
+//! but the simulation is not a model of it.
 use super::{Prng, MS};
 use policy::api::*;
 use policy::policy::Policy;
@@ -152,8 +152,8 @@
 }
 
 impl World {
-    /// Creates gateways that have just received an endpoint list. Its hosts have all just started, or all started
-    /// long ago.
+    /// Creates gateways that have just received an endpoint list. Its hosts have all just started, or all
+    /// started long ago.
     pub fn new(seed: u64, gateways: u32, all_warming_up: bool) -> World {
         let policy = |n: u32| Policy::new(site_settings(gateways), seed * 1_000 + u64::from(n));
         let machine = |id| (HostId(id), Machine::new(all_warming_up.then_some(START)));
@@ -189,7 +189,7 @@
     }
 
     /// Makes all hosts refuse connections for this time.
-    pub fn refuse(&mut self, span: Span) {
+    pub fn refuse_connections(&mut self, span: Span) {
         let until = self.now + span;
         self.hosts.values_mut().for_each(|host| host.refuses_until = until);
     }
@@ -353,8 +353,8 @@
                 host.overloaded = true;
                 self.counts.overloaded += 1;
                 host.jobs.push_back(job);
-                let lost = host.remove_jobs(|_| true);
-                return lost.into_iter().for_each(|job| self.end(to, job, Outcome::ConnectionReset));
+                let aborted = host.remove_jobs(|_| true);
+                return aborted.into_iter().for_each(|job| self.end(to, job, Outcome::ConnectionReset));
             }
         }
         if host.jobs.len() >= WORKERS + MAX_QUEUED {
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -1,5 +1,5 @@
-//! A single gateway in virtual time. Each core of a host executes one attempt at a time; hosts may be slow and
-//! may lose responses.
+//! A single gateway in virtual time. Each core of a host executes one attempt at a time; hosts may be slow
+//! and may lose responses.
 use super::*;
 use policy::policy::Policy;
 use std::cmp::Reverse;
--- a/crates/policy/tests/counter_failures.rs
+++ b/crates/policy/tests/counter_failures.rs
@@ -14,9 +14,9 @@
 
 /// Time after a failure within which its effects on quotas have ended.
 const SETTLING_TIME: Span = 5_000 * MS;
-/// Longest time for which a customer within its quota may be rejected. With the operators' traffic the limit is
-/// 3 s. Here customers use 0.8 of their quota and move all of their traffic among up to five gateways every few
-/// seconds, so that in a handful of 7,500 simulated sites a customer is rejected for 3.0 to 3.6 s.
+/// Longest time for which a customer within its quota may be rejected. With the operators' traffic the limit
+/// is 3 s. Here customers use 0.8 of their quota and move all of their traffic among up to five gateways
+/// every few seconds, so that in a handful of 7,500 simulated sites a customer is rejected for 3.0 to 3.6 s.
 const MAX_REJECTION: Span = 4_000 * MS;
 const FLAP_HALF_PERIOD: Span = 700 * MS;
 
@@ -104,21 +104,22 @@
         (self.kind == FailureKind::GatewayKilled).then_some(Kill { gateway, from, until })
     }
 
-    /// Returns the units beyond its quota that a customer may get by this failure: the bound of [`max_overshoot`],
-    /// with additions for the cases that it does not cover.
+    /// Returns the units beyond its quota that a customer may get by this failure: the bound of
+    /// [`max_overshoot`], with additions for the cases that it does not cover.
     ///
-    /// - Unreachable, no reply, overloaded, or always too late: each gateway of the set is a separate partition.
-    /// - Flapping, or often too late: each gateway detects separately that the counter replies. Those that have
-    ///   detected it use the complete quota, while the others still grant their fractions of it. The bound covers
-    ///   a complete failure only, so `rate * T * (m - 1) / m` is added.
+    /// - Unreachable, no reply, overloaded, or always too late: each gateway of the set is a separate
+    ///   partition.
+    /// - Flapping, or often too late: each gateway detects separately that the counter replies. Those that
+    ///   have detected it use the complete quota, while the others still grant their fractions of it. The
+    ///   bound covers a complete failure only, so `rate * T * (m - 1) / m` is added.
     /// - Unreachable from one gateway: two partitions, one of which gets replies.
     /// - Partitioned: the partitions of the customer's gateways, each of which gets replies.
     /// - A customer beyond its quota that appears during the failure, or shortly before it, gets a full token
     ///   bucket in each partition that gets replies.
     /// - Counter reset: a duration of zero, no partitions, one reset.
     /// - A killed gateway counts as a partition, since the others get no heartbeat from it. A burst is added,
-    ///   because a restarted gateway knows only the units that were leased from the token bucket since the epoch
-    ///   began.
+    ///   because a restarted gateway knows only the units that were leased from the token bucket since the
+    ///   epoch began.
     fn stated_bound(&self, c: &Customer, gateways: usize) -> f64 {
         let span_s = self.span as f64 / 1e9;
         let set = c.gateways(gateways);
@@ -181,9 +182,9 @@
     c.traffic.load_factor() <= 1.0
 }
 
-/// Returns whether gateways may treat a customer as one within its quota. A gateway decides by its own demand, in
-/// estimated units, and by the units that the others admit. Near the limit, or with few requests, the decision is
-/// random.
+/// Returns whether gateways may treat a customer as one within its quota. A gateway decides by its own
+/// demand, in estimated units, and by the units that the others admit. Near the limit, or with few requests,
+/// the decision is random.
 fn may_count_as_within_quota(c: &Customer) -> bool {
     let (set_size, requested_rate) = (c.set_size as f64, c.traffic.load_factor() * c.rate);
     let observed_demand = c.traffic.load_factor() / c.actual_factor / set_size + (set_size - 1.0) / set_size;
@@ -250,14 +251,15 @@
         at / counter_keys::EPOCH != (at + within) / counter_keys::EPOCH
     }
 
-    /// Returns the units beyond its quota that a customer may get by all failures together: the sum of their bounds,
-    /// and the units that are leased without any failure.
+    /// Returns the units beyond its quota that a customer may get by all failures together: the sum of their
+    /// bounds, and the units that are leased without any failure.
     ///
-    /// Two cases that [`max_overshoot`] does not cover are added. First, a customer that moves all of its traffic
-    /// and exceeds its quota reaches gateways that have read no total since its entry was last restarted, by a new
-    /// epoch or by a reset: each such gateway grants a burst, once per restart. Second, during an outage a customer
-    /// under windowed admission gets the fraction of its demand that it got before, however large the demand is;
-    /// and since its requests are admitted by probability, up to two more requests at each gateway at any time.
+    /// Two cases that [`max_overshoot`] does not cover are added. First, a customer that moves all of its
+    /// traffic and exceeds its quota reaches gateways that have read no total since its entry was last
+    /// restarted, by a new epoch or by a reset: each such gateway grants a burst, once per restart. Second,
+    /// during an outage a customer under windowed admission gets the fraction of its demand that it got
+    /// before, however large the demand is; and since its requests are admitted by probability, up to two
+    /// more requests at each gateway at any time.
     fn stated_bound(&self, c: &Customer) -> f64 {
         let none = Failure {
             duration_s: 0.0,
@@ -286,10 +288,10 @@
 
     /// Returns whether the counter has to contain all units of a customer once the failures have ended.
     ///
-    /// It does not have to after a partition or a killed gateway. After a reset it does not have to contain units
-    /// that no later request refers to: those of a gateway that the customer has left, or of an epoch that has
-    /// ended. It also does not have to after a reset together with another failure, because the reconciliation of
-    /// one gateway may hide from another that its own was lost.
+    /// It does not have to after a partition or a killed gateway. After a reset it does not have to contain
+    /// units that no later request refers to: those of a gateway that the customer has left, or of an epoch
+    /// that has ended. It also does not have to after a reset together with another failure, because the
+    /// reconciliation of one gateway may hide from another that its own was lost.
     fn is_reconciled(&self, c: &Customer) -> bool {
         let resets = || self.failures.iter().filter(|failure| failure.kind == FailureKind::Reset);
         let settled_at = self.last_failure_end() + SETTLING_TIME;
@@ -307,14 +309,14 @@
 
     /// Returns the minimum and the maximum of the units on the counter less those that were used.
     ///
-    /// The counter may have fewer units: half a unit that a gateway does not reconcile yet; the actual units of
-    /// responses that have just arrived; and after a reset, units whose loss a gateway cannot detect because the
-    /// others have leased as many again before its next call. The first gateway to call misses none of these, the
-    /// last one a lease of each of the others, hence the factor one half.
+    /// The counter may have fewer units: half a unit that a gateway does not reconcile yet; the actual units
+    /// of responses that have just arrived; and after a reset, units whose loss a gateway cannot detect
+    /// because the others have leased as many again before its next call. The first gateway to call misses
+    /// none of these, the last one a lease of each of the others, hence the factor one half.
     ///
-    /// The counter may have more units: those leased and not spent, a lease at each gateway, which together are
-    /// two token buckets; as many in doubt; and units that are reconciled again because an epoch ended before the
-    /// reply to their first reconciliation arrived.
+    /// The counter may have more units: those leased and not spent, a lease at each gateway, which together
+    /// are two token buckets; as many in doubt; and units that are reconciled again because an epoch ended
+    /// before the reply to their first reconciliation arrived.
     fn excess_bounds(&self, c: &Customer) -> (f64, f64) {
         let requests = c.set_size as f64 * quota(c).max_request_units;
         let leases_of_others = 0.5 * (c.set_size - 1) as f64 * (LEASE_HORIZON_S * c.rate + requests);
@@ -350,7 +352,8 @@
     max_overshoot: f64,
     stated_bound: f64,
     longest_rejection: Span,
-    /// Units on the counter beyond those that were used, after the settling time; `None` if it need not contain all.
+    /// Units on the counter beyond those that were used, after the settling time; `None` if it need not
+    /// contain all.
     excess_on_counter: Option<f64>,
 }
 
@@ -485,7 +488,7 @@
 }
 
 #[test]
-fn calls_without_a_reply_stay_within_the_bound() {
+fn failed_counter_calls_stay_within_the_bound() {
     check_random_scenarios(
         &[
             FailureKind::Unreachable,
@@ -501,7 +504,7 @@
 }
 
 #[test]
-fn a_counter_that_replies_from_time_to_time_stays_within_the_bound() {
+fn an_intermittent_counter_stays_within_the_bound() {
     check_random_scenarios(
         &[FailureKind::OftenLate, FailureKind::Flapping, FailureKind::GatewayUnreachable],
         1..=1,
@@ -511,7 +514,7 @@
 }
 
 #[test]
-fn partitions_and_counter_resets_and_dead_gateways_stay_within_the_bound() {
+fn partitions_counter_resets_and_killed_gateways_stay_within_the_bound() {
     check_random_scenarios(
         &[FailureKind::Partitioned, FailureKind::Reset, FailureKind::GatewayKilled],
         1..=2,
@@ -530,9 +533,10 @@
     check_random_scenarios(&FAILURE_KINDS, 0..=0, 10, 5);
 }
 
-/// Prints a table for the design note: for each kind of failure the largest overshoot of a customer, the largest
-/// fraction of its stated bound that a customer reached, the longest rejection, and the units on the counter beyond
-/// those used. To run it: `DOUBT_WORLDS=200 cargo test --release -p policy --test counter_failures -- --ignored`.
+/// Prints a table for the design note: for each kind of failure the largest overshoot of a customer, the
+/// largest fraction of its stated bound that a customer reached, the longest rejection, and the units on the
+/// counter beyond those used. To run it: `DOUBT_WORLDS=200 cargo test --release -p policy --test
+/// counter_failures -- --ignored`.
 #[test]
 #[ignore = "prints a table"]
 fn print_the_overshoot_of_each_failure() {
--- a/crates/policy/tests/counter_outages.rs
+++ b/crates/policy/tests/counter_outages.rs
@@ -14,8 +14,8 @@
 }
 
 impl FakeCounter {
-    /// Replies to all calls. The two flags state for calls that add to `special_key` whether the amount is added and
-    /// whether a reply is sent; all other calls succeed.
+    /// Replies to all calls. The two flags state for calls that add to `special_key` whether the amount is
+    /// added and whether a reply is sent; all other calls succeed.
     fn reply_to_calls(
         &mut self,
         gateway: &mut TestGateway,
@@ -33,9 +33,9 @@
     }
 }
 
-/// Runs a single gateway whose counter is unreachable for the first two seconds. `first_reply` states whether the
-/// first reconciliation is added and whether it gets a reply. Returns the units that were granted locally, which
-/// ends with the first lease, and the units that were reconciled.
+/// Runs a single gateway whose counter is unreachable for the first two seconds. `first_reply` states whether
+/// the first reconciliation is added and whether it gets a reply. Returns the units that were granted locally
+/// before the first lease, and the units that were reconciled.
 fn reconciled_after_outage(first_reply: (bool, bool)) -> (f64, f64) {
     let (mut gateway, mut counter) =
         (TestGateway::new(Settings { gateways: 1, ..settings() }, 60), FakeCounter::default());
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_counter_that_is_back_gets_at_most_300_calls_a_second_at_first() {
+fn a_restored_counter_gets_at_most_300_calls_per_second_at_first() {
     let customer = |n: usize| Customer {
         rate: 4.0,
         burst: 10.0,
@@ -132,14 +132,19 @@
         traffic: TrafficPattern::Even(0.3),
         from: 0,
     };
-    let (lost, restored) = (START + 12_000 * MS, START + 20_000 * MS);
+    let (outage_start, outage_end) = (START + 12_000 * MS, START + 20_000 * MS);
     let scenario = Scenario {
         sites: 1,
         gateways: 3,
         start: START,
         length: 26_000 * MS,
         customers: (0..400).map(customer).collect(),
-        faults: vec![FaultWindow { fault: Fault::Unreachable, gateway: None, from: lost, until: restored }],
+        faults: vec![FaultWindow {
+            fault: Fault::Unreachable,
+            gateway: None,
+            from: outage_start,
+            until: outage_end,
+        }],
         kills: Vec::new(),
         seed: 5,
     };
@@ -147,7 +152,7 @@
     site.run_to_end();
     let calls_from =
         |from: Time| site.counter.calls.iter().filter(|at| (from..from + 1_000 * MS).contains(*at)).count();
-    let after: Vec<usize> = (0..20).map(|tenth| calls_from(restored + tenth * 100 * MS)).collect();
+    let after: Vec<usize> = (0..20).map(|tenth| calls_from(outage_end + tenth * 100 * MS)).collect();
     // Four heartbeats per second are not delayed.
     assert!(after.iter().all(|count| *count <= 305), "calls per second after the counter is back: {after:?}");
     assert!(after.iter().any(|count| *count >= 100), "the counter is used again: {after:?}");
@@ -216,7 +221,7 @@
 }
 
 #[test]
-fn units_used_elsewhere_meanwhile_are_not_granted_once_the_counter_is_back() {
+fn units_used_by_other_gateways_during_an_outage_are_not_granted_after_it() {
     let mut gateway = TestGateway::new(settings(), 60);
     send_requests(&mut gateway, 1..2, |_, amount| (Outcome::Ok, amount));
     let granted = send_requests(&mut gateway, 2..40, unreachable_counter);
@@ -228,7 +233,7 @@
 }
 
 #[test]
-fn units_used_elsewhere_from_a_full_token_bucket_leave_no_deficit_after_an_outage() {
+fn units_used_by_other_gateways_from_a_full_token_bucket_leave_no_deficit_after_an_outage() {
     let mut gateway = TestGateway::new(settings(), 60);
     let mut first = 0.0;
     send_requests(&mut gateway, 1..2, |_, amount| {
--- a/crates/policy/tests/crossing_events.rs
+++ b/crates/policy/tests/crossing_events.rs
@@ -1,4 +1,5 @@
-//! Concurrent events, which may be reported in either order: the decisions and the remaining state are the same.
+//! Concurrent events, which may be reported in either order: the decisions and the remaining state are the
+//! same.
 mod common;
 use common::*;
 use policy::api::*;
@@ -77,8 +78,8 @@
 fn a_client_that_disconnects_while_its_request_waits_for_units_leaves_no_state() {
     let mut gateway = SingleGateway::new(|_| {}, 30);
     let before = gateway.inner.policy.record_count();
-    // The last units are reserved for the other class, so eventually a request waits until the token bucket has
-    // refilled.
+    // The last units are reserved for the other class, so eventually a request waits until the token bucket
+    // has refilled.
     let waiting_id = (1..40).find(|id| {
         let actions = gateway.send_request(*id, 7, 2.0);
         attempts_in(&actions)
@@ -95,8 +96,8 @@
 
 #[test]
 fn actual_units_are_settled_once_even_if_two_attempts_respond() {
-    // Returns the number of units that a customer can still get after a request that was estimated to cost one
-    // unit and cost six.
+    // Returns the number of units that a customer can still get after a request that was estimated to cost
+    // one unit and cost six.
     let available_after = |second: Outcome| {
         let mut gateway = SingleGateway::new(|s| (s.may_hedge, s.may_cancel) = (true, false), 4);
         for id in 100..120 {
@@ -117,9 +118,8 @@
 }
 
 #[test]
-fn a_request_with_an_idempotency_key_is_retried_where_its_first_attempt_ran_even_if_that_host_restarted_elsewhere(
-) {
-    for (scope, elsewhere) in [(DedupScope::Cell, (0, 2)), (DedupScope::Zone, (1, 1))] {
+fn a_request_with_an_idempotency_key_is_retried_in_its_first_scope_although_the_host_has_moved() {
+    for (scope, other_location) in [(DedupScope::Cell, (0, 2)), (DedupScope::Zone, (1, 1))] {
         for ends_first in [false, true] {
             let keyed = |s: &mut Settings| {
                 s.classes[0].idempotency = Idempotency::WithKey(scope, 3_000 * MS);
@@ -127,14 +127,14 @@
             };
             let mut gateway = SingleGateway::new(keyed, 0);
             let at = |id, (zone, cell)| HostEntry { zone, cell, ..entry(id) };
-            let entries = vec![at(1, (0, 1)), at(2, (0, 1)), at(3, elsewhere), at(4, elsewhere)];
+            let entries = vec![at(1, (0, 1)), at(2, (0, 1)), at(3, other_location), at(4, other_location)];
             gateway.report(Event::HostList { kind: HostListKind::Full, entries });
             // Hosts 1 and 2 share their idempotency keys, and so do hosts 3 and 4.
             let first = (1..).find_map(|id| {
                 attempts_in(&gateway.send_request(id, 7, 1.0)).pop().filter(|(_, host)| host.0 < 3)
             });
             let first = first.expect("a request forwarded to host 1 or 2");
-            let entries = vec![HostEntry { started_at: gateway.inner.now, ..at(first.1 .0, elsewhere) }];
+            let entries = vec![HostEntry { started_at: gateway.inner.now, ..at(first.1 .0, other_location) }];
             let moved = Event::HostList { kind: HostListKind::Delta, entries };
             let retry = if ends_first {
                 let retry = gateway.end_attempt(first, 0, Outcome::Error, 1.0);
@@ -150,8 +150,8 @@
     }
 }
 
-/// A ceiling of 3 units per second with a burst of 8 admits at most 8 units at once, although an earlier lease of 4
-/// units was not used.
+/// A ceiling of 3 units per second with a burst of 8 admits at most 8 units at once, although an earlier
+/// lease of 4 units was not used.
 #[test]
 fn units_leased_long_ago_do_not_add_to_a_full_token_bucket() {
     let ceiling = |s: &mut Settings| {
@@ -204,9 +204,11 @@
 }
 
 /// Disconnects some clients of a customer while their requests are in the given state. Returns the number of
-/// attempts that can then be in flight for others, and the number of requests of the customer that are admitted.
+/// attempts that can then be in flight for others, and the number of requests of the customer that are
+/// admitted.
 fn after_disconnections(state: Option<RequestState>) -> (usize, usize) {
-    // A ceiling instead of a quota, which could have a full token bucket and an unused lease at the same time.
+    // A ceiling instead of a quota, which could have a full token bucket and an unused lease at the same
+    // time.
     let ceiling = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, weight_factor: 1.0, ..Plan::default() };
     let settings = |s: &mut Settings| {
         s.classes.truncate(1);
--- a/crates/policy/tests/final_answers.rs
+++ b/crates/policy/tests/final_answers.rs
@@ -53,8 +53,8 @@
 
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_while_its_bytes_arrive_within_the_window() {
-    // Deduplication window, time until the first attempt fails, and the latest time for writing the retry, if there
-    // is one. Both times are in milliseconds from the start of the first attempt.
+    // Deduplication window, time until the first attempt fails, and the latest time for writing the retry, if
+    // there is one. Both times are in milliseconds from the start of the first attempt.
     let cases = [
         (100, 0, None),
         (150, 40, Some(50)),
@@ -225,8 +225,8 @@
         }
         gateway.advance(40 * MS);
     }
-    // While an attempt is in flight at the other host, the class that succeeds is forwarded to the idle host, and
-    // the class that fails is not.
+    // While an attempt is in flight at the other host, the class that succeeds is forwarded to the idle host,
+    // and the class that fails is not.
     let host_of = |actions: Vec<Action>| attempts_in(&actions)[0].1;
     assert_eq!(host_of(gateway.request(201, 1, 201, 1.0)), HostId(2));
     assert_eq!(host_of(gateway.request(202, 0, 202, 1.0)), HostId(1));
--- a/crates/policy/tests/host_sizes.rs
+++ b/crates/policy/tests/host_sizes.rs
@@ -4,8 +4,9 @@
 use common::*;
 use policy::api::*;
 
-/// A host of one core executes 12.5 requests per second, and one of eight cores executes 100. The load of 95 requests
-/// per second is 0.84 of their total capacity; an even share of it is four times the capacity of the small host.
+/// A host of one core executes 12.5 requests per second, and one of eight cores executes 100. The load of 95
+/// requests per second is 0.84 of their total capacity; an even share of it is four times the capacity of the
+/// small host.
 #[test]
 fn a_large_host_gets_load_in_proportion_to_the_capacity_learned_from_responses() {
     let mut world =
--- a/crates/policy/tests/host_subset.rs
+++ b/crates/policy/tests/host_subset.rs
@@ -1,4 +1,5 @@
-//! Subsetting: one of many gateways forwards to a subset of the hosts, and to others when the subset is unavailable.
+//! Subsetting: one of many gateways forwards to a subset of the hosts, and to others when the subset is
+//! unavailable.
 mod common;
 use common::*;
 use policy::api::*;
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding by the operators' plan for lost hosts: the planned fraction of each class and plan is rejected at
-//! once with a `Retry-After` time, and no other request is.
+//! Load shedding by the operators' plan for lost hosts: the planned fraction of each class and plan is
+//! rejected at once with a `Retry-After` time, and no other request is.
 mod common;
 use common::*;
 use policy::api::*;
@@ -20,7 +20,8 @@
     Event::Request(Request { id, class, plan, customer, remaining, units, set_size, ..Request::default() })
 }
 
-/// Sends requests of one class and plan, and returns how many are shed. Each of the others gets a response at once.
+/// Sends requests of one class and plan, and returns how many are shed. Each of the others gets a response at
+/// once.
 fn count_shed(gateway: &mut TestGateway, from: u64, class: usize, plan: usize) -> usize {
     let mut rejected = 0;
     for id in from..from + REQUESTS_PER_PLAN {
@@ -40,8 +41,8 @@
 
 #[test]
 fn of_each_class_and_plan_the_given_fraction_is_admitted() {
-    // The index is `class * plans + plan`: none of class 0 and plan 0 is admitted, three tenths of class 0 and plan 1,
-    // all of class 1 and plan 0. The element for class 1 and plan 1 is missing.
+    // The index is `class * plans + plan`: none of class 0 and plan 0 is admitted, three tenths of class 0
+    // and plan 1, all of class 1 and plan 0. The element for class 1 and plan 1 is missing.
     let fractions = vec![0.0, 0.3, 1.0];
     let mut gateway = new_gateway(4);
     gateway.report(Event::AdmissionFractionsChanged(fractions));
--- a/crates/policy/tests/lost_responses.rs
+++ b/crates/policy/tests/lost_responses.rs
@@ -52,8 +52,9 @@
 fn lost_responses_are_distinguished_from_slow_ones() {
     let losing = |loss_fraction| HostSpec { loss_fraction, ..NORMAL_HOST };
     let slow_by = |time_factor| HostSpec { time_factor, ..NORMAL_HOST };
-    // Number and properties of the affected hosts; maximum of the median detection time in milliseconds, minimum
-    // fraction of lost responses that are detected, maximum of the false alarms, minimum fraction of requests served.
+    // Number and properties of the affected hosts; maximum of the median detection time in milliseconds,
+    // minimum fraction of lost responses that are detected, maximum of the false alarms, minimum fraction of
+    // requests served.
     let cases = [
         (10, losing(0.01), 200, 0.8, 0.01, 0.99),
         (10, losing(0.05), 180, 0.9, 0.02, 0.99),
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -1,5 +1,5 @@
-//! The memory for the state of customers stays within the configured limit. The allocator counts it, so that the
-//! result is the same on each machine.
+//! The memory for the state of customers stays within the configured limit. The allocator counts it, so that
+//! the result is the same on each machine.
 mod common;
 use cap::Cap;
 use common::load::LoadedGateway;
@@ -35,7 +35,8 @@
 fn a_customer_takes_the_stated_memory_in_full_and_in_compact_form() {
     let _alone = ONE_AT_A_TIME.lock();
     let without_customers = allocated_by(new_gateway(0));
-    // Three requests of each customer, at different times, so that each has a history and is kept in full form.
+    // Three requests of each customer, at different times, so that each has a history and is kept in full
+    // form.
     let mut full_form = new_gateway(0);
     for n in 0..6_000 {
         full_form.send_request(n % 2_000);
--- a/crates/policy/tests/pools.rs
+++ b/crates/policy/tests/pools.rs
@@ -1,5 +1,5 @@
-//! Pools and routes: the hosts that requests are forwarded to, full and empty pools, and concurrency limits of
-//! routes.
+//! Pools and routes: the hosts that requests are forwarded to, full and empty pools, and concurrency limits
+//! of routes.
 mod common;
 use common::*;
 use policy::api::*;
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -6,7 +6,8 @@
 use policy::counter_keys;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sends a request and replies to its calls. Before each reply the other gateways add `others` units to the total.
+/// Sends a request and replies to its calls. Before each reply the other gateways add `others` units to the
+/// total.
 fn request_and_reply(
     gateway: &mut TestGateway,
     id: u64,
@@ -39,8 +40,8 @@
     assert!(calls < 6, "a lease of several units instead of a call per request: {calls} calls");
 }
 
-/// More requests of a customer wait for the counter than are considered at once. The later ones wait too, and are
-/// admitted by the replies to calls that include their units.
+/// More requests of a customer wait for the counter than are considered at once. The later ones wait too, and
+/// are admitted by the replies to calls that include their units.
 #[test]
 fn requests_queued_behind_those_considered_are_admitted_by_later_replies() {
     let plan =
--- a/crates/policy/tests/returned_units.rs
+++ b/crates/policy/tests/returned_units.rs
@@ -1,10 +1,11 @@
-//! A request that reaches a host spends its units; units of any other request are returned to the token bucket.
+//! A request that reaches a host spends its units; units of any other request are returned to the token
+//! bucket.
 mod common;
 use common::*;
 use policy::api::*;
 
-/// Returns a single gateway. The token bucket of its customers has units for one request of two units, and almost
-/// does not refill.
+/// Returns a single gateway. The token bucket of its customers has units for one request of two units, and
+/// almost does not refill.
 fn gateway_with_small_quota() -> TestGateway {
     let mut settings = Settings { gateways: 1, ..settings() };
     (settings.plans[0].rate, settings.plans[0].burst) = (0.01, 2.0);
@@ -21,8 +22,8 @@
     attempts_in(&actions)
 }
 
-/// Ends each attempt of a request with this outcome until the request has its final answer. Returns the number of
-/// attempts.
+/// Ends each attempt of a request with this outcome until the request has its final answer. Returns the
+/// number of attempts.
 fn end_all_attempts(
     gateway: &mut TestGateway,
     mut attempts: Vec<(RequestId, HostId)>,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -301,7 +301,8 @@
             gateway.advance(500 * MS);
         }
     }
-    // Six seconds of a warm-up of ten seconds, which starts at a fifth of the capacity: less than an even share.
+    // Six seconds of a warm-up of ten seconds, which starts at a fifth of the capacity: less than an even
+    // share.
     let even_share = at_all_hosts as f64 / 20.0;
     assert!(
         at_restarted_host > 0 && (at_restarted_host as f64) < 0.6 * even_share,
--- a/crates/policy/tests/session.rs
+++ b/crates/policy/tests/session.rs
@@ -15,8 +15,8 @@
     Event(Event),
 }
 
-/// A single gateway under random events: requests of all classes, a shared counter, and hosts that are added and
-/// removed.
+/// A single gateway under random events: requests of all classes, a shared counter, and hosts that are added
+/// and removed.
 struct Session {
     policy: Policy,
     prng: Prng,
@@ -206,8 +206,8 @@
         self.report(Event::AttemptEnded(AttemptEnded { is_request_closed, ..end }));
     }
 
-    /// Schedules the reply to a call. Other gateways add to the same entries, and for two of every ten seconds the
-    /// counter does not reply.
+    /// Schedules the reply to a call. Other gateways add to the same entries, and for two of every ten
+    /// seconds the counter does not reply.
     fn reply_to_call(&mut self, key: CounterKey, amount: f64) {
         let others = self.prng.exponential(1.0);
         let total = self.totals.entry(key).or_default();
@@ -220,8 +220,8 @@
     }
 }
 
-/// Returns the FNV-1a hash (64 bits) of the numbers that encode the actions, each as eight bytes in little-endian
-/// order.
+/// Returns the FNV-1a hash (64 bits) of the numbers that encode the actions, each as eight bytes in
+/// little-endian order.
 fn digest(actions: &[(Time, Action)]) -> u64 {
     let numbers = |(at, action): &(Time, Action)| match *action {
         Action::Forward { id, host, deadline, .. } => [*at, 1, id.0, host.0, deadline],
@@ -236,8 +236,8 @@
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Returns for each of four sessions the digest of its actions, and how many attempts, final answers without a
-/// response, calls to the counter and cancellations it contains.
+/// Returns for each of four sessions the digest of its actions, and how many attempts, final answers without
+/// a response, calls to the counter and cancellations it contains.
 fn digests(with_slow_start: bool) -> Vec<(u64, [usize; 4])> {
     let run = |seed| {
         let actions = Session::run(seed, with_slow_start);
@@ -253,8 +253,8 @@
     (1..=4).map(run).collect()
 }
 
-/// If this test fails, decisions have changed. If the change is intended, state it in the commit, and replace the
-/// expected values with the printed ones.
+/// If this test fails, decisions have changed. If the change is intended, state it in the commit, and replace
+/// the expected values with the printed ones.
 #[test]
 fn a_session_without_slow_start_gives_the_recorded_actions() {
     let expected = [
--- a/crates/policy/tests/slots.rs
+++ b/crates/policy/tests/slots.rs
@@ -1,4 +1,5 @@
-//! The rule table of the fuzzy controller, slots of overdue attempts, and the order in which slots are assigned.
+//! The rule table of the fuzzy controller, slots of overdue attempts, and the order in which slots are
+//! assigned.
 mod common;
 use common::load::LoadedGateway;
 use common::*;
@@ -54,7 +55,8 @@
     let mut gateway = TestGateway::new(settings, 1);
     let mut in_flight = Vec::new();
     let mut id = 0;
-    // Requests of the lower priority fill all slots and one is queued; then one of the higher priority is queued.
+    // Requests of the lower priority fill all slots and one is queued; then one of the higher priority is
+    // queued.
     while in_flight.len() == id as usize {
         id += 1;
         in_flight.extend(attempts_in(&gateway.request(id, 0, id, 1.0)));
@@ -145,8 +147,8 @@
     assert_eq!(attempts_in(&gateway.request(100, 1, 100, 1.0)).len(), 1);
 }
 
-/// With hundreds of gateways an even share of the slots is less than one. It accumulates until an attempt can be
-/// made, and is exceeded for a short time only.
+/// With hundreds of gateways an even share of the slots is less than one. It accumulates until an attempt can
+/// be made, and is exceeded for a short time only.
 #[test]
 fn a_share_below_one_slot_accumulates_and_is_not_exceeded_on_average() {
     let mut settings = Settings { gateways: 8, ..settings() };
@@ -202,8 +204,8 @@
     settings.gateways = 1;
     let plan = Plan { rate: 1e5, burst: 1e5, ..settings.plans[0].clone() };
     settings.plans = vec![Plan { weight_factor: 1.0, ..plan.clone() }, Plan { weight_factor: 2.0, ..plan }];
-    // Ten hosts have at least forty slots, and a response takes 20 ms, so several hundred requests are forwarded within
-    // half of the latency objective.
+    // Ten hosts have at least forty slots, and a response takes 20 ms, so several hundred requests are
+    // forwarded within half of the latency objective.
     let mut gateway = LoadedGateway::with_settings(settings, 10, 0);
     gateway.mean_work(2_000, 10);
     gateway.advance(100 * MS);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Simulates ten hosts under load, of which those from `first` on are replaced by new ones. The load continues for
-/// four seconds and is then reduced to a normal one.
+/// Simulates ten hosts under load, of which those from `first` on are replaced by new ones. The load
+/// continues for four seconds and is then reduced to a normal one.
 fn hosts_replaced(seed: u64, gateways: u32, work: f64, request_rate: f64, first: u64) -> World {
     let mut world = World::new(seed, gateways, false);
     world.mean_work = work;
@@ -69,13 +69,14 @@
 /// While all hosts warm up, only responses show how many requests they can execute.
 #[test]
 fn after_a_power_failure_requests_are_served_at_once_and_no_host_is_overloaded() {
-    let results = Results::of("power back, 3 gateways", SEEDS, |seed| power_restored(seed, 3));
+    let results = Results::of("power restored, 3 gateways", SEEDS, |seed| power_restored(seed, 3));
     assert!(
         results.runs.iter().all(|counts| counts.first_forwarded_ms.is_some_and(|ms| ms <= 5)),
         "the first request is forwarded at once"
     );
     assert_eq!(results.count(|counts| counts.overloaded), 0);
-    // The hosts have capacity for 0.91 of the load: at the start they can execute 56 of the 130 requests per second.
+    // The hosts have capacity for 0.91 of the load: at the start they can execute 56 of the 130 requests per
+    // second.
     assert!(
         results.fraction_of_requests(|counts| counts.within_objective) > 0.82
             && results.fraction_of_requests(|counts| counts.served) > 0.88
@@ -85,7 +86,7 @@
 
 #[test]
 fn many_gateways_use_hosts_that_all_warm_up_and_overload_none() {
-    let results = Results::of("power back, 20 gateways", FEW_SEEDS, |seed| power_restored(seed, 20));
+    let results = Results::of("power restored, 20 gateways", FEW_SEEDS, |seed| power_restored(seed, 20));
     assert_eq!(results.count(|counts| counts.overloaded), 0);
     assert!(results.fraction_of_requests(|counts| counts.within_objective) > 0.75);
 }
@@ -127,13 +128,13 @@
     );
 }
 
-/// A host that refused connections gets attempts again later. Without a limit each refused connection would cause
-/// the next attempt.
+/// A host that refused connections gets attempts again later. Without a limit each refused connection would
+/// cause the next attempt.
 #[test]
 fn hosts_that_refuse_connections_while_they_warm_up_get_few_attempts_and_are_used_again_later() {
     let results = Results::of("not connected for 10 s", SEEDS, |seed| {
         let mut world = World::new(seed, 3, true);
-        world.refuse(10_000 * MS);
+        world.refuse_connections(10_000 * MS);
         world.run(10_000 * MS);
         let refused = world.counts.connections_refused;
         assert!(refused > 0 && refused < 400, "four per second at each of ten hosts: {refused}");
--- a/crates/policy/tests/two_sites.rs
+++ b/crates/policy/tests/two_sites.rs
@@ -1,14 +1,14 @@
-//! Two sites with the same settings that share one counter by a configuration error: a customer of both sites has
-//! one quota for both.
+//! Two sites with the same settings that share one counter by a configuration error: a customer of both sites
+//! has one quota for both.
 mod common;
 use common::site::{Customer, Scenario, Site, TrafficPattern, START};
 use common::*;
 
 const LENGTH_S: u64 = 120;
 
-/// Simulates a customer that uses all gateways of all sites and requests this multiple of its rate. Returns the
-/// units that it gets as a fraction of `rate * time + burst`, the fraction of its requests that are rejected, and
-/// the longest time in seconds for which requests were rejected while units were available.
+/// Simulates a customer that uses all gateways of all sites and requests this multiple of its rate. Returns
+/// the units that it gets as a fraction of `rate * time + burst`, the fraction of its requests that are
+/// rejected, and the longest time in seconds for which requests were rejected while units were available.
 fn run_on_one_counter(sites: usize, gateways: usize, burst: f64, load_factor: f64) -> (f64, f64, f64) {
     let customer = Customer {
         rate: 20.0,
@@ -47,10 +47,11 @@
             rejected < 0.1 && longest_s < 1.0,
             "{gateways} gateways, within the quota: {rejected} rejected, for {longest_s} s"
         );
-        let [one, two] = [1, 2].map(|sites| run_on_one_counter(sites, gateways, burst, 3.0).0);
+        let [at_one_site, at_two_sites] =
+            [1, 2].map(|sites| run_on_one_counter(sites, gateways, burst, 3.0).0);
         assert!(
-            two < 1.2 * one,
-            "{gateways} gateways, beyond the quota: {two} of it at two sites, {one} at one"
+            at_two_sites < 1.2 * at_one_site,
+            "{gateways} gateways, beyond the quota: {at_two_sites} of it at two sites, {at_one_site} at one"
         );
     }
 }
--- a/crates/policy/tests/windowed_admission.rs
+++ b/crates/policy/tests/windowed_admission.rs
@@ -6,8 +6,8 @@
 use quota::{GatewaySet, WindowedLimiter};
 use std::collections::VecDeque;
 
-/// Returns how many of 200 requests of a customer are forwarded by one of the 200 gateways that serve it, while the
-/// gateways together get `load_factor` times the customer's rate.
+/// Returns how many of 200 requests of a customer are forwarded by one of the 200 gateways that serve it,
+/// while the gateways together get `load_factor` times the customer's rate.
 fn count_admitted_by_one_gateway(load_factor: f64) -> usize {
     let settings_of_many_gateways = Settings { gateways: 200, ..settings() };
     let set = GatewaySet { first_gateway: 0, set_size: 200, gateway_index: 0, gateways: 200 };
--- a/crates/policy/tests/work_per_event.rs
+++ b/crates/policy/tests/work_per_event.rs
@@ -1,5 +1,5 @@
-//! The work for an event does not grow with the number of known customers, hosts and requests. Work is counted in
-//! records that are accessed, so that the result is the same on each machine.
+//! The work for an event does not grow with the number of known customers, hosts and requests. Work is
+//! counted in records that are accessed, so that the result is the same on each machine.
 mod common;
 use common::load::LoadedGateway;
 use common::*;
@@ -72,8 +72,8 @@
 
 #[test]
 fn requests_without_a_host_are_not_considered_at_each_event() {
-    // All hosts warm up, so that most of 512 requests wait. An event after which none of them can be forwarded takes
-    // almost no work.
+    // All hosts warm up, so that most of 512 requests wait. An event after which none of them can be
+    // forwarded takes almost no work.
     let mut gateway = LoadedGateway::new(200, 1_000_000 * MS - MS);
     (0..512).for_each(|n| gateway.send_request(n));
     assert!(gateway.served == 0 && gateway.in_flight.len() < 512);
