--- a/crates/cluster-model/src/agent.rs
+++ b/crates/cluster-model/src/agent.rs
@@ -1,8 +1,8 @@
 //! Discovery: the registry of hosts, and an agent on each gateway's machine that learns of changes with a delay.
 //!
-//! Each agent draws its own delay for each change, and learns of changes in their order. It sends the
-//! changes to the watches that are open on it, and the list to clients that request it. Agents have the numbers of
-//! their gateways, from 0.
+//! Each agent draws its own delay for each change, and learns of changes in their order. It sends the changes to the
+//! watches that are open on it, and the list to clients that request it. Agents have the numbers of their gateways,
+//! from 0.
 
 mod message;
 mod watch;
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -17,8 +17,7 @@
 //! use cluster_model::observation::{Observation, ObservationKind};
 //!
 //! let mut judge = Judge::new(&Site::default(), &Traffic::default(), 0);
-//! let kind = ObservationKind::GatewayDown { gateway: 1, expected: false };
-//! judge.see(&Observation { at: 5, kind });
+//! judge.see(&Observation { at: 5, kind: ObservationKind::GatewayDown { gateway: 1, expected: false } });
 //! assert_eq!(judge.breaches()[0].rule, Rule::NoCrash);
 //! assert_eq!(judge.finish(10).counts.asked, 0);
 //! ```
