--- a/crates/api-gateway/tests/clocks.rs
+++ b/crates/api-gateway/tests/clocks.rs
@@ -1,7 +1,7 @@
 //! Real gateways whose clocks differ by 2 s both ways, before quotas that bind and hosts that come cold: no rule is
 //! broken. A test build: the feature `told-clock`. A program of its own, since gateways begin by way of it.
 
-use cluster_emulator::{become_process, play_real, Played, RealOptions};
+use cluster_emulator::{run_child_process, run_real, RealOptions, RunOutcome};
 use cluster_model::file;
 use std::path::PathBuf;
 
@@ -24,7 +24,7 @@
 ";
 
 fn main() {
-    if let Err(error) = become_process() {
+    if let Err(error) = run_child_process() {
         panic!("cannot begin: {error}");
     }
     for _ in 0..PLAYS {
@@ -35,7 +35,7 @@
         }
         assert_eq!(played.verdict.breaches, []);
         assert_eq!(played.history.findings, []);
-        assert_eq!(played.troubles, [""; 0]);
+        assert_eq!(played.errors, [""; 0]);
         assert!(played.verdict.share_served > 0.5, "{}", played.verdict.share_served);
         println!("test gateways_whose_clocks_differ_break_no_rule ... ok");
         return;
@@ -43,7 +43,7 @@
     panic!("the machine was too slow {PLAYS} times");
 }
 
-fn play() -> Played {
+fn play() -> RunOutcome {
     let options = RealOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")),
         launcher: Some(std::env::current_exe().unwrap()),
@@ -55,5 +55,5 @@
         progress: None,
     };
     let scenario = file::parse("clocks.scenario", DAY).unwrap();
-    play_real(&scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
+    run_real(&scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
 }
--- a/crates/api-gateway/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -4,7 +4,7 @@
 //! process that can be killed. Words that are no flags choose tests by a part of their names.
 
 use cluster_emulator::{
-    become_process, play_real, play_virtual, OnProgress, Played, Progress, RealOptions, RunTrace,
+    run_child_process, run_real, run_virtual, OnProgress, Progress, RealOptions, RunOutcome, RunTrace,
     VirtualOptions,
 };
 use cluster_model::file;
@@ -66,7 +66,7 @@
 ";
 
 fn main() {
-    if let Err(error) = become_process() {
+    if let Err(error) = run_child_process() {
         panic!("cannot begin: {error}");
     }
     let words: Vec<String> = std::env::args().skip(1).collect();
@@ -114,7 +114,7 @@
     file::parse("fleet.scenario", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn play(text: &str) -> Played {
+fn play(text: &str) -> RunOutcome {
     play_with(&read(text), Run::default())
 }
 
@@ -127,7 +127,7 @@
     logs: Option<PathBuf>,
 }
 
-fn play_with(scenario: &Scenario, run: Run<'_>) -> Played {
+fn play_with(scenario: &Scenario, run: Run<'_>) -> RunOutcome {
     let Run { replay, progress, operators, logs } = run;
     let options = RealOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")),
@@ -139,15 +139,15 @@
         special: None,
         progress,
     };
-    play_real(scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
+    run_real(scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
 }
 
 /// A run that could be judged, and broke nothing.
-fn judged(text: &str) -> Played {
+fn judged(text: &str) -> RunOutcome {
     judged_of(|| play(text))
 }
 
-fn judged_of(play: impl Fn() -> Played) -> Played {
+fn judged_of(play: impl Fn() -> RunOutcome) -> RunOutcome {
     for _ in 0..PLAYS {
         let played = play();
         match &played.too_slow {
@@ -156,7 +156,7 @@
                 assert_eq!(played.verdict.breaches, []);
                 assert_eq!(played.verdict.notes, [""; 0]);
                 assert_eq!(played.history.findings, []);
-                assert_eq!(played.troubles, [""; 0]);
+                assert_eq!(played.errors, [""; 0]);
                 return played;
             }
         }
@@ -165,13 +165,13 @@
 }
 
 /// Tries served in the aim within these seconds.
-fn served(played: &Played, seconds: std::ops::Range<usize>) -> u32 {
+fn served(played: &RunOutcome, seconds: std::ops::Range<usize>) -> u32 {
     played.verdict.timeline[seconds].iter().map(|second| second.served).sum()
 }
 
 fn a_fleet_bears_a_building_cut_off_and_back() {
     let real = judged(FLEET);
-    let virtual_time = play_virtual(&read(FLEET), 1, VirtualOptions::default()).unwrap();
+    let virtual_time = run_virtual(&read(FLEET), 1, VirtualOptions::default()).unwrap();
     for played in [&real, &virtual_time] {
         // Half of the gateways reach nobody while it lasts.
         let (cut, whole) = (served(played, 3..5), served(played, 7..9));
--- a/crates/cluster-emulator/examples/crash_sweep.rs
+++ b/crates/cluster-emulator/examples/crash_sweep.rs
@@ -7,7 +7,7 @@
 //! `[SEED [AT ONCE [POINT FROM TO]]]` may follow the program: the last three play that point alone, once for each time
 //! from FROM to TO that the gateway may come there. Ends with status 1 where a rule broke, or a gateway did not die.
 
-use cluster_emulator::{Death, Played};
+use cluster_emulator::{CrashScenario, RunOutcome};
 use gateway::CrashPoint;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -24,10 +24,12 @@
     let point = words.next().and_then(|name| CrashPoint::ALL.into_iter().find(|point| point.name() == name));
     let times: Vec<u64> = words.map_while(|word| word.parse().ok()).collect();
     let of = |cut: bool| match (point, &times[..]) {
-        (Some(_), &[from, to]) => (from..=to).map(|nth| Death { point, nth, cut }).collect(),
+        (Some(_), &[from, to]) => {
+            (from..=to).map(|nth| CrashScenario { point, nth, counter_silent: cut }).collect()
+        }
         _ => {
-            let none = Death { point: None, nth: 0, cut };
-            let each = CrashPoint::ALL.into_iter().map(|point| Death::at(point, cut));
+            let none = CrashScenario { point: None, nth: 0, counter_silent: cut };
+            let each = CrashPoint::ALL.into_iter().map(|point| CrashScenario::at(point, cut));
             std::iter::once(none).chain(each).collect::<Vec<_>>()
         }
     };
@@ -37,7 +39,7 @@
         for _ in 0..at_once.max(1) {
             scope.spawn(|| loop {
                 let Some((place, death)) = todo.lock().expect("no job panics with it").next() else { return };
-                let row = row(&death, death.play(&program, seed));
+                let row = row(&death, death.run(&program, seed));
                 rows.lock().expect("no job panics with it").push((place, row));
             });
         }
@@ -55,9 +57,9 @@
 }
 
 /// A line of the table, and whether all is well.
-fn row(death: &Death, played: anyhow::Result<Played>) -> (String, bool) {
+fn row(death: &CrashScenario, played: anyhow::Result<RunOutcome>) -> (String, bool) {
     let name = death.point.map_or("(none)".into(), |point| format!("`{}:{}`", point.name(), death.nth));
-    let counter = if death.cut { "cut" } else { "whole" };
+    let counter = if death.counter_silent { "cut" } else { "whole" };
     let played = match played {
         Ok(played) => played,
         Err(error) => return (format!("| {name} | {counter} | {error:#} |"), false),
@@ -65,8 +67,8 @@
     let verdict = &played.verdict;
     let broken: Vec<String> = verdict.breaches.iter().map(|breach| breach.text.clone()).collect();
     let broken = broken.into_iter().chain(played.history.findings.iter().map(ToString::to_string));
-    let mut wrong: Vec<String> = broken.chain(played.troubles.iter().cloned()).collect();
-    if death.point.is_some() == played.died.is_empty() {
+    let mut wrong: Vec<String> = broken.chain(played.errors.iter().cloned()).collect();
+    if death.point.is_some() == played.crashed.is_empty() {
         wrong.push("it did not die as arranged".into());
     }
     wrong.iter().for_each(|what| eprintln!("{name}, counter {counter}: {what}"));
@@ -74,7 +76,7 @@
     // Cut off, failed, or gone without an answer; some clients of any day leave early.
     let unanswered =
         sum(|second| second.offered) - sum(|second| second.served + second.late + second.refused);
-    let at = played.died.first().map_or("-".into(), |(_, at)| format!("{at:.2}"));
+    let at = played.crashed.first().map_or("-".into(), |(_, at)| format!("{at:.2}"));
     let line = format!(
         "| {name} | {counter} | {at} | {} | {} | {} | {:.1} % | {:.3} | {} |",
         sum(|second| second.offered),
--- a/crates/cluster-emulator/examples/fleet_curve.rs
+++ b/crates/cluster-emulator/examples/fleet_curve.rs
@@ -8,7 +8,7 @@
 //! counter takes all calls there could be: what the gateways would ask of it.
 
 use anyhow::{bail, Context, Result};
-use cluster_emulator::{play_virtual, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::{CounterSpec, Scenario};
 use std::time::Instant;
@@ -56,11 +56,11 @@
     Ok(())
 }
 
-fn play_all(scenario: &Scenario, sizes: &[u32]) -> Vec<(Result<Played>, f64)> {
+fn play_all(scenario: &Scenario, sizes: &[u32]) -> Vec<(Result<RunOutcome>, f64)> {
     let play = |gateways: u32| {
         let begun = Instant::now();
         let sized = scenario.clone().with_gateways(gateways);
-        let played = play_virtual(&sized, SEED, VirtualOptions::default());
+        let played = run_virtual(&sized, SEED, VirtualOptions::default());
         (played, begun.elapsed().as_secs_f64())
     };
     std::thread::scope(|scope| {
@@ -73,13 +73,13 @@
     })
 }
 
-fn row(gateways: u32, played: &Played, wall_s: f64) -> String {
+fn row(gateways: u32, played: &RunOutcome, wall_s: f64) -> String {
     let (verdict, fleet) = (&played.verdict, &played.verdict.fleet);
     let seconds = verdict.timeline.iter().rposition(|second| second.offered > 0).map_or(1, |last| last + 1);
     let percent = |share: f64| format!("{:.1} %", 100.0 * share);
     let cells = [
         gateways.to_string(),
-        format!("{:.0}", played.tries as f64 / seconds as f64),
+        format!("{:.0}", played.requests as f64 / seconds as f64),
         format!("{:.0}", fleet.counter_calls_per_s),
         format!("{:.2}", fleet.counter_calls_per_s / f64::from(gateways)),
         percent(fleet.counter_turned_away),
@@ -91,7 +91,7 @@
         format!("{:.1}", fleet.connections_per_s),
         fleet.connections_open_most.to_string(),
         format!("{:.3}", verdict.worth),
-        (verdict.breaches.len() + played.troubles.len()).to_string(),
+        (verdict.breaches.len() + played.errors.len()).to_string(),
         format!("{wall_s:.1} s"),
     ];
     format!("| {} |", cells.join(" | "))
--- a/crates/cluster-emulator/examples/quota_table.rs
+++ b/crates/cluster-emulator/examples/quota_table.rs
@@ -9,7 +9,7 @@
 #[path = "../tests/quota/table.rs"]
 mod table;
 
-use cluster_emulator::{play_real, play_virtual, RealOptions, VirtualOptions};
+use cluster_emulator::{run_real, run_virtual, RealOptions, VirtualOptions};
 use cluster_model::scenario::Scenario;
 use invariants::Verdict;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
 
 fn play(scenario: &Scenario, seed: u64, program: Option<&Path>) -> Verdict {
     let played = match program {
-        None => play_virtual(scenario, seed, VirtualOptions::default()),
+        None => run_virtual(scenario, seed, VirtualOptions::default()),
         Some(program) => {
             let options = RealOptions {
                 program: program.to_owned(),
@@ -35,7 +35,7 @@
                 special: None,
                 progress: None,
             };
-            play_real(scenario, seed, options)
+            run_real(scenario, seed, options)
         }
     };
     let played = played.expect("it can be played");
--- a/crates/cluster-emulator/examples/site_fleet.rs
+++ b/crates/cluster-emulator/examples/site_fleet.rs
@@ -7,7 +7,7 @@
 //! hand that the site is lost, half a second late, and take it back as it comes back.
 
 use anyhow::{bail, Context, Result};
-use cluster_emulator::{operators_of, play_virtual, GatewayMaker, Played, VirtualOptions};
+use cluster_emulator::{operators_of, run_virtual, GatewayFactory, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use config_language::model::At;
@@ -41,7 +41,7 @@
 }
 
 /// Gateways whose operators' file says by hand that the second building is lost while it is, half a second late.
-fn told(plan: Operators, seconds: u64) -> GatewayMaker {
+fn told(plan: Operators, seconds: u64) -> GatewayFactory {
     let lost = START + LOST_AT * SECOND + SECOND / 2..START + (LOST_AT + seconds) * SECOND;
     Arc::new(move |start| {
         let (plan, lost, env, document) = (plan.clone(), lost.clone(), start.env.clone(), start.document);
@@ -72,14 +72,14 @@
     }
 }
 
-fn row(policy: &str, seconds: u64, seed: u64, played: &Played) -> String {
+fn row(policy: &str, seconds: u64, seed: u64, played: &RunOutcome) -> String {
     let verdict = &played.verdict;
     let served = |name: &str| {
         let of = verdict.classes.iter().find(|class| class.name == name).map(|class| class.counts);
         of.map_or(0.0, |counts| 100.0 * counts.served as f64 / counts.asked.max(1) as f64)
     };
     let fell = verdict.hosts.iter().filter(|host| host.fell).count();
-    let wrong = verdict.breaches.len() + played.history.findings.len() + played.troubles.len();
+    let wrong = verdict.breaches.len() + played.history.findings.len() + played.errors.len();
     format!(
         "| {policy} | {seconds} s | {seed} | {:.3} | {:.3} | {:.1} % | {:.1} % | {fell} | {wrong} |",
         verdict.worth_whole,
@@ -102,7 +102,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for seed in first..first + seeds {
         for policy in ["no plan", "plan", "at once", "told"] {
-            let played = play_virtual(&scenario, seed, options(policy, &plan, seconds))?;
+            let played = run_virtual(&scenario, seed, options(policy, &plan, seconds))?;
             println!("{}", row(policy, seconds, seed, &played));
         }
     }
--- a/crates/cluster-emulator/src/stage.rs
+++ b/crates/cluster-emulator/src/backend.rs
@@ -1,7 +1,7 @@
 //! Where a site is played: machines, gateways and the network between them. The virtual stage has them all
 //! in one process; the real one starts the release program once per gateway on loopback sockets.
 
-use crate::counter::CounterOf;
+use crate::counter::CounterHandle;
 use cluster_model::scenario::{LinkFault, Scenario};
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
@@ -13,7 +13,7 @@
 
 /// A machine of the site. Numbers are counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Post {
+pub enum MachineRole {
     /// Of a gateway, and of its agent of discovery.
     Gateway(u32),
     /// Of a host, by its place: a host that comes at the address of another stands on its machine.
@@ -53,26 +53,26 @@
 }
 
 /// Where a site is played.
-pub trait Stage {
+pub trait Backend {
     /// The world that the stand-ins run in.
     type Env: Env;
 
     /// A new process for a stand-in on this machine.
-    fn process(&self, post: Post, name: &str) -> Self::Env;
+    fn process(&self, post: MachineRole, name: &str) -> Self::Env;
 
     /// Where a stand-in on this machine may listen; port 0 takes a free one.
-    fn address(&self, post: Post) -> SocketAddr;
+    fn address(&self, post: MachineRole) -> SocketAddr;
 
     /// Where a gateway listens, the same after each start.
     fn gateway_address(&self, gateway: u32) -> SocketAddr;
 
     /// Where the first of two machines reaches the second, which listens at this address.
-    fn reach(&self, _from: Post, _to: Post, address: SocketAddr) -> io::Result<SocketAddr> {
+    fn reach(&self, _from: MachineRole, _to: MachineRole, address: SocketAddr) -> io::Result<SocketAddr> {
         Ok(address)
     }
 
     /// The way that messages of a stand-in at this machine take beside what the network does by itself.
-    fn lag(&self, post: Post) -> Span;
+    fn lag(&self, post: MachineRole) -> Span;
 
     /// Starts the counter.
     fn start_counter(
@@ -80,7 +80,7 @@
         scenario: &Scenario,
         seed: u64,
         recorder: &Recorder,
-    ) -> io::Result<CounterOf<Self::Env>>
+    ) -> io::Result<CounterHandle<Self::Env>>
     where
         Self: Sized,
     {
@@ -91,13 +91,13 @@
     fn start_gateway(&mut self, gateway: u32, incarnation: u32, document: &Value) -> io::Result<()>;
 
     /// A process that others connect to is no more, or is back: nobody is taken in for it meanwhile.
-    fn refuse(&mut self, _post: Post, _gone: bool) -> io::Result<()> {
+    fn refuse(&mut self, _post: MachineRole, _gone: bool) -> io::Result<()> {
         Ok(())
     }
 
     /// Whether who connects to a gateway that does not listen yet would be told so. Links take connections in before
     /// they have asked it, and can only break them then.
-    fn refuses_well(&self, _gateway: u32) -> bool {
+    fn refuses_until_ready(&self, _gateway: u32) -> bool {
         true
     }
 
@@ -114,7 +114,7 @@
     fn clock_stood_still(&mut self, gateway: u32, span: Span) -> io::Result<()>;
 
     /// The processes of a stand-in's machine stand still (SIGSTOP), or go on.
-    fn stand_still(&mut self, post: Post, still: bool) -> io::Result<()>;
+    fn set_suspended(&mut self, post: MachineRole, still: bool) -> io::Result<()>;
 
     /// Processes of gateways that have ended since this was last asked.
     fn exits(&mut self) -> Vec<Exit>;
@@ -125,45 +125,50 @@
     }
 
     /// Parts two sides from one another; true: with resets. Gives a number to heal it by, so long after now.
-    fn cut(&mut self, a: &[Post], b: &[Post], span: Span, reset: bool) -> io::Result<u64>;
+    fn cut(&mut self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool) -> io::Result<u64>;
 
     /// Takes a cut away.
     fn heal(&mut self, cut: u64);
 
     /// Something that lasts goes wrong for so long with the links on which each first opens connections to each
     /// second. Flapping is not among it.
-    fn fail_links(&mut self, pairs: &[(Post, Post)], fault: &LinkFault, span: Span) -> io::Result<()>;
+    fn start_link_fault(
+        &mut self,
+        pairs: &[(MachineRole, MachineRole)],
+        fault: &LinkFault,
+        span: Span,
+    ) -> io::Result<()>;
 
     /// Resets the connections that each first has opened to each second.
-    fn reset_links(&mut self, pairs: &[(Post, Post)]) -> io::Result<()>;
+    fn reset_links(&mut self, pairs: &[(MachineRole, MachineRole)]) -> io::Result<()>;
 
     /// Faults of links may begin so much later than they are asked for, and end as much later.
-    fn late_by(&self) -> Span {
+    fn max_fault_delay(&self) -> Span {
         0
     }
 
     /// Whether stand-ins know when what they read was sent.
-    fn knows_when_sent(&self) -> bool;
+    fn knows_send_times(&self) -> bool;
 
     /// Now.
     fn now(&self) -> Time;
 }
 
 /// The counter as tasks of this process.
-pub(crate) fn counter_tasks<S: Stage>(
+pub(crate) fn counter_tasks<S: Backend>(
     stage: &S,
     scenario: &Scenario,
     seed: u64,
     recorder: &Recorder,
-) -> io::Result<CounterOf<S::Env>> {
+) -> io::Result<CounterHandle<S::Env>> {
     let config = CounterConfig {
         spec: scenario.site.counter.clone(),
         seed,
-        listen: (0..scenario.site.gateways).map(|_| stage.address(Post::Counter)).collect(),
+        listen: (0..scenario.site.gateways).map(|_| stage.address(MachineRole::Counter)).collect(),
         recorder: recorder.clone(),
-        lag: stage.lag(Post::Counter),
+        lag: stage.lag(MachineRole::Counter),
     };
-    CounterStandIn::start(stage.process(Post::Counter, "counter"), config).map(CounterOf::Tasks)
+    CounterStandIn::start(stage.process(MachineRole::Counter, "counter"), config).map(CounterHandle::Tasks)
 }
 
 /// Holds a lock. What it holds is whole between any two lines, so a panic elsewhere does not spoil it.
--- a/crates/cluster-emulator/src/counter.rs
+++ b/crates/cluster-emulator/src/counter.rs
@@ -8,27 +8,27 @@
 use std::net::SocketAddr;
 
 /// The site's counter.
-pub enum CounterOf<E: Env> {
+pub enum CounterHandle<E: Env> {
     /// Tasks of this process.
     Tasks(CounterStandIn<E>),
     /// A process of its own.
     Process(CounterProcess),
 }
 
-impl<E: Env> CounterOf<E> {
+impl<E: Env> CounterHandle<E> {
     /// Where it listens for each gateway.
     pub fn addrs(&self) -> &[SocketAddr] {
         match self {
-            CounterOf::Tasks(counter) => counter.addrs(),
-            CounterOf::Process(counter) => counter.addrs(),
+            CounterHandle::Tasks(counter) => counter.addrs(),
+            CounterHandle::Process(counter) => counter.addrs(),
         }
     }
 
     /// The run begins: calls are taken from now on.
     pub fn open(&self) -> io::Result<()> {
         match self {
-            CounterOf::Tasks(counter) => counter.open(),
-            CounterOf::Process(counter) => counter.open()?,
+            CounterHandle::Tasks(counter) => counter.open(),
+            CounterHandle::Process(counter) => counter.open()?,
         }
         Ok(())
     }
@@ -36,8 +36,8 @@
     /// The event at this place of the scenario, one of the counter's, happens to it.
     pub fn event(&self, place: usize, event: &Event) -> io::Result<()> {
         match self {
-            CounterOf::Tasks(counter) => act(counter, event),
-            CounterOf::Process(counter) => counter.event(place)?,
+            CounterHandle::Tasks(counter) => act(counter, event),
+            CounterHandle::Process(counter) => counter.event(place)?,
         }
         Ok(())
     }
@@ -45,7 +45,7 @@
     /// It is silent to a gateway, or speaks again; true: that gateway's connections are reset. Only for tasks: a process
     /// has links, which do that.
     pub fn be_silent(&self, gateway: u32, silent: bool, reset: bool) {
-        let CounterOf::Tasks(counter) = self else { return };
+        let CounterHandle::Tasks(counter) = self else { return };
         counter.set_silent(gateway, silent);
         if reset {
             counter.reset_gateway(gateway);
@@ -55,16 +55,16 @@
     /// Its machine loses power for so long.
     pub fn lose(&self, span: Span) {
         match self {
-            CounterOf::Tasks(counter) => counter.fail(CounterFault::Unreachable, span),
-            CounterOf::Process(counter) => counter.kill(),
+            CounterHandle::Tasks(counter) => counter.fail(CounterFault::Unreachable, span),
+            CounterHandle::Process(counter) => counter.kill(),
         }
     }
 
     /// Its machine has power again: it starts anew, and knows nothing. Whether it does: it may have lost power twice.
     pub fn start_anew(&self) -> io::Result<bool> {
         match self {
-            CounterOf::Tasks(counter) => counter.fail(CounterFault::Reset, 0),
-            CounterOf::Process(counter) => return counter.start_anew(),
+            CounterHandle::Tasks(counter) => counter.fail(CounterFault::Reset, 0),
+            CounterHandle::Process(counter) => return counter.start_anew(),
         }
         Ok(true)
     }
@@ -72,16 +72,16 @@
     /// Whether it takes connections in, as far as its process goes.
     pub fn listens(&self) -> bool {
         match self {
-            CounterOf::Tasks(_) => true,
-            CounterOf::Process(counter) => counter.listens(),
+            CounterHandle::Tasks(_) => true,
+            CounterHandle::Process(counter) => counter.listens(),
         }
     }
 
     /// What went wrong with its process since this was last asked, in words.
-    pub fn troubles(&self) -> Vec<String> {
+    pub fn errors(&self) -> Vec<String> {
         match self {
-            CounterOf::Tasks(_) => Vec::new(),
-            CounterOf::Process(counter) => counter.troubles(),
+            CounterHandle::Tasks(_) => Vec::new(),
+            CounterHandle::Process(counter) => counter.errors(),
         }
     }
 }
--- a/crates/cluster-emulator/src/deaths.rs
+++ b/crates/cluster-emulator/src/crash_scenario.rs
@@ -3,8 +3,8 @@
 //!
 //! The program has to be a test build with the feature `crash-points`.
 
-use crate::play::{play_real, Played, RealOptions};
-use crate::real::Special;
+use crate::real::GatewayOverride;
+use crate::run::{run_real, RealOptions, RunOutcome};
 use anyhow::{bail, Result};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
@@ -19,18 +19,18 @@
 
 /// One death.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Death {
+pub struct CrashScenario {
     /// Where in its program; `None`: it does not die, to compare with.
     pub point: Option<CrashPoint>,
     /// The how manieth time, from 1, that it comes there.
     pub nth: u64,
     /// The counter says nothing from 1 s on, for 4 s.
-    pub cut: bool,
+    pub counter_silent: bool,
 }
 
-impl Death {
+impl CrashScenario {
     /// At the point, once requests and counter calls are under way.
-    pub fn at(point: CrashPoint, cut: bool) -> Death {
+    pub fn at(point: CrashPoint, counter_silent: bool) -> CrashScenario {
         let nth = match point {
             // With the counter cut it is silent meanwhile: the first answers after it.
             CrashPoint::Counted => 12,
@@ -40,13 +40,13 @@
             CrashPoint::ListRead => 2,
             CrashPoint::ReloadRead | CrashPoint::ReloadHalf | CrashPoint::Stopping => 1,
         };
-        Death { point: Some(point), nth, cut }
+        CrashScenario { point: Some(point), nth, counter_silent }
     }
 
     /// Three gateways and reads and orders within and beyond quotas that bind; something for each point: a reload, a
     /// host that drains, a planned restart.
     pub fn scenario(&self) -> Scenario {
-        let cut = if self.cut { "at 1 s: counter silent for 4 s\n" } else { "" };
+        let cut = if self.counter_silent { "at 1 s: counter silent for 4 s\n" } else { "" };
         let text = format!("{DAY}{cut}{EVENTS}");
         file::parse("death", &text).expect("a scenario of our own")
     }
@@ -56,10 +56,10 @@
     ///
     /// # Errors
     /// Where it cannot be played, or the machine was too slow each time.
-    pub fn play(&self, program: &Path, seed: u64) -> Result<Played> {
+    pub fn run(&self, program: &Path, seed: u64) -> Result<RunOutcome> {
         let mut too_slow = String::new();
         for _ in 0..TURNS {
-            let played = self.play_once(program, seed)?;
+            let played = self.run_once(program, seed)?;
             let well = played.verdict.breaches.is_empty() && played.history.findings.is_empty();
             match played.too_slow.clone().filter(|_| !well) {
                 None => return Ok(played),
@@ -69,9 +69,9 @@
         bail!("{too_slow}")
     }
 
-    fn play_once(&self, program: &Path, seed: u64) -> Result<Played> {
+    fn run_once(&self, program: &Path, seed: u64) -> Result<RunOutcome> {
         let switch = self.point.map(|point| format!("{}:{}", point.name(), self.nth));
-        let special = switch.map(|switch| Special {
+        let special = switch.map(|switch| GatewayOverride {
             gateway: 0,
             program: program.to_owned(),
             environment: vec![("FENNELBEAM_CRASH".into(), switch)],
@@ -87,7 +87,7 @@
             special,
             progress: None,
         };
-        play_real(&self.scenario(), seed, options)
+        run_real(&self.scenario(), seed, options)
     }
 }
 
--- a/crates/cluster-emulator/src/director.rs
+++ b/crates/cluster-emulator/src/fault_injector.rs
@@ -2,9 +2,9 @@
 
 mod faults;
 
-use crate::moments::Moments;
+use crate::backend::{Backend, MachineRole, Signal};
 use crate::site::SiteOf;
-use crate::stage::{Post, Signal, Stage};
+use crate::triggers::PendingTriggers;
 use anyhow::Result;
 use cluster_model::agent::Detection;
 use cluster_model::observation::{Lifecycle, Observation, ObservationKind};
@@ -62,7 +62,7 @@
     /// A gateway, in this process of it, has one reason less to stand still, after its clock stood still for so long.
     Thaw(u32, u32, Span),
     /// A stand-in has one reason less to stand still.
-    Runs(Post, Vec<Gap>),
+    Runs(MachineRole, Vec<Gap>),
     /// A slowed gateway, in this process of it, stands still again.
     Slice(u32, u32),
     /// The counter comes back and knows nothing.
@@ -72,56 +72,56 @@
 }
 
 /// Plays a scenario's events on a site.
-pub struct Director<S: Stage> {
+pub struct FaultInjector<S: Backend> {
     /// The site.
     pub site: SiteOf<S>,
     due: BTreeMap<(Time, u64), Step>,
     next: u64,
     start: Time,
     /// Events that begin by something seen.
-    moments: Moments,
+    triggers: PendingTriggers,
     /// How many reasons there are for each.
     gaps: BTreeMap<Gap, u32>,
     /// How many reasons there are for a stand-in to stand still.
-    still: BTreeMap<Post, u32>,
+    still: BTreeMap<MachineRole, u32>,
     /// Events of the scenario that have begun, by their places, and when.
     pub begun: Vec<(Time, usize)>,
     /// What went wrong with a process of a gateway, in words.
-    pub troubles: Vec<String>,
+    pub errors: Vec<String>,
     /// Gateways that ended themselves as arranged, and when.
-    pub died: Vec<(u32, Time)>,
+    pub crashed: Vec<(u32, Time)>,
 }
 
-impl<S: Stage> Director<S> {
+impl<S: Backend> FaultInjector<S> {
     /// The events of the site's scenario, counted from `start`.
     pub fn new(site: SiteOf<S>, start: Time) -> Self {
         let timed = site.scenario.events.iter().enumerate().filter(|(_, timed)| timed.trigger.is_none());
         let ats: Vec<(usize, Time)> = timed.map(|(place, timed)| (place, start + timed.at)).collect();
-        let moments = Moments::new(&site.scenario, start);
-        let mut director = Director {
+        let triggers = PendingTriggers::new(&site.scenario, start);
+        let mut injector = FaultInjector {
             site,
             due: BTreeMap::new(),
             next: 0,
             start,
-            moments,
+            triggers,
             gaps: BTreeMap::new(),
             still: BTreeMap::new(),
             begun: Vec::new(),
-            troubles: Vec::new(),
-            died: Vec::new(),
+            errors: Vec::new(),
+            crashed: Vec::new(),
         };
-        director.plan(start, Step::Open);
+        injector.plan(start, Step::Open);
         for (place, at) in ats {
-            director.plan(at, Step::Event(place));
+            injector.plan(at, Step::Event(place));
         }
-        let waiting = (0..).zip(&director.site.gateways).filter(|(_, post)| post.up.is_none());
+        let waiting = (0..).zip(&injector.site.gateways).filter(|(_, post)| post.up.is_none());
         let waiting: Vec<u32> = waiting.map(|(gateway, _)| gateway).collect();
         for gateway in waiting {
-            director.plan_start(director.site.stage.now(), gateway);
+            injector.plan_start(injector.site.stage.now(), gateway);
         }
-        director.plan(start + SAMPLE, Step::Sample);
-        director.plan(start, Step::Look);
-        director
+        injector.plan(start + SAMPLE, Step::Sample);
+        injector.plan(start, Step::Look);
+        injector
     }
 
     /// When something is to be done next.
@@ -132,21 +132,21 @@
     /// Something was seen; what begins by it is due at once.
     pub fn see(&mut self, seen: &Observation) {
         let now = self.site.stage.now();
-        for place in self.moments.see(seen.at, &seen.kind) {
+        for place in self.triggers.see(seen.at, &seen.kind) {
             self.plan(now, Step::Event(place));
         }
     }
 
     /// Whether a sign may still come.
     pub fn waits(&self) -> bool {
-        self.moments.wait(self.site.stage.now())
+        self.triggers.wait(self.site.stage.now())
     }
 
     /// The same of what gateways have logged meanwhile.
     pub fn read_logs(&mut self) {
         let now = self.site.stage.now();
         for (gateway, line) in self.site.stage.logged() {
-            for place in self.moments.logged(now, gateway, &line) {
+            for place in self.triggers.logged(now, gateway, &line) {
                 self.plan(now, Step::Event(place));
             }
         }
@@ -154,8 +154,8 @@
 
     /// What went wrong with processes of gateways and which signs never came, when all is over.
     pub fn end(&mut self) -> Vec<String> {
-        let missed = self.moments.missed(self.start);
-        std::mem::take(&mut self.troubles).into_iter().chain(missed).collect()
+        let missed = self.triggers.missed(self.start);
+        std::mem::take(&mut self.errors).into_iter().chain(missed).collect()
     }
 
     /// Does all that is due by now.
@@ -198,13 +198,13 @@
             Step::HostBack(host) => {
                 if self.site.hosts[host as usize].running.is_none() {
                     self.site.restart_host(host)?;
-                    let post = Post::Host(self.site.hosts[host as usize].place);
+                    let post = MachineRole::Host(self.site.hosts[host as usize].place);
                     self.site.stage.refuse(post, false)?;
                 }
             }
             Step::NewAt(host) => {
                 self.site.add_host(Some(host))?;
-                let post = Post::Host(self.site.hosts[host as usize].place);
+                let post = MachineRole::Host(self.site.hosts[host as usize].place);
                 self.site.stage.refuse(post, false)?;
             }
             Step::Heal(cut, gaps) => {
@@ -366,8 +366,8 @@
         match post.up {
             None => {
                 self.site.start_gateway(gateway)?;
-                if self.site.stage.refuses_well(gateway) {
-                    self.site.stage.refuse(Post::Gateway(gateway), false)?;
+                if self.site.stage.refuses_until_ready(gateway) {
+                    self.site.stage.refuse(MachineRole::Gateway(gateway), false)?;
                 } else {
                     self.open_gaps(&[Gap::Clients(gateway)]);
                     self.plan(now + LOOK, Step::Listens(gateway));
@@ -388,13 +388,13 @@
     /// Until it listens, who comes to it by a link is taken in and broken off, which is not its doing.
     fn listens(&mut self, now: Time, gateway: u32) -> Result<()> {
         let is_up = self.site.gateways[gateway as usize].up.is_some();
-        if is_up && !self.site.stage.refuses_well(gateway) {
+        if is_up && !self.site.stage.refuses_until_ready(gateway) {
             self.plan(now + LOOK, Step::Listens(gateway));
             return Ok(());
         }
         self.close_gaps(&[Gap::Clients(gateway)]);
         if is_up {
-            self.site.stage.refuse(Post::Gateway(gateway), false)?;
+            self.site.stage.refuse(MachineRole::Gateway(gateway), false)?;
         }
         Ok(())
     }
@@ -407,7 +407,7 @@
         self.site.stage.signal(gateway, signal);
         if signal == Signal::Terminate {
             // It takes nobody in any more. A link would, and break them off: to a client, a request that was lost.
-            self.refuse(Post::Gateway(gateway));
+            self.refuse(MachineRole::Gateway(gateway));
         }
         // One that is gone at once is not there for what else happens at this instant.
         self.note_exits(now);
@@ -436,7 +436,7 @@
     fn look(&mut self, now: Time) {
         self.note_exits(now);
         self.miss_fallen();
-        self.troubles.extend(self.site.counter.troubles());
+        self.errors.extend(self.site.counter.errors());
     }
 
     fn note_exits(&mut self, now: Time) {
@@ -448,7 +448,7 @@
                 continue;
             }
             post.up = None;
-            gone.push(Post::Gateway(gateway));
+            gone.push(MachineRole::Gateway(gateway));
             post.stops = 0;
             post.slow.clear();
             // One that killed itself as arranged was killed by the scenario, unless that has done so just now.
@@ -456,12 +456,12 @@
             let meant = (post.ending || died.is_some()) && exit.error.is_none();
             let again = died.filter(|_| !post.again).or(post.again.then_some(CHANGEOVER));
             if died.is_some() {
-                self.died.push((gateway, now));
+                self.crashed.push((gateway, now));
                 self.site.see(ObservationKind::GatewaySignalled { gateway, kill: true });
             }
             self.site.see(ObservationKind::GatewayDown { gateway, expected: meant });
             if let Some(error) = exit.error {
-                self.troubles.push(format!("gateway {}: {error}", gateway + 1));
+                self.errors.push(format!("gateway {}: {error}", gateway + 1));
             }
             if let Some(after) = again {
                 self.plan(now + after, Step::StartGateway(gateway));
@@ -496,7 +496,7 @@
 
     fn drain(&mut self, now: Time, host: u32) {
         if self.site.hosts[host as usize].running.is_some() {
-            for place in self.moments.drains(now, host) {
+            for place in self.triggers.drains(now, host) {
                 self.plan(now, Step::Event(place));
             }
             self.site.hosts[host as usize].draining = true;
@@ -508,16 +508,16 @@
     /// A host's process ends, without a word to discovery.
     fn end_host(&mut self, host: u32) {
         if let Some(running) = self.site.hosts[host as usize].running.take() {
-            let post = Post::Host(self.site.hosts[host as usize].place);
+            let post = MachineRole::Host(self.site.hosts[host as usize].place);
             self.end_still(post);
             running.stop();
             self.refuse(post);
         }
     }
 
-    fn refuse(&mut self, post: Post) {
+    fn refuse(&mut self, post: MachineRole) {
         if let Err(error) = self.site.stage.refuse(post, true) {
-            self.troubles.push(format!("the links to {post:?}: {error}"));
+            self.errors.push(format!("the links to {post:?}: {error}"));
         }
     }
 
@@ -552,32 +552,33 @@
 
     // ---- The network
 
-    fn posts(&self, side: &PartitionSide) -> Vec<Post> {
+    fn posts(&self, side: &PartitionSide) -> Vec<MachineRole> {
         let site = &self.site.scenario.site;
         let places = self.site.hosts.iter().map(|host| host.place);
         match side {
             PartitionSide::Building(number) => {
                 let here = |place: &u32| self.building(*place) == *number;
-                let mut posts: Vec<Post> = (0..site.gateways).filter(here).map(Post::Gateway).collect();
+                let mut posts: Vec<MachineRole> =
+                    (0..site.gateways).filter(here).map(MachineRole::Gateway).collect();
                 let mut places: Vec<u32> = places.filter(here).collect();
                 places.sort_unstable();
                 places.dedup();
-                posts.extend(places.into_iter().map(Post::Host));
-                posts.extend((*number == site.counter.building).then_some(Post::Counter));
+                posts.extend(places.into_iter().map(MachineRole::Host));
+                posts.extend((*number == site.counter.building).then_some(MachineRole::Counter));
                 posts
             }
-            PartitionSide::Gateway(number) => vec![Post::Gateway(number - 1)],
+            PartitionSide::Gateway(number) => vec![MachineRole::Gateway(number - 1)],
             PartitionSide::Host(number) => {
                 let place = self.site.hosts.get(*number as usize - 1).map(|host| host.place);
-                place.map(Post::Host).into_iter().collect()
+                place.map(MachineRole::Host).into_iter().collect()
             }
-            PartitionSide::Counter => vec![Post::Counter],
-            PartitionSide::Clients => vec![Post::Clients],
+            PartitionSide::Counter => vec![MachineRole::Counter],
+            PartitionSide::Clients => vec![MachineRole::Clients],
         }
     }
 }
 
-type HostOf<S> = fake_services::host::HostStandIn<<S as Stage>::Env>;
+type HostOf<S> = fake_services::host::HostStandIn<<S as Backend>::Env>;
 
 /// Who is meant: a share is of `all`; whoever is drawn is drawn of the `present` ones, numbered from 0. Buildings
 /// are numbered from 1.
--- a/crates/cluster-emulator/src/director/faults.rs
+++ b/crates/cluster-emulator/src/fault_injector/faults.rs
@@ -1,7 +1,7 @@
 //! What fails between machines and in processes: cuts, links, buildings, processes that stand still.
 
-use super::{choose, Director, Step, LOOK};
-use crate::stage::{Post, Signal, Stage};
+use super::{choose, FaultInjector, Step, LOOK};
+use crate::backend::{Backend, MachineRole, Signal};
 use anyhow::Result;
 use cluster_model::agent::Detection;
 use cluster_model::observation::ObservationKind;
@@ -42,12 +42,12 @@
 /// Links that are cut and whole by turns.
 #[derive(Clone, Debug)]
 pub(super) struct Flapping {
-    pairs: Vec<(Post, Post)>,
+    pairs: Vec<(MachineRole, MachineRole)>,
     every: Span,
     until: Time,
 }
 
-impl<S: Stage> Director<S> {
+impl<S: Backend> FaultInjector<S> {
     /// Something fails between machines or in processes of gateways.
     pub(super) fn fault(&mut self, now: Time, event: Event, rng: &mut Rng) -> Result<()> {
         match event {
@@ -75,7 +75,7 @@
                     self.stop_host_for(now, host, span)?;
                 }
             }
-            Event::SuspendCounter(span) => self.stand(now, Post::Counter, span, Vec::new())?,
+            Event::SuspendCounter(span) => self.stand(now, MachineRole::Counter, span, Vec::new())?,
             Event::ClockOffset(which, ahead) => {
                 let all: Vec<u32> = (0..self.site.gateways.len() as u32).collect();
                 for gateway in choose(&which, all.len() as u32, all, |gateway| self.building(gateway), rng) {
@@ -94,7 +94,7 @@
     }
 
     pub(super) fn open_gaps(&mut self, gaps: &[Gap]) {
-        let blind = !self.site.stage.knows_when_sent();
+        let blind = !self.site.stage.knows_send_times();
         for gap in gaps {
             let reasons = self.gaps.entry(*gap).or_default();
             *reasons += 1;
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn close_gaps(&mut self, gaps: &[Gap]) {
-        let blind = !self.site.stage.knows_when_sent();
+        let blind = !self.site.stage.knows_send_times();
         for gap in gaps {
             let Some(reasons) = self.gaps.get_mut(gap).filter(|reasons| **reasons > 0) else { continue };
             *reasons -= 1;
@@ -117,23 +117,32 @@
 
     // ---- Cuts and buildings
 
-    fn cut(&mut self, now: Time, a: &[Post], b: &[Post], span: Span, reset: bool) -> Result<()> {
+    fn cut(
+        &mut self,
+        now: Time,
+        a: &[MachineRole],
+        b: &[MachineRole],
+        span: Span,
+        reset: bool,
+    ) -> Result<()> {
         let cut = self.site.stage.cut(a, b, span, reset)?;
         let both = a.iter().flat_map(|a| b.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
         let gaps = self.gaps_of(both.filter(|(a, b)| a != b));
         self.open_gaps(&gaps);
-        self.plan(now + span + self.site.stage.late_by(), Step::Heal(cut, gaps));
+        self.plan(now + span + self.site.stage.max_fault_delay(), Step::Heal(cut, gaps));
         Ok(())
     }
 
     /// Gaps that arise where nothing passes, or not all, from each first to each second.
-    fn gaps_of(&self, pairs: impl Iterator<Item = (Post, Post)>) -> Vec<Gap> {
+    fn gaps_of(&self, pairs: impl Iterator<Item = (MachineRole, MachineRole)>) -> Vec<Gap> {
         let mut gaps: Vec<Gap> = Vec::new();
         for pair in pairs {
             match pair {
-                (Post::Clients, Post::Gateway(gateway)) => gaps.push(Gap::Clients(gateway)),
-                (Post::Gateway(one), Post::Gateway(other)) if one == other => gaps.push(Gap::News(one)),
-                (Post::Gateway(gateway), Post::Host(place)) => {
+                (MachineRole::Clients, MachineRole::Gateway(gateway)) => gaps.push(Gap::Clients(gateway)),
+                (MachineRole::Gateway(one), MachineRole::Gateway(other)) if one == other => {
+                    gaps.push(Gap::News(one))
+                }
+                (MachineRole::Gateway(gateway), MachineRole::Host(place)) => {
                     let there = (0..).zip(&self.site.hosts).filter(|(_, host)| host.place == place);
                     gaps.extend(there.map(|(host, _)| Gap::Calls(gateway, host)));
                 }
@@ -154,24 +163,24 @@
         self.plan(now + span, Step::Drop(building));
         for post in self.posts(&PartitionSide::Building(building)) {
             match post {
-                Post::Gateway(gateway) => {
+                MachineRole::Gateway(gateway) => {
                     self.site.gateways[gateway as usize].again = false;
                     self.signal(now, gateway, Signal::Kill);
                     self.plan_start(now + span, gateway);
                 }
-                Post::Host(place) => {
+                MachineRole::Host(place) => {
                     for host in self.in_service_at(place) {
                         self.stop_host(host, Detection::TimedOut);
                         self.plan(now + span, Step::HostBack(host));
                     }
                 }
-                Post::Counter => {
-                    self.end_still(Post::Counter);
+                MachineRole::Counter => {
+                    self.end_still(MachineRole::Counter);
                     self.site.counter.lose(span);
-                    self.site.stage.refuse(Post::Counter, true)?;
+                    self.site.stage.refuse(MachineRole::Counter, true)?;
                     self.plan(now + span, Step::Forget);
                 }
-                Post::Clients => {}
+                MachineRole::Clients => {}
             }
         }
         Ok(())
@@ -188,7 +197,7 @@
     /// Until it listens, its links refuse.
     pub(super) fn counter_listens(&mut self, now: Time) -> Result<()> {
         if self.site.counter.listens() {
-            self.site.stage.refuse(Post::Counter, false)?;
+            self.site.stage.refuse(MachineRole::Counter, false)?;
         } else {
             self.plan(now + LOOK, Step::CounterListens);
         }
@@ -199,8 +208,9 @@
     /// write requests to processes that are no more, and nobody could tell what became of them.
     pub(super) fn drop_connections(&mut self, building: u32) -> Result<()> {
         let posts = self.posts(&PartitionSide::Building(building)).into_iter();
-        let gateways = posts.filter(|post| matches!(post, Post::Gateway(_)));
-        let pairs: Vec<(Post, Post)> = gateways.map(|gateway| (Post::Clients, gateway)).collect();
+        let gateways = posts.filter(|post| matches!(post, MachineRole::Gateway(_)));
+        let pairs: Vec<(MachineRole, MachineRole)> =
+            gateways.map(|gateway| (MachineRole::Clients, gateway)).collect();
         Ok(self.site.stage.reset_links(&pairs)?)
     }
 
@@ -210,9 +220,12 @@
     }
 
     /// All that is not in a building.
-    fn outside(&self, building: u32) -> Vec<Post> {
+    fn outside(&self, building: u32) -> Vec<MachineRole> {
         let others = (1..=self.site.scenario.site.buildings).filter(|other| *other != building);
-        others.flat_map(|other| self.posts(&PartitionSide::Building(other))).chain([Post::Clients]).collect()
+        others
+            .flat_map(|other| self.posts(&PartitionSide::Building(other)))
+            .chain([MachineRole::Clients])
+            .collect()
     }
 
     // ---- Links
@@ -236,20 +249,20 @@
             LinkFault::Flap(every) => {
                 self.flap(now, Flapping { pairs, every: *every, until: now + span })?;
             }
-            lasting => self.site.stage.fail_links(&pairs, lasting, span)?,
+            lasting => self.site.stage.start_link_fault(&pairs, lasting, span)?,
         }
         // What is on its way when a delay ends keeps its time.
         let underway = if let LinkFault::Delay(_, most) = fault { *most } else { 0 };
-        self.plan(now + span + underway + self.site.stage.late_by(), Step::Whole(gaps));
+        self.plan(now + span + underway + self.site.stage.max_fault_delay(), Step::Whole(gaps));
         Ok(())
     }
 
     /// Who opens connections to whom on these links.
-    fn pairs(&self, gateways: &[u32], end: &LinkEnd, rng: &mut Rng) -> Vec<(Post, Post)> {
-        let gateways = gateways.iter().map(|gateway| Post::Gateway(*gateway));
+    fn pairs(&self, gateways: &[u32], end: &LinkEnd, rng: &mut Rng) -> Vec<(MachineRole, MachineRole)> {
+        let gateways = gateways.iter().map(|gateway| MachineRole::Gateway(*gateway));
         match end {
-            LinkEnd::Clients => gateways.map(|gateway| (Post::Clients, gateway)).collect(),
-            LinkEnd::Counter => gateways.map(|gateway| (gateway, Post::Counter)).collect(),
+            LinkEnd::Clients => gateways.map(|gateway| (MachineRole::Clients, gateway)).collect(),
+            LinkEnd::Counter => gateways.map(|gateway| (gateway, MachineRole::Counter)).collect(),
             // Each has its agent on its own machine.
             LinkEnd::Discovery => gateways.map(|gateway| (gateway, gateway)).collect(),
             LinkEnd::Hosts(which) => {
@@ -258,7 +271,7 @@
                     hosts.into_iter().map(|host| self.site.hosts[host as usize].place).collect();
                 places.sort_unstable();
                 places.dedup();
-                let to_all = |gateway| places.iter().map(move |place| (gateway, Post::Host(*place)));
+                let to_all = |gateway| places.iter().map(move |place| (gateway, MachineRole::Host(*place)));
                 gateways.flat_map(to_all).collect()
             }
         }
@@ -270,7 +283,11 @@
             return Ok(());
         }
         let span = flapping.every.min(flapping.until - now);
-        self.site.stage.fail_links(&flapping.pairs, &LinkFault::Blackhole(LinkDirection::Both), span)?;
+        self.site.stage.start_link_fault(
+            &flapping.pairs,
+            &LinkFault::Blackhole(LinkDirection::Both),
+            span,
+        )?;
         self.plan(now.saturating_add(flapping.every.saturating_mul(2)), Step::Flap(flapping));
         Ok(())
     }
@@ -303,40 +320,40 @@
 
     /// Lets a host's process stand still, and all work in it.
     fn stop_host_for(&mut self, now: Time, host: u32, span: Span) -> Result<()> {
-        let post = Post::Host(self.site.hosts[host as usize].place);
+        let post = MachineRole::Host(self.site.hosts[host as usize].place);
         let gateways = 0..self.site.gateways.len() as u32;
         self.on_host(host, |host| host.pause(now + span));
         self.stand(now, post, span, gateways.map(|gateway| Gap::Calls(gateway, host)).collect())
     }
 
     /// Lets a stand-in's process stand still for so long.
-    fn stand(&mut self, now: Time, post: Post, span: Span, gaps: Vec<Gap>) -> Result<()> {
+    fn stand(&mut self, now: Time, post: MachineRole, span: Span, gaps: Vec<Gap>) -> Result<()> {
         self.open_gaps(&gaps);
         let reasons = self.still.entry(post).or_default();
         *reasons += 1;
         if *reasons == 1 {
-            self.site.stage.stand_still(post, true)?;
+            self.site.stage.set_suspended(post, true)?;
         }
         self.plan(now + span, Step::Runs(post, gaps));
         Ok(())
     }
 
     /// One reason less for a stand-in to stand still.
-    pub(super) fn runs(&mut self, post: Post, gaps: &[Gap]) -> Result<()> {
+    pub(super) fn runs(&mut self, post: MachineRole, gaps: &[Gap]) -> Result<()> {
         self.close_gaps(gaps);
         let Some(reasons) = self.still.get_mut(&post).filter(|reasons| **reasons > 0) else { return Ok(()) };
         *reasons -= 1;
         if *reasons == 0 {
-            self.site.stage.stand_still(post, false)?;
+            self.site.stage.set_suspended(post, false)?;
         }
         Ok(())
     }
 
     /// A stand-in's process is no more: nothing of it stands still.
-    pub(super) fn end_still(&mut self, post: Post) {
+    pub(super) fn end_still(&mut self, post: MachineRole) {
         if self.still.remove(&post).is_some_and(|reasons| reasons > 0) {
-            if let Err(error) = self.site.stage.stand_still(post, false) {
-                self.troubles.push(format!("{post:?}: {error}"));
+            if let Err(error) = self.site.stage.set_suspended(post, false) {
+                self.errors.push(format!("{post:?}: {error}"));
             }
         }
     }
--- a/crates/cluster-emulator/src/lib.rs
+++ b/crates/cluster-emulator/src/lib.rs
@@ -4,28 +4,29 @@
 //! per gateway, before the same stand-ins. A judge looks at what passes on the wires, and the history of each run is
 //! checked after it.
 
+mod backend;
 mod counter;
-mod deaths;
-mod director;
+mod crash_scenario;
 mod explain;
-mod moments;
-mod operators;
-mod play;
+mod fault_injector;
+mod operator_file;
 mod real;
+mod run;
 mod site;
-mod stage;
 mod stated;
 mod swarm;
 mod trace;
+mod triggers;
 mod virtual_time;
 
-pub use deaths::Death;
-pub use operators::{operators_of, read_operators};
-pub use play::{
-    play_real, play_virtual, Checked, OnPacket, OnProgress, Played, Progress, RealOptions, VirtualOptions,
+pub use crash_scenario::CrashScenario;
+pub use operator_file::{operators_of, read_operators};
+pub use real::{run_child_process, CounterProcess, GatewayOverride};
+pub use run::{
+    run_real, run_virtual, HistoryCheck, OnPacket, OnProgress, Progress, RealOptions, RunOutcome,
+    VirtualOptions,
 };
-pub use real::{become_process, CounterProcess, Special};
 pub use stated::stated;
 pub use swarm::{only, random_fleet, random_scenario, shrink, Found, Ground, Swarm};
 pub use trace::{RunTrace, TraceError};
-pub use virtual_time::{Document, GatewayMaker, GatewayStart, GatewayTask};
+pub use virtual_time::{Document, GatewayFactory, GatewayStart, GatewayTask};
--- a/crates/cluster-emulator/src/main.rs
+++ b/crates/cluster-emulator/src/main.rs
@@ -5,8 +5,8 @@
 use anyhow::{anyhow, bail, Context, Result};
 use clap::Parser;
 use cluster_emulator::{
-    become_process, only, play_real, play_virtual, random_fleet, random_scenario, read_operators, Checked,
-    Ground, OnPacket, Played, Progress, RealOptions, RunTrace, Swarm, VirtualOptions,
+    only, random_fleet, random_scenario, read_operators, run_child_process, run_real, run_virtual, Ground,
+    HistoryCheck, OnPacket, Progress, RealOptions, RunOutcome, RunTrace, Swarm, VirtualOptions,
 };
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
@@ -105,7 +105,7 @@
 const MOST_FINDINGS: usize = 10;
 
 fn main() -> ExitCode {
-    if let Err(error) = become_process() {
+    if let Err(error) = run_child_process() {
         eprintln!("cluster-emulator: cannot begin: {error}");
         return ExitCode::FAILURE;
     }
@@ -181,7 +181,7 @@
         keep_trace(line, &played, replay.as_ref())?;
     }
     let kept = played.verdict.breaches.is_empty() && played.history.findings.is_empty();
-    Ok(kept && played.troubles.is_empty() && played.too_slow.is_none())
+    Ok(kept && played.errors.is_empty() && played.too_slow.is_none())
 }
 
 /// The scenario, at the size that was asked for.
@@ -225,7 +225,7 @@
     scenario: &Scenario,
     seed: u64,
     operators: &Operators,
-) -> Result<Played> {
+) -> Result<RunOutcome> {
     let trace = line.trace.as_ref().map(|path| tracer(path)).transpose()?;
     let mut meter = Meter::new();
     let mut told = |now: Progress| meter.tell(now);
@@ -236,13 +236,13 @@
         operators: operators.clone(),
         ..VirtualOptions::default()
     };
-    let played = play_virtual(scenario, seed, options);
+    let played = run_virtual(scenario, seed, options);
     meter.end();
     played
 }
 
 /// Writes what links and processes did, if that is wanted, and says how near a replay has come.
-fn keep_trace(line: &CommandLine, played: &Played, replay: Option<&RunTrace>) -> Result<()> {
+fn keep_trace(line: &CommandLine, played: &RunOutcome, replay: Option<&RunTrace>) -> Result<()> {
     if line.trace.is_none() && replay.is_none() {
         return Ok(());
     }
@@ -257,7 +257,11 @@
     Ok(())
 }
 
-fn real(line: &CommandLine, (scenario, seed): (&Scenario, u64), replay: Option<&RunTrace>) -> Result<Played> {
+fn real(
+    line: &CommandLine,
+    (scenario, seed): (&Scenario, u64),
+    replay: Option<&RunTrace>,
+) -> Result<RunOutcome> {
     let program = program(line)?;
     let mut meter = Meter::new();
     let mut told = |now: Progress| meter.tell(now);
@@ -271,7 +275,7 @@
         special: None,
         progress: Some(&mut told),
     };
-    let played = play_real(scenario, seed, options);
+    let played = run_real(scenario, seed, options);
     meter.end();
     played
 }
@@ -290,7 +294,7 @@
     }))
 }
 
-fn show(line: &CommandLine, played: &Played, heading: &Heading) -> Result<()> {
+fn show(line: &CommandLine, played: &RunOutcome, heading: &Heading) -> Result<()> {
     let write = |path: &PathBuf, text: String| {
         std::fs::write(path, text).with_context(|| format!("cannot write {}", path.display()))
     };
@@ -305,22 +309,22 @@
         return Ok(());
     }
     if let Some(request) = line.explain {
-        if played.explained.is_empty() {
+        if played.timeline.is_empty() {
             bail!("no request {request:016x} was seen");
         }
-        played.explained.iter().for_each(|line| println!("{line}"));
+        played.timeline.iter().for_each(|line| println!("{line}"));
         return Ok(());
     }
     print!("{}", table(&played.verdict, heading));
-    for trouble in played.troubles.iter().chain(&played.too_slow) {
+    for trouble in played.errors.iter().chain(&played.too_slow) {
         println!("{trouble}");
     }
     show_history(&played.history);
     if let Some(cpu) = played.gateway_cpu_s {
-        let each = cpu * 1e6 / played.tries.max(1) as f64;
+        let each = cpu * 1e6 / played.requests.max(1) as f64;
         println!("gateways: {cpu:.2} s of CPU, {each:.0} us a try");
     }
-    if let Some(late) = played.late_s {
+    if let Some(late) = played.max_lateness_s {
         println!("stand-ins: {:.0} ms late at the most", late * 1e3);
     }
     if let Some(speed) = speed_line(heading) {
@@ -331,15 +335,15 @@
 
 /// What the history's checker found, up to so many breaches, on standard output; its cost on the other one, since
 /// that differs from run to run.
-fn show_history(history: &Checked) {
-    let Checked { findings, sightings, took } = history;
+fn show_history(history: &HistoryCheck) {
+    let HistoryCheck { findings, observations, duration } = history;
     for finding in findings.iter().take(MOST_FINDINGS) {
         println!("{finding}");
     }
     if findings.len() > MOST_FINDINGS {
         println!("history: and {} more", findings.len() - MOST_FINDINGS);
     }
-    eprintln!("History of {sightings} sightings checked in {:.1} ms.", took.as_secs_f64() * 1e3);
+    eprintln!("History of {observations} observations checked in {:.1} ms.", duration.as_secs_f64() * 1e3);
 }
 
 /// Where the swarm is played.
--- a/crates/cluster-emulator/src/real.rs
+++ b/crates/cluster-emulator/src/real.rs
@@ -1,25 +1,26 @@
 //! The real stage: the release program once per gateway, on loopback sockets, in real time. What the network
-//! does on the virtual stage, links between the processes do here ([`wires`]); without them the stand-ins do: they
+//! does on the virtual stage, links between the processes do here ([`links`]); without them the stand-ins do: they
 //! take the way's time into their own (`lag`), and say nothing to gateways that they are cut off from.
 
 mod counter;
 mod lag;
 mod launch;
+mod links;
 mod logs;
-mod wires;
 
 pub use counter::CounterProcess;
 pub(crate) use lag::Lag;
-pub use launch::become_process;
-pub(crate) use wires::{Pair, WAIT};
+pub use launch::run_child_process;
+pub(crate) use links::{Pair, WAIT};
 
-use crate::counter::CounterOf;
-use crate::play::RealOptions;
-use crate::stage::{counter_tasks, lock, Exit, Post, Signal, Stage};
+use crate::backend::{counter_tasks, lock, Backend, Exit, MachineRole, Signal};
+use crate::counter::CounterHandle;
+use crate::run::RealOptions;
 use crate::trace::{LinkLine, ProcessLine};
 use cluster_model::scenario::{LinkFault, Scenario, Site};
 use cluster_model::MS;
 use fake_services::Recorder;
+use links::Links;
 use logs::Watched;
 use runtime::{Env, Span, SystemEnv, Time};
 use rustix::process::{kill_process, Pid, Signal as UnixSignal};
@@ -36,7 +37,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::process::{Child, Command};
-use wires::Wires;
 
 /// A gateway that listens is connected to sooner.
 const PROBE: Duration = Duration::from_millis(5);
@@ -49,7 +49,7 @@
 const MOST_TOLD: usize = 200_000;
 
 /// What a cut parts: stand-ins and the gateways that they are silent to.
-type CutOff = Vec<(Post, u32)>;
+type CutOff = Vec<(MachineRole, u32)>;
 
 /// A gateway's process that runs.
 struct Running {
@@ -62,7 +62,7 @@
 
 /// A gateway whose first process is another program, or has a world of its own; its later ones are as all others.
 #[derive(Clone, Debug)]
-pub struct Special {
+pub struct GatewayOverride {
     /// Which, counted from 0.
     pub gateway: u32,
     /// The program.
@@ -74,10 +74,10 @@
 }
 
 /// A stage of processes and sockets.
-pub struct RealStage {
+pub struct RealBackend {
     env: SystemEnv,
     program: PathBuf,
-    special: Option<Special>,
+    special: Option<GatewayOverride>,
     operators: Option<PathBuf>,
     launcher: Option<PathBuf>,
     limits: launch::Limits,
@@ -85,7 +85,7 @@
     watched: Watched,
     /// Configuration documents, in files without a name: nothing is left of them whoever is killed.
     documents: BTreeMap<u32, File>,
-    wires: Option<Wires>,
+    wires: Option<Links>,
     counter: Option<CounterProcess>,
     /// When the links were started.
     wired: Time,
@@ -101,7 +101,7 @@
     exits: Arc<Mutex<Vec<Exit>>>,
     cuts: BTreeMap<u64, CutOff>,
     next_cut: u64,
-    /// What is silent for whom: the director asks for it after each change.
+    /// What is silent for whom: the fault injector asks for it after each change.
     pub silences: Vec<Silence>,
 }
 
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Silence {
     /// The stand-in's machine.
-    pub post: Post,
+    pub post: MachineRole,
     /// The gateway.
     pub gateway: u32,
     /// Silent; else it speaks again.
@@ -118,9 +118,9 @@
     pub reset: bool,
 }
 
-impl RealStage {
+impl RealBackend {
     /// A stage that starts the program for each gateway, with logs in a folder if one is given.
-    pub fn new(site: &Site, seed: u64, options: &RealOptions<'_>) -> io::Result<RealStage> {
+    pub fn new(site: &Site, seed: u64, options: &RealOptions<'_>) -> io::Result<RealBackend> {
         let addresses: Vec<SocketAddr> = (0..site.gateways).map(|_| own_address()).collect();
         // One that somebody else has is told of here, and not by a gateway that ends.
         addresses.iter().try_for_each(is_free)?;
@@ -130,11 +130,11 @@
         let descriptors = launch::most_descriptors();
         let env = SystemEnv::start();
         let wired = env.now();
-        let wires = options.links.then(|| Wires::new(site, seed, descriptors / LINKS_SHARE)).transpose()?;
+        let wires = options.links.then(|| Links::new(site, seed, descriptors / LINKS_SHARE)).transpose()?;
         if let (Some(wires), Some(trace)) = (&wires, options.replay) {
             wires.replay(trace);
         }
-        Ok(RealStage {
+        Ok(RealBackend {
             env,
             program: options.program.clone(),
             special: options.special.clone(),
@@ -221,7 +221,7 @@
         Ok(PathBuf::from(format!("/proc/{}/fd/{}", std::process::id(), file.as_raw_fd())))
     }
 
-    fn wires(&self) -> io::Result<&Wires> {
+    fn wires(&self) -> io::Result<&Links> {
         self.wires.as_ref().ok_or_else(|| io::Error::other("links fail only with --links"))
     }
 
@@ -257,14 +257,14 @@
     }
 }
 
-impl Stage for RealStage {
+impl Backend for RealBackend {
     type Env = SystemEnv;
 
-    fn process(&self, _post: Post, _name: &str) -> SystemEnv {
+    fn process(&self, _post: MachineRole, _name: &str) -> SystemEnv {
         self.env
     }
 
-    fn address(&self, _post: Post) -> SocketAddr {
+    fn address(&self, _post: MachineRole) -> SocketAddr {
         own_address()
     }
 
@@ -272,8 +272,8 @@
         self.addresses[gateway as usize]
     }
 
-    fn lag(&self, post: Post) -> Span {
-        if matches!(post, Post::Host(_) | Post::Counter) {
+    fn lag(&self, post: MachineRole) -> Span {
+        if matches!(post, MachineRole::Host(_) | MachineRole::Counter) {
             self.lag
         } else {
             0
@@ -285,7 +285,7 @@
         scenario: &Scenario,
         seed: u64,
         recorder: &Recorder,
-    ) -> io::Result<CounterOf<SystemEnv>> {
+    ) -> io::Result<CounterHandle<SystemEnv>> {
         let Some(launcher) = self.launcher.as_ref().filter(|_| self.wires.is_some()) else {
             return counter_tasks(self, scenario, seed, recorder);
         };
@@ -293,7 +293,7 @@
         let world = (self.env, recorder.clone());
         let counter = CounterProcess::start(launcher, scenario, (seed, addrs), world)?;
         self.counter = Some(counter.clone());
-        Ok(CounterOf::Process(counter))
+        Ok(CounterHandle::Process(counter))
     }
 
     fn start_gateway(&mut self, gateway: u32, incarnation: u32, document: &Value) -> io::Result<()> {
@@ -326,11 +326,11 @@
         Ok(())
     }
 
-    fn refuse(&mut self, post: Post, gone: bool) -> io::Result<()> {
+    fn refuse(&mut self, post: MachineRole, gone: bool) -> io::Result<()> {
         self.wires.as_ref().map_or(Ok(()), |wires| wires.refuse(post, gone))
     }
 
-    fn refuses_well(&self, gateway: u32) -> bool {
+    fn refuses_until_ready(&self, gateway: u32) -> bool {
         let address = &self.addresses[gateway as usize];
         // On loopback it answers at once, whether or not it is scheduled: the system does.
         self.wires.is_none() || TcpStream::connect_timeout(address, PROBE).is_ok()
@@ -371,14 +371,14 @@
         Err(io::Error::other("the system's clock stands still for no process: play it in virtual time"))
     }
 
-    fn stand_still(&mut self, post: Post, still: bool) -> io::Result<()> {
+    fn set_suspended(&mut self, post: MachineRole, still: bool) -> io::Result<()> {
         match &self.counter {
-            Some(counter) if post == Post::Counter => {
+            Some(counter) if post == MachineRole::Counter => {
                 counter.signal(if still { UnixSignal::STOP } else { UnixSignal::CONT });
                 Ok(())
             }
             // A host is tasks of this process that hear and say nothing: its system takes in what comes meanwhile.
-            _ if post != Post::Counter && self.wires.is_some() => {
+            _ if post != MachineRole::Counter && self.wires.is_some() => {
                 let cut: CutOff = (0..self.addresses.len() as u32).map(|gateway| (post, gateway)).collect();
                 self.silence(&cut, still, false);
                 Ok(())
@@ -399,7 +399,7 @@
         self.watched.lines()
     }
 
-    fn cut(&mut self, a: &[Post], b: &[Post], span: Span, reset: bool) -> io::Result<u64> {
+    fn cut(&mut self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool) -> io::Result<u64> {
         if let Some(wires) = &self.wires {
             wires.cut(a, b, span, reset)?;
             self.next_cut += 1;
@@ -418,26 +418,31 @@
         }
     }
 
-    fn fail_links(&mut self, pairs: &[(Post, Post)], fault: &LinkFault, span: Span) -> io::Result<()> {
+    fn start_link_fault(
+        &mut self,
+        pairs: &[(MachineRole, MachineRole)],
+        fault: &LinkFault,
+        span: Span,
+    ) -> io::Result<()> {
         self.wires()?.fail(pairs, fault, span)
     }
 
-    fn reset_links(&mut self, pairs: &[(Post, Post)]) -> io::Result<()> {
+    fn reset_links(&mut self, pairs: &[(MachineRole, MachineRole)]) -> io::Result<()> {
         self.wires()?.reset(pairs)
     }
 
-    fn reach(&self, from: Post, to: Post, address: SocketAddr) -> io::Result<SocketAddr> {
+    fn reach(&self, from: MachineRole, to: MachineRole, address: SocketAddr) -> io::Result<SocketAddr> {
         self.wires.as_ref().map_or(Ok(address), |wires| wires.reach((from, to), address))
     }
 
-    fn knows_when_sent(&self) -> bool {
+    fn knows_send_times(&self) -> bool {
         false
     }
 
-    fn late_by(&self) -> Span {
-        let replays = self.wires.as_ref().is_some_and(Wires::replays);
+    fn max_fault_delay(&self) -> Span {
+        let replays = self.wires.as_ref().is_some_and(Links::replays);
         if replays {
-            wires::WAIT
+            links::WAIT
         } else {
             0
         }
@@ -468,12 +473,15 @@
 }
 
 /// Stand-ins of one side with the gateways of the other.
-fn pairs<'a>(standins: &'a [Post], gateways: &'a [Post]) -> impl Iterator<Item = (Post, u32)> + 'a {
+fn pairs<'a>(
+    standins: &'a [MachineRole],
+    gateways: &'a [MachineRole],
+) -> impl Iterator<Item = (MachineRole, u32)> + 'a {
     let gateways = gateways.iter().filter_map(|post| match post {
-        Post::Gateway(gateway) => Some(*gateway),
+        MachineRole::Gateway(gateway) => Some(*gateway),
         _ => None,
     });
-    let here = |post: &&Post| matches!(post, Post::Host(_) | Post::Counter);
+    let here = |post: &&MachineRole| matches!(post, MachineRole::Host(_) | MachineRole::Counter);
     gateways.flat_map(move |gateway| standins.iter().filter(here).map(move |post| (*post, gateway)))
 }
 
@@ -547,9 +555,9 @@
 
     #[test]
     fn a_cut_between_buildings_leaves_each_to_itself() {
-        let one = [Post::Gateway(0), Post::Host(0), Post::Counter];
-        let two = [Post::Gateway(1), Post::Host(1)];
+        let one = [MachineRole::Gateway(0), MachineRole::Host(0), MachineRole::Counter];
+        let two = [MachineRole::Gateway(1), MachineRole::Host(1)];
         let cut: Vec<_> = pairs(&one, &two).chain(pairs(&two, &one)).collect();
-        assert_eq!(cut, [(Post::Host(0), 1), (Post::Counter, 1), (Post::Host(1), 0)]);
+        assert_eq!(cut, [(MachineRole::Host(0), 1), (MachineRole::Counter, 1), (MachineRole::Host(1), 0)]);
     }
 }
--- a/crates/cluster-emulator/src/real/counter.rs
+++ b/crates/cluster-emulator/src/real/counter.rs
@@ -5,8 +5,8 @@
 //! among it; what happens to it meanwhile comes on its standard input, a line each; and each call that it has
 //! settled goes out on its standard output, a bounded line each, with the time on the clock of the one who judges.
 
+use crate::backend::lock;
 use crate::counter::act;
-use crate::stage::lock;
 use cluster_model::file;
 use cluster_model::observation::{Observation, ObservationKind};
 use cluster_model::scenario::Scenario;
@@ -52,7 +52,7 @@
     document: File,
     recorder: Recorder,
     state: Mutex<State>,
-    troubles: Mutex<Vec<String>>,
+    errors: Mutex<Vec<String>>,
 }
 
 #[derive(Default)]
@@ -84,10 +84,9 @@
         let mut document = tempfile::tempfile()?;
         document.write_all(config.to_string().as_bytes())?;
         document.rewind()?;
-        let (state, troubles) = (Mutex::default(), Mutex::default());
+        let (state, errors) = (Mutex::default(), Mutex::default());
         let launcher = launcher.to_owned();
-        let counter =
-            CounterProcess(Arc::new(Inner { launcher, addrs, document, recorder, state, troubles }));
+        let counter = CounterProcess(Arc::new(Inner { launcher, addrs, document, recorder, state, errors }));
         counter.spawn()?;
         let until = Instant::now() + PATIENCE;
         while !counter.listens() {
@@ -166,8 +165,8 @@
         last.is_none_or(|last| TcpStream::connect_timeout(last, PROBE).is_ok())
     }
 
-    pub(crate) fn troubles(&self) -> Vec<String> {
-        std::mem::take(&mut *lock(&self.0.troubles))
+    pub(crate) fn errors(&self) -> Vec<String> {
+        std::mem::take(&mut *lock(&self.0.errors))
     }
 
     /// A process is no more. Whether it was thought to run.
@@ -207,7 +206,7 @@
         }
     };
     if counter.forget(pid) {
-        lock(&counter.0.troubles).push(format!("the counter's process {trouble}"));
+        lock(&counter.0.errors).push(format!("the counter's process {trouble}"));
     }
     // Nothing is to be done where it cannot be waited for.
     let _ = child.kill().await;
@@ -266,7 +265,7 @@
 ///
 /// # Errors
 /// Where it cannot read what it is to be, or cannot listen.
-pub(super) fn be_counter(document: &Path) -> io::Result<()> {
+pub(super) fn run_counter(document: &Path) -> io::Result<()> {
     let config: Value = serde_json::from_slice(&std::fs::read(document)?)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(serve(&config))
--- a/crates/cluster-emulator/src/real/launch.rs
+++ b/crates/cluster-emulator/src/real/launch.rs
@@ -49,12 +49,12 @@
 ///
 /// # Errors
 /// Where the words are wrong, the one who started it is gone, or the program cannot be run.
-pub fn become_process() -> io::Result<()> {
+pub fn run_child_process() -> io::Result<()> {
     let words: Vec<OsString> = std::env::args_os().skip(1).collect();
     match &words[..] {
         [first, parent, document] if first == BE_COUNTER => {
             end_with(number(parent)?)?;
-            super::counter::be_counter(Path::new(document))?;
+            super::counter::run_counter(Path::new(document))?;
             std::process::exit(0);
         }
         [first, parent, descriptors, memory, program, own @ ..] if first == BECOME => {
--- a/crates/cluster-emulator/src/real/wires.rs
+++ b/crates/cluster-emulator/src/real/links.rs
@@ -1,7 +1,7 @@
 //! The links of a real stage: one for each pair of processes that speak, by which each way takes its time and each
 //! fault of a scenario acts on real sockets.
 
-use crate::stage::{lock, Post};
+use crate::backend::{lock, MachineRole};
 use crate::trace::{LinkLine, LinkName, RunTrace};
 use cluster_model::scenario::{LinkDirection, LinkFault, Site};
 use fault_proxy::{
@@ -25,10 +25,10 @@
 const MOST_ASKED: usize = 200_000;
 
 /// Who opens connections to whom.
-pub(crate) type Pair = (Post, Post);
+pub(crate) type Pair = (MachineRole, MachineRole);
 
 /// All links of a stage.
-pub(super) struct Wires {
+pub(super) struct Links {
     set: LinkSet,
     site: Site,
     state: Mutex<State>,
@@ -89,13 +89,13 @@
     until: Instant,
 }
 
-impl Wires {
+impl Links {
     /// No links yet.
-    pub fn new(site: &Site, seed: u64, descriptors: usize) -> io::Result<Wires> {
+    pub fn new(site: &Site, seed: u64, descriptors: usize) -> io::Result<Links> {
         let queue = site.network.window as usize;
         let settings = Settings { seed, descriptors, queue, ..Settings::default() };
         let set = LinkSet::start(settings).map_err(io::Error::other)?;
-        Ok(Wires { set, site: site.clone(), state: Mutex::default() })
+        Ok(Links { set, site: site.clone(), state: Mutex::default() })
     }
 
     /// Where the first of a pair reaches the second, which listens at `target`. The same each time.
@@ -141,12 +141,12 @@
         Some(Fault::Delay { way: Way::Both, base: Duration::from_nanos(one_way), jitter })
     }
 
-    fn building(&self, post: Post) -> Option<u32> {
+    fn building(&self, post: MachineRole) -> Option<u32> {
         let buildings = self.site.buildings.max(1);
         match post {
-            Post::Gateway(number) | Post::Host(number) => Some(number % buildings),
-            Post::Counter => Some(self.site.counter.building - 1),
-            Post::Clients => None,
+            MachineRole::Gateway(number) | MachineRole::Host(number) => Some(number % buildings),
+            MachineRole::Counter => Some(self.site.counter.building - 1),
+            MachineRole::Clients => None,
         }
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// A process is no more, or is back: links to it refuse meanwhile, as its system would.
-    pub fn refuse(&self, to: Post, gone: bool) -> io::Result<()> {
+    pub fn refuse(&self, to: MachineRole, gone: bool) -> io::Result<()> {
         let mut state = lock(&self.state);
         let there = state.links.iter().filter(|(((a, b), _), _)| *b == to && a != b);
         let there: Vec<(LinkId, LinkName)> =
@@ -187,7 +187,7 @@
     }
 
     /// Parts two sides for so long.
-    pub fn cut(&self, a: &[Post], b: &[Post], span: Span, reset: bool) -> io::Result<()> {
+    pub fn cut(&self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool) -> io::Result<()> {
         let both = a.iter().flat_map(|a| b.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
         let pairs: Vec<Pair> = both.filter(|(a, b)| a != b).collect();
         let span = Some(Duration::from_nanos(span));
@@ -318,10 +318,10 @@
     use std::io::{ErrorKind, Read, Write};
     use std::net::{TcpListener, TcpStream};
 
-    const PAIR: Pair = (Post::Gateway(0), Post::Counter);
+    const PAIR: Pair = (MachineRole::Gateway(0), MachineRole::Counter);
 
     /// Whether a byte comes through a link to `target`, asked for once more and within 0.3 s.
-    fn passes(wires: &Wires, pair: Pair, target: &TcpListener) -> bool {
+    fn passes(wires: &Links, pair: Pair, target: &TcpListener) -> bool {
         let address = wires.reach(pair, target.local_addr().unwrap()).unwrap();
         target.set_nonblocking(true).unwrap();
         let until = Instant::now() + Duration::from_millis(300);
@@ -347,27 +347,27 @@
 
     #[test]
     fn what_is_wrong_with_a_pair_is_wrong_with_links_that_come_later_and_with_no_other_pair() {
-        let wires = Wires::new(&Site::default(), 1, 100).unwrap();
+        let wires = Links::new(&Site::default(), 1, 100).unwrap();
         let [old, new, other] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
         assert!(passes(&wires, PAIR, &old));
         wires.cut(&[PAIR.0], &[PAIR.1], 3_600_000_000_000, false).unwrap();
         assert!(!passes(&wires, PAIR, &old));
         assert!(!passes(&wires, PAIR, &new), "it came while the pair was cut");
-        assert!(passes(&wires, (Post::Gateway(1), Post::Counter), &other));
+        assert!(passes(&wires, (MachineRole::Gateway(1), MachineRole::Counter), &other));
     }
 
     #[test]
     fn ways_within_a_building_between_buildings_and_from_clients_take_their_times() {
         let site = Site { buildings: 3, ..Site::default() };
-        let wires = Wires::new(&site, 1, 100).unwrap();
+        let wires = Links::new(&site, 1, 100).unwrap();
         let us = |a, b| match wires.delay((a, b)) {
             Some(Fault::Delay { base, .. }) => base.as_micros(),
             _ => 0,
         };
-        assert_eq!(us(Post::Gateway(0), Post::Host(3)), 200);
-        assert_eq!(us(Post::Gateway(0), Post::Host(1)), 1000);
-        assert_eq!(us(Post::Gateway(3), Post::Counter), 200);
-        assert_eq!(us(Post::Clients, Post::Gateway(0)), 600);
-        assert_eq!(us(Post::Gateway(0), Post::Gateway(0)), 0);
+        assert_eq!(us(MachineRole::Gateway(0), MachineRole::Host(3)), 200);
+        assert_eq!(us(MachineRole::Gateway(0), MachineRole::Host(1)), 1000);
+        assert_eq!(us(MachineRole::Gateway(3), MachineRole::Counter), 200);
+        assert_eq!(us(MachineRole::Clients, MachineRole::Gateway(0)), 600);
+        assert_eq!(us(MachineRole::Gateway(0), MachineRole::Gateway(0)), 0);
     }
 }
--- a/crates/cluster-emulator/src/site.rs
+++ b/crates/cluster-emulator/src/site.rs
@@ -1,8 +1,8 @@
 //! The stand-ins of a site, and what is known of its machines.
 
-use crate::counter::CounterOf;
-use crate::director::choose;
-use crate::stage::{Post, Stage};
+use crate::backend::{Backend, MachineRole};
+use crate::counter::CounterHandle;
+use crate::fault_injector::choose;
 use anyhow::{Context, Result};
 use cluster_model::agent::{Detection, DiscoveryMessage, Endpoint, Registry};
 use cluster_model::observation::{Lifecycle, ObservationKind};
@@ -97,7 +97,7 @@
 }
 
 /// All stand-ins of a site, and its gateways.
-pub struct SiteOf<S: Stage> {
+pub struct SiteOf<S: Backend> {
     /// What is played.
     pub scenario: Scenario,
     /// All chance comes from it.
@@ -107,7 +107,7 @@
     /// The truth of discovery.
     pub registry: SharedRegistry,
     /// The counter.
-    pub counter: CounterOf<S::Env>,
+    pub counter: CounterHandle<S::Env>,
     /// All hosts that there have been.
     pub hosts: Vec<Machine<S::Env>>,
     /// The gateways.
@@ -121,9 +121,9 @@
     settled: Settled,
 }
 
-impl<S: Stage> SiteOf<S> {
+impl<S: Backend> SiteOf<S> {
     /// Puts up a site whose clients begin at `start`. Its gateways are started, and given until then to get
-    /// ready; those that do not start at one instant are left for the director to start.
+    /// ready; those that do not start at one instant are left for the fault injector to start.
     pub fn put_up(
         scenario: Scenario,
         seed: u64,
@@ -161,11 +161,11 @@
         }
         let doors = (0..site.gateways).map(|gateway| {
             let listens = stage.gateway_address(gateway);
-            stage.reach(Post::Clients, Post::Gateway(gateway), listens)
+            stage.reach(MachineRole::Clients, MachineRole::Gateway(gateway), listens)
         });
         let doors = doors.collect::<io::Result<Vec<_>>>()?;
         let clients = Clients::start(
-            stage.process(Post::Clients, "clients"),
+            stage.process(MachineRole::Clients, "clients"),
             ClientConfig {
                 site: site.clone(),
                 traffic: scenario.traffic.clone(),
@@ -204,7 +204,7 @@
         Ok(put_up)
     }
 
-    /// Clocks that are told differently at 0 are so from the first start on. The director says it once more then.
+    /// Clocks that are told differently at 0 are so from the first start on. The fault injector says it once more then.
     fn set_first_clocks(&mut self) -> io::Result<()> {
         for (place, timed) in self.scenario.events.iter().enumerate().filter(|(_, timed)| timed.at == 0) {
             if let Event::ClockOffset(which, ahead) = &timed.event {
@@ -266,12 +266,12 @@
     ) -> Result<Value> {
         let known = known.and_then(|list| serde_json::from_str(&list.text).ok());
         let mut rng = Rng::stream(self.seed, "gateway", u64::from(gateway) << 32 | u64::from(incarnation));
-        let post = Post::Gateway(gateway);
+        let post = MachineRole::Gateway(gateway);
         let start = GatewayStart {
             name: format!("n{gateway}"),
             listen: self.stage.gateway_address(gateway),
             discovery: self.stage.reach(post, post, self.gateways[gateway as usize].agent.addr())?,
-            counter: self.stage.reach(post, Post::Counter, self.counter.addrs()[gateway as usize])?,
+            counter: self.stage.reach(post, MachineRole::Counter, self.counter.addrs()[gateway as usize])?,
             seed: rng.bits(),
             known_endpoints: known
                 .unwrap_or_else(|| json!({"generation": 0, "reset": true, "instances": []})),
@@ -358,7 +358,7 @@
 
 impl Maker<'_> {
     /// A host that listens at these addresses, or at new ones of its place.
-    fn host<S: Stage>(
+    fn host<S: Backend>(
         &self,
         stage: &S,
         number: u32,
@@ -367,7 +367,7 @@
         cold: bool,
     ) -> Result<Machine<S::Env>> {
         let site = &self.scenario.site;
-        let post = Post::Host(place);
+        let post = MachineRole::Host(place);
         let listen = match addrs {
             [] => (0..site.gateways).map(|_| stage.address(post)).collect(),
             old => old.to_vec(),
@@ -388,7 +388,8 @@
         let started_ms = if cold { stage.now() / MS } else { 0 };
         let running = HostStandIn::start(stage.process(post, &format!("host {}", number + 1)), config)?;
         let listen = running.addrs();
-        let reached = |(gateway, at): (u32, &SocketAddr)| stage.reach(Post::Gateway(gateway), post, *at);
+        let reached =
+            |(gateway, at): (u32, &SocketAddr)| stage.reach(MachineRole::Gateway(gateway), post, *at);
         let addrs = (0..).zip(listen.iter()).map(reached).collect::<io::Result<Arc<[_]>>>()?;
         let id = format!("s-{:08x}", Rng::stream(self.seed, "host id", u64::from(number)).bits() as u32);
         let (draining, missed, slow) = (false, false, Vec::new());
@@ -396,8 +397,12 @@
     }
 }
 
-fn start_agent<S: Stage>(stage: &S, registry: &SharedRegistry, gateway: u32) -> Result<AgentStandIn<S::Env>> {
-    let post = Post::Gateway(gateway);
+fn start_agent<S: Backend>(
+    stage: &S,
+    registry: &SharedRegistry,
+    gateway: u32,
+) -> Result<AgentStandIn<S::Env>> {
+    let post = MachineRole::Gateway(gateway);
     let listen = stage.address(post);
     let config = AgentConfig { registry: registry.clone(), gateway, listen };
     let agent = AgentStandIn::start(stage.process(post, &format!("agent {}", gateway + 1)), config);
--- a/crates/cluster-emulator/src/swarm.rs
+++ b/crates/cluster-emulator/src/swarm.rs
@@ -5,8 +5,8 @@
 
 pub use fleets::random_fleet;
 
-use crate::play::{play_real, play_virtual, Played, RealOptions, VirtualOptions};
-use crate::virtual_time::GatewayMaker;
+use crate::run::{run_real, run_virtual, RealOptions, RunOutcome, VirtualOptions};
+use crate::virtual_time::GatewayFactory;
 use anyhow::Result;
 use cluster_model::rng::Rng;
 use cluster_model::scenario::{
@@ -49,7 +49,7 @@
     #[default]
     Sites,
     /// The same with something else in the place of the real gateway.
-    With(GatewayMaker),
+    With(GatewayFactory),
     /// Random fleets whose links fail too, in virtual time.
     Fleets,
     /// The same fleets on real processes with links between them.
@@ -70,7 +70,7 @@
         }
     }
 
-    fn play(&self, scenario: &Scenario, seed: u64) -> Result<Played> {
+    fn play(&self, scenario: &Scenario, seed: u64) -> Result<RunOutcome> {
         let gateway = match self {
             Ground::With(gateway) => Some(gateway.clone()),
             Ground::Sites | Ground::Fleets => None,
@@ -86,11 +86,11 @@
                     special: None,
                     progress: None,
                 };
-                return play_real(scenario, seed, options);
+                return run_real(scenario, seed, options);
             }
         };
-        let options = VirtualOptions { stop_at_breach: true, gateway, ..VirtualOptions::default() };
-        play_virtual(scenario, seed, options)
+        let options = VirtualOptions { stop_at_violation: true, gateway, ..VirtualOptions::default() };
+        run_virtual(scenario, seed, options)
     }
 
     /// What goes wrong. Of a real run that was too slow, what goes wrong when it is played again.
@@ -131,7 +131,7 @@
     }
 
     /// The same, with something else in the place of the real gateway.
-    pub fn play_with(&self, gateway: Option<&GatewayMaker>, told: &(dyn Fn(u64) + Sync)) -> Option<Found> {
+    pub fn play_with(&self, gateway: Option<&GatewayFactory>, told: &(dyn Fn(u64) + Sync)) -> Option<Found> {
         self.play_on(&gateway.map_or(Ground::Sites, |gateway| Ground::With(gateway.clone())), told)
     }
 
@@ -196,7 +196,7 @@
     Slow,
 }
 
-fn judge(played: Result<Played>) -> Option<(Kind, String)> {
+fn judge(played: Result<RunOutcome>) -> Option<(Kind, String)> {
     let played = match played {
         Ok(played) => played,
         Err(error) => return Some((Kind::Process, format!("{error:#}"))),
@@ -210,7 +210,7 @@
     if let Some(finding) = played.history.findings.first() {
         return Some((Kind::History(finding.rule), finding.to_string()));
     }
-    if let Some(trouble) = played.troubles.first() {
+    if let Some(trouble) = played.errors.first() {
         return Some((Kind::Process, trouble.clone()));
     }
     played.verdict.notes.first().map(|note| (Kind::Notes, note.clone()))
@@ -218,7 +218,7 @@
 
 /// Leaves out events, one after another, without which the same kind of thing still goes wrong. Gives the
 /// scenario and the places of the events that are left, counted from 1.
-pub fn shrink(scenario: &Scenario, seed: u64, gateway: Option<&GatewayMaker>) -> (Scenario, Vec<usize>) {
+pub fn shrink(scenario: &Scenario, seed: u64, gateway: Option<&GatewayFactory>) -> (Scenario, Vec<usize>) {
     let ground = gateway.map_or(Ground::Sites, |gateway| Ground::With(gateway.clone()));
     shrink_on(&ground, scenario, seed)
 }
--- a/crates/cluster-emulator/src/trace.rs
+++ b/crates/cluster-emulator/src/trace.rs
@@ -207,10 +207,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::stage::Post;
+    use crate::backend::MachineRole;
     use fault_proxy::{Direction, Place, Way};
 
-    const GATEWAY: Post = Post::Gateway(0);
+    const GATEWAY: MachineRole = MachineRole::Gateway(0);
 
     /// A trace with each fault, each kind of place and each word to a process.
     fn all() -> RunTrace {
@@ -229,7 +229,7 @@
             Last::Connecting(3),
             Last::Passed(Place { connection: 2, way: Direction::Answers, bytes: 4711 }),
         ];
-        let ends = [Post::Counter, Post::Host(4), Post::Gateway(0)];
+        let ends = [MachineRole::Counter, MachineRole::Host(4), MachineRole::Gateway(0)];
         let line = |(n, fault): (usize, &Fault)| LinkLine {
             at: n as i64 * 1_000 - 2_000,
             link: ((GATEWAY, ends[n % 3]), 10_000 + n as u16),
--- a/crates/cluster-emulator/src/trace/lines.rs
+++ b/crates/cluster-emulator/src/trace/lines.rs
@@ -1,7 +1,7 @@
 //! Lines of a trace, both ways.
 
 use super::{LinkLine, ProcessLine, RunTrace, HEAD, TOLD};
-use crate::stage::Post;
+use crate::backend::MachineRole;
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use fault_proxy::{Direction, Fault, Last, Place, Way};
@@ -81,23 +81,23 @@
     }
 }
 
-fn post_text(post: Post) -> String {
+fn post_text(post: MachineRole) -> String {
     match post {
-        Post::Gateway(number) => format!("gateway-{}", number + 1),
-        Post::Host(number) => format!("host-{}", number + 1),
-        Post::Counter => "counter".into(),
-        Post::Clients => "clients".into(),
+        MachineRole::Gateway(number) => format!("gateway-{}", number + 1),
+        MachineRole::Host(number) => format!("host-{}", number + 1),
+        MachineRole::Counter => "counter".into(),
+        MachineRole::Clients => "clients".into(),
     }
 }
 
-fn post(words: &mut Words<'_>) -> Result<Post, Wrong> {
+fn post(words: &mut Words<'_>) -> Result<MachineRole, Wrong> {
     let word = words.word("a machine")?;
     let numbered = |text: &str| text.parse::<u32>().ok().and_then(|number| number.checked_sub(1));
-    let gateway = word.strip_prefix("gateway-").and_then(numbered).map(Post::Gateway);
-    let host = word.strip_prefix("host-").and_then(numbered).map(Post::Host);
+    let gateway = word.strip_prefix("gateway-").and_then(numbered).map(MachineRole::Gateway);
+    let host = word.strip_prefix("host-").and_then(numbered).map(MachineRole::Host);
     match word {
-        "counter" => Ok(Post::Counter),
-        "clients" => Ok(Post::Clients),
+        "counter" => Ok(MachineRole::Counter),
+        "clients" => Ok(MachineRole::Clients),
         _ => gateway.or(host).ok_or_else(|| format!("unknown machine `{}`", short(word))),
     }
 }
@@ -155,7 +155,7 @@
 
 fn process(words: &mut Words<'_>, gateways: u32) -> Result<ProcessLine, Wrong> {
     let at = words.number("a time")?;
-    let Post::Gateway(gateway) = post(words)? else { return Err("expected a gateway".into()) };
+    let MachineRole::Gateway(gateway) = post(words)? else { return Err("expected a gateway".into()) };
     if gateway >= gateways {
         return Err(format!("there is no gateway {}: the scenario has {gateways}", gateway + 1));
     }
--- a/crates/cluster-emulator/src/moments.rs
+++ b/crates/cluster-emulator/src/triggers.rs
@@ -1,4 +1,4 @@
-//! Moments of a scenario that are named by something seen, and which of them have come.
+//! PendingTriggers of a scenario that are named by something seen, and which of them have come.
 
 use cluster_model::observation::{ClientOutcome, ObservationKind};
 use cluster_model::scenario::{Scenario, Trigger};
@@ -7,7 +7,7 @@
 
 /// An event that waits for its sign.
 #[derive(Clone, Debug)]
-struct Awaited {
+struct PendingTrigger {
     /// Its place in the scenario.
     place: usize,
     line: u32,
@@ -21,18 +21,18 @@
 
 /// Events that begin by something seen, each once.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Moments {
-    awaited: Vec<Awaited>,
+pub(crate) struct PendingTriggers {
+    awaited: Vec<PendingTrigger>,
 }
 
-impl Moments {
+impl PendingTriggers {
     /// Of a scenario whose first request comes at `start`.
-    pub fn new(scenario: &Scenario, start: Time) -> Moments {
+    pub fn new(scenario: &Scenario, start: Time) -> PendingTriggers {
         let awaited = scenario.events.iter().enumerate().filter_map(|(place, timed)| {
             let (sign, by) = (timed.trigger.clone()?, start + timed.at);
-            Some(Awaited { place, line: timed.line, sign, by, seen: 0, come: false })
+            Some(PendingTrigger { place, line: timed.line, sign, by, seen: 0, come: false })
         });
-        Moments { awaited: awaited.collect() }
+        PendingTriggers { awaited: awaited.collect() }
     }
 
     /// Whether anything may still come.
@@ -77,7 +77,7 @@
     }
 }
 
-impl Awaited {
+impl PendingTrigger {
     fn told(&self, by: Span) -> String {
         let by_s = by as f64 / SECOND as f64;
         let so_far = match nth(&self.sign) {
--- a/crates/cluster-emulator/src/virtual_time.rs
+++ b/crates/cluster-emulator/src/virtual_time.rs
@@ -1,6 +1,6 @@
 //! The virtual stage: the real network side, once per gateway, in processes of a simulated machine room.
 
-use crate::stage::{lock, Exit, Post, Signal, Stage};
+use crate::backend::{lock, Backend, Exit, MachineRole, Signal};
 use anyhow::Result;
 use cluster_model::scenario::{LinkFault, NetworkSpec, Site};
 use gateway::{serve, Config, Operators};
@@ -53,7 +53,7 @@
 pub type GatewayTask = Pin<Box<dyn Future<Output = Result<()>> + Send>>;
 
 /// Makes what runs in the place of the real gateway, once for each start of a process.
-pub type GatewayMaker = Arc<dyn Fn(GatewayStart) -> GatewayTask + Send + Sync>;
+pub type GatewayFactory = Arc<dyn Fn(GatewayStart) -> GatewayTask + Send + Sync>;
 
 /// The real one, with these operators' files. Fails where its document cannot be read.
 fn real_gateway(start: GatewayStart, operators: Operators) -> Result<GatewayTask> {
@@ -75,30 +75,30 @@
 }
 
 /// A stage in virtual time.
-pub struct VirtualStage {
+pub struct VirtualBackend {
     sim: Sim,
-    gateway: Option<GatewayMaker>,
+    gateway: Option<GatewayFactory>,
     operators: Operators,
     buildings: u32,
     /// Where the counter stands, from 0.
     counter: u32,
     descriptors: usize,
-    machines: Arc<Mutex<BTreeMap<Post, Machine>>>,
+    machines: Arc<Mutex<BTreeMap<MachineRole, Machine>>>,
     running: BTreeMap<u32, Running>,
     /// Nanoseconds by which clocks of gateways that start from now on are ahead.
     clocks: BTreeMap<u32, i64>,
     /// The last process of each stand-in's machine.
-    standins: Mutex<BTreeMap<Post, ProcessId>>,
+    standins: Mutex<BTreeMap<MachineRole, ProcessId>>,
     exits: Arc<Mutex<Vec<Exit>>>,
     cuts: BTreeMap<u64, CutId>,
     next_cut: u64,
 }
 
-impl VirtualStage {
+impl VirtualBackend {
     /// An empty one whose clock shows `start`.
-    pub fn new(site: &Site, seed: u64, start: Time) -> VirtualStage {
+    pub fn new(site: &Site, seed: u64, start: Time) -> VirtualBackend {
         let network: NetworkSpec = site.network.clone();
-        VirtualStage {
+        VirtualBackend {
             sim: Sim::new(SimConfig { seed, start, network }),
             gateway: None,
             operators: Operators::default(),
@@ -116,13 +116,13 @@
     }
 
     /// The same with other gateways in the place of the real ones.
-    pub fn with_gateway(self, gateway: Option<GatewayMaker>) -> VirtualStage {
-        VirtualStage { gateway, ..self }
+    pub fn with_gateway(self, gateway: Option<GatewayFactory>) -> VirtualBackend {
+        VirtualBackend { gateway, ..self }
     }
 
     /// The same with operators' files for the real gateways.
-    pub fn with_operators(self, operators: Operators) -> VirtualStage {
-        VirtualStage { operators, ..self }
+    pub fn with_operators(self, operators: Operators) -> VirtualBackend {
+        VirtualBackend { operators, ..self }
     }
 
     /// The machine room.
@@ -130,18 +130,18 @@
         &self.sim
     }
 
-    fn machine(&self, post: Post) -> Machine {
+    fn machine(&self, post: MachineRole) -> Machine {
         let place = |number: u32| Place::Building(number % self.buildings);
         let (name, place) = match post {
-            Post::Gateway(number) => (format!("gateway {}", number + 1), place(number)),
-            Post::Host(number) => (format!("host {}", number + 1), place(number)),
-            Post::Counter => ("counter".to_owned(), place(self.counter)),
-            Post::Clients => ("clients".to_owned(), Place::Client),
+            MachineRole::Gateway(number) => (format!("gateway {}", number + 1), place(number)),
+            MachineRole::Host(number) => (format!("host {}", number + 1), place(number)),
+            MachineRole::Counter => ("counter".to_owned(), place(self.counter)),
+            MachineRole::Clients => ("clients".to_owned(), Place::Client),
         };
         lock(&self.machines).entry(post).or_insert_with(|| self.sim.machine(&name, place)).clone()
     }
 
-    fn machines(&self, pairs: &[(Post, Post)]) -> Vec<(MachineId, MachineId)> {
+    fn machines(&self, pairs: &[(MachineRole, MachineRole)]) -> Vec<(MachineId, MachineId)> {
         pairs.iter().map(|(a, b)| (self.machine(*a).id(), self.machine(*b).id())).collect()
     }
 
@@ -157,31 +157,31 @@
     }
 }
 
-impl Stage for VirtualStage {
+impl Backend for VirtualBackend {
     type Env = SimEnv;
 
-    fn process(&self, post: Post, name: &str) -> SimEnv {
+    fn process(&self, post: MachineRole, name: &str) -> SimEnv {
         let env = self.machine(post).process(name);
         lock(&self.standins).insert(post, env.process_id());
         env
     }
 
-    fn address(&self, post: Post) -> SocketAddr {
+    fn address(&self, post: MachineRole) -> SocketAddr {
         SocketAddr::new(self.machine(post).ip(), 0)
     }
 
     fn gateway_address(&self, gateway: u32) -> SocketAddr {
-        SocketAddr::new(self.machine(Post::Gateway(gateway)).ip(), PORT)
+        SocketAddr::new(self.machine(MachineRole::Gateway(gateway)).ip(), PORT)
     }
 
-    fn lag(&self, _post: Post) -> Span {
+    fn lag(&self, _post: MachineRole) -> Span {
         0
     }
 
     fn start_gateway(&mut self, gateway: u32, incarnation: u32, document: &Value) -> io::Result<()> {
         let name = format!("gateway {}.{incarnation}", gateway + 1);
         let ahead = self.clocks.get(&gateway).copied().unwrap_or(0);
-        let env = self.machine(Post::Gateway(gateway)).process(&name).with_clock(ahead);
+        let env = self.machine(MachineRole::Gateway(gateway)).process(&name).with_clock(ahead);
         env.set_descriptors(self.descriptors);
         let document = Document::new(document);
         let (signals, inbox) = mpsc::unbounded_channel();
@@ -235,7 +235,7 @@
         Ok(())
     }
 
-    fn stand_still(&mut self, post: Post, still: bool) -> io::Result<()> {
+    fn set_suspended(&mut self, post: MachineRole, still: bool) -> io::Result<()> {
         let process = lock(&self.standins).get(&post).copied();
         process.into_iter().for_each(|process| self.sim.stop(process, still));
         Ok(())
@@ -245,8 +245,8 @@
         std::mem::take(&mut *lock(&self.exits))
     }
 
-    fn cut(&mut self, a: &[Post], b: &[Post], _span: Span, reset: bool) -> io::Result<u64> {
-        let ids = |side: &[Post]| side.iter().map(|post| self.machine(*post).id()).collect();
+    fn cut(&mut self, a: &[MachineRole], b: &[MachineRole], _span: Span, reset: bool) -> io::Result<u64> {
+        let ids = |side: &[MachineRole]| side.iter().map(|post| self.machine(*post).id()).collect();
         let how = if reset { Cut::Reset } else { Cut::Silent };
         let cut = self.sim.cut(ids(a), ids(b), how);
         self.next_cut += 1;
@@ -260,7 +260,12 @@
         }
     }
 
-    fn fail_links(&mut self, pairs: &[(Post, Post)], fault: &LinkFault, span: Span) -> io::Result<()> {
+    fn start_link_fault(
+        &mut self,
+        pairs: &[(MachineRole, MachineRole)],
+        fault: &LinkFault,
+        span: Span,
+    ) -> io::Result<()> {
         let fault = match fault {
             LinkFault::Hold(way) => simulated_runtime::LinkFault::Hold(*way),
             LinkFault::Blackhole(way) => simulated_runtime::LinkFault::Cut(*way),
@@ -273,12 +278,12 @@
         Ok(())
     }
 
-    fn reset_links(&mut self, pairs: &[(Post, Post)]) -> io::Result<()> {
+    fn reset_links(&mut self, pairs: &[(MachineRole, MachineRole)]) -> io::Result<()> {
         self.sim.reset_links(&self.machines(pairs));
         Ok(())
     }
 
-    fn knows_when_sent(&self) -> bool {
+    fn knows_send_times(&self) -> bool {
         true
     }
 
--- a/crates/cluster-emulator/tests/attempts.rs
+++ b/crates/cluster-emulator/tests/attempts.rs
@@ -1,14 +1,14 @@
 //! Attempts that no host answers: what is lost by them, how much work they make, and how soon it is over.
 
-use cluster_emulator::{play_virtual, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use invariants::Verdict;
 
-fn play(text: &str, seed: u64) -> Played {
+fn play(text: &str, seed: u64) -> RunOutcome {
     let played =
-        play_virtual(&file::parse("test.scenario", text).unwrap(), seed, VirtualOptions::default()).unwrap();
+        run_virtual(&file::parse("test.scenario", text).unwrap(), seed, VirtualOptions::default()).unwrap();
     assert_eq!(played.verdict.breaches, [], "seed {seed}");
-    assert_eq!((&played.verdict.notes[..], &played.troubles[..]), (&[][..], &[][..]), "seed {seed}");
+    assert_eq!((&played.verdict.notes[..], &played.errors[..]), (&[][..], &[][..]), "seed {seed}");
     played
 }
 
--- a/crates/cluster-emulator/tests/counter_limit.rs
+++ b/crates/cluster-emulator/tests/counter_limit.rs
@@ -1,6 +1,6 @@
 //! A counter that takes fewer calls than a large fleet would make, for the whole day.
 
-use cluster_emulator::{play_virtual, VirtualOptions};
+use cluster_emulator::{run_virtual, VirtualOptions};
 use cluster_model::file;
 
 /// The calm day of 30 gateways, a quarter of it, with a counter that takes so many calls a second: how many are
@@ -10,9 +10,9 @@
     day.length /= 4;
     day.events.clear();
     day.site.counter.calls_per_s = calls_per_s;
-    let played = play_virtual(&day, 1, VirtualOptions::default()).unwrap();
+    let played = run_virtual(&day, 1, VirtualOptions::default()).unwrap();
     assert_eq!(played.verdict.breaches, [], "{calls_per_s} calls a second");
-    assert_eq!(played.troubles, [""; 0], "{calls_per_s} calls a second");
+    assert_eq!(played.errors, [""; 0], "{calls_per_s} calls a second");
     let fleet = &played.verdict.fleet;
     (fleet.counter_calls_per_s, fleet.counter_turned_away, played.verdict.worth)
 }
--- a/crates/cluster-emulator/tests/fleet.rs
+++ b/crates/cluster-emulator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The days of a whole fleet, at a tenth of their size and a quarter of their length.
 
-use cluster_emulator::{play_virtual, GatewayMaker, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, GatewayFactory, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::{Scenario, ScheduledEvent};
 use cluster_model::{MS, SECOND};
@@ -17,15 +17,15 @@
 }
 
 /// Plays one, which keeps all rules.
-fn play(name: &str) -> Played {
-    let played = play_virtual(&short(name), 1, VirtualOptions::default()).unwrap();
+fn play(name: &str) -> RunOutcome {
+    let played = run_virtual(&short(name), 1, VirtualOptions::default()).unwrap();
     assert_eq!(played.verdict.breaches, [], "{name}");
     assert_eq!(played.verdict.notes, [""; 0], "{name}");
-    assert_eq!(played.troubles, [""; 0], "{name}");
+    assert_eq!(played.errors, [""; 0], "{name}");
     played
 }
 
-fn fewest_up(played: &Played) -> u32 {
+fn fewest_up(played: &RunOutcome) -> u32 {
     played.verdict.timeline.iter().map(|second| second.gateways_up).min().unwrap()
 }
 
@@ -70,7 +70,7 @@
 fn gateways_that_start_together_do_so_at_their_own_moments() {
     let starts = Arc::new(Mutex::new(Vec::new()));
     let seen = starts.clone();
-    let gateway: GatewayMaker = Arc::new(move |mut start| {
+    let gateway: GatewayFactory = Arc::new(move |mut start| {
         seen.lock().unwrap().push(runtime::Env::now(&start.env));
         Box::pin(async move {
             while !matches!(start.signals.recv().await, None | Some(Signal::Terminate)) {}
@@ -82,7 +82,7 @@
         at 1 s: kill all gateways for 1 s";
     let scenario = file::parse("x", text).unwrap();
     let options = VirtualOptions { gateway: Some(gateway), ..VirtualOptions::default() };
-    play_virtual(&scenario, 1, options).unwrap();
+    run_virtual(&scenario, 1, options).unwrap();
     let starts = starts.lock().unwrap();
     assert_eq!(starts.len(), 40);
     for (all, begun) in starts.chunks(20).zip([0, 4 * SECOND]) {
@@ -94,7 +94,7 @@
 }
 
 /// Sixty gateways, of which thirty work with each of forty hosts; none of these holds more connections than this.
-fn with_connections(most: u32) -> Played {
+fn with_connections(most: u32) -> RunOutcome {
     let text = format!(
         "scenario \"Few connections\"
         length 20 s
@@ -107,9 +107,9 @@
         traffic
           rate 130 requests/s, uneven 3, full 0 %, heavy 0 % x 1, most-excess 0 %"
     );
-    let played = play_virtual(&file::parse("few", &text).unwrap(), 1, VirtualOptions::default()).unwrap();
+    let played = run_virtual(&file::parse("few", &text).unwrap(), 1, VirtualOptions::default()).unwrap();
     assert_eq!(played.verdict.breaches, []);
-    assert_eq!(played.troubles, [""; 0]);
+    assert_eq!(played.errors, [""; 0]);
     played
 }
 
--- a/crates/cluster-emulator/tests/hard_cases.rs
+++ b/crates/cluster-emulator/tests/hard_cases.rs
@@ -2,7 +2,7 @@
 //! addresses that change hands, connections that span a cut, and gateways that go wrong by themselves.
 
 use bytes::BytesMut;
-use cluster_emulator::{play_virtual, GatewayMaker, OnPacket, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, GatewayFactory, OnPacket, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use resp::decode;
 use simulated_runtime::{Packet, What};
@@ -15,26 +15,26 @@
 const STUCK: &str = "FENNELBEAM_TEST_STUCK";
 const SECOND: u64 = 1_000_000_000;
 
-fn play_with(text: &str, options: VirtualOptions<'_>) -> anyhow::Result<Played> {
-    play_virtual(&file::parse("test.scenario", text).unwrap(), 1, options)
+fn play_with(text: &str, options: VirtualOptions<'_>) -> anyhow::Result<RunOutcome> {
+    run_virtual(&file::parse("test.scenario", text).unwrap(), 1, options)
 }
 
 /// Plays with the real gateway, which keeps all rules.
-fn play(text: &str) -> Played {
+fn play(text: &str) -> RunOutcome {
     let played = play_with(text, VirtualOptions::default()).unwrap();
     assert_keeps_all_rules(&played);
     played
 }
 
-fn assert_keeps_all_rules(played: &Played) {
+fn assert_keeps_all_rules(played: &RunOutcome) {
     assert_eq!(played.verdict.breaches, []);
     assert_eq!(played.history.findings, []);
     assert_eq!(played.verdict.notes, [""; 0]);
-    assert_eq!(played.troubles, [""; 0]);
+    assert_eq!(played.errors, [""; 0]);
 }
 
 /// The same, with all that arrived on any wire.
-fn trace(text: &str) -> (Played, Vec<Packet>) {
+fn trace(text: &str) -> (RunOutcome, Vec<Packet>) {
     let packets = Arc::new(Mutex::new(Vec::new()));
     let seen = packets.clone();
     let trace: OnPacket = Box::new(move |packet| seen.lock().unwrap().push(packet.clone()));
@@ -46,7 +46,7 @@
 }
 
 /// Gateways that were up in each second.
-fn up(played: &Played) -> Vec<u32> {
+fn up(played: &RunOutcome) -> Vec<u32> {
     played.verdict.timeline.iter().map(|second| second.gateways_up).collect()
 }
 
@@ -157,7 +157,7 @@
 // ---- Hosts and the network
 
 /// Busy shares of a host, numbered from 1, by second; none where it did not run.
-fn busy(played: &Played, host: usize) -> Vec<Option<f64>> {
+fn busy(played: &RunOutcome, host: usize) -> Vec<Option<f64>> {
     played.verdict.timeline.iter().map(|second| second.busy.get(host - 1).copied().flatten()).collect()
 }
 
@@ -207,7 +207,7 @@
              traffic\n  rate 60 requests/s\n\
              at 1 s: discovery reordered for 4 s\nat 2 s: add 1 hosts\nat 2.1 s: drain host 7, gone after 9 s",
         );
-        assert_keeps_all_rules(&play_virtual(&scenario.unwrap(), seed, VirtualOptions::default()).unwrap());
+        assert_keeps_all_rules(&run_virtual(&scenario.unwrap(), seed, VirtualOptions::default()).unwrap());
     }
 }
 
@@ -267,7 +267,7 @@
 const CALM: &str = "scenario \"Calm\"\nlength 2 s\ntraffic\n  rate 20 requests/s";
 
 /// Why a site with this in the place of its gateways cannot be played.
-fn halt(gateway: GatewayMaker) -> String {
+fn halt(gateway: GatewayFactory) -> String {
     let options = VirtualOptions { gateway: Some(gateway), ..VirtualOptions::default() };
     play_with(CALM, options).unwrap_err().to_string()
 }
@@ -317,14 +317,14 @@
         std::thread::sleep(Duration::from_secs(30));
         std::process::exit(9);
     });
-    let gateway: GatewayMaker = Arc::new(|_start| {
+    let gateway: GatewayFactory = Arc::new(|_start| {
         Box::pin(async {
             loop {
                 std::hint::spin_loop();
             }
         })
     });
-    let (gateway, stuck) = (Some(gateway), Duration::from_secs(1));
-    let ended = play_with(CALM, VirtualOptions { gateway, stuck, ..VirtualOptions::default() });
+    let (gateway, stuck_after) = (Some(gateway), Duration::from_secs(1));
+    let ended = play_with(CALM, VirtualOptions { gateway, stuck_after, ..VirtualOptions::default() });
     unreachable!("{ended:?}");
 }
--- a/crates/cluster-emulator/tests/pools.rs
+++ b/crates/cluster-emulator/tests/pools.rs
@@ -2,7 +2,7 @@
 //!
 //! In CI few seeds are played; `SEEDS=30 cargo test --release -p cluster-emulator --test pools` plays more.
 
-use cluster_emulator::{play_virtual, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use config_language::{load, loader::Memory};
@@ -47,7 +47,7 @@
 /// An attempt that came to a host: when, to which building (from 1), and whether it is an order.
 type Came = (u64, usize, bool);
 
-fn play(scenario: &Scenario, seed: u64) -> (Played, Vec<Came>) {
+fn play(scenario: &Scenario, seed: u64) -> (RunOutcome, Vec<Came>) {
     let came = Arc::new(Mutex::new(Vec::new()));
     let seen = came.clone();
     let trace = Box::new(move |packet: &Packet| {
@@ -59,14 +59,14 @@
         }
     });
     let options = VirtualOptions { trace: Some(trace), operators: operators(), ..VirtualOptions::default() };
-    let played = play_virtual(scenario, seed, options).unwrap();
+    let played = run_virtual(scenario, seed, options).unwrap();
     let came = std::mem::take(&mut *came.lock().unwrap());
     (played, came)
 }
 
-fn assert_keeps_all_rules(played: &Played, seed: u64) {
+fn assert_keeps_all_rules(played: &RunOutcome, seed: u64) {
     assert_eq!(played.verdict.breaches, [], "seed {seed}");
-    assert_eq!(played.troubles, [""; 0], "seed {seed}");
+    assert_eq!(played.errors, [""; 0], "seed {seed}");
 }
 
 #[test]
--- a/crates/cluster-emulator/tests/program/digests.rs
+++ b/crates/cluster-emulator/tests/program/digests.rs
@@ -1,7 +1,7 @@
 //! The same seed gives the same run, in each process, build and machine.
 
 use crate::{run, said, stderr, stdout, Folder, SHORT_NIGHT};
-use cluster_emulator::{play_virtual, VirtualOptions};
+use cluster_emulator::{run_virtual, VirtualOptions};
 use cluster_model::file;
 
 #[test]
@@ -46,7 +46,7 @@
 #[test]
 fn a_short_night_has_the_digest_that_is_written_down() {
     let scenario = file::parse("short.scenario", SHORT_NIGHT).unwrap();
-    let played = play_virtual(&scenario, 7, VirtualOptions::default()).unwrap();
+    let played = run_virtual(&scenario, 7, VirtualOptions::default()).unwrap();
     let digest = played.digest.map(|digest| format!("{digest:032x}"));
     assert_eq!(digest.as_deref(), Some(PINNED), "see what is written at the pinned digest");
 }
--- a/crates/cluster-emulator/tests/proving.rs
+++ b/crates/cluster-emulator/tests/proving.rs
@@ -1,20 +1,20 @@
 //! Links that fail, processes that stand still and buildings that go, in virtual time: no rule is broken, and each
 //! fault is seen to bite.
 
-use cluster_emulator::{play_virtual, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, RunOutcome, VirtualOptions};
 use cluster_model::file;
 
-fn play(text: &str) -> Played {
+fn play(text: &str) -> RunOutcome {
     let scenario = file::parse("test.scenario", text).unwrap();
-    let played = play_virtual(&scenario, 1, VirtualOptions::default()).unwrap();
+    let played = run_virtual(&scenario, 1, VirtualOptions::default()).unwrap();
     assert_eq!(played.verdict.breaches, [], "{text}");
     assert_eq!(played.verdict.notes, [""; 0], "{text}");
-    assert_eq!(played.troubles, [""; 0], "{text}");
+    assert_eq!(played.errors, [""; 0], "{text}");
     played
 }
 
 /// Things served in this second, of all.
-fn served(played: &Played, second: usize) -> u32 {
+fn served(played: &RunOutcome, second: usize) -> u32 {
     played.verdict.timeline[second].served
 }
 
@@ -129,17 +129,17 @@
     ];
     for (by, told) in cases {
         let scenario = file::parse("test.scenario", &text(by)).unwrap();
-        let played = play_virtual(&scenario, 1, VirtualOptions::default()).unwrap();
-        assert_eq!(played.troubles.len(), told.len(), "{:?}", played.troubles);
+        let played = run_virtual(&scenario, 1, VirtualOptions::default()).unwrap();
+        assert_eq!(played.errors.len(), told.len(), "{:?}", played.errors);
         assert!(
-            played.troubles.iter().zip(&told).all(|(is, begins)| is.starts_with(begins)),
+            played.errors.iter().zip(&told).all(|(is, begins)| is.starts_with(begins)),
             "{:?}",
-            played.troubles
+            played.errors
         );
         assert_eq!(served(&played, 4) == 0, by.is_empty(), "hosts are there where it came too late");
     }
     let logged = "scenario \"x\"\nwhen gateway 1 logs \"counter\": add 1 hosts";
-    let refused = play_virtual(&file::parse("x", logged).unwrap(), 1, VirtualOptions::default()).unwrap_err();
+    let refused = run_virtual(&file::parse("x", logged).unwrap(), 1, VirtualOptions::default()).unwrap_err();
     assert_eq!(
         refused.to_string(),
         "line 2: gateways of virtual time have no logs of their own: play it with --real"
--- a/crates/cluster-emulator/tests/quota/ledger.rs
+++ b/crates/cluster-emulator/tests/quota/ledger.rs
@@ -73,7 +73,7 @@
         (ledger, Box::new(move |packet| fill.lock().unwrap().see(packet)))
     }
 
-    /// The most calls that came to the counter in one second between these moments, to a tenth of a second.
+    /// The most calls that came to the counter in one second between these triggers, to a tenth of a second.
     pub fn most_calls(&self, from: Time, until: Time) -> u32 {
         let calls =
             |from: Time, until: Time| self.calls_by_tenth.range(from..until).map(|(_, calls)| calls).sum();
--- a/crates/cluster-emulator/tests/quota/main.rs
+++ b/crates/cluster-emulator/tests/quota/main.rs
@@ -7,7 +7,7 @@
 mod table;
 mod totals;
 
-use cluster_emulator::{play_virtual, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, RunOutcome, VirtualOptions};
 use cluster_model::scenario::Scenario;
 use cluster_model::{file, Time, SECOND};
 use ledger::Ledger;
@@ -105,8 +105,8 @@
 
 // ---- Calls
 
-fn play(scenario: &Scenario, seed: u64, options: VirtualOptions<'_>) -> Played {
-    let played = play_virtual(scenario, seed, options).expect("it can be played");
+fn play(scenario: &Scenario, seed: u64, options: VirtualOptions<'_>) -> RunOutcome {
+    let played = run_virtual(scenario, seed, options).expect("it can be played");
     assert_eq!(played.verdict.breaches, []);
     assert_eq!(played.history.findings, []);
     played
--- a/crates/cluster-emulator/tests/quota/mix.rs
+++ b/crates/cluster-emulator/tests/quota/mix.rs
@@ -2,7 +2,7 @@
 //! whole one, and what the advance statement of error says to it.
 
 use crate::ledger::{Ledger, Tally};
-use cluster_emulator::{play_virtual, VirtualOptions};
+use cluster_emulator::{run_virtual, VirtualOptions};
 use cluster_model::scenario::{PlanSpec, Scenario};
 use cluster_model::{file, Time, SECOND};
 use invariants::{CustomerFigures, Verdict};
@@ -93,7 +93,7 @@
     let scenario = scenario(events);
     let (ledger, trace) = Ledger::open(&scenario.site);
     let options = VirtualOptions { trace: Some(trace), ..VirtualOptions::default() };
-    let played = play_virtual(&scenario, seed, options).expect("it can be played");
+    let played = run_virtual(&scenario, seed, options).expect("it can be played");
     assert_eq!(played.verdict.breaches, []);
     assert_eq!(played.history.findings, []);
     let ledger = std::mem::take(&mut *ledger.lock().unwrap());
--- a/crates/cluster-emulator/tests/quota/totals.rs
+++ b/crates/cluster-emulator/tests/quota/totals.rs
@@ -1,10 +1,10 @@
-//! What stands on the counter at some moments, read by a caller of its own in the process of a real gateway.
+//! What stands on the counter at some triggers, read by a caller of its own in the process of a real gateway.
 
 use crate::ledger::Ledger;
 use crate::mix::START;
 use anyhow::{ensure, Context, Result};
 use bytes::BytesMut;
-use cluster_emulator::{play_virtual, GatewayMaker, GatewayStart, VirtualOptions};
+use cluster_emulator::{run_virtual, GatewayFactory, GatewayStart, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::{PlanSpec, Site};
 use cluster_model::SECOND;
@@ -25,7 +25,7 @@
 
 /// Real gateways; beside the first one, somebody reads the totals of all customers in the ledger at this
 /// moment.
-fn read_at(moment: Time, ledger: Arc<Mutex<Ledger>>, totals: Arc<Mutex<Totals>>) -> GatewayMaker {
+fn read_at(moment: Time, ledger: Arc<Mutex<Ledger>>, totals: Arc<Mutex<Totals>>) -> GatewayFactory {
     Arc::new(move |start| {
         let GatewayStart { env, document, signals } = start;
         let read = move || Ok(Config::parse(document.text().as_bytes())?);
@@ -95,7 +95,7 @@
     let totals = Arc::new(Mutex::new(Totals::default()));
     let gateway = read_at(START + read * SECOND, ledger.clone(), totals.clone());
     let options = VirtualOptions { trace: Some(trace), gateway: Some(gateway), ..VirtualOptions::default() };
-    let played = play_virtual(&scenario, seed, options).expect("it can be played");
+    let played = run_virtual(&scenario, seed, options).expect("it can be played");
     assert_eq!(played.verdict.breaches, []);
     let (ledger, totals) = (ledger.lock().unwrap(), totals.lock().unwrap());
     let difference = |(customer, (at, units)): (&u64, &(Time, f64))| {
--- a/crates/cluster-emulator/tests/site_loss.rs
+++ b/crates/cluster-emulator/tests/site_loss.rs
@@ -2,7 +2,7 @@
 //!
 //! In CI few seeds are played; `SEEDS=30 cargo test --release -p cluster-emulator --test site_loss` plays more.
 
-use cluster_emulator::{operators_of, play_virtual, Played, VirtualOptions};
+use cluster_emulator::{operators_of, run_virtual, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use gateway::Operators;
@@ -22,13 +22,13 @@
     1..=std::env::var("SEEDS").map_or(2, |seeds| seeds.parse().unwrap())
 }
 
-fn play(scenario: &Scenario, seed: u64, operators: Operators) -> Played {
+fn play(scenario: &Scenario, seed: u64, operators: Operators) -> RunOutcome {
     let options = VirtualOptions { operators, ..VirtualOptions::default() };
-    let played = play_virtual(scenario, seed, options).unwrap();
+    let played = run_virtual(scenario, seed, options).unwrap();
     assert_eq!(played.verdict.breaches, [], "seed {seed}");
     assert_eq!(played.history.findings, [], "seed {seed}");
     assert_eq!(played.verdict.notes, [""; 0], "seed {seed}");
-    assert_eq!(played.troubles, [""; 0], "seed {seed}");
+    assert_eq!(played.errors, [""; 0], "seed {seed}");
     played
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// Refused of all that was asked of a class.
-fn refused(played: &Played, class: &str) -> f64 {
+fn refused(played: &RunOutcome, class: &str) -> f64 {
     let class = played.verdict.classes.iter().find(|figures| figures.name == class).unwrap();
     class.counts.refused as f64 / class.counts.asked as f64
 }
--- a/crates/cluster-emulator/tests/wrongdoers/cold.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::{proxy, Wrong};
 use crate::{rules, scenario};
-use cluster_emulator::{play_virtual, GatewayMaker, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, GatewayFactory, RunOutcome, VirtualOptions};
 use invariants::Rule;
 use std::collections::BTreeSet;
 
@@ -33,12 +33,12 @@
 at 2 s: add 8 hosts
 ";
 
-fn play(text: &str, seed: u64, gateway: Option<GatewayMaker>) -> Played {
+fn play(text: &str, seed: u64, gateway: Option<GatewayFactory>) -> RunOutcome {
     let options = VirtualOptions { gateway, ..VirtualOptions::default() };
-    play_virtual(&scenario(text), seed, options).unwrap()
+    run_virtual(&scenario(text), seed, options).unwrap()
 }
 
-fn fallen(played: &Played) -> Vec<u32> {
+fn fallen(played: &RunOutcome) -> Vec<u32> {
     played.verdict.hosts.iter().filter(|host| host.fell).map(|host| host.host + 1).collect()
 }
 
--- a/crates/cluster-emulator/tests/wrongdoers/main.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/main.rs
@@ -5,7 +5,7 @@
 mod proxy;
 mod swarm;
 
-use cluster_emulator::{play_virtual, Played, VirtualOptions};
+use cluster_emulator::{run_virtual, RunOutcome, VirtualOptions};
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
 use history_checker::Rule as History;
@@ -36,17 +36,17 @@
 }
 
 /// Plays with a gateway that does this wrong.
-fn play(text: &str, seed: u64, wrong: Wrong) -> Played {
+fn play(text: &str, seed: u64, wrong: Wrong) -> RunOutcome {
     let options = VirtualOptions { gateway: Some(proxy(wrong)), ..VirtualOptions::default() };
-    play_virtual(&scenario(text), seed, options).unwrap()
+    run_virtual(&scenario(text), seed, options).unwrap()
 }
 
-fn rules(played: &Played) -> BTreeSet<Rule> {
+fn rules(played: &RunOutcome) -> BTreeSet<Rule> {
     played.verdict.breaches.iter().map(|breach| breach.rule).collect()
 }
 
 /// What is wrong with a run's history.
-fn history(played: &Played) -> BTreeSet<History> {
+fn history(played: &RunOutcome) -> BTreeSet<History> {
     played.history.findings.iter().map(|finding| finding.rule).collect()
 }
 
@@ -69,7 +69,7 @@
         assert_eq!(played.verdict.breaches, [], "seed {seed}");
         assert_eq!(played.history.findings, [], "seed {seed}");
         assert_eq!(played.verdict.notes, [""; 0]);
-        assert_eq!(played.troubles, [""; 0]);
+        assert_eq!(played.errors, [""; 0]);
         let counts = played.verdict.counts;
         assert!(counts.asked > 400 && counts.failed > 5 && counts.refused > 5, "{counts:?}");
         assert!(counts.served > 2 * (counts.failed + counts.refused), "{counts:?}");
@@ -145,5 +145,5 @@
 fn one_that_crashes_is_caught() {
     is_caught(Wrong::Crashes, Rule::NoCrash, &["ended without being told to"], &[]);
     let played = play(SITE, 1, Wrong::Crashes);
-    assert!(played.troubles[0].contains("gateway 1: crashed, as the test wants"), "{:?}", played.troubles);
+    assert!(played.errors[0].contains("gateway 1: crashed, as the test wants"), "{:?}", played.errors);
 }
--- a/crates/cluster-emulator/tests/wrongdoers/proxy.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/proxy.rs
@@ -3,7 +3,7 @@
 
 use anyhow::{bail, Context, Result};
 use bytes::{Bytes, BytesMut};
-use cluster_emulator::{Document, GatewayMaker, GatewayStart};
+use cluster_emulator::{Document, GatewayFactory, GatewayStart};
 use cluster_model::{MS, SECOND};
 use gateway::{Endpoint, EndpointList, Lifecycle, Signal};
 use resp::{decode, encode_array_header, encode_bulk, fill, Frame, RespError};
@@ -44,7 +44,7 @@
 }
 
 /// Makes such gateways.
-pub fn proxy(wrong: Wrong) -> GatewayMaker {
+pub fn proxy(wrong: Wrong) -> GatewayFactory {
     Arc::new(move |start| Box::pin(run(start, wrong)))
 }
 
--- a/crates/cluster-emulator/tests/wrongdoers/swarm.rs
+++ b/crates/cluster-emulator/tests/wrongdoers/swarm.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::{proxy, Wrong};
 use crate::rules;
-use cluster_emulator::{only, play_virtual, random_scenario, Swarm, VirtualOptions};
+use cluster_emulator::{only, random_scenario, run_virtual, Swarm, VirtualOptions};
 use invariants::Rule;
 use std::collections::BTreeSet;
 
@@ -17,6 +17,6 @@
     assert_eq!(found.scenario, only(&all, &found.kept));
 
     let options = VirtualOptions { gateway: Some(gateway), ..VirtualOptions::default() };
-    let again = play_virtual(&found.scenario, found.site, options).unwrap();
+    let again = run_virtual(&found.scenario, found.site, options).unwrap();
     assert_eq!(rules(&again), BTreeSet::from([Rule::DrainsKept]));
 }
