--- a/crates/api-gateway/tests/clocks.rs
+++ b/crates/api-gateway/tests/clocks.rs
@@ -51,7 +51,7 @@
         replay: None,
         logs: None,
         operators: None,
-        special: None,
+        gateway_override: None,
         progress: None,
     };
     let scenario = file::parse("clocks.scenario", DAY).unwrap();
--- a/crates/api-gateway/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -136,7 +136,7 @@
         replay,
         logs,
         operators,
-        special: None,
+        gateway_override: None,
         progress,
     };
     run_real(scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
--- a/crates/cluster-emulator/examples/quota_table.rs
+++ b/crates/cluster-emulator/examples/quota_table.rs
@@ -32,7 +32,7 @@
                 replay: None,
                 logs: None,
                 operators: None,
-                special: None,
+                gateway_override: None,
                 progress: None,
             };
             run_real(scenario, seed, options)
--- a/crates/cluster-emulator/src/backend.rs
+++ b/crates/cluster-emulator/src/backend.rs
@@ -1,5 +1,5 @@
-//! Where a site is played: machines, gateways and the network between them. The virtual stage has them all
-//! in one process; the real one starts the release program once per gateway on loopback sockets.
+//! Execution backends of a site: machines, gateway processes and the network between them. The virtual backend simulates
+//! all of them in one process; the real one starts the release program once per gateway on loopback sockets.
 
 use crate::counter::CounterHandle;
 use cluster_model::scenario::{LinkFault, Scenario};
@@ -11,33 +11,33 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A machine of the site. Numbers are counted from 0.
+/// The role of a machine of the site. Numbers count from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineRole {
-    /// Of a gateway, and of its agent of discovery.
+    /// A gateway and its discovery agent.
     Gateway(u32),
-    /// Of a host, by its place: a host that comes at the address of another stands on its machine.
+    /// A host machine; a host that takes over the address of another one runs on the same machine.
     Host(u32),
-    /// Of the counter.
+    /// The quota counter.
     Counter,
-    /// Of all clients.
+    /// All clients.
     Clients,
 }
 
-/// A gateway's process that has ended.
+/// The end of a gateway process.
 #[derive(Clone, Debug)]
 pub struct Exit {
-    /// Which gateway.
+    /// Gateway number, from 0.
     pub gateway: u32,
-    /// Which of its processes, counted from 0.
+    /// The gateway's processes are counted from 0.
     pub incarnation: u32,
-    /// Why, where it was not in the ordinary way.
+    /// The error, unless the process ended normally.
     pub error: Option<String>,
-    /// It was to die by itself, as if it had been killed from outside, and to be started again after this.
-    pub arranged: Option<Span>,
+    /// The process ended at its crash point, and is to be started again after this time.
+    pub restart_after: Option<Span>,
 }
 
-/// What a process of a gateway is told from outside.
+/// A signal to a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGHUP.
@@ -52,27 +52,32 @@
     Continue,
 }
 
-/// Where a site is played.
+/// Runs the processes and the network of a site.
 pub trait Backend {
-    /// The world that the stand-ins run in.
+    /// The runtime environment of the fake services.
     type Env: Env;
 
-    /// A new process for a stand-in on this machine.
-    fn process(&self, post: MachineRole, name: &str) -> Self::Env;
+    /// Creates a process for a fake service on this machine.
+    fn process(&self, role: MachineRole, name: &str) -> Self::Env;
 
-    /// Where a stand-in on this machine may listen; port 0 takes a free one.
-    fn address(&self, post: MachineRole) -> SocketAddr;
+    /// Returns a listen address for a fake service on this machine; port 0 picks a free port.
+    fn address(&self, role: MachineRole) -> SocketAddr;
 
-    /// Where a gateway listens, the same after each start.
+    /// Returns a gateway's listen address, which stays the same across restarts.
     fn gateway_address(&self, gateway: u32) -> SocketAddr;
 
-    /// Where the first of two machines reaches the second, which listens at this address.
-    fn reach(&self, _from: MachineRole, _to: MachineRole, address: SocketAddr) -> io::Result<SocketAddr> {
+    /// Returns the address at which `_from` connects to `_to`, which listens at `address`.
+    fn dial_address(
+        &self,
+        _from: MachineRole,
+        _to: MachineRole,
+        address: SocketAddr,
+    ) -> io::Result<SocketAddr> {
         Ok(address)
     }
 
-    /// The way that messages of a stand-in at this machine take beside what the network does by itself.
-    fn lag(&self, post: MachineRole) -> Span;
+    /// Returns the latency that a fake service on this machine has to add to that of the network.
+    fn extra_latency(&self, role: MachineRole) -> Span;
 
     /// Starts the counter.
     fn start_counter(
@@ -87,51 +92,52 @@
         counter_tasks(self, scenario, seed, recorder)
     }
 
-    /// Starts a gateway's process with this configuration document.
+    /// Starts a gateway process with this configuration document.
     fn start_gateway(&mut self, gateway: u32, incarnation: u32, document: &Value) -> io::Result<()>;
 
-    /// A process that others connect to is no more, or is back: nobody is taken in for it meanwhile.
-    fn refuse(&mut self, _post: MachineRole, _gone: bool) -> io::Result<()> {
+    /// Sets whether links to a machine refuse connections, as they do while its process is down.
+    fn set_refusing(&mut self, _role: MachineRole, _refusing: bool) -> io::Result<()> {
         Ok(())
     }
 
-    /// Whether who connects to a gateway that does not listen yet would be told so. Links take connections in before
-    /// they have asked it, and can only break them then.
+    /// Whether connections to the gateway are refused until it listens. Links accept a connection before they connect to
+    /// the gateway, so they could only break it.
     fn refuses_until_ready(&self, _gateway: u32) -> bool {
         true
     }
 
-    /// Puts another document in the place of a gateway's.
+    /// Replaces a gateway's configuration document.
     fn replace_document(&mut self, gateway: u32, document: &Value) -> io::Result<()>;
 
-    /// Signals a gateway's process.
+    /// Sends a signal to a gateway process.
     fn signal(&mut self, gateway: u32, signal: Signal);
 
-    /// A gateway's processes that start from now on have a clock that is ahead by so many nanoseconds, or behind.
+    /// Sets how many nanoseconds the clock of a gateway's later processes is ahead; negative: behind.
     fn set_clock(&mut self, gateway: u32, ahead: i64) -> io::Result<()>;
 
-    /// The clock of a gateway's process, which stands still, has done so too, for so long.
-    fn clock_stood_still(&mut self, gateway: u32, span: Span) -> io::Result<()>;
+    /// Hides a pause of this length from the clock of a suspended gateway process.
+    fn exclude_pause_from_clock(&mut self, gateway: u32, span: Span) -> io::Result<()>;
 
-    /// The processes of a stand-in's machine stand still (SIGSTOP), or go on.
-    fn set_suspended(&mut self, post: MachineRole, still: bool) -> io::Result<()>;
+    /// Suspends (SIGSTOP) or resumes the processes of a fake service on this machine.
+    fn set_suspended(&mut self, role: MachineRole, suspended: bool) -> io::Result<()>;
 
-    /// Processes of gateways that have ended since this was last asked.
-    fn exits(&mut self) -> Vec<Exit>;
+    /// Returns the gateway processes that have ended since the last call.
+    fn take_exits(&mut self) -> Vec<Exit>;
 
-    /// Whole lines that watched gateways have logged since this was last asked.
-    fn logged(&mut self) -> Vec<(u32, String)> {
+    /// Returns complete log lines of watched gateways since the last call.
+    fn take_log_lines(&mut self) -> Vec<(u32, String)> {
         Vec::new()
     }
 
-    /// Parts two sides from one another; true: with resets. Gives a number to heal it by, so long after now.
-    fn cut(&mut self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool) -> io::Result<u64>;
+    /// Partitions two sides, which end by `heal` with the returned number after `span`; `reset`: connections are reset.
+    fn partition(&mut self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool)
+        -> io::Result<u64>;
 
-    /// Takes a cut away.
-    fn heal(&mut self, cut: u64);
+    /// Ends a partition.
+    fn heal(&mut self, partition: u64);
 
-    /// Something that lasts goes wrong for so long with the links on which each first opens connections to each
-    /// second. Flapping is not among it.
+    /// Starts a lasting fault on the links by which the first machine of each pair connects to the second. Flapping is
+    /// not supported.
     fn start_link_fault(
         &mut self,
         pairs: &[(MachineRole, MachineRole)],
@@ -139,24 +145,24 @@
         span: Span,
     ) -> io::Result<()>;
 
-    /// Resets the connections that each first has opened to each second.
+    /// Resets the connections from the first machine of each pair to the second.
     fn reset_links(&mut self, pairs: &[(MachineRole, MachineRole)]) -> io::Result<()>;
 
-    /// Faults of links may begin so much later than they are asked for, and end as much later.
+    /// Returns the longest time by which link faults may start and end late.
     fn max_fault_delay(&self) -> Span {
         0
     }
 
-    /// Whether stand-ins know when what they read was sent.
+    /// Whether fake services know the send time of received bytes.
     fn knows_send_times(&self) -> bool;
 
-    /// Now.
+    /// Returns the current time.
     fn now(&self) -> Time;
 }
 
-/// The counter as tasks of this process.
+/// Starts the counter as tasks of this process.
 pub(crate) fn counter_tasks<S: Backend>(
-    stage: &S,
+    backend: &S,
     scenario: &Scenario,
     seed: u64,
     recorder: &Recorder,
@@ -164,14 +170,14 @@
     let config = CounterConfig {
         spec: scenario.site.counter.clone(),
         seed,
-        listen: (0..scenario.site.gateways).map(|_| stage.address(MachineRole::Counter)).collect(),
+        listen: (0..scenario.site.gateways).map(|_| backend.address(MachineRole::Counter)).collect(),
         recorder: recorder.clone(),
-        lag: stage.lag(MachineRole::Counter),
+        lag: backend.extra_latency(MachineRole::Counter),
     };
-    CounterStandIn::start(stage.process(MachineRole::Counter, "counter"), config).map(CounterHandle::Tasks)
+    CounterStandIn::start(backend.process(MachineRole::Counter, "counter"), config).map(CounterHandle::Tasks)
 }
 
-/// Holds a lock. What it holds is whole between any two lines, so a panic elsewhere does not spoil it.
-pub(crate) fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex, poisoned or not: its contents are consistent after each statement, so a panic elsewhere is harmless.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/cluster-emulator/src/counter.rs
+++ b/crates/cluster-emulator/src/counter.rs
@@ -1,4 +1,4 @@
-//! The site's counter, wherever it runs: as tasks of this process, or as a process of its own.
+//! A handle of the site's counter, which runs as tasks of this process or as a separate process.
 
 use crate::real::CounterProcess;
 use cluster_model::scenario::{CounterFault, Event};
@@ -7,16 +7,16 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The site's counter.
+/// Controls the site's counter.
 pub enum CounterHandle<E: Env> {
     /// Tasks of this process.
     Tasks(CounterStandIn<E>),
-    /// A process of its own.
+    /// A separate process.
     Process(CounterProcess),
 }
 
 impl<E: Env> CounterHandle<E> {
-    /// Where it listens for each gateway.
+    /// Returns the listen address for each gateway.
     pub fn addrs(&self) -> &[SocketAddr] {
         match self {
             CounterHandle::Tasks(counter) => counter.addrs(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The run begins: calls are taken from now on.
+    /// Lets the counter accept calls, as the run begins.
     pub fn open(&self) -> io::Result<()> {
         match self {
             CounterHandle::Tasks(counter) => counter.open(),
@@ -33,18 +33,18 @@
         Ok(())
     }
 
-    /// The event at this place of the scenario, one of the counter's, happens to it.
-    pub fn event(&self, place: usize, event: &Event) -> io::Result<()> {
+    /// Applies the counter event with this index in the scenario.
+    pub fn event(&self, index: usize, event: &Event) -> io::Result<()> {
         match self {
-            CounterHandle::Tasks(counter) => act(counter, event),
-            CounterHandle::Process(counter) => counter.event(place)?,
+            CounterHandle::Tasks(counter) => apply_event(counter, event),
+            CounterHandle::Process(counter) => counter.event(index)?,
         }
         Ok(())
     }
 
-    /// It is silent to a gateway, or speaks again; true: that gateway's connections are reset. Only for tasks: a process
-    /// has links, which do that.
-    pub fn be_silent(&self, gateway: u32, silent: bool, reset: bool) {
+    /// Sets whether the counter is silent towards a gateway; `reset`: also resets that gateway's connections. Acts only on
+    /// tasks: for a process, its links do it.
+    pub fn set_silent(&self, gateway: u32, silent: bool, reset: bool) {
         let CounterHandle::Tasks(counter) = self else { return };
         counter.set_silent(gateway, silent);
         if reset {
@@ -52,24 +52,25 @@
         }
     }
 
-    /// Its machine loses power for so long.
-    pub fn lose(&self, span: Span) {
+    /// Cuts the power of the counter's machine.
+    pub fn power_off(&self, span: Span) {
         match self {
             CounterHandle::Tasks(counter) => counter.fail(CounterFault::Unreachable, span),
             CounterHandle::Process(counter) => counter.kill(),
         }
     }
 
-    /// Its machine has power again: it starts anew, and knows nothing. Whether it does: it may have lost power twice.
-    pub fn start_anew(&self) -> io::Result<bool> {
+    /// Returns power to the counter's machine, where the counter restarts with empty state. Returns whether it does: with
+    /// two overlapping power losses, the first return is without effect.
+    pub fn restart(&self) -> io::Result<bool> {
         match self {
             CounterHandle::Tasks(counter) => counter.fail(CounterFault::Reset, 0),
-            CounterHandle::Process(counter) => return counter.start_anew(),
+            CounterHandle::Process(counter) => return counter.restart(),
         }
         Ok(true)
     }
 
-    /// Whether it takes connections in, as far as its process goes.
+    /// Whether the counter's process accepts connections.
     pub fn listens(&self) -> bool {
         match self {
             CounterHandle::Tasks(_) => true,
@@ -77,17 +78,17 @@
         }
     }
 
-    /// What went wrong with its process since this was last asked, in words.
-    pub fn errors(&self) -> Vec<String> {
+    /// Returns errors of the counter's process since the last call.
+    pub fn take_errors(&self) -> Vec<String> {
         match self {
             CounterHandle::Tasks(_) => Vec::new(),
-            CounterHandle::Process(counter) => counter.errors(),
+            CounterHandle::Process(counter) => counter.take_errors(),
         }
     }
 }
 
-/// Lets an event of a scenario happen to a counter. Others than its own do nothing.
-pub(crate) fn act<E: Env>(counter: &CounterStandIn<E>, event: &Event) {
+/// Applies a scenario event to a counter; events of other kinds do nothing.
+pub(crate) fn apply_event<E: Env>(counter: &CounterStandIn<E>, event: &Event) {
     match event {
         Event::Counter(fault, span) => counter.fail(fault.clone(), *span),
         Event::CorruptCounterReplies(share, span) => counter.garble(*share, *span),
--- a/crates/cluster-emulator/src/crash_scenario.rs
+++ b/crates/cluster-emulator/src/crash_scenario.rs
@@ -1,7 +1,7 @@
-//! A gateway that dies at a point of its own program, among two others: the same short day of orders and reads each
-//! time, on real sockets, with the counter whole or silent for most of it.
+//! Runs in which one of three gateways crashes at a crash point of its program: the same short scenario of orders and
+//! reads each time, on real sockets, with a working counter or one that is silent for most of the run.
 //!
-//! The program has to be a test build with the feature `crash-points`.
+//! The gateway program has to be a test build with the feature `crash-points`.
 
 use crate::real::GatewayOverride;
 use crate::run::{run_real, RealOptions, RunOutcome};
@@ -12,27 +12,27 @@
 use gateway::CrashPoint;
 use std::path::Path;
 
-/// A gateway that has died is back after this.
-const BACK: Span = 700 * MS;
-/// A run that was held up is played so often at the most.
-const TURNS: u32 = 4;
+/// Time from the crash of a gateway to its restart.
+const RESTART_DELAY: Span = 700 * MS;
+/// Most runs of a scenario when the machine is too slow.
+const MAX_RUNS: u32 = 4;
 
-/// One death.
+/// A crash of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CrashScenario {
-    /// Where in its program; `None`: it does not die, to compare with.
+    /// The crash point; `None`: no crash, for comparison.
     pub point: Option<CrashPoint>,
-    /// The how manieth time, from 1, that it comes there.
+    /// Which pass of the crash point, counted from 1, crashes.
     pub nth: u64,
-    /// The counter says nothing from 1 s on, for 4 s.
+    /// The counter is silent from 1 s on, for 4 s.
     pub counter_silent: bool,
 }
 
 impl CrashScenario {
-    /// At the point, once requests and counter calls are under way.
+    /// Creates a crash at this point once requests and counter calls are in flight.
     pub fn at(point: CrashPoint, counter_silent: bool) -> CrashScenario {
         let nth = match point {
-            // With the counter cut it is silent meanwhile: the first answers after it.
+            // With a silent counter, these are the first replies after its silence.
             CrashPoint::Counted => 12,
             CrashPoint::CallWritten => 20,
             CrashPoint::AttemptWritten | CrashPoint::AnswerRead | CrashPoint::InAnswer => 40,
@@ -43,39 +43,39 @@
         CrashScenario { point: Some(point), nth, counter_silent }
     }
 
-    /// Three gateways and reads and orders within and beyond quotas that bind; something for each point: a reload, a
-    /// host that drains, a planned restart.
+    /// Returns a scenario of three gateways with reads and orders within and over their quotas. It has a reload, a
+    /// draining host and a planned restart, so that each crash point is passed.
     pub fn scenario(&self) -> Scenario {
-        let cut = if self.counter_silent { "at 1 s: counter silent for 4 s\n" } else { "" };
-        let text = format!("{DAY}{cut}{EVENTS}");
-        file::parse("death", &text).expect("a scenario of our own")
+        let silence = if self.counter_silent { "at 1 s: counter silent for 4 s\n" } else { "" };
+        let text = format!("{SITE}{silence}{EVENTS}");
+        file::parse("death", &text).expect("built-in scenario parses")
     }
 
-    /// Plays it. `program` is a test build; every gateway runs it. A run in which something went wrong while the
-    /// machine held this process up for longer than answers may be late says nothing, and is played again.
+    /// Runs the scenario; each gateway runs `program`, which is a test build. A run with errors is repeated if the machine
+    /// delayed this process for longer than the rules allow responses to be late, since it cannot be judged.
     ///
     /// # Errors
-    /// Where it cannot be played, or the machine was too slow each time.
+    /// Fails if the scenario cannot be run, or the machine was too slow each time.
     pub fn run(&self, program: &Path, seed: u64) -> Result<RunOutcome> {
         let mut too_slow = String::new();
-        for _ in 0..TURNS {
-            let played = self.run_once(program, seed)?;
-            let well = played.verdict.breaches.is_empty() && played.history.findings.is_empty();
-            match played.too_slow.clone().filter(|_| !well) {
-                None => return Ok(played),
-                Some(why) => too_slow = why,
+        for _ in 0..MAX_RUNS {
+            let outcome = self.run_once(program, seed)?;
+            let passed = outcome.verdict.breaches.is_empty() && outcome.history.findings.is_empty();
+            match outcome.too_slow.clone().filter(|_| !passed) {
+                None => return Ok(outcome),
+                Some(reason) => too_slow = reason,
             }
         }
         bail!("{too_slow}")
     }
 
     fn run_once(&self, program: &Path, seed: u64) -> Result<RunOutcome> {
-        let switch = self.point.map(|point| format!("{}:{}", point.name(), self.nth));
-        let special = switch.map(|switch| GatewayOverride {
+        let crash_setting = self.point.map(|point| format!("{}:{}", point.name(), self.nth));
+        let gateway_override = crash_setting.map(|crash_setting| GatewayOverride {
             gateway: 0,
             program: program.to_owned(),
-            environment: vec![("FENNELBEAM_CRASH".into(), switch)],
-            dies: Some(BACK),
+            environment: vec![("FENNELBEAM_CRASH".into(), crash_setting)],
+            restart_after_crash: Some(RESTART_DELAY),
         });
         let options = RealOptions {
             program: program.to_owned(),
@@ -84,14 +84,14 @@
             replay: None,
             logs: None,
             operators: None,
-            special,
+            gateway_override,
             progress: None,
         };
         run_real(&self.scenario(), seed, options)
     }
 }
 
-const DAY: &str = "scenario \"A gateway dies at a point of its program\"
+const SITE: &str = "scenario \"A gateway dies at a point of its program\"
 length 7 s
 site
   gateways 3
--- a/crates/cluster-emulator/src/fault_injector/faults.rs
+++ b/crates/cluster-emulator/src/fault_injector/faults.rs
@@ -1,6 +1,6 @@
-//! What fails between machines and in processes: cuts, links, buildings, processes that stand still.
+//! Faults of the network, of buildings and of processes: partitions, link faults, power loss, suspended processes.
 
-use super::{choose, FaultInjector, Step, LOOK};
+use super::{select_targets, FaultInjector, Step, POLL_INTERVAL};
 use crate::backend::{Backend, MachineRole, Signal};
 use anyhow::Result;
 use cluster_model::agent::Detection;
@@ -10,36 +10,41 @@
 use cluster_model::MS;
 use runtime::{Span, Time};
 
-/// A slowed process stands still and runs once within this: short beside any time that a rule allows.
-const SLICE: Span = 20 * MS;
+/// A slowed process is suspended and resumed once within this time, selector is short against each time in the rules.
+const TIME_SLICE: Span = 20 * MS;
 
-/// Something that does not pass, and that the judge has to know of. Several events may be the reason.
+/// A fault that the invariant checker must know of, since it delays or hides traffic. Several events may cause it at
+/// once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Gap {
+pub(super) enum ObservabilityGap {
     /// Between the clients and a gateway.
-    Clients(u32),
-    /// A gateway's process stands still.
-    Still(u32),
+    ClientLinks(u32),
+    /// A gateway's process is suspended.
+    Suspended(u32),
     /// Between a gateway and discovery.
-    News(u32),
+    Discovery(u32),
     /// From a gateway to a host.
-    Calls(u32, u32),
+    HostTraffic(u32, u32),
 }
 
-impl Gap {
-    fn what(self, open: bool, blind: bool) -> ObservationKind {
+impl ObservabilityGap {
+    fn observation(self, open: bool, send_time_unknown: bool) -> ObservationKind {
         match self {
-            Gap::Clients(gateway) => ObservationKind::ClientLinksCut { gateway, cut: open },
-            Gap::Still(gateway) => ObservationKind::GatewaySuspended { gateway, suspended: open },
-            Gap::News(gateway) => ObservationKind::DiscoveryLinkFault { gateway, active: open },
-            Gap::Calls(gateway, host) => {
-                ObservationKind::HostTrafficDelayed { gateway, host, delayed: open, send_time_unknown: blind }
+            ObservabilityGap::ClientLinks(gateway) => ObservationKind::ClientLinksCut { gateway, cut: open },
+            ObservabilityGap::Suspended(gateway) => {
+                ObservationKind::GatewaySuspended { gateway, suspended: open }
+            }
+            ObservabilityGap::Discovery(gateway) => {
+                ObservationKind::DiscoveryLinkFault { gateway, active: open }
+            }
+            ObservabilityGap::HostTraffic(gateway, host) => {
+                ObservationKind::HostTrafficDelayed { gateway, host, delayed: open, send_time_unknown }
             }
         }
     }
 }
 
-/// Links that are cut and whole by turns.
+/// Links that alternate between cut and working.
 #[derive(Clone, Debug)]
 pub(super) struct Flapping {
     pairs: Vec<(MachineRole, MachineRole)>,
@@ -48,76 +53,80 @@
 }
 
 impl<S: Backend> FaultInjector<S> {
-    /// Something fails between machines or in processes of gateways.
-    pub(super) fn fault(&mut self, now: Time, event: Event, rng: &mut Rng) -> Result<()> {
+    /// Starts a fault of the network or of processes.
+    pub(super) fn start_fault(&mut self, now: Time, event: Event, rng: &mut Rng) -> Result<()> {
         match event {
             Event::Partition(a, b, span, reset) => {
-                let (a, b) = (self.posts(&a), self.posts(&b));
-                self.cut(now, &a, &b, span, reset)?;
+                let (a, b) = (self.roles_on(&a), self.roles_on(&b));
+                self.partition(now, &a, &b, span, reset)?;
             }
-            Event::IsolateBuilding(building, span) => self.cut_off(now, building, span)?,
-            Event::PowerLoss(building, span) => self.lose(now, building, span)?,
+            Event::IsolateBuilding(building, span) => self.isolate_building(now, building, span)?,
+            Event::PowerLoss(building, span) => self.power_off_building(now, building, span)?,
             Event::Links(gateways, end, fault, span) => {
-                self.links(now, (&gateways, &end), &fault, span, rng)?;
+                self.inject_link_fault(now, (&gateways, &end), &fault, span, rng)?;
             }
-            Event::SuspendGateways(which, span) => {
-                for gateway in self.gateways(&which, rng) {
-                    self.stop(now, gateway, span);
+            Event::SuspendGateways(selector, span) => {
+                for gateway in self.select_gateways(&selector, rng) {
+                    self.suspend_gateway(now, gateway, span);
                 }
             }
-            Event::FreezeGateways(which, span) => {
-                for gateway in self.gateways(&which, rng) {
-                    self.freeze(now, gateway, span);
+            Event::FreezeGateways(selector, span) => {
+                for gateway in self.select_gateways(&selector, rng) {
+                    self.freeze_gateway(now, gateway, span);
                 }
             }
-            Event::SuspendHosts(which, span) => {
-                for host in self.hosts(&which, rng) {
-                    self.stop_host_for(now, host, span)?;
+            Event::SuspendHosts(selector, span) => {
+                for host in self.select_hosts(&selector, rng) {
+                    self.suspend_host(now, host, span)?;
                 }
             }
-            Event::SuspendCounter(span) => self.stand(now, MachineRole::Counter, span, Vec::new())?,
-            Event::ClockOffset(which, ahead) => {
+            Event::SuspendCounter(span) => {
+                self.suspend_service(now, MachineRole::Counter, span, Vec::new())?
+            }
+            Event::ClockOffset(selector, ahead) => {
                 let all: Vec<u32> = (0..self.site.gateways.len() as u32).collect();
-                for gateway in choose(&which, all.len() as u32, all, |gateway| self.building(gateway), rng) {
-                    self.site.stage.set_clock(gateway, ahead)?;
+                for gateway in
+                    select_targets(&selector, all.len() as u32, all, |gateway| self.building(gateway), rng)
+                {
+                    self.site.backend.set_clock(gateway, ahead)?;
                 }
             }
-            Event::SlowGateways(which, times, span) => {
-                for gateway in self.gateways(&which, rng) {
-                    self.slow_gateway(now, gateway, times, span);
+            Event::SlowGateways(selector, factor, span) => {
+                for gateway in self.select_gateways(&selector, rng) {
+                    self.slow_gateway(now, gateway, factor, span);
                 }
             }
-            // All else is no fault of this kind.
+            // Other events are handled by `start_event`.
             _ => {}
         }
         Ok(())
     }
 
-    pub(super) fn open_gaps(&mut self, gaps: &[Gap]) {
-        let blind = !self.site.stage.knows_send_times();
+    pub(super) fn open_gaps(&mut self, gaps: &[ObservabilityGap]) {
+        let send_time_unknown = !self.site.backend.knows_send_times();
         for gap in gaps {
-            let reasons = self.gaps.entry(*gap).or_default();
-            *reasons += 1;
-            if *reasons == 1 {
-                self.site.see(gap.what(true, blind));
+            let causes = self.gap_counts.entry(*gap).or_default();
+            *causes += 1;
+            if *causes == 1 {
+                self.site.see(gap.observation(true, send_time_unknown));
             }
         }
     }
 
-    pub(super) fn close_gaps(&mut self, gaps: &[Gap]) {
-        let blind = !self.site.stage.knows_send_times();
+    pub(super) fn close_gaps(&mut self, gaps: &[ObservabilityGap]) {
+        let send_time_unknown = !self.site.backend.knows_send_times();
         for gap in gaps {
-            let Some(reasons) = self.gaps.get_mut(gap).filter(|reasons| **reasons > 0) else { continue };
-            *reasons -= 1;
-            if *reasons == 0 {
-                self.site.see(gap.what(false, blind));
+            let Some(causes) = self.gap_counts.get_mut(gap).filter(|causes| **causes > 0) else { continue };
+            *causes -= 1;
+            if *causes == 0 {
+                self.site.see(gap.observation(false, send_time_unknown));
             }
         }
     }
 
-    // ---- Cuts and buildings
+    // ---- Partitions and buildings
 
-    fn cut(
+    fn partition(
         &mut self,
         now: Time,
         a: &[MachineRole],
@@ -125,26 +134,28 @@
         span: Span,
         reset: bool,
     ) -> Result<()> {
-        let cut = self.site.stage.cut(a, b, span, reset)?;
+        let partition = self.site.backend.partition(a, b, span, reset)?;
         let both = a.iter().flat_map(|a| b.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
-        let gaps = self.gaps_of(both.filter(|(a, b)| a != b));
+        let gaps = self.gaps_between(both.filter(|(a, b)| a != b));
         self.open_gaps(&gaps);
-        self.plan(now + span + self.site.stage.max_fault_delay(), Step::Heal(cut, gaps));
+        self.schedule(now + span + self.site.backend.max_fault_delay(), Step::Heal(partition, gaps));
         Ok(())
     }
 
-    /// Gaps that arise where nothing passes, or not all, from each first to each second.
-    fn gaps_of(&self, pairs: impl Iterator<Item = (MachineRole, MachineRole)>) -> Vec<Gap> {
-        let mut gaps: Vec<Gap> = Vec::new();
+    /// Returns the observability gaps caused by a fault from the first to the second machine of each pair.
+    fn gaps_between(&self, pairs: impl Iterator<Item = (MachineRole, MachineRole)>) -> Vec<ObservabilityGap> {
+        let mut gaps: Vec<ObservabilityGap> = Vec::new();
         for pair in pairs {
             match pair {
-                (MachineRole::Clients, MachineRole::Gateway(gateway)) => gaps.push(Gap::Clients(gateway)),
+                (MachineRole::Clients, MachineRole::Gateway(gateway)) => {
+                    gaps.push(ObservabilityGap::ClientLinks(gateway))
+                }
                 (MachineRole::Gateway(one), MachineRole::Gateway(other)) if one == other => {
-                    gaps.push(Gap::News(one))
+                    gaps.push(ObservabilityGap::Discovery(one))
                 }
                 (MachineRole::Gateway(gateway), MachineRole::Host(place)) => {
-                    let there = (0..).zip(&self.site.hosts).filter(|(_, host)| host.place == place);
-                    gaps.extend(there.map(|(host, _)| Gap::Calls(gateway, host)));
+                    let matching = (0..).zip(&self.site.hosts).filter(|(_, host)| host.place == place);
+                    gaps.extend(matching.map(|(host, _)| ObservabilityGap::HostTraffic(gateway, host)));
                 }
                 _ => {}
             }
@@ -152,33 +163,34 @@
         gaps
     }
 
-    fn cut_off(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
-        let (inside, outside) = (self.posts(&PartitionSide::Building(building)), self.outside(building));
-        self.cut(now, &inside, &outside, span, false)
+    fn isolate_building(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
+        let (inside, outside) =
+            (self.roles_on(&PartitionSide::Building(building)), self.roles_outside(building));
+        self.partition(now, &inside, &outside, span, false)
     }
 
-    /// Power goes first on the wires: nobody hears how the processes die.
-    fn lose(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
-        self.cut_off(now, building, span)?;
-        self.plan(now + span, Step::Drop(building));
-        for post in self.posts(&PartitionSide::Building(building)) {
-            match post {
+    /// Cuts the network before ending the processes, so that no peer sees their connections close.
+    fn power_off_building(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
+        self.isolate_building(now, building, span)?;
+        self.schedule(now + span, Step::DropConnections(building));
+        for role in self.roles_on(&PartitionSide::Building(building)) {
+            match role {
                 MachineRole::Gateway(gateway) => {
                     self.site.gateways[gateway as usize].again = false;
                     self.signal(now, gateway, Signal::Kill);
-                    self.plan_start(now + span, gateway);
+                    self.schedule_gateway_start(now + span, gateway);
                 }
                 MachineRole::Host(place) => {
                     for host in self.in_service_at(place) {
-                        self.stop_host(host, Detection::TimedOut);
-                        self.plan(now + span, Step::HostBack(host));
+                        self.remove_host(host, Detection::TimedOut);
+                        self.schedule(now + span, Step::RestartHost(host));
                     }
                 }
                 MachineRole::Counter => {
-                    self.end_still(MachineRole::Counter);
-                    self.site.counter.lose(span);
-                    self.site.stage.refuse(MachineRole::Counter, true)?;
-                    self.plan(now + span, Step::Forget);
+                    self.clear_suspension(MachineRole::Counter);
+                    self.site.counter.power_off(span);
+                    self.site.backend.set_refusing(MachineRole::Counter, true)?;
+                    self.schedule(now + span, Step::RestartCounter);
                 }
                 MachineRole::Clients => {}
             }
@@ -186,51 +198,51 @@
         Ok(())
     }
 
-    /// The counter's machine has power again.
-    pub(super) fn start_counter(&mut self, now: Time) -> Result<()> {
-        if self.site.counter.start_anew()? {
-            self.counter_listens(now)?;
+    /// Restarts the counter once its machine has power again.
+    pub(super) fn restart_counter(&mut self, now: Time) -> Result<()> {
+        if self.site.counter.restart()? {
+            self.await_counter(now)?;
         }
         Ok(())
     }
 
-    /// Until it listens, its links refuse.
-    pub(super) fn counter_listens(&mut self, now: Time) -> Result<()> {
+    /// Lets links to the counter refuse connections until it listens.
+    pub(super) fn await_counter(&mut self, now: Time) -> Result<()> {
         if self.site.counter.listens() {
-            self.site.stage.refuse(MachineRole::Counter, false)?;
+            self.site.backend.set_refusing(MachineRole::Counter, false)?;
         } else {
-            self.plan(now + LOOK, Step::CounterListens);
+            self.schedule(now + POLL_INTERVAL, Step::AwaitCounter);
         }
         Ok(())
     }
 
-    /// The front has given up its connections to the machines of a building that was lost. Without that it would
-    /// write requests to processes that are no more, and nobody could tell what became of them.
+    /// Resets client connections to the gateways of a building that lost power. Otherwise clients would send requests to
+    /// ended processes, with an unknown outcome.
     pub(super) fn drop_connections(&mut self, building: u32) -> Result<()> {
-        let posts = self.posts(&PartitionSide::Building(building)).into_iter();
-        let gateways = posts.filter(|post| matches!(post, MachineRole::Gateway(_)));
+        let roles = self.roles_on(&PartitionSide::Building(building)).into_iter();
+        let gateways = roles.filter(|role| matches!(role, MachineRole::Gateway(_)));
         let pairs: Vec<(MachineRole, MachineRole)> =
             gateways.map(|gateway| (MachineRole::Clients, gateway)).collect();
-        Ok(self.site.stage.reset_links(&pairs)?)
+        Ok(self.site.backend.reset_links(&pairs)?)
     }
 
     fn in_service_at(&self, place: u32) -> Vec<u32> {
-        let there = |host: &u32| self.site.hosts[*host as usize].place == place;
-        self.site.in_service().into_iter().filter(there).collect()
+        let matching = |host: &u32| self.site.hosts[*host as usize].place == place;
+        self.site.in_service().into_iter().filter(matching).collect()
     }
 
-    /// All that is not in a building.
-    fn outside(&self, building: u32) -> Vec<MachineRole> {
+    /// Returns the machines outside a building, with the clients.
+    fn roles_outside(&self, building: u32) -> Vec<MachineRole> {
         let others = (1..=self.site.scenario.site.buildings).filter(|other| *other != building);
         others
-            .flat_map(|other| self.posts(&PartitionSide::Building(other)))
+            .flat_map(|other| self.roles_on(&PartitionSide::Building(other)))
             .chain([MachineRole::Clients])
             .collect()
     }
 
     // ---- Links
 
-    fn links(
+    fn inject_link_fault(
         &mut self,
         now: Time,
         (gateways, end): (&Selector, &LinkEnd),
@@ -238,35 +250,35 @@
         span: Span,
         rng: &mut Rng,
     ) -> Result<()> {
-        // Links are there whether or not a process is.
+        // Links exist also while the process of a gateway is down.
         let all: Vec<u32> = (0..self.site.gateways.len() as u32).collect();
-        let gateways = choose(gateways, all.len() as u32, all, |gateway| self.building(gateway), rng);
-        let pairs = self.pairs(&gateways, end, rng);
-        let gaps = self.gaps_of(pairs.iter().copied());
+        let gateways = select_targets(gateways, all.len() as u32, all, |gateway| self.building(gateway), rng);
+        let pairs = self.link_pairs(&gateways, end, rng);
+        let gaps = self.gaps_between(pairs.iter().copied());
         self.open_gaps(&gaps);
         match fault {
-            LinkFault::Reset => self.site.stage.reset_links(&pairs)?,
+            LinkFault::Reset => self.site.backend.reset_links(&pairs)?,
             LinkFault::Flap(every) => {
                 self.flap(now, Flapping { pairs, every: *every, until: now + span })?;
             }
-            lasting => self.site.stage.start_link_fault(&pairs, lasting, span)?,
+            fault => self.site.backend.start_link_fault(&pairs, fault, span)?,
         }
-        // What is on its way when a delay ends keeps its time.
-        let underway = if let LinkFault::Delay(_, most) = fault { *most } else { 0 };
-        self.plan(now + span + underway + self.site.stage.max_fault_delay(), Step::Whole(gaps));
+        // Bytes in flight when a delay ends keep their delay.
+        let in_flight = if let LinkFault::Delay(_, most) = fault { *most } else { 0 };
+        self.schedule(now + span + in_flight + self.site.backend.max_fault_delay(), Step::CloseGaps(gaps));
         Ok(())
     }
 
-    /// Who opens connections to whom on these links.
-    fn pairs(&self, gateways: &[u32], end: &LinkEnd, rng: &mut Rng) -> Vec<(MachineRole, MachineRole)> {
+    /// Returns the connecting and the accepting machine of each link.
+    fn link_pairs(&self, gateways: &[u32], end: &LinkEnd, rng: &mut Rng) -> Vec<(MachineRole, MachineRole)> {
         let gateways = gateways.iter().map(|gateway| MachineRole::Gateway(*gateway));
         match end {
             LinkEnd::Clients => gateways.map(|gateway| (MachineRole::Clients, gateway)).collect(),
             LinkEnd::Counter => gateways.map(|gateway| (gateway, MachineRole::Counter)).collect(),
-            // Each has its agent on its own machine.
+            // The discovery agent runs on the gateway's machine.
             LinkEnd::Discovery => gateways.map(|gateway| (gateway, gateway)).collect(),
-            LinkEnd::Hosts(which) => {
-                let hosts = self.hosts(which, rng);
+            LinkEnd::Hosts(selector) => {
+                let hosts = self.select_hosts(selector, rng);
                 let mut places: Vec<u32> =
                     hosts.into_iter().map(|host| self.site.hosts[host as usize].place).collect();
                 places.sort_unstable();
@@ -277,132 +289,145 @@
         }
     }
 
-    /// Cuts them once more, if there is time left.
+    /// Cuts flapping links again unless the fault has ended.
     pub(super) fn flap(&mut self, now: Time, flapping: Flapping) -> Result<()> {
         if now >= flapping.until {
             return Ok(());
         }
         let span = flapping.every.min(flapping.until - now);
-        self.site.stage.start_link_fault(
+        self.site.backend.start_link_fault(
             &flapping.pairs,
             &LinkFault::Blackhole(LinkDirection::Both),
             span,
         )?;
-        self.plan(now.saturating_add(flapping.every.saturating_mul(2)), Step::Flap(flapping));
+        self.schedule(now.saturating_add(flapping.every.saturating_mul(2)), Step::Flap(flapping));
         Ok(())
     }
 
     // ---- Processes
 
-    /// Lets a gateway's process stand still for so long.
-    fn stop(&mut self, now: Time, gateway: u32, span: Span) {
+    /// Suspends a gateway's process.
+    fn suspend_gateway(&mut self, now: Time, gateway: u32, span: Span) {
         let Some(incarnation) = self.site.gateways[gateway as usize].up else { return };
-        self.open_gaps(&[Gap::Still(gateway)]);
-        self.hold(gateway);
-        self.plan(now + span, Step::GoOn(gateway, incarnation, true));
+        self.open_gaps(&[ObservabilityGap::Suspended(gateway)]);
+        self.add_suspension(gateway);
+        self.schedule(now + span, Step::ResumeGateway(gateway, incarnation, true));
     }
 
-    /// Lets a gateway's whole machine stand still for so long: when it goes on it does not know of that time.
-    fn freeze(&mut self, now: Time, gateway: u32, span: Span) {
+    /// Suspends a gateway's machine with its clock, so that the gateway does not notice the lost time.
+    fn freeze_gateway(&mut self, now: Time, gateway: u32, span: Span) {
         let Some(incarnation) = self.site.gateways[gateway as usize].up else { return };
-        self.open_gaps(&[Gap::Still(gateway)]);
-        self.hold(gateway);
-        self.plan(now + span, Step::Thaw(gateway, incarnation, span));
+        self.open_gaps(&[ObservabilityGap::Suspended(gateway)]);
+        self.add_suspension(gateway);
+        self.schedule(now + span, Step::ThawGateway(gateway, incarnation, span));
     }
 
-    pub(super) fn thaw(&mut self, gateway: u32, incarnation: u32, span: Span) -> Result<()> {
+    pub(super) fn thaw_gateway(&mut self, gateway: u32, incarnation: u32, span: Span) -> Result<()> {
         if self.site.gateways[gateway as usize].up == Some(incarnation) {
-            self.site.stage.clock_stood_still(gateway, span)?;
+            self.site.backend.exclude_pause_from_clock(gateway, span)?;
         }
-        self.go_on(gateway, incarnation, true);
+        self.remove_suspension(gateway, incarnation, true);
         Ok(())
     }
 
-    /// Lets a host's process stand still, and all work in it.
-    fn stop_host_for(&mut self, now: Time, host: u32, span: Span) -> Result<()> {
-        let post = MachineRole::Host(self.site.hosts[host as usize].place);
+    /// Suspends a host's process with all work in it.
+    fn suspend_host(&mut self, now: Time, host: u32, span: Span) -> Result<()> {
+        let role = MachineRole::Host(self.site.hosts[host as usize].place);
         let gateways = 0..self.site.gateways.len() as u32;
-        self.on_host(host, |host| host.pause(now + span));
-        self.stand(now, post, span, gateways.map(|gateway| Gap::Calls(gateway, host)).collect())
+        self.with_host(host, |host| host.pause(now + span));
+        self.suspend_service(
+            now,
+            role,
+            span,
+            gateways.map(|gateway| ObservabilityGap::HostTraffic(gateway, host)).collect(),
+        )
     }
 
-    /// Lets a stand-in's process stand still for so long.
-    fn stand(&mut self, now: Time, post: MachineRole, span: Span, gaps: Vec<Gap>) -> Result<()> {
+    /// Suspends the process of a fake service.
+    fn suspend_service(
+        &mut self,
+        now: Time,
+        role: MachineRole,
+        span: Span,
+        gaps: Vec<ObservabilityGap>,
+    ) -> Result<()> {
         self.open_gaps(&gaps);
-        let reasons = self.still.entry(post).or_default();
-        *reasons += 1;
-        if *reasons == 1 {
-            self.site.stage.set_suspended(post, true)?;
+        let causes = self.suspensions.entry(role).or_default();
+        *causes += 1;
+        if *causes == 1 {
+            self.site.backend.set_suspended(role, true)?;
         }
-        self.plan(now + span, Step::Runs(post, gaps));
+        self.schedule(now + span, Step::ResumeService(role, gaps));
         Ok(())
     }
 
-    /// One reason less for a stand-in to stand still.
-    pub(super) fn runs(&mut self, post: MachineRole, gaps: &[Gap]) -> Result<()> {
+    /// Removes one suspension of a fake service.
+    pub(super) fn resume_service(&mut self, role: MachineRole, gaps: &[ObservabilityGap]) -> Result<()> {
         self.close_gaps(gaps);
-        let Some(reasons) = self.still.get_mut(&post).filter(|reasons| **reasons > 0) else { return Ok(()) };
-        *reasons -= 1;
-        if *reasons == 0 {
-            self.site.stage.set_suspended(post, false)?;
+        let Some(causes) = self.suspensions.get_mut(&role).filter(|causes| **causes > 0) else {
+            return Ok(());
+        };
+        *causes -= 1;
+        if *causes == 0 {
+            self.site.backend.set_suspended(role, false)?;
         }
         Ok(())
     }
 
-    /// A stand-in's process is no more: nothing of it stands still.
-    pub(super) fn end_still(&mut self, post: MachineRole) {
-        if self.still.remove(&post).is_some_and(|reasons| reasons > 0) {
-            if let Err(error) = self.site.stage.set_suspended(post, false) {
-                self.errors.push(format!("{post:?}: {error}"));
+    /// Removes all suspensions of a fake service whose process has ended.
+    pub(super) fn clear_suspension(&mut self, role: MachineRole) {
+        if self.suspensions.remove(&role).is_some_and(|causes| causes > 0) {
+            if let Err(error) = self.site.backend.set_suspended(role, false) {
+                self.errors.push(format!("{role:?}: {error}"));
             }
         }
     }
 
-    /// Lets it run one part of so many of the time. Two reasons that each stop it in slices of their own would leave
-    /// nothing between, so the worst counts, as with hosts.
-    fn slow_gateway(&mut self, now: Time, gateway: u32, times: f64, span: Span) {
-        let post = &mut self.site.gateways[gateway as usize];
-        let Some(incarnation) = post.up else { return };
-        let is_sliced = post.slowness(now) > 1.0;
-        post.slow.push((times, now + span));
-        if !is_sliced {
-            self.slice(now, gateway, incarnation);
+    /// Slows a gateway: it runs for 1/`factor` of the time. Overlapping slowdowns take the largest factor, as with hosts,
+    /// since separate suspension slices could leave no time to run.
+    fn slow_gateway(&mut self, now: Time, gateway: u32, factor: f64, span: Span) {
+        let state = &mut self.site.gateways[gateway as usize];
+        let Some(incarnation) = state.up else { return };
+        let is_slowed = state.slowness(now) > 1.0;
+        state.slow.push((factor, now + span));
+        if !is_slowed {
+            self.suspend_slice(now, gateway, incarnation);
         }
     }
 
-    pub(super) fn slice(&mut self, now: Time, gateway: u32, incarnation: u32) {
-        let post = &self.site.gateways[gateway as usize];
-        let still = (SLICE as f64 * (1.0 - 1.0 / post.slowness(now))) as Span;
-        if still == 0 || post.up != Some(incarnation) {
+    pub(super) fn suspend_slice(&mut self, now: Time, gateway: u32, incarnation: u32) {
+        let state = &self.site.gateways[gateway as usize];
+        let suspended = (TIME_SLICE as f64 * (1.0 - 1.0 / state.slowness(now))) as Span;
+        if suspended == 0 || state.up != Some(incarnation) {
             return;
         }
-        self.hold(gateway);
-        self.plan(now + still, Step::GoOn(gateway, incarnation, false));
-        self.plan(now + SLICE, Step::Slice(gateway, incarnation));
+        self.add_suspension(gateway);
+        self.schedule(now + suspended, Step::ResumeGateway(gateway, incarnation, false));
+        self.schedule(now + TIME_SLICE, Step::SuspendSlice(gateway, incarnation));
     }
 
-    /// One more reason for a process to stand still.
-    fn hold(&mut self, gateway: u32) {
-        let reasons = &mut self.site.gateways[gateway as usize].stops;
-        *reasons += 1;
-        if *reasons == 1 {
-            self.site.stage.signal(gateway, Signal::Stop);
+    /// Adds a suspension of a gateway; the first one stops its process.
+    fn add_suspension(&mut self, gateway: u32) {
+        let causes = &mut self.site.gateways[gateway as usize].stops;
+        *causes += 1;
+        if *causes == 1 {
+            self.site.backend.signal(gateway, Signal::Stop);
         }
     }
 
-    /// One reason less; `told`: the judge knows of it.
-    pub(super) fn go_on(&mut self, gateway: u32, incarnation: u32, told: bool) {
-        if told {
-            self.close_gaps(&[Gap::Still(gateway)]);
+    /// Removes a suspension of a gateway; `notified`: the invariant checker was notified of it.
+    pub(super) fn remove_suspension(&mut self, gateway: u32, incarnation: u32, notified: bool) {
+        if notified {
+            self.close_gaps(&[ObservabilityGap::Suspended(gateway)]);
         }
-        let post = &mut self.site.gateways[gateway as usize];
-        // Another life of it stands still for reasons of its own.
-        if post.up != Some(incarnation) || post.stops == 0 {
+        let state = &mut self.site.gateways[gateway as usize];
+        // Suspensions of an earlier incarnation do not count.
+        if state.up != Some(incarnation) || state.stops == 0 {
             return;
         }
-        post.stops -= 1;
-        if post.stops == 0 {
-            self.site.stage.signal(gateway, Signal::Continue);
+        state.stops -= 1;
+        if state.stops == 0 {
+            self.site.backend.signal(gateway, Signal::Continue);
         }
     }
 }
--- a/crates/cluster-emulator/src/lib.rs
+++ b/crates/cluster-emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Rehearsals of a whole site: gateways, hosts, the counter, discovery and clients, through a scenario of
-//! failures. In virtual time the real network side runs once per gateway in one process, on a simulated
-//! network, and the same seed gives the same run to the byte; on real sockets the release program runs once
-//! per gateway, before the same stand-ins. A judge looks at what passes on the wires, and the history of each run is
-//! checked after it.
+//! Emulates a whole site, with gateways, hosts, the counter, discovery and clients, through a scenario of failures.
+//!
+//! In virtual time the gateway's network code runs once per gateway in one process on a simulated network, and the same
+//! seed gives the same run to the byte. On real sockets the release program runs once per gateway, against the same fake
+//! services. An invariant checker watches the traffic, and the history of each run is checked after it.
 
 mod backend;
 mod counter;
--- a/crates/cluster-emulator/src/main.rs
+++ b/crates/cluster-emulator/src/main.rs
@@ -272,7 +272,7 @@
         replay,
         logs: line.logs.clone(),
         operators: line.operators.clone(),
-        special: None,
+        gateway_override: None,
         progress: Some(&mut told),
     };
     let played = run_real(scenario, seed, options);
--- a/crates/cluster-emulator/src/operator_file.rs
+++ b/crates/cluster-emulator/src/operator_file.rs
@@ -1,4 +1,4 @@
-//! Operators' files for the gateways of a rehearsal.
+//! Loads operators' files for the gateways of a run.
 
 use anyhow::{bail, Context, Result};
 use cluster_model::scenario::Scenario;
@@ -10,35 +10,35 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 
-/// What an operators' file says, and all that it includes, if the gateways of this scenario can put it in force.
+/// Loads an operators' file with its includes, and checks that the gateways of this scenario can apply it.
 ///
 /// # Errors
-/// The first error, with file, line, column and reason.
+/// Returns the first error, with file, line, column and reason.
 pub fn read_operators(path: &Path, scenario: &Scenario) -> Result<Operators> {
-    usable(load(path, &Fs, None), &path.display().to_string(), scenario)
+    validated(load(path, &Fs, None), &path.display().to_string(), scenario)
 }
 
-/// The same of a text, by the name of its file.
+/// Loads an operators' file from a text, as [`read_operators`] does from a path.
 ///
 /// # Errors
-/// As [`read_operators`].
+/// Fails as [`read_operators`] does.
 pub fn operators_of(name: &str, text: &str, scenario: &Scenario) -> Result<Operators> {
-    usable(load(name.as_ref(), &Memory::default().with(name, text), None), name, scenario)
+    validated(load(name.as_ref(), &Memory::default().with(name, text), None), name, scenario)
 }
 
-fn usable(loaded: Loaded, name: &str, scenario: &Scenario) -> Result<Operators> {
+fn validated(loaded: Loaded, name: &str, scenario: &Scenario) -> Result<Operators> {
     let Some(set) = loaded.set else {
-        let error = loaded.diagnostics.iter().find(|found| found.severity == Severity::Error);
+        let error = loaded.diagnostics.iter().find(|diagnostic| diagnostic.severity == Severity::Error);
         bail!(error.map_or_else(|| format!("{name}: cannot be used"), |error| error.one_line()));
     };
-    let nowhere = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 9);
+    let unused = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 9);
     let known = json!({"generation": 0, "reset": true, "instances": []});
     let (name, seed) = ("n0".to_owned(), 0);
     let start = GatewayStart {
         name,
-        listen: nowhere,
-        discovery: nowhere,
-        counter: nowhere,
+        listen: unused,
+        discovery: unused,
+        counter: unused,
         seed,
         known_endpoints: known,
     };
--- a/crates/cluster-emulator/src/real.rs
+++ b/crates/cluster-emulator/src/real.rs
@@ -70,14 +70,14 @@
     /// Environment variables that it gets besides.
     pub environment: Vec<(String, String)>,
     /// It may end itself by SIGKILL: that counts as the scenario's doing, and it is started again after this.
-    pub dies: Option<Span>,
+    pub restart_after_crash: Option<Span>,
 }
 
 /// A stage of processes and sockets.
 pub struct RealBackend {
     env: SystemEnv,
     program: PathBuf,
-    special: Option<GatewayOverride>,
+    gateway_override: Option<GatewayOverride>,
     operators: Option<PathBuf>,
     launcher: Option<PathBuf>,
     limits: launch::Limits,
@@ -137,7 +137,7 @@
         Ok(RealBackend {
             env,
             program: options.program.clone(),
-            special: options.special.clone(),
+            gateway_override: options.gateway_override.clone(),
             operators: options.operators.clone(),
             launcher: options.launcher.clone(),
             limits: launch::Limits {
@@ -272,7 +272,7 @@
         self.addresses[gateway as usize]
     }
 
-    fn lag(&self, post: MachineRole) -> Span {
+    fn extra_latency(&self, post: MachineRole) -> Span {
         if matches!(post, MachineRole::Host(_) | MachineRole::Counter) {
             self.lag
         } else {
@@ -299,11 +299,12 @@
     fn start_gateway(&mut self, gateway: u32, incarnation: u32, document: &Value) -> io::Result<()> {
         let config = self.write_config(gateway, document)?;
         let log = self.log(gateway, incarnation)?;
-        let special = self.special.as_ref().filter(|one| one.gateway == gateway && incarnation == 0);
-        let environment = special.map_or(&[][..], |one| &one.environment);
+        let gateway_override =
+            self.gateway_override.as_ref().filter(|one| one.gateway == gateway && incarnation == 0);
+        let environment = gateway_override.map_or(&[][..], |one| &one.environment);
         let clock = self.clocks.get(&gateway);
         let child = self
-            .command(special.map_or(&self.program, |one| &one.program))
+            .command(gateway_override.map_or(&self.program, |one| &one.program))
             .args(
                 self.operators
                     .iter()
@@ -320,14 +321,14 @@
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
         let pid = pid.ok_or_else(|| io::Error::other("ended at once"))?;
         self.running.insert(gateway, Running { pid, cpu: 0, waited: 0 });
-        let dies = special.and_then(|one| one.dies);
-        self.env.spawn(wait(child, (gateway, incarnation), dies, self.exits.clone()));
+        let restart_after_crash = gateway_override.and_then(|one| one.restart_after_crash);
+        self.env.spawn(wait(child, (gateway, incarnation), restart_after_crash, self.exits.clone()));
         self.note(gateway, "start");
         Ok(())
     }
 
-    fn refuse(&mut self, post: MachineRole, gone: bool) -> io::Result<()> {
-        self.wires.as_ref().map_or(Ok(()), |wires| wires.refuse(post, gone))
+    fn set_refusing(&mut self, role: MachineRole, refusing: bool) -> io::Result<()> {
+        self.wires.as_ref().map_or(Ok(()), |wires| wires.refuse(role, refusing))
     }
 
     fn refuses_until_ready(&self, gateway: u32) -> bool {
@@ -367,7 +368,7 @@
         Ok(())
     }
 
-    fn clock_stood_still(&mut self, _gateway: u32, _span: Span) -> io::Result<()> {
+    fn exclude_pause_from_clock(&mut self, _gateway: u32, _span: Span) -> io::Result<()> {
         Err(io::Error::other("the system's clock stands still for no process: play it in virtual time"))
     }
 
@@ -387,7 +388,7 @@
         }
     }
 
-    fn exits(&mut self) -> Vec<Exit> {
+    fn take_exits(&mut self) -> Vec<Exit> {
         let exits = std::mem::take(&mut *lock(&self.exits));
         for exit in &exits {
             self.spent += self.running.remove(&exit.gateway).map_or(0, |running| running.cpu);
@@ -395,11 +396,17 @@
         exits
     }
 
-    fn logged(&mut self) -> Vec<(u32, String)> {
+    fn take_log_lines(&mut self) -> Vec<(u32, String)> {
         self.watched.lines()
     }
 
-    fn cut(&mut self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool) -> io::Result<u64> {
+    fn partition(
+        &mut self,
+        a: &[MachineRole],
+        b: &[MachineRole],
+        span: Span,
+        reset: bool,
+    ) -> io::Result<u64> {
         if let Some(wires) = &self.wires {
             wires.cut(a, b, span, reset)?;
             self.next_cut += 1;
@@ -431,7 +438,12 @@
         self.wires()?.reset(pairs)
     }
 
-    fn reach(&self, from: MachineRole, to: MachineRole, address: SocketAddr) -> io::Result<SocketAddr> {
+    fn dial_address(
+        &self,
+        from: MachineRole,
+        to: MachineRole,
+        address: SocketAddr,
+    ) -> io::Result<SocketAddr> {
         self.wires.as_ref().map_or(Ok(address), |wires| wires.reach((from, to), address))
     }
 
@@ -489,13 +501,13 @@
 async fn wait(
     mut child: Child,
     (gateway, incarnation): (u32, u32),
-    dies: Option<Span>,
+    restart_after_crash: Option<Span>,
     exits: Arc<Mutex<Vec<Exit>>>,
 ) {
-    let mut arranged = None;
+    let mut restart_after = None;
     let error = match child.wait().await {
-        Ok(status) if dies.is_some() && status.signal() == Some(UnixSignal::KILL.as_raw()) => {
-            arranged = dies;
+        Ok(status) if restart_after_crash.is_some() && status.signal() == Some(UnixSignal::KILL.as_raw()) => {
+            restart_after = restart_after_crash;
             None
         }
         Ok(status) if status.success() => None,
@@ -503,7 +515,7 @@
         Ok(status) => Some(format!("ended with {status}")),
         Err(error) => Some(error.to_string()),
     };
-    let exit = Exit { gateway, incarnation, error, arranged };
+    let exit = Exit { gateway, incarnation, error, restart_after };
     lock(&exits).push(exit);
 }
 
--- a/crates/cluster-emulator/src/real/counter.rs
+++ b/crates/cluster-emulator/src/real/counter.rs
@@ -6,7 +6,7 @@
 //! settled goes out on its standard output, a bounded line each, with the time on the clock of the one who judges.
 
 use crate::backend::lock;
-use crate::counter::act;
+use crate::counter::apply_event;
 use cluster_model::file;
 use cluster_model::observation::{Observation, ObservationKind};
 use cluster_model::scenario::Scenario;
@@ -144,7 +144,7 @@
         lock(&self.0.state).running = None;
     }
 
-    pub(crate) fn start_anew(&self) -> io::Result<bool> {
+    pub(crate) fn restart(&self) -> io::Result<bool> {
         let mut state = lock(&self.0.state);
         state.dark = state.dark.saturating_sub(1);
         let (is_due, is_open) = (state.dark == 0 && state.running.is_none(), state.is_open);
@@ -165,7 +165,7 @@
         last.is_none_or(|last| TcpStream::connect_timeout(last, PROBE).is_ok())
     }
 
-    pub(crate) fn errors(&self) -> Vec<String> {
+    pub(crate) fn take_errors(&self) -> Vec<String> {
         std::mem::take(&mut *lock(&self.0.errors))
     }
 
@@ -318,7 +318,7 @@
     let Some(line) = orders.next_line().await? else { return Ok(false) };
     let place = line.strip_prefix("event ").and_then(|place| place.parse::<usize>().ok());
     match place.and_then(|place| scenario.events.get(place)) {
-        Some(timed) => act(counter, &timed.event),
+        Some(timed) => apply_event(counter, &timed.event),
         None => counter.open(),
     }
     Ok(true)
--- a/crates/cluster-emulator/src/run.rs
+++ b/crates/cluster-emulator/src/run.rs
@@ -145,7 +145,7 @@
     /// The operators' file of all gateways.
     pub operators: Option<PathBuf>,
     /// A gateway whose first process is not as the others.
-    pub special: Option<GatewayOverride>,
+    pub gateway_override: Option<GatewayOverride>,
     /// Is told how far it is.
     pub progress: OnProgress<'a>,
 }
@@ -240,8 +240,8 @@
 /// When the injector is to be asked next: sooner where a sign may come, since only what it has been shown can begin by
 /// one.
 fn next_due<S: Backend>(injector: &FaultInjector<S>, now: Time, beat: Span) -> Time {
-    let due = injector.next_due();
-    if injector.waits() {
+    let due = injector.next_timer();
+    if injector.has_pending_triggers() {
         due.min(now + beat)
     } else {
         due
@@ -303,13 +303,13 @@
         if let Some(error) = lock(&failed).take() {
             return Err(error);
         }
-        let broken = bench.judge(|seen| lock(&injector).see(seen));
+        let broken = bench.judge(|seen| lock(&injector).observe(seen));
         if broken && options.stop_at_violation {
             break;
         }
         bench.tell(sim.now(), &mut options.progress);
     }
-    let errors = lock(&injector).end();
+    let errors = lock(&injector).finish();
     drop(injector);
     if let Some(halt) = halted {
         return Err(Halt::into(halt));
@@ -360,14 +360,14 @@
     let last = end(scenario, start);
     let (mut lag, mut looked) = (Lag::default(), env.now());
     while !done.load(Ordering::Relaxed) && env.now() < last {
-        let beat = if injector.waits() { REAL_MOMENT_BEAT } else { REAL_BEAT };
-        env.sleep_until(injector.next_due().min(env.now() + beat)).await;
+        let beat = if injector.has_pending_triggers() { REAL_MOMENT_BEAT } else { REAL_BEAT };
+        env.sleep_until(injector.next_timer().min(env.now() + beat)).await;
         let now = env.now();
         if now >= start {
             lag.beat(now, beat);
         }
         if now >= looked + SECOND {
-            let waits = injector.site.stage.waits(now - looked);
+            let waits = injector.site.backend.waits(now - looked);
             for (gateway, share) in waits.into_iter().filter(|_| now > start + SECOND) {
                 // A slowed one has only a part of the time to wait in.
                 let slowness = injector.site.gateways[gateway as usize].slowness(now);
@@ -377,17 +377,17 @@
         }
         // Stand-ins that were told to end close what they hold at their next turn, also where this loop is late.
         tokio::task::yield_now().await;
-        injector.read_logs();
+        injector.poll_logs();
         injector.step()?;
-        injector.be_silent();
-        bench.judge(|seen| injector.see(seen));
+        injector.apply_silences();
+        bench.judge(|seen| injector.observe(seen));
         bench.tell(env.now(), &mut options.progress);
     }
-    let cpu = injector.site.stage.cpu_s();
-    let errors = injector.end();
+    let cpu = injector.site.backend.cpu_s();
+    let errors = injector.finish();
     let events: Vec<(i64, usize)> =
-        injector.begun.iter().map(|(at, place)| (*at as i64 - start as i64, *place)).collect();
-    let done = injector.site.stage.done(start);
+        injector.started_events.iter().map(|(at, place)| (*at as i64 - start as i64, *place)).collect();
+    let done = injector.site.backend.done(start);
     let trace = done.map(|(links, processes)| RunTrace {
         seed,
         scenario: scenario.clone(),
@@ -415,11 +415,11 @@
 
 impl FaultInjector<RealBackend> {
     /// Lets stand-ins do what a cut network would.
-    fn be_silent(&mut self) {
-        for silence in std::mem::take(&mut self.site.stage.silences) {
+    fn apply_silences(&mut self) {
+        for silence in std::mem::take(&mut self.site.backend.silences) {
             let gateway = silence.gateway;
             match silence.post {
-                MachineRole::Counter => self.site.counter.be_silent(gateway, silence.silent, silence.reset),
+                MachineRole::Counter => self.site.counter.set_silent(gateway, silence.silent, silence.reset),
                 MachineRole::Host(place) => {
                     let there = self.site.hosts.iter().filter(|host| host.place == place);
                     for host in there.filter_map(|host| host.running.as_ref()) {
@@ -439,7 +439,7 @@
     /// Sets a flag when all clients are through.
     fn watch_clients(&self, done: &Arc<AtomicBool>) {
         let (clients, done) = (self.clients.waiter(), done.clone());
-        self.stage.process(MachineRole::Clients, "end").spawn(async move {
+        self.backend.process(MachineRole::Clients, "end").spawn(async move {
             clients.await;
             done.store(true, Ordering::Relaxed);
         });
--- a/crates/cluster-emulator/src/site.rs
+++ b/crates/cluster-emulator/src/site.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::{Backend, MachineRole};
 use crate::counter::CounterHandle;
-use crate::fault_injector::choose;
+use crate::fault_injector::select_targets;
 use anyhow::{Context, Result};
 use cluster_model::agent::{Detection, DiscoveryMessage, Endpoint, Registry};
 use cluster_model::observation::{Lifecycle, ObservationKind};
@@ -102,8 +102,8 @@
     pub scenario: Scenario,
     /// All chance comes from it.
     pub seed: u64,
-    /// The stage.
-    pub stage: S,
+    /// The backend.
+    pub backend: S,
     /// The truth of discovery.
     pub registry: SharedRegistry,
     /// The counter.
@@ -127,7 +127,7 @@
     pub fn put_up(
         scenario: Scenario,
         seed: u64,
-        mut stage: S,
+        mut backend: S,
         start: Time,
         recorder: Recorder,
     ) -> Result<Self> {
@@ -138,17 +138,17 @@
         let maker =
             Maker { scenario: &scenario, seed, draws: &draws, settled: &settled, recorder: &recorder };
         for number in 0..site.hosts {
-            let host = maker.host(&stage, number, number, &[], false);
+            let host = maker.host(&backend, number, number, &[], false);
             hosts.push(host.with_context(|| format!("cannot put up host {}", number + 1))?);
         }
         let members = hosts.iter().enumerate().map(|(n, host)| member(&scenario, n as u32, host)).collect();
         let registry = Registry::new(&site.discovery, seed, site.gateways, members);
         let registry = SharedRegistry::new(registry, recorder.clone());
-        let counter = stage.start_counter(&scenario, seed, &recorder);
+        let counter = backend.start_counter(&scenario, seed, &recorder);
         let counter = counter.context("cannot put up the counter")?;
         let mut gateways = Vec::new();
         for gateway in 0..site.gateways {
-            let agent = start_agent(&stage, &registry, gateway)?;
+            let agent = start_agent(&backend, &registry, gateway)?;
             gateways.push(GatewayPost {
                 agent,
                 up: None,
@@ -160,12 +160,12 @@
             });
         }
         let doors = (0..site.gateways).map(|gateway| {
-            let listens = stage.gateway_address(gateway);
-            stage.reach(MachineRole::Clients, MachineRole::Gateway(gateway), listens)
+            let listens = backend.gateway_address(gateway);
+            backend.dial_address(MachineRole::Clients, MachineRole::Gateway(gateway), listens)
         });
         let doors = doors.collect::<io::Result<Vec<_>>>()?;
         let clients = Clients::start(
-            stage.process(MachineRole::Clients, "clients"),
+            backend.process(MachineRole::Clients, "clients"),
             ClientConfig {
                 site: site.clone(),
                 traffic: scenario.traffic.clone(),
@@ -181,12 +181,12 @@
             },
         );
         let weather = Weather::default();
-        // The stage is moved in last: what borrows it above is done.
-        stage.exits();
+        // The backend is moved in last: what borrows it above is done.
+        backend.take_exits();
         let mut put_up = SiteOf {
             scenario,
             seed,
-            stage,
+            backend,
             registry,
             counter,
             hosts,
@@ -212,8 +212,8 @@
                 let site = &self.scenario.site;
                 let all: Vec<u32> = (0..site.gateways).collect();
                 let building = |gateway: u32| gateway % site.buildings.max(1) + 1;
-                for gateway in choose(which, site.gateways, all, building, &mut rng) {
-                    self.stage.set_clock(gateway, *ahead)?;
+                for gateway in select_targets(which, site.gateways, all, building, &mut rng) {
+                    self.backend.set_clock(gateway, *ahead)?;
                 }
             }
         }
@@ -222,7 +222,7 @@
 
     /// Writes down a sighting of now.
     pub fn see(&self, what: ObservationKind) {
-        self.recorder.see(self.stage.now(), what);
+        self.recorder.see(self.backend.now(), what);
     }
 
     /// Starts a gateway's process, with nothing but the list of hosts that its agent has.
@@ -236,9 +236,9 @@
         post.stops = 0;
         let known = self.known(gateway);
         // The list in its configuration tells a gateway of hosts as discovery does.
-        known.iter().for_each(|known| self.registry.told(self.stage.now(), gateway, known));
+        known.iter().for_each(|known| self.registry.told(self.backend.now(), gateway, known));
         let document = self.document(gateway, incarnation, known.as_ref())?;
-        self.stage
+        self.backend
             .start_gateway(gateway, incarnation, &document)
             .with_context(|| format!("cannot start gateway {}", gateway + 1))?;
         self.see(ObservationKind::GatewayUp { gateway });
@@ -254,7 +254,7 @@
 
     /// The list of hosts that a gateway's agent has, if it is not silent.
     pub fn known(&self, gateway: u32) -> Option<DiscoveryMessage> {
-        self.registry.list(self.stage.now(), gateway)
+        self.registry.list(self.backend.now(), gateway)
     }
 
     /// The configuration document of a gateway that knows this list.
@@ -269,9 +269,13 @@
         let post = MachineRole::Gateway(gateway);
         let start = GatewayStart {
             name: format!("n{gateway}"),
-            listen: self.stage.gateway_address(gateway),
-            discovery: self.stage.reach(post, post, self.gateways[gateway as usize].agent.addr())?,
-            counter: self.stage.reach(post, MachineRole::Counter, self.counter.addrs()[gateway as usize])?,
+            listen: self.backend.gateway_address(gateway),
+            discovery: self.backend.dial_address(post, post, self.gateways[gateway as usize].agent.addr())?,
+            counter: self.backend.dial_address(
+                post,
+                MachineRole::Counter,
+                self.counter.addrs()[gateway as usize],
+            )?,
             seed: rng.bits(),
             known_endpoints: known
                 .unwrap_or_else(|| json!({"generation": 0, "reset": true, "instances": []})),
@@ -281,7 +285,7 @@
 
     /// Moves a gateway's agent to another address; the old one closes a while later.
     pub fn move_agent(&mut self, gateway: u32) -> Result<()> {
-        let agent = start_agent(&self.stage, &self.registry, gateway)?;
+        let agent = start_agent(&self.backend, &self.registry, gateway)?;
         let old = std::mem::replace(&mut self.gateways[gateway as usize].agent, agent);
         old.retire();
         Ok(())
@@ -293,7 +297,7 @@
         let listen: Arc<[SocketAddr]> =
             place.map_or_else(|| [].into(), |old| self.hosts[old as usize].listen.clone());
         let place = place.map_or(number, |old| self.hosts[old as usize].place);
-        let host = self.maker().host(&self.stage, number, place, &listen, true)?;
+        let host = self.maker().host(&self.backend, number, place, &listen, true)?;
         self.hosts.push(host);
         self.weather_on(number);
         self.tell(number, Lifecycle::InService, Detection::Announced);
@@ -304,7 +308,7 @@
     pub fn restart_host(&mut self, number: u32) -> Result<()> {
         let old = &self.hosts[number as usize];
         let (place, addrs, id) = (old.place, old.listen.clone(), old.id.clone());
-        let mut host = self.maker().host(&self.stage, number, place, &addrs, true)?;
+        let mut host = self.maker().host(&self.backend, number, place, &addrs, true)?;
         host.id = id;
         self.hosts[number as usize] = host;
         self.weather_on(number);
@@ -316,7 +320,7 @@
     pub fn tell(&self, number: u32, lifecycle: Lifecycle, notice: Detection) {
         let mut member = member(&self.scenario, number, &self.hosts[number as usize]);
         member.lifecycle = lifecycle;
-        self.registry.change(self.stage.now(), member, notice);
+        self.registry.change(self.backend.now(), member, notice);
     }
 
     /// Numbers of the hosts that run and are not told to go.
@@ -360,7 +364,7 @@
     /// A host that listens at these addresses, or at new ones of its place.
     fn host<S: Backend>(
         &self,
-        stage: &S,
+        backend: &S,
         number: u32,
         place: u32,
         addrs: &[SocketAddr],
@@ -369,7 +373,7 @@
         let site = &self.scenario.site;
         let post = MachineRole::Host(place);
         let listen = match addrs {
-            [] => (0..site.gateways).map(|_| stage.address(post)).collect(),
+            [] => (0..site.gateways).map(|_| backend.address(post)).collect(),
             old => old.to_vec(),
         };
         let config = HostConfig {
@@ -382,14 +386,15 @@
             cold,
             listen,
             recorder: self.recorder.clone(),
-            lag: stage.lag(post),
+            lag: backend.extra_latency(post),
             settled: self.settled.clone(),
         };
-        let started_ms = if cold { stage.now() / MS } else { 0 };
-        let running = HostStandIn::start(stage.process(post, &format!("host {}", number + 1)), config)?;
+        let started_ms = if cold { backend.now() / MS } else { 0 };
+        let running = HostStandIn::start(backend.process(post, &format!("host {}", number + 1)), config)?;
         let listen = running.addrs();
-        let reached =
-            |(gateway, at): (u32, &SocketAddr)| stage.reach(MachineRole::Gateway(gateway), post, *at);
+        let reached = |(gateway, at): (u32, &SocketAddr)| {
+            backend.dial_address(MachineRole::Gateway(gateway), post, *at)
+        };
         let addrs = (0..).zip(listen.iter()).map(reached).collect::<io::Result<Arc<[_]>>>()?;
         let id = format!("s-{:08x}", Rng::stream(self.seed, "host id", u64::from(number)).bits() as u32);
         let (draining, missed, slow) = (false, false, Vec::new());
@@ -398,14 +403,14 @@
 }
 
 fn start_agent<S: Backend>(
-    stage: &S,
+    backend: &S,
     registry: &SharedRegistry,
     gateway: u32,
 ) -> Result<AgentStandIn<S::Env>> {
     let post = MachineRole::Gateway(gateway);
-    let listen = stage.address(post);
+    let listen = backend.address(post);
     let config = AgentConfig { registry: registry.clone(), gateway, listen };
-    let agent = AgentStandIn::start(stage.process(post, &format!("agent {}", gateway + 1)), config);
+    let agent = AgentStandIn::start(backend.process(post, &format!("agent {}", gateway + 1)), config);
     agent.with_context(|| format!("cannot put up the agent of gateway {}", gateway + 1))
 }
 
--- a/crates/cluster-emulator/src/swarm.rs
+++ b/crates/cluster-emulator/src/swarm.rs
@@ -83,7 +83,7 @@
                     replay: None,
                     logs: None,
                     operators: None,
-                    special: None,
+                    gateway_override: None,
                     progress: None,
                 };
                 return run_real(scenario, seed, options);
--- a/crates/cluster-emulator/src/triggers.rs
+++ b/crates/cluster-emulator/src/triggers.rs
@@ -1,96 +1,96 @@
-//! PendingTriggers of a scenario that are named by something seen, and which of them have come.
+//! Matches observations and log lines against the triggers of scenario events.
 
 use cluster_model::observation::{ClientOutcome, ObservationKind};
 use cluster_model::scenario::{Scenario, Trigger};
 use cluster_model::SECOND;
 use runtime::{Span, Time};
 
-/// An event that waits for its sign.
+/// An event that waits for its trigger.
 #[derive(Clone, Debug)]
 struct PendingTrigger {
-    /// Its place in the scenario.
-    place: usize,
+    /// Index of the event in the scenario.
+    index: usize,
     line: u32,
-    sign: Trigger,
-    /// The latest at which the sign may come.
-    by: Time,
-    /// So often it was seen in time; it counts from 1.
-    seen: u32,
-    come: bool,
+    trigger: Trigger,
+    /// Latest time for the trigger to fire.
+    deadline: Time,
+    /// Number of matching observations before the deadline.
+    matches: u32,
+    fired: bool,
 }
 
-/// Events that begin by something seen, each once.
+/// Events that wait for a trigger, each of which fires once.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingTriggers {
-    awaited: Vec<PendingTrigger>,
+    pending: Vec<PendingTrigger>,
 }
 
 impl PendingTriggers {
-    /// Of a scenario whose first request comes at `start`.
+    /// Collects the triggered events of a scenario whose first request is sent at `start`.
     pub fn new(scenario: &Scenario, start: Time) -> PendingTriggers {
-        let awaited = scenario.events.iter().enumerate().filter_map(|(place, timed)| {
-            let (sign, by) = (timed.trigger.clone()?, start + timed.at);
-            Some(PendingTrigger { place, line: timed.line, sign, by, seen: 0, come: false })
+        let pending = scenario.events.iter().enumerate().filter_map(|(index, event)| {
+            let (trigger, deadline) = (event.trigger.clone()?, start + event.at);
+            Some(PendingTrigger { index, line: event.line, trigger, deadline, matches: 0, fired: false })
         });
-        PendingTriggers { awaited: awaited.collect() }
+        PendingTriggers { pending: pending.collect() }
     }
 
-    /// Whether anything may still come.
-    pub fn wait(&self, now: Time) -> bool {
-        self.awaited.iter().any(|awaited| !awaited.come && now <= awaited.by)
+    /// Whether a trigger may still fire.
+    pub fn any_pending(&self, now: Time) -> bool {
+        self.pending.iter().any(|awaited| !awaited.fired && now <= awaited.deadline)
     }
 
-    /// Something was seen: places of the events that begin by it.
-    pub fn see(&mut self, at: Time, what: &ObservationKind) -> Vec<usize> {
-        self.notice(at, |sign| shows(sign, what))
+    /// Processes an observation; returns the indices of the events that it triggers.
+    pub fn observe(&mut self, at: Time, kind: &ObservationKind) -> Vec<usize> {
+        self.fire_matching(at, |trigger| matches_trigger(trigger, kind))
     }
 
-    /// A host, numbered from 0, is told to drain.
-    pub fn drains(&mut self, at: Time, host: u32) -> Vec<usize> {
-        self.notice(at, |sign| *sign == Trigger::HostDrain(host + 1))
+    /// Processes the start of a drain of a host, numbered from 0.
+    pub fn host_drain(&mut self, at: Time, host: u32) -> Vec<usize> {
+        self.fire_matching(at, |trigger| *trigger == Trigger::HostDrain(host + 1))
     }
 
-    /// A line of a gateway's log, numbered from 0.
-    pub fn logged(&mut self, at: Time, gateway: u32, line: &str) -> Vec<usize> {
-        self.notice(
+    /// Processes a log line of a gateway, numbered from 0.
+    pub fn log_line(&mut self, at: Time, gateway: u32, line: &str) -> Vec<usize> {
+        self.fire_matching(
             at,
-            |sign| matches!(sign, Trigger::LogLine(of, text) if *of == gateway + 1 && line.contains(text)),
+            |trigger| matches!(trigger, Trigger::LogLine(of, text) if *of == gateway + 1 && line.contains(text)),
         )
     }
 
-    fn notice(&mut self, at: Time, shows: impl Fn(&Trigger) -> bool) -> Vec<usize> {
-        let mut begin = Vec::new();
-        for awaited in self.awaited.iter_mut().filter(|awaited| !awaited.come && at <= awaited.by) {
-            if shows(&awaited.sign) {
-                awaited.seen += 1;
-                awaited.come = awaited.seen == nth(&awaited.sign);
-                begin.extend(awaited.come.then_some(awaited.place));
+    fn fire_matching(&mut self, at: Time, matches: impl Fn(&Trigger) -> bool) -> Vec<usize> {
+        let mut started = Vec::new();
+        for awaited in self.pending.iter_mut().filter(|awaited| !awaited.fired && at <= awaited.deadline) {
+            if matches(&awaited.trigger) {
+                awaited.matches += 1;
+                awaited.fired = awaited.matches == nth(&awaited.trigger);
+                started.extend(awaited.fired.then_some(awaited.index));
             }
         }
-        begin
+        started
     }
 
-    /// What never came, a line for each: a run without it has not rehearsed what its scenario says.
+    /// Returns a line for each trigger that did not fire: such a run has not tested what its scenario specifies.
     pub fn missed(&self, start: Time) -> Vec<String> {
-        let missed = self.awaited.iter().filter(|awaited| !awaited.come);
-        missed.map(|awaited| awaited.told(awaited.by.saturating_sub(start))).collect()
+        let missed = self.pending.iter().filter(|awaited| !awaited.fired);
+        missed.map(|awaited| awaited.missed_line(awaited.deadline.saturating_sub(start))).collect()
     }
 }
 
 impl PendingTrigger {
-    fn told(&self, by: Span) -> String {
-        let by_s = by as f64 / SECOND as f64;
-        let so_far = match nth(&self.sign) {
+    fn missed_line(&self, deadline: Span) -> String {
+        let by_s = deadline as f64 / SECOND as f64;
+        let progress = match nth(&self.trigger) {
             1 => String::new(),
-            n => format!(" ({} of {n} came)", self.seen),
+            n => format!(" ({} of {n} came)", self.matches),
         };
-        format!("line {}: the moment never came by {by_s} s: {}{so_far}", self.line, self.sign)
+        format!("line {}: the moment never came by {by_s} s: {}{progress}", self.line, self.trigger)
     }
 }
 
-/// How manieth sighting a sign is.
-fn nth(sign: &Trigger) -> u32 {
-    match sign {
+/// Returns which matching observation, counted from 1, fires a trigger.
+fn nth(trigger: &Trigger) -> u32 {
+    match trigger {
         Trigger::CounterCall(_, n)
         | Trigger::HostAttempt(_, _, n)
         | Trigger::Request(_, n)
@@ -99,9 +99,9 @@
     }
 }
 
-/// Whether a sighting is one of those that a sign counts.
-fn shows(sign: &Trigger, what: &ObservationKind) -> bool {
-    match (sign, what) {
+/// Whether an observation counts for a trigger.
+fn matches_trigger(trigger: &Trigger, kind: &ObservationKind) -> bool {
+    match (trigger, kind) {
         (Trigger::CounterCall(of, _), ObservationKind::CounterCall { gateway, .. })
         | (Trigger::Request(of, _), ObservationKind::RequestSent { gateway, .. })
         | (Trigger::GatewayProcess(of, true), ObservationKind::GatewayUp { gateway })
@@ -111,17 +111,17 @@
         (Trigger::HostAttempt(of, to, _), ObservationKind::AttemptReceived { gateway, host, .. }) => {
             *of == gateway + 1 && to.is_none_or(|to| to == host + 1)
         }
-        (Trigger::Response(of, _), ObservationKind::RequestEnded { gateway, outcome: got, .. }) => {
+        (Trigger::Response(of, _), ObservationKind::RequestEnded { gateway, outcome, .. }) => {
             *of == gateway + 1
                 && matches!(
-                    got,
+                    outcome,
                     ClientOutcome::Served(_) | ClientOutcome::Rejected(_) | ClientOutcome::Failed
                 )
         }
         (
-            Trigger::DiscoveryUpdate(of, about, told),
+            Trigger::DiscoveryUpdate(of, of_host, of_state),
             ObservationKind::GatewayNotified { gateway, host, state, .. },
-        ) => (*of, *about, *told) == (gateway + 1, host + 1, *state),
+        ) => (*of, *of_host, *of_state) == (gateway + 1, host + 1, *state),
         (Trigger::HostProcess(of, true), ObservationKind::HostStarted { host, .. })
         | (
             Trigger::HostProcess(of, false),
--- a/crates/cluster-emulator/src/virtual_time.rs
+++ b/crates/cluster-emulator/src/virtual_time.rs
@@ -152,7 +152,7 @@
             gateway,
             incarnation: running.incarnation,
             error: None,
-            arranged: None,
+            restart_after: None,
         });
     }
 }
@@ -174,7 +174,7 @@
         SocketAddr::new(self.machine(MachineRole::Gateway(gateway)).ip(), PORT)
     }
 
-    fn lag(&self, _post: MachineRole) -> Span {
+    fn extra_latency(&self, _post: MachineRole) -> Span {
         0
     }
 
@@ -193,7 +193,7 @@
         let (exits, own) = (self.exits.clone(), env.clone());
         env.spawn(async move {
             let error = serving.await.err().map(|error| format!("{error:#}"));
-            lock(&exits).push(Exit { gateway, incarnation, error, arranged: None });
+            lock(&exits).push(Exit { gateway, incarnation, error, restart_after: None });
             own.exit();
         });
         self.running.insert(gateway, Running { env, incarnation, signals, document });
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    fn clock_stood_still(&mut self, gateway: u32, span: Span) -> io::Result<()> {
+    fn exclude_pause_from_clock(&mut self, gateway: u32, span: Span) -> io::Result<()> {
         self.running.get(&gateway).into_iter().for_each(|running| running.env.clock_stood_still(span));
         Ok(())
     }
@@ -241,11 +241,17 @@
         Ok(())
     }
 
-    fn exits(&mut self) -> Vec<Exit> {
+    fn take_exits(&mut self) -> Vec<Exit> {
         std::mem::take(&mut *lock(&self.exits))
     }
 
-    fn cut(&mut self, a: &[MachineRole], b: &[MachineRole], _span: Span, reset: bool) -> io::Result<u64> {
+    fn partition(
+        &mut self,
+        a: &[MachineRole],
+        b: &[MachineRole],
+        _span: Span,
+        reset: bool,
+    ) -> io::Result<u64> {
         let ids = |side: &[MachineRole]| side.iter().map(|post| self.machine(*post).id()).collect();
         let how = if reset { Cut::Reset } else { Cut::Silent };
         let cut = self.sim.cut(ids(a), ids(b), how);
