--- a/crates/cluster-emulator/src/real.rs
+++ b/crates/cluster-emulator/src/real.rs
@@ -1,6 +1,7 @@
-//! The real stage: the release program once per gateway, on loopback sockets, in real time. What the network
-//! does on the virtual stage, links between the processes do here ([`links`]); without them the stand-ins do: they
-//! take the way's time into their own (`lag`), and say nothing to gateways that they are cut off from.
+//! The real backend: runs the release program once per gateway, on loopback sockets, in real time.
+//!
+//! Links between the processes ([`links`]) emulate the network. Without them the fake services do: they add the network
+//! latency to their own (`extra_latency`), and are silent towards gateways that they are partitioned from.
 
 mod counter;
 mod lag;
@@ -9,7 +10,7 @@
 mod logs;
 
 pub use counter::CounterProcess;
-pub(crate) use lag::Lag;
+pub(crate) use lag::LagMonitor;
 pub use launch::run_child_process;
 pub(crate) use links::{Pair, WAIT};
 
@@ -38,42 +39,42 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 
-/// A gateway that listens is connected to sooner.
-const PROBE: Duration = Duration::from_millis(5);
-/// Links may hold one of so many of this process's descriptors; stand-ins have the rest.
-const LINKS_SHARE: usize = 2;
+/// Timeout of a connection attempt that checks whether a gateway listens.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(5);
+/// Links may use this process's descriptors divided by this number; fake services use the rest.
+const LINK_DESCRIPTOR_DIVISOR: usize = 2;
 
-/// By this a test build is told by how many milliseconds its clock is ahead.
-const CLOCK: &str = "FENNELBEAM_CLOCK";
-/// What processes may be told for a trace of it.
-const MOST_TOLD: usize = 200_000;
+/// Environment variable that sets how many milliseconds the clock of a test build is ahead.
+const CLOCK_VARIABLE: &str = "FENNELBEAM_CLOCK";
+/// Most process signals and starts in a trace.
+const MAX_PROCESS_EVENTS: usize = 200_000;
 
-/// What a cut parts: stand-ins and the gateways that they are silent to.
-type CutOff = Vec<(MachineRole, u32)>;
+/// Fake services and the gateways that they are partitioned from.
+type PartitionedPairs = Vec<(MachineRole, u32)>;
 
-/// A gateway's process that runs.
+/// A running gateway process.
 struct Running {
     pid: Pid,
-    /// CPU that it had taken when it was last looked at, in clock ticks.
-    cpu: u64,
-    /// Nanoseconds that it had waited for a core then.
-    waited: u64,
+    /// CPU time at the last check, in clock ticks.
+    cpu_ticks: u64,
+    /// Nanoseconds of waiting for a core at the last check.
+    cpu_wait: u64,
 }
 
-/// A gateway whose first process is another program, or has a world of its own; its later ones are as all others.
+/// Overrides the program or the environment of the first process of one gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayOverride {
-    /// Which, counted from 0.
+    /// Gateway number, from 0.
     pub gateway: u32,
-    /// The program.
+    /// Program of its first process.
     pub program: PathBuf,
-    /// Environment variables that it gets besides.
+    /// Additional environment variables.
     pub environment: Vec<(String, String)>,
-    /// It may end itself by SIGKILL: that counts as the scenario's doing, and it is started again after this.
+    /// Expects the process to end itself by SIGKILL: counts as a kill by the scenario, with a restart after this time.
     pub restart_after_crash: Option<Span>,
 }
 
-/// A stage of processes and sockets.
+/// A backend of processes and sockets.
 pub struct RealBackend {
     env: SystemEnv,
     program: PathBuf,
@@ -83,56 +84,59 @@
     limits: launch::Limits,
     logs: Option<PathBuf>,
     watched: Watched,
-    /// Configuration documents, in files without a name: nothing is left of them whoever is killed.
+    /// Configuration documents in unnamed files, of which nothing remains if a process is killed.
     documents: BTreeMap<u32, File>,
-    wires: Option<Links>,
+    links: Option<Links>,
     counter: Option<CounterProcess>,
-    /// When the links were started.
-    wired: Time,
-    /// What processes of gateways were told: when, which, what.
-    told: Vec<(Time, u32, &'static str)>,
-    lag: Span,
+    /// Start time of the links.
+    links_started: Time,
+    /// Starts and signals of gateway processes: time, gateway and kind.
+    process_events: Vec<(Time, u32, &'static str)>,
+    extra_latency: Span,
     addresses: Vec<SocketAddr>,
     running: BTreeMap<u32, Running>,
-    /// Nanoseconds by which clocks of gateways that start from now on are ahead.
+    /// Nanoseconds by which the clocks of gateways started later are ahead.
     clocks: BTreeMap<u32, i64>,
-    /// CPU of processes that have ended, in clock ticks.
-    spent: u64,
+    /// CPU time of ended processes, in clock ticks.
+    ended_cpu_ticks: u64,
     exits: Arc<Mutex<Vec<Exit>>>,
-    cuts: BTreeMap<u64, CutOff>,
-    next_cut: u64,
-    /// What is silent for whom: the fault injector asks for it after each change.
+    partitions: BTreeMap<u64, PartitionedPairs>,
+    next_partition: u64,
+    /// Changes of silences, which the run loop takes and applies to the fake services.
     pub silences: Vec<Silence>,
 }
 
-/// A stand-in that has to be silent, or to speak again, to a gateway.
+/// Sets whether a fake service is silent towards a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Silence {
-    /// The stand-in's machine.
-    pub post: MachineRole,
-    /// The gateway.
+    /// Machine of the fake service.
+    pub role: MachineRole,
+    /// Gateway number, from 0.
     pub gateway: u32,
-    /// Silent; else it speaks again.
+    /// Whether the service is silent from now on.
     pub silent: bool,
-    /// Its connections are reset.
+    /// Whether to reset the connections of the gateway.
     pub reset: bool,
 }
 
 impl RealBackend {
-    /// A stage that starts the program for each gateway, with logs in a folder if one is given.
+    /// Creates a backend that starts the program for each gateway, with logs in a folder if one is given.
     pub fn new(site: &Site, seed: u64, options: &RealOptions<'_>) -> io::Result<RealBackend> {
-        let addresses: Vec<SocketAddr> = (0..site.gateways).map(|_| own_address()).collect();
-        // One that somebody else has is told of here, and not by a gateway that ends.
-        addresses.iter().try_for_each(is_free)?;
+        let addresses: Vec<SocketAddr> = (0..site.gateways).map(|_| unique_address()).collect();
+        // Reports an address that is in use here, not by a gateway that fails to start.
+        addresses.iter().try_for_each(check_free)?;
         if let Some(folder) = &options.logs {
             std::fs::create_dir_all(folder)?;
         }
-        let descriptors = launch::most_descriptors();
+        let descriptors = launch::raise_descriptor_limit();
         let env = SystemEnv::start();
-        let wired = env.now();
-        let wires = options.links.then(|| Links::new(site, seed, descriptors / LINKS_SHARE)).transpose()?;
-        if let (Some(wires), Some(trace)) = (&wires, options.replay) {
-            wires.replay(trace);
+        let links_started = env.now();
+        let links = options
+            .links
+            .then(|| Links::new(site, seed, descriptors / LINK_DESCRIPTOR_DIVISOR))
+            .transpose()?;
+        if let (Some(links), Some(trace)) = (&links, options.replay) {
+            links.replay(trace);
         }
         Ok(RealBackend {
             env,
@@ -147,73 +151,74 @@
             logs: options.logs.clone(),
             watched: Watched::default(),
             documents: BTreeMap::new(),
-            wires,
+            links,
             counter: None,
-            wired,
-            told: Vec::new(),
-            // Two of three hosts are in another building, as gateways and hosts are dealt out in turn.
-            lag: if options.links { 0 } else { mean_way(site) },
+            links_started,
+            process_events: Vec::new(),
+            // With gateways and hosts assigned to buildings in turn, two of three hosts are in another building.
+            extra_latency: if options.links { 0 } else { mean_latency(site) },
             addresses,
             running: BTreeMap::new(),
             clocks: BTreeMap::new(),
-            spent: 0,
+            ended_cpu_ticks: 0,
             exits: Arc::default(),
-            cuts: BTreeMap::new(),
-            next_cut: 0,
+            partitions: BTreeMap::new(),
+            next_partition: 0,
             silences: Vec::new(),
         })
     }
 
-    /// The world of the stand-ins.
+    /// Returns the runtime environment of the fake services.
     pub fn env(&self) -> SystemEnv {
         self.env
     }
 
-    /// What links and processes did, in times from `start`.
-    pub fn done(&self, start: Time) -> Result<(Vec<LinkLine>, Vec<ProcessLine>), String> {
-        let wires = self.wires.as_ref().ok_or("only runs with links between the processes have a trace")?;
-        if self.told.len() >= MOST_TOLD {
-            return Err(format!("processes were told {MOST_TOLD} things or more"));
+    /// Returns the trace of links and processes, with times from `start`.
+    pub fn trace_lines(&self, start: Time) -> Result<(Vec<LinkLine>, Vec<ProcessLine>), String> {
+        let links = self.links.as_ref().ok_or("only runs with links between the processes have a trace")?;
+        if self.process_events.len() >= MAX_PROCESS_EVENTS {
+            return Err(format!("processes had {MAX_PROCESS_EVENTS} starts and signals or more"));
         }
         let line = |(at, gateway, told): &(Time, u32, &'static str)| ProcessLine {
             at: *at as i64 - start as i64,
             gateway: *gateway,
             told,
         };
-        Ok((wires.done(self.wired, start)?, self.told.iter().map(line).collect()))
+        Ok((links.trace_lines(self.links_started, start)?, self.process_events.iter().map(line).collect()))
     }
 
     fn note(&mut self, gateway: u32, told: &'static str) {
-        if self.told.len() < MOST_TOLD {
-            self.told.push((self.env.now(), gateway, told));
+        if self.process_events.len() < MAX_PROCESS_EVENTS {
+            self.process_events.push((self.env.now(), gateway, told));
         }
     }
 
-    /// Seconds of CPU that all gateways together have taken so far.
+    /// Returns the CPU seconds of all gateways so far.
     pub fn cpu_s(&mut self) -> f64 {
         for running in self.running.values_mut() {
-            running.cpu = cpu_ticks(running.pid).unwrap_or(running.cpu);
+            running.cpu_ticks = cpu_ticks(running.pid).unwrap_or(running.cpu_ticks);
         }
-        let ticks = self.spent + self.running.values().map(|running| running.cpu).sum::<u64>();
+        let ticks =
+            self.ended_cpu_ticks + self.running.values().map(|running| running.cpu_ticks).sum::<u64>();
         ticks as f64 / ticks_per_s()
     }
 
-    /// How long gateways have waited for a core, as a share of the time since this was last asked, which is `span`.
-    pub fn waits(&mut self, span: Span) -> Vec<(u32, f64)> {
+    /// Returns the share of time that each gateway waited for a core since the last call, which was `span` ago.
+    pub fn cpu_wait_shares(&mut self, span: Span) -> Vec<(u32, f64)> {
         let mut shares = Vec::new();
         for (gateway, running) in &mut self.running {
-            let Some(waited) = waited(running.pid) else { continue };
-            shares.push((*gateway, waited.saturating_sub(running.waited) as f64 / span.max(1) as f64));
-            running.waited = waited;
+            let Some(waited) = cpu_wait_ns(running.pid) else { continue };
+            shares.push((*gateway, waited.saturating_sub(running.cpu_wait) as f64 / span.max(1) as f64));
+            running.cpu_wait = waited;
         }
         shares
     }
 
-    /// Writes a gateway's document, and says where the gateway finds it.
+    /// Writes a gateway's document, and returns its path.
     fn write_config(&mut self, gateway: u32, document: &Value) -> io::Result<PathBuf> {
         let file = match self.documents.entry(gateway) {
-            Entry::Occupied(there) => there.into_mut(),
-            Entry::Vacant(none) => none.insert(tempfile::tempfile()?),
+            Entry::Occupied(entry) => entry.into_mut(),
+            Entry::Vacant(entry) => entry.insert(tempfile::tempfile()?),
         };
         file.set_len(0)?;
         file.rewind()?;
@@ -221,14 +226,14 @@
         Ok(PathBuf::from(format!("/proc/{}/fd/{}", std::process::id(), file.as_raw_fd())))
     }
 
-    fn wires(&self) -> io::Result<&Links> {
-        self.wires.as_ref().ok_or_else(|| io::Error::other("links fail only with --links"))
+    fn links(&self) -> io::Result<&Links> {
+        self.links.as_ref().ok_or_else(|| io::Error::other("link faults need --links"))
     }
 
     fn command(&self, program: &Path) -> Command {
         let Some(launcher) = &self.launcher else { return Command::new(program) };
         let mut command = Command::new(launcher);
-        command.args(launch::words(program, self.limits));
+        command.args(launch::gateway_args(program, self.limits));
         command
     }
 
@@ -245,14 +250,14 @@
         Ok(file.into())
     }
 
-    /// Looks for lines in the log of this gateway from its next start on.
+    /// Watches the log of this gateway from its next start on.
     pub fn watch_log(&mut self, gateway: u32) {
         self.watched.add(gateway);
     }
 
-    fn silence(&mut self, cut: &CutOff, silent: bool, reset: bool) {
+    fn silence(&mut self, partition: &PartitionedPairs, silent: bool, reset: bool) {
         let silences =
-            cut.iter().map(|(post, gateway)| Silence { post: *post, gateway: *gateway, silent, reset });
+            partition.iter().map(|(role, gateway)| Silence { role: *role, gateway: *gateway, silent, reset });
         self.silences.extend(silences);
     }
 }
@@ -260,21 +265,21 @@
 impl Backend for RealBackend {
     type Env = SystemEnv;
 
-    fn process(&self, _post: MachineRole, _name: &str) -> SystemEnv {
+    fn process(&self, _role: MachineRole, _name: &str) -> SystemEnv {
         self.env
     }
 
-    fn address(&self, _post: MachineRole) -> SocketAddr {
-        own_address()
+    fn address(&self, _role: MachineRole) -> SocketAddr {
+        unique_address()
     }
 
     fn gateway_address(&self, gateway: u32) -> SocketAddr {
         self.addresses[gateway as usize]
     }
 
-    fn extra_latency(&self, post: MachineRole) -> Span {
-        if matches!(post, MachineRole::Host(_) | MachineRole::Counter) {
-            self.lag
+    fn extra_latency(&self, role: MachineRole) -> Span {
+        if matches!(role, MachineRole::Host(_) | MachineRole::Counter) {
+            self.extra_latency
         } else {
             0
         }
@@ -286,10 +291,10 @@
         seed: u64,
         recorder: &Recorder,
     ) -> io::Result<CounterHandle<SystemEnv>> {
-        let Some(launcher) = self.launcher.as_ref().filter(|_| self.wires.is_some()) else {
+        let Some(launcher) = self.launcher.as_ref().filter(|_| self.links.is_some()) else {
             return counter_tasks(self, scenario, seed, recorder);
         };
-        let addrs = (0..scenario.site.gateways).map(|_| own_address()).collect();
+        let addrs = (0..scenario.site.gateways).map(|_| unique_address()).collect();
         let world = (self.env, recorder.clone());
         let counter = CounterProcess::start(launcher, scenario, (seed, addrs), world)?;
         self.counter = Some(counter.clone());
@@ -299,19 +304,21 @@
     fn start_gateway(&mut self, gateway: u32, incarnation: u32, document: &Value) -> io::Result<()> {
         let config = self.write_config(gateway, document)?;
         let log = self.log(gateway, incarnation)?;
-        let gateway_override =
-            self.gateway_override.as_ref().filter(|one| one.gateway == gateway && incarnation == 0);
-        let environment = gateway_override.map_or(&[][..], |one| &one.environment);
+        let gateway_override = self
+            .gateway_override
+            .as_ref()
+            .filter(|gateway_override| gateway_override.gateway == gateway && incarnation == 0);
+        let environment = gateway_override.map_or(&[][..], |gateway_override| &gateway_override.environment);
         let clock = self.clocks.get(&gateway);
         let child = self
-            .command(gateway_override.map_or(&self.program, |one| &one.program))
+            .command(gateway_override.map_or(&self.program, |gateway_override| &gateway_override.program))
             .args(
                 self.operators
                     .iter()
                     .flat_map(|file| ["serve".as_ref(), "--operator".as_ref(), file.as_os_str()]),
             )
             .envs(environment.iter().map(|(name, value)| (name, value)))
-            .envs(clock.map(|ahead| (CLOCK, (ahead / MS as i64).to_string())))
+            .envs(clock.map(|ahead| (CLOCK_VARIABLE, (ahead / MS as i64).to_string())))
             .env("ROUTER_CONFIG", config)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -320,21 +327,22 @@
             .spawn()?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
         let pid = pid.ok_or_else(|| io::Error::other("ended at once"))?;
-        self.running.insert(gateway, Running { pid, cpu: 0, waited: 0 });
-        let restart_after_crash = gateway_override.and_then(|one| one.restart_after_crash);
-        self.env.spawn(wait(child, (gateway, incarnation), restart_after_crash, self.exits.clone()));
+        self.running.insert(gateway, Running { pid, cpu_ticks: 0, cpu_wait: 0 });
+        let restart_after_crash =
+            gateway_override.and_then(|gateway_override| gateway_override.restart_after_crash);
+        self.env.spawn(wait_for_exit(child, (gateway, incarnation), restart_after_crash, self.exits.clone()));
         self.note(gateway, "start");
         Ok(())
     }
 
     fn set_refusing(&mut self, role: MachineRole, refusing: bool) -> io::Result<()> {
-        self.wires.as_ref().map_or(Ok(()), |wires| wires.refuse(role, refusing))
+        self.links.as_ref().map_or(Ok(()), |links| links.refuse(role, refusing))
     }
 
     fn refuses_until_ready(&self, gateway: u32) -> bool {
         let address = &self.addresses[gateway as usize];
-        // On loopback it answers at once, whether or not it is scheduled: the system does.
-        self.wires.is_none() || TcpStream::connect_timeout(address, PROBE).is_ok()
+        // On loopback the system accepts at once, whether or not the gateway is scheduled.
+        self.links.is_none() || TcpStream::connect_timeout(address, PROBE_TIMEOUT).is_ok()
     }
 
     fn replace_document(&mut self, gateway: u32, document: &Value) -> io::Result<()> {
@@ -351,17 +359,17 @@
             Signal::Stop => (UnixSignal::STOP, "stop"),
             Signal::Continue => (UnixSignal::CONT, "continue"),
         };
-        // It may have ended just now.
+        // The process may just have ended.
         let _ = kill_process(running.pid, told);
         self.note(gateway, word);
     }
 
     fn set_clock(&mut self, gateway: u32, ahead: i64) -> io::Result<()> {
-        // A release would go by the machine's clock, and the run would seem to show what it does not.
-        if !knows(&self.program, CLOCK)? {
+        // A release build would use the machine's clock, and the run would silently test nothing.
+        if !mentions_variable(&self.program, CLOCK_VARIABLE)? {
             let program = self.program.display();
             return Err(io::Error::other(format!(
-                "{program} is no test build that can be told a clock (feature told-clock)"
+                "{program} is not a test build with a settable clock (feature told-clock)"
             )));
         }
         self.clocks.insert(gateway, ahead);
@@ -369,35 +377,38 @@
     }
 
     fn exclude_pause_from_clock(&mut self, _gateway: u32, _span: Span) -> io::Result<()> {
-        Err(io::Error::other("the system's clock stands still for no process: play it in virtual time"))
+        Err(io::Error::other(
+            "the clock of a single process cannot be stopped: run the scenario in virtual time",
+        ))
     }
 
-    fn set_suspended(&mut self, post: MachineRole, still: bool) -> io::Result<()> {
+    fn set_suspended(&mut self, role: MachineRole, suspended: bool) -> io::Result<()> {
         match &self.counter {
-            Some(counter) if post == MachineRole::Counter => {
-                counter.signal(if still { UnixSignal::STOP } else { UnixSignal::CONT });
+            Some(counter) if role == MachineRole::Counter => {
+                counter.signal(if suspended { UnixSignal::STOP } else { UnixSignal::CONT });
                 Ok(())
             }
-            // A host is tasks of this process that hear and say nothing: its system takes in what comes meanwhile.
-            _ if post != MachineRole::Counter && self.wires.is_some() => {
-                let cut: CutOff = (0..self.addresses.len() as u32).map(|gateway| (post, gateway)).collect();
-                self.silence(&cut, still, false);
+            // A host is a set of tasks in this process that stop reading and writing, while the system still receives.
+            _ if role != MachineRole::Counter && self.links.is_some() => {
+                let partition: PartitionedPairs =
+                    (0..self.addresses.len() as u32).map(|gateway| (role, gateway)).collect();
+                self.silence(&partition, suspended, false);
                 Ok(())
             }
-            _ => Err(io::Error::other("a stand-in's process stands still only with --links")),
+            _ => Err(io::Error::other("suspending a fake service needs --links")),
         }
     }
 
     fn take_exits(&mut self) -> Vec<Exit> {
         let exits = std::mem::take(&mut *lock(&self.exits));
         for exit in &exits {
-            self.spent += self.running.remove(&exit.gateway).map_or(0, |running| running.cpu);
+            self.ended_cpu_ticks += self.running.remove(&exit.gateway).map_or(0, |running| running.cpu_ticks);
         }
         exits
     }
 
     fn take_log_lines(&mut self) -> Vec<(u32, String)> {
-        self.watched.lines()
+        self.watched.take_lines()
     }
 
     fn partition(
@@ -407,21 +418,22 @@
         span: Span,
         reset: bool,
     ) -> io::Result<u64> {
-        if let Some(wires) = &self.wires {
-            wires.cut(a, b, span, reset)?;
-            self.next_cut += 1;
-            return Ok(self.next_cut);
+        if let Some(links) = &self.links {
+            links.cut(a, b, span, reset)?;
+            self.next_partition += 1;
+            return Ok(self.next_partition);
         }
-        let cut: CutOff = pairs(a, b).chain(pairs(b, a)).collect();
-        self.silence(&cut, true, reset);
-        self.next_cut += 1;
-        self.cuts.insert(self.next_cut, cut);
-        Ok(self.next_cut)
+        let partition: PartitionedPairs =
+            service_gateway_pairs(a, b).chain(service_gateway_pairs(b, a)).collect();
+        self.silence(&partition, true, reset);
+        self.next_partition += 1;
+        self.partitions.insert(self.next_partition, partition);
+        Ok(self.next_partition)
     }
 
-    fn heal(&mut self, cut: u64) {
-        if let Some(cut) = self.cuts.remove(&cut) {
-            self.silence(&cut, false, false);
+    fn heal(&mut self, partition: u64) {
+        if let Some(partition) = self.partitions.remove(&partition) {
+            self.silence(&partition, false, false);
         }
     }
 
@@ -431,11 +443,11 @@
         fault: &LinkFault,
         span: Span,
     ) -> io::Result<()> {
-        self.wires()?.fail(pairs, fault, span)
+        self.links()?.fail(pairs, fault, span)
     }
 
     fn reset_links(&mut self, pairs: &[(MachineRole, MachineRole)]) -> io::Result<()> {
-        self.wires()?.reset(pairs)
+        self.links()?.reset(pairs)
     }
 
     fn dial_address(
@@ -444,7 +456,7 @@
         to: MachineRole,
         address: SocketAddr,
     ) -> io::Result<SocketAddr> {
-        self.wires.as_ref().map_or(Ok(address), |wires| wires.reach((from, to), address))
+        self.links.as_ref().map_or(Ok(address), |links| links.reach((from, to), address))
     }
 
     fn knows_send_times(&self) -> bool {
@@ -452,7 +464,7 @@
     }
 
     fn max_fault_delay(&self) -> Span {
-        let replays = self.wires.as_ref().is_some_and(Links::replays);
+        let replays = self.links.as_ref().is_some_and(Links::replays);
         if replays {
             links::WAIT
         } else {
@@ -465,40 +477,40 @@
     }
 }
 
-/// Where one process of the site listens: at a loopback address that no other rehearsal takes, and at a port that the
-/// system picks for nobody. So each finds its own free when it comes back.
-fn own_address() -> SocketAddr {
-    /// Rehearsals of one process take their ports in turn.
+/// Returns a listen address for one process of the site: a loopback address that no other run uses, and a port that the
+/// system does not assign. So the address is free when the process restarts.
+fn unique_address() -> SocketAddr {
+    /// Runs of one process take their ports in turn.
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    /// The first, and how many: below those that the system picks.
-    const PORTS: (u32, u32) = (10_000, 22_000);
-    let port = PORTS.0 + NEXT.fetch_add(1, Ordering::Relaxed) % PORTS.1;
-    // A process id has 22 bits at the most.
+    /// First port and number of ports, below those that the system assigns.
+    const PORT_RANGE: (u32, u32) = (10_000, 22_000);
+    let port = PORT_RANGE.0 + NEXT.fetch_add(1, Ordering::Relaxed) % PORT_RANGE.1;
+    // A process id has at most 22 bits.
     let [_, a, b, c] = std::process::id().to_be_bytes();
     SocketAddr::new(Ipv4Addr::new(127, 64 | a, b, c).into(), port as u16)
 }
 
-/// Whether nobody listens there.
-fn is_free(address: &SocketAddr) -> io::Result<()> {
+/// Fails if the address is in use.
+fn check_free(address: &SocketAddr) -> io::Result<()> {
     let bound = TcpListener::bind(address);
     bound.map(drop).map_err(|error| io::Error::new(error.kind(), format!("{address}: {error}")))
 }
 
-/// Stand-ins of one side with the gateways of the other.
-fn pairs<'a>(
-    standins: &'a [MachineRole],
+/// Pairs the fake services of one side with the gateways of the other.
+fn service_gateway_pairs<'a>(
+    services: &'a [MachineRole],
     gateways: &'a [MachineRole],
 ) -> impl Iterator<Item = (MachineRole, u32)> + 'a {
-    let gateways = gateways.iter().filter_map(|post| match post {
+    let gateways = gateways.iter().filter_map(|role| match role {
         MachineRole::Gateway(gateway) => Some(*gateway),
         _ => None,
     });
-    let here = |post: &&MachineRole| matches!(post, MachineRole::Host(_) | MachineRole::Counter);
-    gateways.flat_map(move |gateway| standins.iter().filter(here).map(move |post| (*post, gateway)))
+    let is_service = |role: &&MachineRole| matches!(role, MachineRole::Host(_) | MachineRole::Counter);
+    gateways.flat_map(move |gateway| services.iter().filter(is_service).map(move |role| (*role, gateway)))
 }
 
-/// Waits for the end of a gateway's process.
-async fn wait(
+/// Waits for the end of a gateway process.
+async fn wait_for_exit(
     mut child: Child,
     (gateway, incarnation): (u32, u32),
     restart_after_crash: Option<Span>,
@@ -519,30 +531,30 @@
     lock(&exits).push(exit);
 }
 
-/// Whether a program knows of an environment variable: its name stands in it.
-fn knows(program: &Path, variable: &str) -> io::Result<bool> {
+/// Whether a program uses an environment variable: its file contains the name.
+fn mentions_variable(program: &Path, variable: &str) -> io::Result<bool> {
     let bytes = std::fs::read(program)?;
     let first = variable.as_bytes()[0];
     Ok(bytes.windows(variable.len()).any(|part| part[0] == first && part == variable.as_bytes()))
 }
 
-/// The mean way between a gateway and a host.
-fn mean_way(site: &Site) -> Span {
+/// Returns the mean one-way latency between a gateway and a host.
+fn mean_latency(site: &Site) -> Span {
     let buildings = u64::from(site.buildings.max(1));
     let network = &site.network;
     (network.intra_building + network.inter_building * (buildings - 1)) / buildings
 }
 
-/// User and system time of a process, in clock ticks.
+/// Returns the user and system time of a process, in clock ticks.
 fn cpu_ticks(pid: Pid) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", pid.as_raw_nonzero())).ok()?;
-    // Fields 14 and 15; the second, in parentheses, may hold spaces.
+    // Fields 14 and 15; field 2, in parentheses, may contain spaces.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     Some(fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?)
 }
 
-/// Nanoseconds that a process could have run and waited for a core.
-fn waited(pid: Pid) -> Option<u64> {
+/// Returns the nanoseconds that a runnable process waited for a core.
+fn cpu_wait_ns(pid: Pid) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", pid.as_raw_nonzero())).ok()?;
     stat.split_whitespace().nth(1)?.parse().ok()
 }
@@ -556,20 +568,24 @@
     use super::*;
 
     #[test]
-    fn a_port_that_somebody_else_has_is_named() {
+    fn names_an_address_that_is_in_use() {
         let other = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = other.local_addr().unwrap();
-        let said = is_free(&address).unwrap_err().to_string();
+        let said = check_free(&address).unwrap_err().to_string();
         assert!(said.starts_with(&format!("{address}: ")), "{said}");
         drop(other);
-        is_free(&address).unwrap();
+        check_free(&address).unwrap();
     }
 
     #[test]
-    fn a_cut_between_buildings_leaves_each_to_itself() {
+    fn a_partition_pairs_the_services_of_each_building_with_the_gateways_of_the_other() {
         let one = [MachineRole::Gateway(0), MachineRole::Host(0), MachineRole::Counter];
         let two = [MachineRole::Gateway(1), MachineRole::Host(1)];
-        let cut: Vec<_> = pairs(&one, &two).chain(pairs(&two, &one)).collect();
-        assert_eq!(cut, [(MachineRole::Host(0), 1), (MachineRole::Counter, 1), (MachineRole::Host(1), 0)]);
+        let partition: Vec<_> =
+            service_gateway_pairs(&one, &two).chain(service_gateway_pairs(&two, &one)).collect();
+        assert_eq!(
+            partition,
+            [(MachineRole::Host(0), 1), (MachineRole::Counter, 1), (MachineRole::Host(1), 0)]
+        );
     }
 }
--- a/crates/cluster-emulator/src/real/counter.rs
+++ b/crates/cluster-emulator/src/real/counter.rs
@@ -102,7 +102,7 @@
         let Inner { launcher, document, recorder, .. } = &*self.0;
         let document = format!("/proc/{}/fd/{}", std::process::id(), document.as_raw_fd());
         let mut command = Command::new(launcher);
-        command.args(super::launch::stand_in_words(document.as_ref())).kill_on_drop(true);
+        command.args(super::launch::counter_args(document.as_ref())).kill_on_drop(true);
         let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
         let (Some(pid), Some(orders), Some(calls)) = (pid, child.stdin.take(), child.stdout.take()) else {
--- a/crates/cluster-emulator/src/real/launch.rs
+++ b/crates/cluster-emulator/src/real/launch.rs
@@ -1,8 +1,7 @@
-//! How a process begins that is a gateway, or a stand-in: it ends with the one that started it, however that ends, and is held to limits.
+//! Starts processes of gateways and of the counter that end with their parent, however it ends, and have limits.
 //!
-//! The program that rehearses starts itself with words of its own, sets on itself what a process hands on to the one
-//! that takes its place, and lets the gateway's program take it. A signal handler or a `Drop` would not run where a
-//! runner is killed.
+//! The emulator starts itself with internal arguments, sets its parent-death signal and resource limits, which survive
+//! `exec`, and executes the gateway program. A signal handler or a `Drop` would not run if the emulator is killed.
 
 use rustix::process::{
     getppid, set_parent_process_death_signal, setrlimit, Pid, Resource, Rlimit, Signal as UnixSignal,
@@ -13,86 +12,86 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The word by which the program knows that it is to become a gateway.
-const BECOME: &str = "--become-gateway";
-/// The word by which it knows that it is to be the counter.
-const BE_COUNTER: &str = "--be-counter";
-/// Beside what a gateway is configured to hold, its process may have this for code and stacks, in MB.
-const BESIDE_MB: u64 = 32;
+/// The argument that makes the program execute a gateway.
+const BECOME_GATEWAY: &str = "--become-gateway";
+/// The argument that makes the program run the counter.
+const RUN_COUNTER: &str = "--be-counter";
+/// Memory for code and stacks of a gateway process, in addition to its configured memory, in MB.
+const EXTRA_MEMORY_MB: u64 = 32;
 
-/// What a gateway's process may have.
+/// Resource limits of a gateway process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     /// Descriptors.
     pub descriptors: u64,
-    /// Memory of its own data in MB, as configured.
+    /// Configured data memory in MB.
     pub memory_mb: u64,
 }
 
-/// The words for `launcher` that end in `program` in its place; words of that program's own may follow.
-pub(super) fn words(program: &Path, limits: Limits) -> Vec<OsString> {
-    let me = std::process::id().to_string();
+/// Returns the launcher arguments that execute `program`; arguments of the program may follow.
+pub(super) fn gateway_args(program: &Path, limits: Limits) -> Vec<OsString> {
+    let own_id = std::process::id().to_string();
     let (descriptors, memory) = (limits.descriptors.to_string(), limits.memory_mb.to_string());
-    [OsStr::new(BECOME), me.as_ref(), descriptors.as_ref(), memory.as_ref(), program.as_os_str()]
+    [OsStr::new(BECOME_GATEWAY), own_id.as_ref(), descriptors.as_ref(), memory.as_ref(), program.as_os_str()]
         .map(OsStr::to_owned)
         .into()
 }
 
-/// The words by which `launcher` is the counter that this document tells of.
-pub(super) fn stand_in_words(document: &Path) -> Vec<OsString> {
-    let me = std::process::id().to_string();
-    [OsStr::new(BE_COUNTER), me.as_ref(), document.as_os_str()].map(OsStr::to_owned).into()
+/// Returns the launcher arguments that run the counter with this configuration document.
+pub(super) fn counter_args(document: &Path) -> Vec<OsString> {
+    let own_id = std::process::id().to_string();
+    [OsStr::new(RUN_COUNTER), own_id.as_ref(), document.as_os_str()].map(OsStr::to_owned).into()
 }
 
-/// Becomes a gateway or is the counter, if that is what this process was started for. To be called first thing in `main` of a program
-/// that is a [`RealOptions::launcher`](crate::RealOptions::launcher). Returns where it was not, or could not.
+/// Executes a gateway or runs the counter if this process was started for that, and returns otherwise. The `main` of a
+/// [`RealOptions::launcher`](crate::RealOptions::launcher) has to call it first.
 ///
 /// # Errors
-/// Where the words are wrong, the one who started it is gone, or the program cannot be run.
+/// Fails if the arguments are invalid, the parent process has ended, or the program cannot be run.
 pub fn run_child_process() -> io::Result<()> {
-    let words: Vec<OsString> = std::env::args_os().skip(1).collect();
-    match &words[..] {
-        [first, parent, document] if first == BE_COUNTER => {
-            end_with(number(parent)?)?;
+    let args: Vec<OsString> = std::env::args_os().skip(1).collect();
+    match &args[..] {
+        [first, parent, document] if first == RUN_COUNTER => {
+            end_with_parent(number(parent)?)?;
             super::counter::run_counter(Path::new(document))?;
             std::process::exit(0);
         }
-        [first, parent, descriptors, memory, program, own @ ..] if first == BECOME => {
-            end_with(number(parent)?)?;
-            limit(Resource::Nofile, number(descriptors)?)?;
-            limit(Resource::Data, (number(memory)? + BESIDE_MB) << 20)?;
-            Err(Command::new(PathBuf::from(program)).args(own).exec())
+        [first, parent, descriptors, memory, program, program_args @ ..] if first == BECOME_GATEWAY => {
+            end_with_parent(number(parent)?)?;
+            lower_limit(Resource::Nofile, number(descriptors)?)?;
+            lower_limit(Resource::Data, (number(memory)? + EXTRA_MEMORY_MB) << 20)?;
+            Err(Command::new(PathBuf::from(program)).args(program_args).exec())
         }
         _ => Ok(()),
     }
 }
 
-fn number(word: &OsString) -> io::Result<u64> {
-    let wrong = || io::Error::new(io::ErrorKind::InvalidInput, "not the words of a launch");
-    word.to_str().and_then(|word| word.parse().ok()).ok_or_else(wrong)
+fn number(arg: &OsString) -> io::Result<u64> {
+    let invalid = || io::Error::new(io::ErrorKind::InvalidInput, "invalid launch arguments");
+    arg.to_str().and_then(|arg| arg.parse().ok()).ok_or_else(invalid)
 }
 
-/// Asks the system to be killed with the process that started this one.
-fn end_with(parent: u64) -> io::Result<()> {
+/// Lets the system kill this process when its parent ends.
+fn end_with_parent(parent: u64) -> io::Result<()> {
     set_parent_process_death_signal(Some(UnixSignal::KILL))?;
-    // Who died before the line above is not waited for by anyone.
+    // A parent that ended before the call above sends no signal.
     if getppid() != Pid::from_raw(parent as i32) {
-        return Err(io::Error::other("the rehearsal has ended"));
+        return Err(io::Error::other("the parent process has ended"));
     }
     Ok(())
 }
 
-/// Lowers a limit for good.
-fn limit(resource: Resource, most: u64) -> io::Result<()> {
+/// Lowers a resource limit irrevocably.
+fn lower_limit(resource: Resource, max: u64) -> io::Result<()> {
     let granted = rustix::process::getrlimit(resource).maximum.unwrap_or(u64::MAX);
-    let most = Some(most.min(granted));
-    Ok(setrlimit(resource, Rlimit { current: most, maximum: most })?)
+    let max = Some(max.min(granted));
+    Ok(setrlimit(resource, Rlimit { current: max, maximum: max })?)
 }
 
-/// Raises this process's own limit of descriptors as far as the system lets it, and says how far that is.
-pub(super) fn most_descriptors() -> usize {
+/// Raises the descriptor limit of this process to the most that the system allows, and returns it.
+pub(super) fn raise_descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(Resource::Nofile);
-    // Refused, the old one stays.
+    // If it fails, the old limit stays.
     let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, ..limit });
-    rustix::process::getrlimit(Resource::Nofile).current.map_or(usize::MAX, |most| most as usize)
+    rustix::process::getrlimit(Resource::Nofile).current.map_or(usize::MAX, |max| max as usize)
 }
--- a/crates/cluster-emulator/src/real/links.rs
+++ b/crates/cluster-emulator/src/real/links.rs
@@ -229,7 +229,7 @@
 
     /// Faults of the scenario and where they began; times count from `start`, on a clock that showed `began` when
     /// the links were started.
-    pub fn done(&self, began: Time, start: Time) -> Result<Vec<LinkLine>, String> {
+    pub fn trace_lines(&self, began: Time, start: Time) -> Result<Vec<LinkLine>, String> {
         let trace = self.set.trace().map_err(|error| error.to_string())?;
         if trace.lost() > 0 {
             return Err(format!("links did so much that their first {} deeds are forgotten", trace.lost()));
--- a/crates/cluster-emulator/src/run.rs
+++ b/crates/cluster-emulator/src/run.rs
@@ -1,9 +1,9 @@
-//! A scenario from its first request to its last answer.
+//! Runs a scenario from its first request to its last response, in virtual time or on real sockets.
 
 use crate::backend::{lock, Backend, MachineRole};
 use crate::explain::Explain;
 use crate::fault_injector::FaultInjector;
-use crate::real::{GatewayOverride, Lag, RealBackend};
+use crate::real::{GatewayOverride, LagMonitor, RealBackend};
 use crate::site::{SiteOf, HEAD_START};
 use crate::stated::stated;
 use crate::trace::RunTrace;
@@ -23,94 +23,94 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What the virtual clock shows at first: some day, at a moment where the names of counts change.
+/// Start of the virtual clock, in Unix time: an instant at which the names of counts change.
 const EPOCH: Time = 1_800_000_000 * SECOND;
-/// After the last request's time is up, the rest gets this long to come to an end.
+/// Time after the deadline of the last request for all else to end.
 const TAIL: Span = 5 * SECOND;
-/// In a real rehearsal, observations are judged this often.
-const REAL_BEAT: Span = SECOND / 100;
-/// In virtual time, signs are looked for this often while one may come: within this, what begins by one has begun.
-const MOMENT_BEAT: Span = SECOND / 10_000;
-/// The same on sockets, where the machine may be later.
-const REAL_MOMENT_BEAT: Span = SECOND / 1_000;
-/// A real gateway gets this long beside to be started, since all are started one after another.
+/// Interval between checks of new observations on real sockets.
+const REAL_CHECK_INTERVAL: Span = SECOND / 100;
+/// Interval between checks for triggers in virtual time, while one is pending: a triggered event starts within it.
+const TRIGGER_CHECK_INTERVAL: Span = SECOND / 10_000;
+/// The same on real sockets, where the machine may be late.
+const REAL_TRIGGER_CHECK_INTERVAL: Span = SECOND / 1_000;
+/// Additional start-up time for each gateway on real sockets, since gateways start one after another.
 const START_EACH: Span = SECOND / 25;
 /// See [`VirtualOptions::stuck_after`].
 const STUCK_AFTER: Duration = Duration::from_secs(20);
 
-/// How far a rehearsal is.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
     /// Seconds from the first request.
     pub done_s: f64,
-    /// Seconds in all.
+    /// Length of the run in seconds.
     pub total_s: f64,
-    /// Tries that came so far.
+    /// Requests sent so far.
     pub offered: u64,
-    /// Tries served so far.
+    /// Requests served so far.
     pub served: u64,
 }
 
-/// Who is told how far a rehearsal is, once a second of it.
+/// Receives the progress once a second of the run.
 pub type OnProgress<'a> = Option<&'a mut dyn FnMut(Progress)>;
 
-/// Who sees everything that arrives on any wire.
+/// Receives each packet that arrives on any connection.
 pub type OnPacket = Box<dyn FnMut(&Packet) + Send>;
 
-/// What a rehearsal came to.
+/// The outcome of a run.
 #[derive(Clone, Debug)]
 pub struct RunOutcome {
-    /// What the judge found.
+    /// Verdict of the invariant checker.
     pub verdict: Verdict,
-    /// What the checker of its history found.
+    /// Result of the history checker.
     pub history: HistoryCheck,
-    /// The hash over everything that passed on any wire, in virtual time.
+    /// Hash of all traffic, in virtual time.
     pub digest: Option<u128>,
-    /// What went wrong with processes of gateways, in words.
+    /// Errors of gateway and counter processes, and of links.
     pub errors: Vec<String>,
-    /// Gateways that ended themselves as arranged (see [`GatewayOverride`]), and at which second.
+    /// Gateways that reached their crash point (see [`GatewayOverride`]), and at which second.
     pub crashed: Vec<(u32, f64)>,
-    /// Why the run cannot be judged, if it cannot: the machine was too slow.
+    /// Why the machine was too slow to judge the run, if it was.
     pub too_slow: Option<String>,
-    /// The longest that the thread of the stand-ins came late, in seconds, on real sockets.
+    /// Largest delay of the thread of the fake services, in seconds, on real sockets.
     pub max_lateness_s: Option<f64>,
-    /// Seconds of CPU that all gateways took, on real sockets.
+    /// CPU seconds of all gateways, on real sockets.
     pub gateway_cpu_s: Option<f64>,
-    /// Tries that came to gateways.
+    /// Requests sent to gateways.
     pub requests: u64,
-    /// The way of the request that was to be explained, a line for each thing seen.
+    /// Timeline of the request to explain, a line for each observation.
     pub timeline: Vec<String>,
-    /// What links and processes did, on processes with links between them; else why there is none.
+    /// Trace of links and processes, on processes with links between them; else why there is none.
     pub trace: Result<RunTrace, String>,
 }
 
-/// What the checker of a run's history came to.
+/// Result of checking the history of a run.
 #[derive(Clone, Debug)]
 pub struct HistoryCheck {
-    /// Breaches, each with the events that make it.
+    /// Violations, each with the events that make it.
     pub findings: Vec<Finding>,
-    /// Sightings that it was shown.
+    /// Number of checked observations.
     pub observations: u64,
-    /// How long it took for all of them, on the machine's own clock.
+    /// Time of the check on the machine's clock.
     pub duration: Duration,
 }
 
-/// How to play in virtual time.
+/// Options of a run in virtual time.
 pub struct VirtualOptions<'a> {
-    /// Sees everything that arrives on any wire.
+    /// Receives each packet that arrives on any connection.
     pub trace: Option<OnPacket>,
-    /// Ends at the first broken rule.
+    /// Ends the run at the first violation.
     pub stop_at_violation: bool,
     /// Is told how far it is.
     pub progress: OnProgress<'a>,
-    /// What runs in the place of the real gateway, if anything does.
+    /// Creates what runs in place of the real gateway, if given.
     pub gateway: Option<GatewayFactory>,
-    /// What the operators' files of the real gateways say.
+    /// Operators' settings of the real gateways.
     pub operators: Operators,
-    /// The request whose way is to be told.
+    /// The request to explain.
     pub explain: Option<u64>,
-    /// One turn of a simulated task may take this long on the machine's own clock. Longer, and the program
-    /// ends with status 3 and a message: nothing else can be done about such a task.
+    /// Longest time of one poll of a simulated task on the machine's clock. The program ends with status 3 and a message
+    /// after it, since such a task cannot be stopped otherwise.
     pub stuck_after: Duration,
 }
 
@@ -128,30 +128,30 @@
     }
 }
 
-/// How to play on real sockets.
+/// Options of a run on real sockets.
 pub struct RealOptions<'a> {
     /// The gateway's program.
     pub program: PathBuf,
-    /// A program whose `main` begins with [`run_child_process`](crate::run_child_process): by way of it gateways end with
-    /// the one that plays, also where that is killed, and are held to the site's descriptors and memory by the
-    /// system. Without one they only end where it ends in order.
+    /// A program whose `main` begins with [`run_child_process`](crate::run_child_process). Gateways started by it end with
+    /// this process, also when it is killed, and the system limits their descriptors and memory as the site says.
+    /// Without a launcher they end only if this process ends normally.
     pub launcher: Option<PathBuf>,
-    /// Each connection between clients, gateways, hosts, counter and discovery goes through a link that can fail.
+    /// Passes each connection between clients, gateways, hosts, counter and discovery through a link that can fail.
     pub links: bool,
-    /// An earlier run of the same scenario: faults of links begin where they did in it.
+    /// Trace of an earlier run of the same scenario, at whose positions link faults start.
     pub replay: Option<&'a RunTrace>,
-    /// Where its logs go.
+    /// Folder for the gateways' logs.
     pub logs: Option<PathBuf>,
-    /// The operators' file of all gateways.
+    /// Operators' file for all gateways.
     pub operators: Option<PathBuf>,
-    /// A gateway whose first process is not as the others.
+    /// Overrides the first process of one gateway.
     pub gateway_override: Option<GatewayOverride>,
     /// Is told how far it is.
     pub progress: OnProgress<'a>,
 }
 
-/// Looks at observations as they come.
-struct Bench {
+/// Passes observations to the checkers as they arrive.
+struct ObservationPipeline {
     recorder: Recorder,
     last: Time,
     judge: Judge,
@@ -161,13 +161,13 @@
     total_s: f64,
     offered: u64,
     served: u64,
-    told_s: u64,
+    reported_s: u64,
     explain: Option<Explain>,
 }
 
-impl Bench {
-    fn new(scenario: &Scenario, start: Time, on_sockets: bool, explain: Option<u64>) -> Bench {
-        Bench {
+impl ObservationPipeline {
+    fn new(scenario: &Scenario, start: Time, on_sockets: bool, explain: Option<u64>) -> ObservationPipeline {
+        ObservationPipeline {
             recorder: Recorder::default(),
             last: 0,
             judge: Judge::new(&scenario.site, &scenario.traffic, start),
@@ -177,37 +177,37 @@
             total_s: scenario.length as f64 / SECOND as f64,
             offered: 0,
             served: 0,
-            told_s: 0,
+            reported_s: 0,
             explain: explain.map(|request| Explain::new(request, &scenario.site, start)),
         }
     }
 
-    /// Judges what has been seen. Whether a rule is broken.
-    fn judge(&mut self, mut told: impl FnMut(&Observation)) -> bool {
-        for seen in self.recorder.take() {
-            // What a process of its own has seen comes a little later than what others have meanwhile.
-            self.last = self.last.max(seen.at);
-            let seen = Observation { at: self.last, ..seen };
-            told(&seen);
-            match seen.kind {
+    /// Checks new observations and passes each to `on_observation`. Returns whether there is a violation.
+    fn check(&mut self, mut on_observation: impl FnMut(&Observation)) -> bool {
+        for observation in self.recorder.take() {
+            // Observations of the separate counter process arrive slightly later than those made here meanwhile.
+            self.last = self.last.max(observation.at);
+            let observation = Observation { at: self.last, ..observation };
+            on_observation(&observation);
+            match observation.kind {
                 ObservationKind::RequestSent { .. } => self.offered += 1,
                 ObservationKind::RequestEnded { outcome: ClientOutcome::Served(true), .. } => {
                     self.served += 1
                 }
                 _ => {}
             }
-            self.judge.see(&seen);
-            self.history.see(&seen);
+            self.judge.see(&observation);
+            self.history.see(&observation);
             self.observations += 1;
-            self.explain.iter_mut().for_each(|explain| explain.see(&seen));
+            self.explain.iter_mut().for_each(|explain| explain.see(&observation));
         }
         !self.judge.breaches().is_empty()
     }
 
-    fn tell(&mut self, now: Time, progress: &mut OnProgress<'_>) {
+    fn report_progress(&mut self, now: Time, progress: &mut OnProgress<'_>) {
         let done_s = now.saturating_sub(self.start) / SECOND;
-        let Some(progress) = progress.as_mut().filter(|_| done_s > self.told_s) else { return };
-        self.told_s = done_s;
+        let Some(progress) = progress.as_mut().filter(|_| done_s > self.reported_s) else { return };
+        self.reported_s = done_s;
         progress(Progress {
             done_s: (done_s as f64).min(self.total_s),
             total_s: self.total_s,
@@ -216,14 +216,14 @@
         });
     }
 
-    /// All breaches of a run that ended early are in the verdict, too.
+    /// Checks the remaining observations and creates the outcome, also of a run that ended early.
     fn finish(mut self, now: Time) -> RunOutcome {
-        self.judge(|_| {});
-        let begun = Instant::now();
+        self.check(|_| {});
+        let started = Instant::now();
         let findings = self.history.check(now);
         RunOutcome {
             verdict: self.judge.finish(now),
-            history: HistoryCheck { findings, observations: self.observations, duration: begun.elapsed() },
+            history: HistoryCheck { findings, observations: self.observations, duration: started.elapsed() },
             digest: None,
             errors: Vec::new(),
             crashed: Vec::new(),
@@ -237,38 +237,38 @@
     }
 }
 
-/// When the injector is to be asked next: sooner where a sign may come, since only what it has been shown can begin by
-/// one.
-fn next_due<S: Backend>(injector: &FaultInjector<S>, now: Time, beat: Span) -> Time {
-    let due = injector.next_timer();
+/// Returns when to run the fault injector next: sooner while a trigger is pending, since triggers fire only on
+/// observations that were passed to it.
+fn next_wakeup<S: Backend>(injector: &FaultInjector<S>, now: Time, check_interval: Span) -> Time {
+    let timer = injector.next_timer();
     if injector.has_pending_triggers() {
-        due.min(now + beat)
+        timer.min(now + check_interval)
     } else {
-        due
+        timer
     }
 }
 
-/// When all has to have ended, for a first request at `start`.
-fn end(scenario: &Scenario, start: Time) -> Time {
-    let longest = scenario.site.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    scenario.end(start) + longest * u64::from(scenario.traffic.retries + 1) + TAIL
+/// Returns the end of a run whose first request is sent at `start`.
+fn run_end(scenario: &Scenario, start: Time) -> Time {
+    let longest_deadline = scenario.site.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    scenario.end(start) + longest_deadline * u64::from(scenario.traffic.retries + 1) + TAIL
 }
 
-/// Plays a scenario in virtual time. The same seed gives the same run to the byte.
+/// Runs a scenario in virtual time. The same seed gives the same run to the byte.
 ///
 /// # Errors
-/// Where the site cannot be put up, or a process panics or spins: the message names it.
+/// Fails if the site cannot be started, or a process panics or spins: the message names it.
 pub fn run_virtual(scenario: &Scenario, seed: u64, mut options: VirtualOptions<'_>) -> Result<RunOutcome> {
     for timed in &scenario.events {
         if let Some(Trigger::LogLine(..)) = timed.trigger {
             bail!(
-                "line {}: gateways of virtual time have no logs of their own: play it with --real",
+                "line {}: gateways in virtual time have no separate logs: run the scenario with --real",
                 timed.line
             );
         }
     }
     let start = EPOCH + HEAD_START;
-    let mut bench = Bench::new(scenario, start, false, options.explain);
+    let mut pipeline = ObservationPipeline::new(scenario, start, false, options.explain);
     let stage = VirtualBackend::new(&scenario.site, seed, EPOCH)
         .with_gateway(options.gateway.take())
         .with_operators(std::mem::take(&mut options.operators));
@@ -281,57 +281,58 @@
     if let Some(trace) = options.trace.take() {
         sim.trace(trace);
     }
-    let site = SiteOf::put_up(scenario.clone(), seed, stage, start, bench.recorder.clone())?;
+    let site = SiteOf::put_up(scenario.clone(), seed, stage, start, pipeline.recorder.clone())?;
     let done = Arc::new(AtomicBool::new(false));
     site.watch_clients(&done);
     let injector = Arc::new(Mutex::new(FaultInjector::new(site, start)));
     let failed = Arc::new(Mutex::new(None));
-    let last = end(scenario, start);
-    let mut halted = None;
+    let last = run_end(scenario, start);
+    let mut halt_reason = None;
     while !done.load(Ordering::Relaxed) && sim.now() < last {
-        let due = next_due(&lock(&injector), sim.now(), MOMENT_BEAT).min(last);
+        let wakeup = next_wakeup(&lock(&injector), sim.now(), TRIGGER_CHECK_INTERVAL).min(last);
         let (acting, fails) = (injector.clone(), failed.clone());
-        sim.at(due, move |_| {
+        sim.at(wakeup, move |_| {
             if let Err(error) = lock(&acting).step() {
                 *lock(&fails) = Some(error);
             }
         });
-        if let Err(halt) = sim.run_until(due) {
-            halted = Some(halt);
+        if let Err(halt) = sim.run_until(wakeup) {
+            halt_reason = Some(halt);
             break;
         }
         if let Some(error) = lock(&failed).take() {
             return Err(error);
         }
-        let broken = bench.judge(|seen| lock(&injector).observe(seen));
-        if broken && options.stop_at_violation {
+        let has_violation = pipeline.check(|observation| lock(&injector).observe(observation));
+        if has_violation && options.stop_at_violation {
             break;
         }
-        bench.tell(sim.now(), &mut options.progress);
+        pipeline.report_progress(sim.now(), &mut options.progress);
     }
     let errors = lock(&injector).finish();
     drop(injector);
-    if let Some(halt) = halted {
+    if let Some(halt) = halt_reason {
         return Err(Halt::into(halt));
     }
-    Ok(RunOutcome { digest: Some(sim.digest()), errors, ..bench.finish(sim.now()) })
+    Ok(RunOutcome { digest: Some(sim.digest()), errors, ..pipeline.finish(sim.now()) })
 }
 
-/// Plays a scenario on real sockets and in real time.
+/// Runs a scenario on real sockets and in real time.
 ///
 /// # Errors
-/// Where the site cannot be put up, the program cannot be started, or the scenario cuts clients off.
+/// Fails if the site or the program cannot be started, or if the scenario needs links, as to cut clients off, and the run
+/// has none.
 pub fn run_real(scenario: &Scenario, seed: u64, options: RealOptions<'_>) -> Result<RunOutcome> {
     for timed in &scenario.events {
         if !options.links && needs_links(&timed.event) {
-            bail!("`{}` needs links between the processes: play it with --links", timed.event);
+            bail!("`{}` needs links between the processes: run it with --links", timed.event);
         }
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(real(scenario, seed, options))
 }
 
-/// Whether stand-ins that fall silent cannot do what the event asks for.
+/// Whether an event needs links, since silent fake services cannot emulate it.
 fn needs_links(event: &Event) -> bool {
     match event {
         Event::Partition(a, b, ..) => [a, b].contains(&&PartitionSide::Clients),
@@ -349,45 +350,46 @@
     }
     let env = stage.env();
     let start = env.now() + HEAD_START + START_EACH * u64::from(scenario.site.gateways);
-    let mut bench = Bench::new(scenario, start, true, None);
-    let site = SiteOf::put_up(scenario.clone(), seed, stage, start, bench.recorder.clone())?;
+    let mut pipeline = ObservationPipeline::new(scenario, start, true, None);
+    let site = SiteOf::put_up(scenario.clone(), seed, stage, start, pipeline.recorder.clone())?;
     let done = Arc::new(AtomicBool::new(false));
     site.watch_clients(&done);
     if env.now() > start {
         bail!("too slow to judge: the site was not up when its clients were to begin");
     }
     let mut injector = FaultInjector::new(site, start);
-    let last = end(scenario, start);
-    let (mut lag, mut looked) = (Lag::default(), env.now());
+    let last = run_end(scenario, start);
+    let (mut lag, mut last_wait_check) = (LagMonitor::default(), env.now());
     while !done.load(Ordering::Relaxed) && env.now() < last {
-        let beat = if injector.has_pending_triggers() { REAL_MOMENT_BEAT } else { REAL_BEAT };
-        env.sleep_until(injector.next_timer().min(env.now() + beat)).await;
+        let check_interval =
+            if injector.has_pending_triggers() { REAL_TRIGGER_CHECK_INTERVAL } else { REAL_CHECK_INTERVAL };
+        env.sleep_until(injector.next_timer().min(env.now() + check_interval)).await;
         let now = env.now();
         if now >= start {
-            lag.beat(now, beat);
+            lag.record_pass(now, check_interval);
         }
-        if now >= looked + SECOND {
-            let waits = injector.site.backend.waits(now - looked);
+        if now >= last_wait_check + SECOND {
+            let waits = injector.site.backend.cpu_wait_shares(now - last_wait_check);
             for (gateway, share) in waits.into_iter().filter(|_| now > start + SECOND) {
-                // A slowed one has only a part of the time to wait in.
+                // A slowed gateway can wait for a core only in its running part of the time.
                 let slowness = injector.site.gateways[gateway as usize].slowness(now);
-                lag.waited(gateway, share * slowness);
+                lag.record_cpu_wait(gateway, share * slowness);
             }
-            looked = now;
+            last_wait_check = now;
         }
-        // Stand-ins that were told to end close what they hold at their next turn, also where this loop is late.
+        // Stopped fake services close their connections at their next poll, also when this loop is late.
         tokio::task::yield_now().await;
         injector.poll_logs();
         injector.step()?;
         injector.apply_silences();
-        bench.judge(|seen| injector.observe(seen));
-        bench.tell(env.now(), &mut options.progress);
+        pipeline.check(|observation| injector.observe(observation));
+        pipeline.report_progress(env.now(), &mut options.progress);
     }
     let cpu = injector.site.backend.cpu_s();
     let errors = injector.finish();
     let events: Vec<(i64, usize)> =
         injector.started_events.iter().map(|(at, place)| (*at as i64 - start as i64, *place)).collect();
-    let done = injector.site.backend.done(start);
+    let done = injector.site.backend.trace_lines(start);
     let trace = done.map(|(links, processes)| RunTrace {
         seed,
         scenario: scenario.clone(),
@@ -397,16 +399,16 @@
     });
     let seconds = |at: Time| at.saturating_sub(start) as f64 / SECOND as f64;
     let crashed = injector.crashed.iter().map(|(gateway, at)| (*gateway, seconds(*at))).collect();
-    let played = bench.finish(env.now());
-    let broken = !(played.verdict.breaches.is_empty()
+    let played = pipeline.finish(env.now());
+    let has_violation = !(played.verdict.breaches.is_empty()
         && played.verdict.notes.is_empty()
         && played.history.findings.is_empty()
         && errors.is_empty());
     Ok(RunOutcome {
         errors,
         crashed,
-        too_slow: lag.too_slow(broken),
-        max_lateness_s: Some(lag.late() as f64 / SECOND as f64),
+        too_slow: lag.too_slow(has_violation),
+        max_lateness_s: Some(lag.max_lateness() as f64 / SECOND as f64),
         gateway_cpu_s: Some(cpu),
         trace,
         ..played
@@ -414,15 +416,15 @@
 }
 
 impl FaultInjector<RealBackend> {
-    /// Lets stand-ins do what a cut network would.
+    /// Lets fake services emulate partitions by being silent.
     fn apply_silences(&mut self) {
         for silence in std::mem::take(&mut self.site.backend.silences) {
             let gateway = silence.gateway;
-            match silence.post {
+            match silence.role {
                 MachineRole::Counter => self.site.counter.set_silent(gateway, silence.silent, silence.reset),
                 MachineRole::Host(place) => {
-                    let there = self.site.hosts.iter().filter(|host| host.place == place);
-                    for host in there.filter_map(|host| host.running.as_ref()) {
+                    let hosts = self.site.hosts.iter().filter(|host| host.place == place);
+                    for host in hosts.filter_map(|host| host.running.as_ref()) {
                         host.set_silent(gateway, silence.silent);
                         if silence.reset {
                             host.reset_gateway(gateway);
@@ -436,7 +438,7 @@
 }
 
 impl<S: Backend> SiteOf<S> {
-    /// Sets a flag when all clients are through.
+    /// Sets a flag when all clients have finished.
     fn watch_clients(&self, done: &Arc<AtomicBool>) {
         let (clients, done) = (self.clients.waiter(), done.clone());
         self.backend.process(MachineRole::Clients, "end").spawn(async move {
--- a/crates/cluster-emulator/src/virtual_time.rs
+++ b/crates/cluster-emulator/src/virtual_time.rs
@@ -1,4 +1,4 @@
-//! The virtual stage: the real network side, once per gateway, in processes of a simulated machine room.
+//! The virtual backend: runs the gateway's network code once per gateway, in processes on a simulated network.
 
 use crate::backend::{lock, Backend, Exit, MachineRole, Signal};
 use anyhow::Result;
@@ -15,18 +15,18 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 
-/// Where gateways listen on their machines.
-const PORT: u16 = 6379;
-/// Bytes.
+/// Listen port of gateways on their machines.
+const GATEWAY_PORT: u16 = 6379;
+/// Bytes of a KiB.
 const KIB: f64 = 1024.0;
 
-/// A gateway's process, as it begins.
+/// Arguments of a new gateway process.
 pub struct GatewayStart {
-    /// Its world.
+    /// Runtime environment of the process.
     pub env: SimEnv,
-    /// Its configuration document, which may be another one at a reload.
+    /// Configuration document, which may be replaced before a reload.
     pub document: Document,
-    /// What it is told from outside.
+    /// Signals to the process.
     pub signals: UnboundedReceiver<gateway::Signal>,
 }
 
@@ -39,7 +39,7 @@
         Document(Arc::new(Mutex::new(document.to_string())))
     }
 
-    /// Its text, as it is now.
+    /// Returns the current text.
     pub fn text(&self) -> String {
         lock(&self.0).clone()
     }
@@ -49,13 +49,13 @@
     }
 }
 
-/// A gateway at work. Its process ends with it, in the ordinary way, or by an error.
+/// The main task of a gateway, whose process ends when it completes, normally or with an error.
 pub type GatewayTask = Pin<Box<dyn Future<Output = Result<()>> + Send>>;
 
-/// Makes what runs in the place of the real gateway, once for each start of a process.
+/// Creates the task that runs in place of the real gateway, once for each start of a process.
 pub type GatewayFactory = Arc<dyn Fn(GatewayStart) -> GatewayTask + Send + Sync>;
 
-/// The real one, with these operators' files. Fails where its document cannot be read.
+/// Creates the task of the real gateway with these operators' settings. Fails if its document cannot be parsed.
 fn real_gateway(start: GatewayStart, operators: Operators) -> Result<GatewayTask> {
     let GatewayStart { env, document, signals } = start;
     let read = move || {
@@ -66,7 +66,7 @@
     Ok(Box::pin(async move { Ok(serve(env, config, read, signals).await?) }))
 }
 
-/// A gateway's process that runs.
+/// A running gateway process.
 struct Running {
     env: SimEnv,
     incarnation: u32,
@@ -74,28 +74,28 @@
     document: Document,
 }
 
-/// A stage in virtual time.
+/// A backend in virtual time.
 pub struct VirtualBackend {
     sim: Sim,
     gateway: Option<GatewayFactory>,
     operators: Operators,
     buildings: u32,
-    /// Where the counter stands, from 0.
-    counter: u32,
+    /// The building of the counter, from 0.
+    counter_building: u32,
     descriptors: usize,
     machines: Arc<Mutex<BTreeMap<MachineRole, Machine>>>,
     running: BTreeMap<u32, Running>,
-    /// Nanoseconds by which clocks of gateways that start from now on are ahead.
+    /// Nanoseconds by which the clocks of gateways started later are ahead.
     clocks: BTreeMap<u32, i64>,
-    /// The last process of each stand-in's machine.
-    standins: Mutex<BTreeMap<MachineRole, ProcessId>>,
+    /// The last process of each fake service's machine.
+    service_processes: Mutex<BTreeMap<MachineRole, ProcessId>>,
     exits: Arc<Mutex<Vec<Exit>>>,
-    cuts: BTreeMap<u64, CutId>,
-    next_cut: u64,
+    partitions: BTreeMap<u64, CutId>,
+    next_partition: u64,
 }
 
 impl VirtualBackend {
-    /// An empty one whose clock shows `start`.
+    /// Creates an empty backend whose clock starts at `start`.
     pub fn new(site: &Site, seed: u64, start: Time) -> VirtualBackend {
         let network: NetworkSpec = site.network.clone();
         VirtualBackend {
@@ -103,49 +103,49 @@
             gateway: None,
             operators: Operators::default(),
             buildings: site.buildings.max(1),
-            counter: site.counter.building - 1,
+            counter_building: site.counter.building - 1,
             descriptors: site.file_descriptors as usize,
             machines: Arc::default(),
             running: BTreeMap::new(),
             clocks: BTreeMap::new(),
-            standins: Mutex::default(),
+            service_processes: Mutex::default(),
             exits: Arc::default(),
-            cuts: BTreeMap::new(),
-            next_cut: 0,
+            partitions: BTreeMap::new(),
+            next_partition: 0,
         }
     }
 
-    /// The same with other gateways in the place of the real ones.
+    /// Replaces the real gateways by others.
     pub fn with_gateway(self, gateway: Option<GatewayFactory>) -> VirtualBackend {
         VirtualBackend { gateway, ..self }
     }
 
-    /// The same with operators' files for the real gateways.
+    /// Sets the operators' settings of the real gateways.
     pub fn with_operators(self, operators: Operators) -> VirtualBackend {
         VirtualBackend { operators, ..self }
     }
 
-    /// The machine room.
+    /// Returns the simulated network.
     pub fn sim(&self) -> &Sim {
         &self.sim
     }
 
-    fn machine(&self, post: MachineRole) -> Machine {
+    fn machine(&self, role: MachineRole) -> Machine {
         let place = |number: u32| Place::Building(number % self.buildings);
-        let (name, place) = match post {
+        let (name, place) = match role {
             MachineRole::Gateway(number) => (format!("gateway {}", number + 1), place(number)),
             MachineRole::Host(number) => (format!("host {}", number + 1), place(number)),
-            MachineRole::Counter => ("counter".to_owned(), place(self.counter)),
+            MachineRole::Counter => ("counter".to_owned(), place(self.counter_building)),
             MachineRole::Clients => ("clients".to_owned(), Place::Client),
         };
-        lock(&self.machines).entry(post).or_insert_with(|| self.sim.machine(&name, place)).clone()
+        lock(&self.machines).entry(role).or_insert_with(|| self.sim.machine(&name, place)).clone()
     }
 
     fn machines(&self, pairs: &[(MachineRole, MachineRole)]) -> Vec<(MachineId, MachineId)> {
         pairs.iter().map(|(a, b)| (self.machine(*a).id(), self.machine(*b).id())).collect()
     }
 
-    fn end(&mut self, gateway: u32) {
+    fn kill(&mut self, gateway: u32) {
         let Some(running) = self.running.remove(&gateway) else { return };
         self.sim.kill(running.env.process_id());
         lock(&self.exits).push(Exit {
@@ -160,21 +160,21 @@
 impl Backend for VirtualBackend {
     type Env = SimEnv;
 
-    fn process(&self, post: MachineRole, name: &str) -> SimEnv {
-        let env = self.machine(post).process(name);
-        lock(&self.standins).insert(post, env.process_id());
+    fn process(&self, role: MachineRole, name: &str) -> SimEnv {
+        let env = self.machine(role).process(name);
+        lock(&self.service_processes).insert(role, env.process_id());
         env
     }
 
-    fn address(&self, post: MachineRole) -> SocketAddr {
-        SocketAddr::new(self.machine(post).ip(), 0)
+    fn address(&self, role: MachineRole) -> SocketAddr {
+        SocketAddr::new(self.machine(role).ip(), 0)
     }
 
     fn gateway_address(&self, gateway: u32) -> SocketAddr {
-        SocketAddr::new(self.machine(MachineRole::Gateway(gateway)).ip(), PORT)
+        SocketAddr::new(self.machine(MachineRole::Gateway(gateway)).ip(), GATEWAY_PORT)
     }
 
-    fn extra_latency(&self, _post: MachineRole) -> Span {
+    fn extra_latency(&self, _role: MachineRole) -> Span {
         0
     }
 
@@ -187,7 +187,7 @@
         let (signals, inbox) = mpsc::unbounded_channel();
         let start = GatewayStart { env: env.clone(), document: document.clone(), signals: inbox };
         let serving = match &self.gateway {
-            Some(other) => other(start),
+            Some(factory) => factory(start),
             None => real_gateway(start, self.operators.clone()).map_err(io::Error::other)?,
         };
         let (exits, own) = (self.exits.clone(), env.clone());
@@ -208,20 +208,20 @@
     }
 
     fn signal(&mut self, gateway: u32, signal: Signal) {
-        let told = match signal {
-            Signal::Kill => return self.end(gateway),
+        let gateway_signal = match signal {
+            Signal::Kill => return self.kill(gateway),
             Signal::Stop | Signal::Continue => {
                 let running = self.running.get(&gateway);
                 return running
                     .into_iter()
-                    .for_each(|it| self.sim.stop(it.env.process_id(), signal == Signal::Stop));
+                    .for_each(|process| self.sim.stop(process.env.process_id(), signal == Signal::Stop));
             }
             Signal::Reload => gateway::Signal::Reload,
             Signal::Terminate => gateway::Signal::Terminate,
         };
         if let Some(running) = self.running.get(&gateway) {
-            // One that has ended takes none.
-            let _ = running.signals.send(told);
+            // A gateway that has ended receives no signals.
+            let _ = running.signals.send(gateway_signal);
         }
     }
 
@@ -235,9 +235,9 @@
         Ok(())
     }
 
-    fn set_suspended(&mut self, post: MachineRole, still: bool) -> io::Result<()> {
-        let process = lock(&self.standins).get(&post).copied();
-        process.into_iter().for_each(|process| self.sim.stop(process, still));
+    fn set_suspended(&mut self, role: MachineRole, suspended: bool) -> io::Result<()> {
+        let process = lock(&self.service_processes).get(&role).copied();
+        process.into_iter().for_each(|process| self.sim.stop(process, suspended));
         Ok(())
     }
 
@@ -252,16 +252,16 @@
         _span: Span,
         reset: bool,
     ) -> io::Result<u64> {
-        let ids = |side: &[MachineRole]| side.iter().map(|post| self.machine(*post).id()).collect();
+        let ids = |side: &[MachineRole]| side.iter().map(|role| self.machine(*role).id()).collect();
         let how = if reset { Cut::Reset } else { Cut::Silent };
         let cut = self.sim.cut(ids(a), ids(b), how);
-        self.next_cut += 1;
-        self.cuts.insert(self.next_cut, cut);
-        Ok(self.next_cut)
+        self.next_partition += 1;
+        self.partitions.insert(self.next_partition, cut);
+        Ok(self.next_partition)
     }
 
-    fn heal(&mut self, cut: u64) {
-        if let Some(cut) = self.cuts.remove(&cut) {
+    fn heal(&mut self, partition: u64) {
+        if let Some(cut) = self.partitions.remove(&partition) {
             self.sim.heal(cut);
         }
     }
