--- a/crates/cluster-emulator/src/real.rs
+++ b/crates/cluster-emulator/src/real.rs
@@ -12,7 +12,7 @@
 pub use counter::CounterProcess;
 pub(crate) use lag::LagMonitor;
 pub use launch::run_child_process;
-pub(crate) use links::{Pair, WAIT};
+pub(crate) use links::{Pair, REPLAY_WAIT};
 
 use crate::backend::{counter_tasks, lock, Backend, Exit, MachineRole, Signal};
 use crate::counter::CounterHandle;
@@ -336,7 +336,7 @@
     }
 
     fn set_refusing(&mut self, role: MachineRole, refusing: bool) -> io::Result<()> {
-        self.links.as_ref().map_or(Ok(()), |links| links.refuse(role, refusing))
+        self.links.as_ref().map_or(Ok(()), |links| links.set_refusing(role, refusing))
     }
 
     fn refuses_until_ready(&self, gateway: u32) -> bool {
@@ -419,7 +419,7 @@
         reset: bool,
     ) -> io::Result<u64> {
         if let Some(links) = &self.links {
-            links.cut(a, b, span, reset)?;
+            links.partition(a, b, span, reset)?;
             self.next_partition += 1;
             return Ok(self.next_partition);
         }
@@ -456,7 +456,7 @@
         to: MachineRole,
         address: SocketAddr,
     ) -> io::Result<SocketAddr> {
-        self.links.as_ref().map_or(Ok(address), |links| links.reach((from, to), address))
+        self.links.as_ref().map_or(Ok(address), |links| links.dial_address((from, to), address))
     }
 
     fn knows_send_times(&self) -> bool {
@@ -464,9 +464,9 @@
     }
 
     fn max_fault_delay(&self) -> Span {
-        let replays = self.links.as_ref().is_some_and(Links::replays);
-        if replays {
-            links::WAIT
+        let is_replay = self.links.as_ref().is_some_and(Links::is_replay);
+        if is_replay {
+            links::REPLAY_WAIT
         } else {
             0
         }
--- a/crates/cluster-emulator/src/real/links.rs
+++ b/crates/cluster-emulator/src/real/links.rs
@@ -1,5 +1,5 @@
-//! The links of a real stage: one for each pair of processes that speak, by which each way takes its time and each
-//! fault of a scenario acts on real sockets.
+//! The links of a real backend: one for each pair of processes that communicate. Links emulate the latency of the network
+//! and apply the link faults of a scenario to real sockets.
 
 use crate::backend::{lock, MachineRole};
 use crate::trace::{LinkLine, LinkName, RunTrace};
@@ -19,15 +19,15 @@
 /// Bytes of a KiB.
 const KIB: f64 = 1024.0;
 
-/// In a replay a fault waits so long for the place at which it began before.
-pub(crate) const WAIT: Span = 100_000_000;
-/// Faults that a run may have for a trace of it.
-const MOST_ASKED: usize = 200_000;
+/// Nanoseconds that a fault in a replay waits for the position at which it started in the earlier run.
+pub(crate) const REPLAY_WAIT: Span = 100_000_000;
+/// Most link faults in a trace.
+const MAX_TRACED_FAULTS: usize = 200_000;
 
-/// Who opens connections to whom.
+/// The connecting and the accepting machine of a link.
 pub(crate) type Pair = (MachineRole, MachineRole);
 
-/// All links of a stage.
+/// All links of a backend.
 pub(super) struct Links {
     set: LinkSet,
     site: Site,
@@ -36,61 +36,61 @@
 
 #[derive(Default)]
 struct State {
-    /// By pair and by where it leads: where it listens.
+    /// The listen address of each link, by pair and target address.
     links: BTreeMap<(Pair, SocketAddr), (LinkId, SocketAddr)>,
-    /// What is wrong, for links that come meanwhile.
-    wrong: Vec<Wrong>,
-    /// Links that refuse, since nobody is there.
+    /// Active faults, for links that are added later.
+    active_faults: Vec<ActiveFault>,
+    /// Links that refuse connections, since the target process is down.
     refusing: BTreeMap<LinkId, FaultId>,
-    /// All faults that links were asked for, in order.
-    asked: Vec<Asked>,
-    /// Faults that did not fit among them.
-    unheard: usize,
-    /// What is to be played again, on each link in order: those of its faults that are still to come.
-    again: BTreeMap<LinkName, VecDeque<(Fault, Last)>>,
+    /// All requested link faults, in order.
+    requested: Vec<RequestedFault>,
+    /// Number of requested faults over the limit.
+    unrecorded: usize,
+    /// Faults of the earlier run that have not started yet, in order for each link.
+    replay: BTreeMap<LinkName, VecDeque<(Fault, Last)>>,
 }
 
-/// A fault that a link was asked for.
-struct Asked {
+/// A requested link fault.
+struct RequestedFault {
     link: LinkId,
     name: LinkName,
     fault: Fault,
     lasts: Option<Duration>,
-    /// By the scenario; else a way's time, or since nobody is there.
+    /// Requested by the scenario; else it emulates network latency or a process that is down.
     by_scenario: bool,
 }
 
 impl State {
-    fn note(&mut self, asked: Asked) {
-        if self.asked.len() < MOST_ASKED {
-            self.asked.push(asked);
+    fn note(&mut self, requested: RequestedFault) {
+        if self.requested.len() < MAX_TRACED_FAULTS {
+            self.requested.push(requested);
         } else {
-            self.unheard += 1;
+            self.unrecorded += 1;
         }
     }
 
-    /// When a fault that is asked for now begins: at once, or where it did before.
+    /// Returns the start of a fault requested now: at once, or at its position in the earlier run.
     fn moment(&mut self, name: LinkName, fault: &Fault) -> Moment {
-        let before = self.again.get_mut(&name).and_then(VecDeque::pop_front);
-        // Another fault than before has no place of its own.
+        let before = self.replay.get_mut(&name).and_then(VecDeque::pop_front);
+        // A fault that differs from the earlier run has no position.
         let after = before.filter(|(before, _)| before == fault).map(|(_, after)| after);
         let moment = match after {
             None | Some(Last::Nothing) => return AT_ONCE,
             Some(Last::Connecting(n)) => Moment::Connection(n),
             Some(Last::Passed(Place { connection, way, bytes })) => Moment::Bytes { connection, way, bytes },
         };
-        Moment::Within { moment: Box::new(moment), wait: Duration::from_nanos(WAIT) }
+        Moment::Within { moment: Box::new(moment), wait: Duration::from_nanos(REPLAY_WAIT) }
     }
 }
 
-struct Wrong {
+struct ActiveFault {
     pairs: Vec<Pair>,
     fault: Fault,
     until: Instant,
 }
 
 impl Links {
-    /// No links yet.
+    /// Creates a set without links.
     pub fn new(site: &Site, seed: u64, descriptors: usize) -> io::Result<Links> {
         let queue = site.network.window as usize;
         let settings = Settings { seed, descriptors, queue, ..Settings::default() };
@@ -98,8 +98,9 @@
         Ok(Links { set, site: site.clone(), state: Mutex::default() })
     }
 
-    /// Where the first of a pair reaches the second, which listens at `target`. The same each time.
-    pub fn reach(&self, pair: Pair, target: SocketAddr) -> io::Result<SocketAddr> {
+    /// Returns the address at which the first machine of a pair connects to the second, which listens at `target`. The
+    /// same arguments return the same address.
+    pub fn dial_address(&self, pair: Pair, target: SocketAddr) -> io::Result<SocketAddr> {
         let mut state = lock(&self.state);
         if let Some((_, address)) = state.links.get(&(pair, target)) {
             return Ok(*address);
@@ -111,22 +112,22 @@
         let name = (pair, target.port());
         let mut entries = Vec::new();
         if let Some(fault) = self.delay(pair) {
-            state.note(Asked { link, name, fault: fault.clone(), lasts: None, by_scenario: false });
+            state.note(RequestedFault { link, name, fault: fault.clone(), lasts: None, by_scenario: false });
             entries.push(entry(link, AT_ONCE, fault, None));
         }
         let now = Instant::now();
-        state.wrong.retain(|wrong| wrong.until > now);
-        let wrong = state.wrong.iter().filter(|wrong| wrong.pairs.contains(&pair));
-        let wrong: Vec<(Fault, Duration)> =
-            wrong.map(|wrong| (wrong.fault.clone(), wrong.until - now)).collect();
-        for (fault, lasts) in wrong {
+        state.active_faults.retain(|active| active.until > now);
+        let active = state.active_faults.iter().filter(|active| active.pairs.contains(&pair));
+        let active: Vec<(Fault, Duration)> =
+            active.map(|active| (active.fault.clone(), active.until - now)).collect();
+        for (fault, lasts) in active {
             entries.push(scenario_entry(&mut state, (link, name), fault, Some(lasts)));
         }
         self.plan(entries)?;
         Ok(address)
     }
 
-    /// What the network itself takes; nothing within a machine.
+    /// Returns the network latency between two machines; none within a machine.
     fn delay(&self, (a, b): Pair) -> Option<Fault> {
         if a == b {
             return None;
@@ -141,43 +142,49 @@
         Some(Fault::Delay { way: Way::Both, base: Duration::from_nanos(one_way), jitter })
     }
 
-    fn building(&self, post: MachineRole) -> Option<u32> {
+    fn building(&self, role: MachineRole) -> Option<u32> {
         let buildings = self.site.buildings.max(1);
-        match post {
+        match role {
             MachineRole::Gateway(number) | MachineRole::Host(number) => Some(number % buildings),
             MachineRole::Counter => Some(self.site.counter.building - 1),
             MachineRole::Clients => None,
         }
     }
 
-    /// Something that lasts is wrong for so long, also with links of these pairs that come meanwhile.
+    /// Starts a lasting fault on the links of these pairs, also on those added meanwhile.
     pub fn fail(&self, pairs: &[Pair], fault: &LinkFault, span: Span) -> io::Result<()> {
-        let Some(fault) = lasting(fault) else { return Ok(()) };
+        let Some(fault) = convert_fault(fault) else { return Ok(()) };
         let span = Some(Duration::from_nanos(span));
         self.begin(pairs, &fault, span)?;
         if matches!(fault, Fault::Cut { .. }) {
-            // Opening takes both ways.
+            // A new connection needs both directions.
             self.begin(pairs, &Fault::Unanswered, span)?;
         }
         Ok(())
     }
 
-    /// Resets the connections that there are.
+    /// Resets the open connections.
     pub fn reset(&self, pairs: &[Pair]) -> io::Result<()> {
         self.begin(pairs, &Fault::Reset, None)
     }
 
-    /// A process is no more, or is back: links to it refuse meanwhile, as its system would.
-    pub fn refuse(&self, to: MachineRole, gone: bool) -> io::Result<()> {
+    /// Sets whether links to a machine refuse connections, as its system does while the process is down.
+    pub fn set_refusing(&self, to: MachineRole, refusing: bool) -> io::Result<()> {
         let mut state = lock(&self.state);
-        let there = state.links.iter().filter(|(((a, b), _), _)| *b == to && a != b);
-        let there: Vec<(LinkId, LinkName)> =
-            there.map(|((pair, target), (link, _))| (*link, (*pair, target.port()))).collect();
-        for (link, name) in there {
-            if gone {
-                if let Slot::Vacant(none) = state.refusing.entry(link) {
-                    none.insert(self.set.begin(link, Who::Every, Fault::Refuse).map_err(io::Error::other)?);
-                    state.note(Asked { link, name, fault: Fault::Refuse, lasts: None, by_scenario: false });
+        let matching = state.links.iter().filter(|(((a, b), _), _)| *b == to && a != b);
+        let matching: Vec<(LinkId, LinkName)> =
+            matching.map(|((pair, target), (link, _))| (*link, (*pair, target.port()))).collect();
+        for (link, name) in matching {
+            if refusing {
+                if let Slot::Vacant(entry) = state.refusing.entry(link) {
+                    entry.insert(self.set.begin(link, Who::Every, Fault::Refuse).map_err(io::Error::other)?);
+                    state.note(RequestedFault {
+                        link,
+                        name,
+                        fault: Fault::Refuse,
+                        lasts: None,
+                        by_scenario: false,
+                    });
                 }
             } else if let Some(fault) = state.refusing.remove(&link) {
                 self.set.end(link, fault).map_err(io::Error::other)?;
@@ -186,8 +193,8 @@
         Ok(())
     }
 
-    /// Parts two sides for so long.
-    pub fn cut(&self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool) -> io::Result<()> {
+    /// Partitions two sides for this time.
+    pub fn partition(&self, a: &[MachineRole], b: &[MachineRole], span: Span, reset: bool) -> io::Result<()> {
         let both = a.iter().flat_map(|a| b.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
         let pairs: Vec<Pair> = both.filter(|(a, b)| a != b).collect();
         let span = Some(Duration::from_nanos(span));
@@ -199,59 +206,59 @@
         self.begin(&pairs, &Fault::Refuse, span)
     }
 
-    /// All at once, by one word to the thread of the links: they may be hundreds.
+    /// Starts a fault on all links of these pairs by one message to the thread of the links, since there may be hundreds.
     fn begin(&self, pairs: &[Pair], fault: &Fault, lasts: Option<Duration>) -> io::Result<()> {
         let mut state = lock(&self.state);
-        let meant = state.links.iter().filter(|((pair, _), _)| pairs.contains(pair));
-        let meant: Vec<(LinkId, LinkName)> =
-            meant.map(|((pair, target), (link, _))| (*link, (*pair, target.port()))).collect();
-        let entries = meant.into_iter().map(|link| scenario_entry(&mut state, link, fault.clone(), lasts));
+        let matching = state.links.iter().filter(|((pair, _), _)| pairs.contains(pair));
+        let matching: Vec<(LinkId, LinkName)> =
+            matching.map(|((pair, target), (link, _))| (*link, (*pair, target.port()))).collect();
+        let entries = matching.into_iter().map(|link| scenario_entry(&mut state, link, fault.clone(), lasts));
         let entries: Vec<Entry> = entries.collect();
         self.plan(entries)?;
         if let Some(lasts) = lasts {
             let until = Instant::now() + lasts;
-            state.wrong.push(Wrong { pairs: pairs.to_vec(), fault: fault.clone(), until });
+            state.active_faults.push(ActiveFault { pairs: pairs.to_vec(), fault: fault.clone(), until });
         }
         Ok(())
     }
 
-    /// Plays the faults of an earlier run where they began in it, from now on.
+    /// Starts later faults at their positions in an earlier run.
     pub fn replay(&self, trace: &RunTrace) {
         let of = |line: &&LinkLine| (line.fault.clone(), line.after);
         let links = trace.by_link().into_iter().map(|(name, lines)| (name, lines.iter().map(of).collect()));
-        lock(&self.state).again = links.collect();
+        lock(&self.state).replay = links.collect();
     }
 
-    /// Whether faults may begin up to [`WAIT`] late, since they are those of an earlier run.
-    pub fn replays(&self) -> bool {
-        !lock(&self.state).again.is_empty()
+    /// Whether faults may start up to [`REPLAY_WAIT`] late, since they replay an earlier run.
+    pub fn is_replay(&self) -> bool {
+        !lock(&self.state).replay.is_empty()
     }
 
-    /// Faults of the scenario and where they began; times count from `start`, on a clock that showed `began` when
-    /// the links were started.
+    /// Returns the faults of the scenario and their start positions; times count from `start`, on a clock that read `began`
+    /// at the start of the links.
     pub fn trace_lines(&self, began: Time, start: Time) -> Result<Vec<LinkLine>, String> {
         let trace = self.set.trace().map_err(|error| error.to_string())?;
         if trace.lost() > 0 {
-            return Err(format!("links did so much that their first {} deeds are forgotten", trace.lost()));
+            return Err(format!("the trace of the links has lost its first {} events", trace.lost()));
         }
         let state = lock(&self.state);
-        if state.unheard > 0 {
+        if state.unrecorded > 0 {
             return Err(format!(
-                "{} faults of links are more than a trace holds",
-                state.asked.len() + state.unheard
+                "{} link faults are more than a trace holds",
+                state.requested.len() + state.unrecorded
             ));
         }
-        let mut open: BTreeMap<LinkId, Vec<&Asked>> = BTreeMap::new();
-        for asked in &state.asked {
-            open.entry(asked.link).or_default().push(asked);
+        let mut open: BTreeMap<LinkId, Vec<&RequestedFault>> = BTreeMap::new();
+        for requested in &state.requested {
+            open.entry(requested.link).or_default().push(requested);
         }
         let mut lines = Vec::new();
         for event in trace.events() {
             let What::Began { fault, after, .. } = &event.what else { continue };
-            let Some(asked) = open.get_mut(&event.link) else { continue };
-            // One that waits for its place may begin after a later one.
-            let Some(at) = asked.iter().position(|asked| asked.fault == *fault) else { continue };
-            let Asked { name, fault, lasts, by_scenario, .. } = asked.remove(at);
+            let Some(requested) = open.get_mut(&event.link) else { continue };
+            // A fault that waits for its position may start after a later one.
+            let Some(at) = requested.iter().position(|requested| requested.fault == *fault) else { continue };
+            let RequestedFault { name, fault, lasts, by_scenario, .. } = requested.remove(at);
             if *by_scenario {
                 let at = (began + event.at.as_nanos() as Time) as i64 - start as i64;
                 lines.push(LinkLine { at, link: *name, fault: fault.clone(), lasts: *lasts, after: *after });
@@ -269,15 +276,15 @@
     }
 }
 
-/// A time that is over.
+/// A time in the past, which starts a fault at once.
 const AT_ONCE: Moment = Moment::At(Duration::ZERO);
 
-/// On all connections.
+/// Returns a plan entry for all connections of a link.
 fn entry(link: LinkId, when: Moment, fault: Fault, lasts: Option<Duration>) -> Entry {
     Entry { link, when, who: Who::Every, fault: Some(fault), lasts }
 }
 
-/// A fault that the scenario asks for.
+/// Records a fault requested by the scenario and returns its plan entry.
 fn scenario_entry(
     state: &mut State,
     (link, name): (LinkId, LinkName),
@@ -285,7 +292,7 @@
     lasts: Option<Duration>,
 ) -> Entry {
     let when = state.moment(name, &fault);
-    state.note(Asked { link, name, fault: fault.clone(), lasts, by_scenario: true });
+    state.note(RequestedFault { link, name, fault: fault.clone(), lasts, by_scenario: true });
     entry(link, when, fault, lasts)
 }
 
@@ -297,8 +304,8 @@
     }
 }
 
-/// In the words of the links; nothing of what happens at one moment.
-fn lasting(fault: &LinkFault) -> Option<Fault> {
+/// Converts a lasting fault of the scenario; returns nothing for instantaneous and flapping ones.
+fn convert_fault(fault: &LinkFault) -> Option<Fault> {
     Some(match fault {
         LinkFault::Hold(held) => Fault::Hold { way: way(*held) },
         LinkFault::Blackhole(cut) => Fault::Cut { way: way(*cut) },
@@ -320,9 +327,9 @@
 
     const PAIR: Pair = (MachineRole::Gateway(0), MachineRole::Counter);
 
-    /// Whether a byte comes through a link to `target`, asked for once more and within 0.3 s.
-    fn passes(wires: &Links, pair: Pair, target: &TcpListener) -> bool {
-        let address = wires.reach(pair, target.local_addr().unwrap()).unwrap();
+    /// Whether a byte passes a link to `target` within 0.3 s on a new connection.
+    fn passes(links: &Links, pair: Pair, target: &TcpListener) -> bool {
+        let address = links.dial_address(pair, target.local_addr().unwrap()).unwrap();
         target.set_nonblocking(true).unwrap();
         let until = Instant::now() + Duration::from_millis(300);
         let Ok(mut near) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) else {
@@ -346,21 +353,21 @@
     }
 
     #[test]
-    fn what_is_wrong_with_a_pair_is_wrong_with_links_that_come_later_and_with_no_other_pair() {
-        let wires = Links::new(&Site::default(), 1, 100).unwrap();
+    fn a_partition_applies_to_later_links_of_its_pair_and_to_no_other_pair() {
+        let links = Links::new(&Site::default(), 1, 100).unwrap();
         let [old, new, other] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-        assert!(passes(&wires, PAIR, &old));
-        wires.cut(&[PAIR.0], &[PAIR.1], 3_600_000_000_000, false).unwrap();
-        assert!(!passes(&wires, PAIR, &old));
-        assert!(!passes(&wires, PAIR, &new), "it came while the pair was cut");
-        assert!(passes(&wires, (MachineRole::Gateway(1), MachineRole::Counter), &other));
+        assert!(passes(&links, PAIR, &old));
+        links.partition(&[PAIR.0], &[PAIR.1], 3_600_000_000_000, false).unwrap();
+        assert!(!passes(&links, PAIR, &old));
+        assert!(!passes(&links, PAIR, &new), "added during the partition");
+        assert!(passes(&links, (MachineRole::Gateway(1), MachineRole::Counter), &other));
     }
 
     #[test]
-    fn ways_within_a_building_between_buildings_and_from_clients_take_their_times() {
+    fn latency_depends_on_the_buildings_of_both_ends() {
         let site = Site { buildings: 3, ..Site::default() };
-        let wires = Links::new(&site, 1, 100).unwrap();
-        let us = |a, b| match wires.delay((a, b)) {
+        let links = Links::new(&site, 1, 100).unwrap();
+        let us = |a, b| match links.delay((a, b)) {
             Some(Fault::Delay { base, .. }) => base.as_micros(),
             _ => 0,
         };
--- a/crates/cluster-emulator/src/trace.rs
+++ b/crates/cluster-emulator/src/trace.rs
@@ -14,7 +14,7 @@
 
 mod lines;
 
-use crate::real::{Pair, WAIT};
+use crate::real::{Pair, REPLAY_WAIT};
 use cluster_model::file;
 use cluster_model::scenario::{Event, Scenario};
 use fault_proxy::{Fault, Last};
@@ -160,7 +160,7 @@
             let sooner =
                 matches!(timed.event, Event::Links(..) | Event::Partition(..) | Event::IsolateBuilding(..));
             let at = u64::try_from(*at).unwrap_or(0).min(scenario.length);
-            timed.at = at.saturating_sub(if sooner { WAIT / 2 } else { 0 });
+            timed.at = at.saturating_sub(if sooner { REPLAY_WAIT / 2 } else { 0 });
         }
         scenario
     }
