--- a/crates/api-gateway/src/command.rs
+++ b/crates/api-gateway/src/command.rs
@@ -9,9 +9,9 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-/// An API gateway that holds customers to shared quotas before a common back end.
+/// An API gateway that enforces shared customer quotas in front of a common back end.
 ///
-/// Without a command it serves, with the configuration that ROUTER_CONFIG names.
+/// Without a subcommand it serves, with the configuration file that ROUTER_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "api-gateway", version, after_help = EXIT_CODES)]
 pub struct CommandLine {
@@ -21,16 +21,16 @@
 }
 
 const EXIT_CODES: &str = "\
-Exit status: 0 done as asked; 1 could not start, or a configuration that cannot be used; 2 wrong usage.
-Signals: SIGHUP reads the configuration again (addresses of discovery and the counter, and the operators' files);
-SIGTERM answers all that was taken, then ends with 0.";
+Exit status: 0 success; 1 the program could not start, or a configuration cannot be used; 2 wrong usage.
+Signals: SIGHUP reloads the configuration (addresses of discovery and the counter, and the operators' files);
+SIGTERM answers all accepted requests, then exits with 0.";
 
 /// The subcommands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve until SIGTERM
     Serve(Serve),
-    /// Read a configuration, say what is wrong with it or what it means, and end
+    /// Check a configuration, and print its errors or a summary of it
     Check {
         /// The configuration file
         config: PathBuf,
@@ -38,18 +38,18 @@
     /// Check, format, compare and show operators' files: pools, routes, quota policies and sites
     #[command(subcommand)]
     Config(Tool),
-    /// Show and try the operators' plan for the loss of a site
+    /// Show and simulate the operators' plan for the loss of a site
     #[command(subcommand)]
     Plan(plan::Tool),
-    /// Print the script by which a shell completes the words of this program
+    /// Print a completion script for a shell
     Completions {
         /// The shell
         shell: Shell,
     },
-    /// Rehearse a whole site on this machine; hands over to `cluster-emulator` beside this program
+    /// Emulate a complete site on this machine; runs `cluster-emulator` from the folder of this program
     #[command(disable_help_flag = true)]
     Rehearse {
-        /// Words for `cluster-emulator`
+        /// Arguments for `cluster-emulator`
         #[arg(id = "words", value_name = "WORDS", trailing_var_arg = true, allow_hyphen_values = true)]
         arguments: Vec<OsString>,
     },
@@ -61,25 +61,25 @@
     /// The files that the gateway reads.
     #[command(flatten)]
     pub files: Files,
-    /// The form of the log on standard error: lines for people, or a JSON object a line
+    /// Format of the log on standard error: lines of text, or one JSON object per line
     #[arg(long, value_enum, value_name = "FORMAT", default_value_t)]
     pub log_format: LogFormat,
 }
 
-/// The form of the log on standard error.
+/// The format of the log on standard error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Lines of text for people.
     #[default]
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 /// The files that a gateway reads.
 #[derive(Args, Debug, Default)]
 pub struct Files {
-    /// The configuration file, in place of the one that ROUTER_CONFIG names
+    /// The configuration file; overrides the one that ROUTER_CONFIG names
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
     /// The operators' file: pools, routes, quota policies and sites
--- a/crates/api-gateway/src/completions.rs
+++ b/crates/api-gateway/src/completions.rs
@@ -1,4 +1,4 @@
-//! `completions`: scripts by which shells complete the program's command line.
+//! `completions`: scripts for the completion of the program's command line in shells.
 
 use crate::command::CommandLine;
 use anyhow::Result;
--- a/crates/api-gateway/src/config/check.rs
+++ b/crates/api-gateway/src/config/check.rs
@@ -17,13 +17,13 @@
 pub struct Arguments {
     /// The operators' file
     file: PathBuf,
-    /// The platform's configuration, as gateways get it: names and quotas are held against its settings
+    /// The platform's configuration, as gateways read it: names and quotas are checked against its settings
     #[arg(long, value_name = "CONFIG_JSON")]
     settings: Option<PathBuf>,
-    /// The operators' file that runs now: figures that go up or down ten times or more are not let through
+    /// The operators' file in force: changes of a figure by a factor of ten or more are rejected
     #[arg(long, value_name = "OLD_FILE")]
     against: Option<PathBuf>,
-    /// Let big changes through: they are meant
+    /// Accept big changes, which are intended
     #[arg(long, requires = "against")]
     accept: bool,
     /// Print one JSON object instead of messages and a summary
@@ -40,7 +40,7 @@
 enum Verdict {
     /// It can, perhaps with warnings.
     Usable,
-    /// It could, but for this number of big changes, which someone has to accept.
+    /// It has no errors, but this number of big changes, which an operator has to accept.
     BigChanges(usize),
     /// It has errors.
     Unusable,
--- a/crates/api-gateway/src/config/diff.rs
+++ b/crates/api-gateway/src/config/diff.rs
@@ -11,20 +11,20 @@
 #[derive(Args, Debug)]
 #[command(after_help = EXIT_CODES)]
 pub struct Arguments {
-    /// The operators' file as it was
+    /// The old operators' file
     old: PathBuf,
-    /// The operators' file as it is to be
+    /// The new operators' file
     new: PathBuf,
     /// Print a JSON list of changes
     #[arg(long)]
     json: bool,
-    /// End with 1 where something differs
+    /// Exit with 1 if anything differs
     #[arg(long)]
     exit_code: bool,
 }
 
 const EXIT_CODES: &str = "\
-Nothing is printed where both mean the same (with --json an empty list).
+Nothing is printed if both files mean the same (with --json an empty list).
 Exit status: 0 compared, whatever differs; 1 a file has errors, or with --exit-code something differs;
 2 wrong usage.";
 
@@ -33,7 +33,7 @@
 /// # Errors
 /// Standard output cannot be written.
 pub fn run(arguments: &Arguments) -> Result<bool> {
-    // Both are read before either is missed, so that the errors of both are printed.
+    // Both are read before the first failure returns, so that the errors of both are printed.
     let old = load(&arguments.old);
     let new = load(&arguments.new);
     let Some((old, new)) = old.zip(new) else { return Ok(false) };
--- a/crates/api-gateway/src/config/format.rs
+++ b/crates/api-gateway/src/config/format.rs
@@ -14,23 +14,23 @@
 #[derive(Args, Debug)]
 #[command(after_help = EXIT_CODES)]
 pub struct Arguments {
-    /// Files to rewrite; `-` alone takes standard input to standard output
+    /// Files to rewrite; `-` as the only one formats standard input to standard output
     #[arg(required = true, value_name = "FILE")]
     files: Vec<PathBuf>,
-    /// Change nothing, name the files that would be rewritten, and end with 1 if there are any
+    /// List the files that would be rewritten, without changing them, and exit with 1 if there are any
     #[arg(long, conflicts_with = "stdout")]
     check: bool,
-    /// Print what would be written, and change nothing
+    /// Print the formatted text, without changing any file
     #[arg(long)]
     stdout: bool,
 }
 
 const EXIT_CODES: &str = "\
-Files are rewritten whole or not at all, and named if they changed. One that cannot be read is left as it is.
-Only the files named are formatted, not those that they include.
+Files are rewritten atomically, and listed if they changed. A file that cannot be read is left as it is.
+Only the given files are formatted, not those that they include.
 Exit status: 0 done; 1 a file has errors, or with --check differs; 2 wrong usage.";
 
-/// Argument that stands for standard input.
+/// Argument that denotes standard input.
 const STDIN_ARGUMENT: &str = "-";
 /// Name of standard input in messages.
 const STDIN_NAME: &str = "<stdin>";
@@ -73,7 +73,7 @@
 fn reject_stdin_beside_files(files: &[PathBuf]) {
     let reads_stdin = files.iter().any(|file| is_stdin(file));
     if reads_stdin && files.len() > 1 {
-        let reason = "`-` stands alone: standard input goes to standard output";
+        let reason = "`-` must be the only file: standard input is formatted to standard output";
         let mut usage = Arguments::augment_args(Command::new("fmt").bin_name("api-gateway config fmt"));
         usage.error(ErrorKind::ArgumentConflict, reason).exit();
     }
@@ -107,7 +107,7 @@
     Ok(bytes)
 }
 
-/// Decodes UTF-8. The error is the language's own diagnostic, which has the place of the first invalid byte.
+/// Decodes UTF-8. The error is the language's diagnostic, which has the position of the first invalid byte.
 fn decode(name: &str, bytes: Vec<u8>) -> Result<String, FormatError> {
     String::from_utf8(bytes).map_err(|error| {
         let files = Memory::default().with(name, error.into_bytes());
@@ -119,7 +119,7 @@
     })
 }
 
-/// Writes the formatted text where the arguments say, and returns whether the exit status is 0.
+/// Writes the formatted text to the destination that the arguments select, and returns whether the exit status is 0.
 fn write_result(arguments: &Arguments, file: &Path, text: &Formatted) -> Result<bool> {
     let differs = text.before != text.after;
     if arguments.check {
--- a/crates/api-gateway/src/config/mod.rs
+++ b/crates/api-gateway/src/config/mod.rs
@@ -16,13 +16,13 @@
 /// The subcommands of `config`.
 #[derive(Debug, Subcommand)]
 pub enum Tool {
-    /// Say all that is wrong with a file and those that it includes
+    /// Print all errors and warnings of a file and of those that it includes
     Check(check::Arguments),
-    /// Write files in the one way in which all are written; comments stay
+    /// Rewrite files in the standard format; comments stay
     Fmt(format::Arguments),
-    /// Say what differs between two files and those that they include, in terms of blocks
+    /// Print the differences between two files, with those that they include, in terms of blocks
     Diff(diff::Arguments),
-    /// Print what is in force after includes, names and defaults, and where each value comes from
+    /// Print the values in force after includes, names and defaults, and the source of each
     Show(show::Arguments),
 }
 
--- a/crates/api-gateway/src/config/replace.rs
+++ b/crates/api-gateway/src/config/replace.rs
@@ -1,5 +1,5 @@
-//! Replaces the content of a file atomically, so that a gateway that reads it meanwhile gets the old or the new text,
-//! never a part.
+//! Replaces the content of a file atomically, so that a gateway that reads it meanwhile gets either the complete
+//! old or the complete new text.
 
 use crate::output::path_text;
 use anyhow::{bail, Context as _, Result};
@@ -19,7 +19,7 @@
     let target = file.canonicalize()?;
     // A rename needs no write permission for the file itself, so it is checked here.
     let original = OpenOptions::new().write(true).open(&target)?.metadata()?;
-    let folder = target.parent().context("it is in no folder")?;
+    let folder = target.parent().context("it has no parent folder")?;
     let (path, temporary) = create_temporary(folder)?;
     let result = write(&temporary, text, &original).and_then(|()| Ok(std::fs::rename(&path, &target)?));
     if result.is_err() {
@@ -42,7 +42,7 @@
             }
         }
     }
-    bail!("{} is full of .fennelbeam-fmt.*.tmp that were left over", path_text(folder))
+    bail!("{} has too many leftover .fennelbeam-fmt.*.tmp files", path_text(folder))
 }
 
 /// Writes the text to the temporary file, and gives it the group, owner and permissions of the original.
--- a/crates/api-gateway/src/config/show.rs
+++ b/crates/api-gateway/src/config/show.rs
@@ -1,4 +1,4 @@
-//! `config show`: prints the values in force, and where each comes from.
+//! `config show`: prints the values in force, and the source of each.
 
 use crate::operators;
 use crate::operators::platform::{language_platform, quotas};
@@ -17,13 +17,13 @@
 pub struct Arguments {
     /// The operators' file
     file: PathBuf,
-    /// The platform's configuration, as gateways get it: adds the quota in force for each plan
+    /// The platform's configuration, as gateways read it: adds the quota in force for each plan
     #[arg(long, value_name = "CONFIG_JSON")]
     settings: Option<PathBuf>,
 }
 
 const EXIT_CODES: &str = "\
-What is printed is a file of the language that means the same.
+The output is an equivalent file in the same language.
 Exit status: 0 shown; 1 the file has errors; 2 wrong usage.";
 
 /// Prints the values in force, and returns whether the file can be used.
@@ -58,9 +58,9 @@
     let burst = limit_text(&quota.burst, Dimension::Units, is_metered);
     let max_concurrent =
         Limit { value: f64::from(quota.max_concurrent.value), source: quota.max_concurrent.source.clone() };
-    let open = limit_text(&max_concurrent, Dimension::Attempts, max_concurrent.value > 0.0);
+    let concurrency = limit_text(&max_concurrent, Dimension::Attempts, max_concurrent.value > 0.0);
     let name = one_line(&quota.plan);
-    format!("# plan {name}\n#   rate: {rate}\n#   burst: {burst}\n#   open: {open}\n")
+    format!("# plan {name}\n#   rate: {rate}\n#   burst: {burst}\n#   open: {concurrency}\n")
 }
 
 /// Returns a limit with its unit and its source.
--- a/crates/api-gateway/src/descriptors.rs
+++ b/crates/api-gateway/src/descriptors.rs
@@ -2,8 +2,8 @@
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
-/// Raises the system's soft limit to the configured number, as far as the hard limit permits, and returns the number
-/// that is in force: the lower of the two. A gateway that held more connections would lose those that the system rejects
+/// Raises the system's soft limit to the configured number, but not above the hard limit, and returns the number in
+/// force: the lower of the two. A gateway that held more connections would lose those that the system rejects
 /// or leaves in the listener's backlog.
 pub fn raise_limit(configured: usize) -> usize {
     let wanted = configured as u64;
--- a/crates/api-gateway/src/emulator.rs
+++ b/crates/api-gateway/src/emulator.rs
@@ -1,4 +1,4 @@
-//! Starts `cluster-emulator`, a program of its own, so that no part of the emulator is linked into the gateway.
+//! Starts `cluster-emulator`, a separate program, so that no part of the emulator is linked into the gateway.
 
 use anyhow::{Context as _, Result};
 use std::convert::Infallible;
--- a/crates/api-gateway/src/main.rs
+++ b/crates/api-gateway/src/main.rs
@@ -1,6 +1,6 @@
 //! The program `api-gateway`: one gateway on sockets, and tools for the files of its operators.
 //!
-//! # A command through the files
+//! # Modules in the order of execution
 //!
 //! 1. `command.rs` defines the command line; `main` passes each subcommand to its module.
 //! 2. `serve.rs` runs a gateway: it installs the signal handlers (`signals.rs`), reads the configuration
@@ -9,10 +9,10 @@
 //! 3. `check.rs` explains a configuration, and `completions.rs` prints completion scripts for shells.
 //! 4. `config/` holds the tools for the operators' files, `plan/` those for the plan for the loss of a site. Both read the
 //!    files through `operators/`, as a gateway does at its start and at each reload.
-//! 5. `emulator.rs` starts `cluster-emulator`, a program of its own.
+//! 5. `emulator.rs` starts `cluster-emulator`, a separate program.
 //!
-//! `output.rs` writes to standard output and standard error, and `loss_summary.rs` puts the results of capacity checks
-//! into words.
+//! `output.rs` writes to standard output and standard error, and `loss_summary.rs` formats the results of capacity
+//! checks as text.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
 
--- a/crates/api-gateway/src/output.rs
+++ b/crates/api-gateway/src/output.rs
@@ -1,5 +1,5 @@
-//! Writes to standard output and standard error, whose reader may close them at any time, and makes foreign text safe
-//! for one line.
+//! Writes to standard output and standard error, whose reader may close them at any time, and replaces
+//! control characters in foreign text.
 
 use anyhow::{Context as _, Result};
 use config_language::Diagnostic;
--- a/crates/api-gateway/src/plan/mod.rs
+++ b/crates/api-gateway/src/plan/mod.rs
@@ -1,6 +1,6 @@
 //! `plan`: the tools for the operators' plan for the loss of a site.
 //!
-//! `show.rs` runs `plan show`: it computes what each loss comes to and passes a `LossReport` (`loss_report.rs`) to
+//! `show.rs` runs `plan show`: it computes the outcome of each loss and passes a `LossReport` (`loss_report.rs`) to
 //! `text.rs`, which lays it out in the columns of `table.rs`, or to `json.rs`. `traffic_mix.rs` parses `--mix`.
 
 mod json;
@@ -19,12 +19,12 @@
 /// The subcommands of `plan`.
 #[derive(Debug, Subcommand)]
 pub enum Tool {
-    /// Print whether the fleet carries the loss of each site, and of each two; what is refused, and how much
+    /// Print whether the fleet carries the loss of each site and of each two, and how much of which load is shed
     Show(show::Arguments),
-    /// Play the loss of each site in virtual time; hands over to `cluster-emulator plan` beside this program
+    /// Simulate the loss of each site in virtual time; runs `cluster-emulator plan` from the folder of this program
     #[command(disable_help_flag = true)]
     Try {
-        /// The operators' file and further words for `cluster-emulator plan`
+        /// The operators' file and further arguments for `cluster-emulator plan`
         #[arg(id = "words", value_name = "WORDS", trailing_var_arg = true, allow_hyphen_values = true)]
         arguments: Vec<OsString>,
     },
--- a/crates/api-gateway/src/plan/show.rs
+++ b/crates/api-gateway/src/plan/show.rs
@@ -1,4 +1,4 @@
-//! `plan show`: prints a plan for the loss of a site, and what each loss comes to.
+//! `plan show`: prints a plan for the loss of a site, and the outcome of each loss.
 
 use super::loss_report::LossReport;
 use super::{json, text, traffic_mix};
@@ -17,10 +17,10 @@
 pub struct Arguments {
     /// The operators' file
     file: PathBuf,
-    /// The platform's configuration, as gateways get it
+    /// The platform's configuration, as gateways read it
     #[arg(long, value_name = "CONFIG_JSON")]
     settings: PathBuf,
-    /// How the requests are divided, in any measure: CLASS/PLAN=WEIGHT,... Without it each class and plan has as many
+    /// Relative weights of classes and plans: CLASS/PLAN=WEIGHT,... By default all have equal weights
     #[arg(long, value_name = "WEIGHTS")]
     mix: Option<String>,
     /// Print one JSON object instead of tables
--- a/crates/api-gateway/src/plan/traffic_mix.rs
+++ b/crates/api-gateway/src/plan/traffic_mix.rs
@@ -19,7 +19,7 @@
             .with_context(|| format!("the platform has no plan `{plan}`"))?;
         weights[class * plans + plan] = parse_weight(weight)?;
     }
-    ensure!(weights.iter().any(|weight| *weight > 0.0), "nothing weighs anything");
+    ensure!(weights.iter().any(|weight| *weight > 0.0), "no weight is positive");
     Ok(TrafficMix::from_weights(weights))
 }
 
@@ -40,8 +40,8 @@
 }
 
 fn parse_weight(text: &str) -> Result<f64> {
-    let weight: f64 = text.parse().with_context(|| format!("`{text}` is no number"))?;
+    let weight: f64 = text.parse().with_context(|| format!("`{text}` is not a number"))?;
     // The message has the parsed number, not the text.
-    ensure!(weight.is_finite() && weight >= 0.0, "`{weight}` is no weight");
+    ensure!(weight.is_finite() && weight >= 0.0, "`{weight}` is not a valid weight");
     Ok(weight)
 }
--- a/crates/api-gateway/src/signals.rs
+++ b/crates/api-gateway/src/signals.rs
@@ -18,7 +18,7 @@
     Ok(receiver)
 }
 
-/// Sends a message for each signal, until the receiver is gone.
+/// Sends a message for each signal, until the receiver is dropped.
 async fn forward(mut source: UnixSignal, message: Signal, sender: UnboundedSender<Signal>) {
     while source.recv().await.is_some() {
         if sender.send(message).is_err() {
--- a/crates/api-gateway/src/source.rs
+++ b/crates/api-gateway/src/source.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Logs changes that may be a mistake of units. They are in force all the same, since an operator asked for the reload.
+/// Logs changes that may be a mistake of units. They take effect nevertheless, since an operator requested the reload.
 fn log_big_changes(before: &FileSet, after: &FileSet, platform: &PlatformSettings) {
     let changes = big_changes(before, after, Some(&language_platform(platform)));
     for change in changes.iter().take(MAX_LOGGED_CHANGES) {
--- a/crates/api-gateway/tests/plan_tools.rs
+++ b/crates/api-gateway/tests/plan_tools.rs
@@ -1,4 +1,4 @@
-//! The tools for a plan for the loss of a site, as the built program has them, and the operators' page on them.
+//! The subcommands of `plan`, tested with the built program, and the operators' page on them.
 
 use serde_json::{json, Value};
 use std::fs;
@@ -11,7 +11,7 @@
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
 const PAGE: &str = include_str!("../../../docs/site-loss.md");
 
-/// Two sites, of which one carries all and the other does not.
+/// Two sites: the plan carries the loss of one of them, but not that of the other.
 const PLAN: &str = r#"
 site "a" {
   zones = "building-1"
@@ -39,16 +39,20 @@
     folder
 }
 
-fn run(folder: &TempDir, words: &str) -> (i32, String, String) {
+fn run(folder: &TempDir, arguments: &str) -> (i32, String, String) {
     let mut command = Command::new(PROGRAM);
     let output: Output = command
-        .args(words.split(' '))
+        .args(arguments.split(' '))
         .current_dir(folder.path())
         .env_remove("ROUTER_CONFIG")
         .output()
         .unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (output.status.code().expect("a signal ended it"), text(output.stdout), text(output.stderr))
+    (
+        output.status.code().expect("the program was ended by a signal"),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 fn shown(plan: &str, further: &str) -> (i32, String, String) {
@@ -62,7 +66,7 @@
 }
 
 #[test]
-fn what_a_loss_comes_to_is_told_as_data_too() {
+fn plan_show_prints_outcomes_as_json() {
     let all = document(PLAN, "");
     assert_eq!(all["mix"], "even");
     let a = json!({"name": "a", "zones": ["building-1"], "capacity": 300.0, "load": 200.0, "headroom": 0.0,
@@ -80,13 +84,13 @@
         "floors_at_risk": ["reads"]});
     assert_eq!(second, &refused);
     assert_eq!(both, &json!({"lost": ["a", "b"], "verdict": "nobody-left"}));
-    // With more reads there is more to refuse of them.
+    // With a larger share of reads, more of them can be shed.
     let mixed = document(PLAN, " --mix price-read/standard=9,unit-order/premium=1");
     assert_eq!(
         (&mixed["losses"][1]["sheds"][0]["refused"], &mixed["losses"][1]["beyond"]),
         (&json!(300.0), &json!(0.0))
     );
-    // Without figures nothing is known, and without sites there is nothing to know.
+    // Without capacities and loads no outcome is known, and without sites there is no loss.
     let bare = PLAN.replace("  capacity = 300 requests/s\n", "");
     assert_eq!(
         document(&bare, "")["losses"][1],
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn a_check_warns_of_a_loss_that_is_not_carried() {
+fn check_warns_of_a_loss_that_is_not_carried() {
     let check = |plan: &str| run(&folder(plan), &format!("config check park.fb --settings {EXAMPLE}"));
     let (code, out, err) = check(PLAN);
     assert_eq!((code, out.as_str()), (0, "park.fb: can be used: 1 file, 0 pools, 0 routes, 0 quota policies, 2 sites, 1 takeover, 1 shed, 1 warning\n"));
@@ -113,16 +117,16 @@
         warned(&PLAN.replace("  load = 400 requests/s\n", "")),
         "warning: whether a loss is carried is not known: site \"b\" lacks `load`"
     );
-    // Who declares no figures at all wants nothing reckoned.
+    // A plan without any figures gets no warnings, since it is not meant to be computed.
     let bare: String = PLAN.lines().filter(|l| !l.contains("requests/s")).map(|l| format!("{l}\n")).collect();
     assert_eq!(warned(&bare), "");
-    // What is told lost is lost in each case, and no loss of its own.
-    let night = PLAN.replace("\"building-1\"", "\"building-1\"\n  told = \"lost\"");
-    assert_eq!(check(&night).2.matches("is not carried").count(), 0);
+    // A site that the operators have declared lost is lost in each scenario, and is not a further loss.
+    let overridden = PLAN.replace("\"building-1\"", "\"building-1\"\n  told = \"lost\"");
+    assert_eq!(check(&overridden).2.matches("is not carried").count(), 0);
 }
 
 #[test]
-fn statuses_tell_of_files_that_cannot_be_used_and_of_wrong_usage() {
+fn exit_statuses_distinguish_invalid_files_and_wrong_usage() {
     let cases = [
         (PLAN, format!("plan show park.fb --settings {EXAMPLE}"), 0, ""),
         (PLAN, "plan show park.fb --settings nowhere.json".into(), 1, "cannot read nowhere.json"),
@@ -149,73 +153,74 @@
             PLAN,
             format!("plan show park.fb --settings {EXAMPLE} --mix price-read/standard=-3"),
             1,
-            "is no weight",
+            "is not a valid weight",
         ),
         (
             PLAN,
             format!("plan show park.fb --settings {EXAMPLE} --mix price-read/standard=0"),
             1,
-            "nothing weighs",
+            "no weight is positive",
         ),
         (PLAN, "plan show park.fb".into(), 2, "--settings"),
         (PLAN, "plan".into(), 2, "Usage: api-gateway plan"),
         (PLAN, "plan shoe".into(), 2, "show"),
     ];
-    for (plan, words, code, said) in cases {
-        let (ended, out, err) = run(&folder(plan), &words);
-        assert_eq!(ended, code, "{words}: {err}");
-        assert!(err.contains(said), "{words}: {err}");
-        assert_eq!(out.is_empty(), code != 0, "{words}: {out}");
+    for (plan, arguments, code, expected) in cases {
+        let (status, out, err) = run(&folder(plan), &arguments);
+        assert_eq!(status, code, "{arguments}: {err}");
+        assert!(err.contains(expected), "{arguments}: {err}");
+        assert_eq!(out.is_empty(), code != 0, "{arguments}: {out}");
     }
     let (_, help, _) = run(&folder(""), "plan show --help");
     assert!(help.contains("Exit status: 0 shown") && help.contains("--mix"), "{help}");
 }
 
 #[test]
-fn to_try_a_plan_hands_over_all_words() {
+fn plan_try_passes_all_arguments_and_the_exit_status_of_the_emulator() {
     let folder = folder(PLAN);
     let program = folder.path().join("api-gateway");
-    // A link, since a copy may still be open for writing where another test starts a process just then.
+    // A hard link, since a copy could not be executed while a process that another test has just started still has it
+    // open for writing.
     fs::hard_link(PROGRAM, &program).unwrap();
-    let ended = |words: &[&str]| {
-        let output = Command::new(&program).args(words).current_dir(folder.path()).output().unwrap();
+    let run_linked = |arguments: &[&str]| {
+        let output = Command::new(&program).args(arguments).current_dir(folder.path()).output().unwrap();
         let text = |bytes| String::from_utf8(bytes).unwrap();
         (output.status.code(), text(output.stdout), text(output.stderr))
     };
-    let words = ["plan", "try", "park.fb", "--settings", EXAMPLE, "--help"];
-    let (code, out, err) = ended(&words);
+    let arguments = ["plan", "try", "park.fb", "--settings", EXAMPLE, "--help"];
+    let (code, out, err) = run_linked(&arguments);
     assert_eq!((code, out.as_str()), (Some(1), ""));
     assert!(err.contains("cargo build --release -p cluster-emulator"), "{err}");
-    // A shell in its place reads the file `plan`, and gets the words behind that.
+    // A shell in place of the emulator executes the file `plan`, with the further arguments.
     symlink("/bin/sh", folder.path().join("cluster-emulator")).unwrap();
     fs::write(folder.path().join("plan"), "echo $*; exit 3\n").unwrap();
     let expected = format!("park.fb --settings {EXAMPLE} --help\n");
-    assert_eq!(ended(&words), (Some(3), expected, String::new()));
+    assert_eq!(run_linked(&arguments), (Some(3), expected, String::new()));
 }
 
-/// What stands in the page between lines of three strokes, of this kind.
-fn parts(kind: &str) -> Vec<&'static str> {
-    let parts = PAGE.split("```").skip(1).step_by(2);
-    parts
-        .filter_map(|part| part.split_once('\n'))
-        .filter(|(word, _)| *word == kind)
+/// Returns the code blocks of the page that are marked with this language.
+fn code_blocks(language: &str) -> Vec<&'static str> {
+    let blocks = PAGE.split("```").skip(1).step_by(2);
+    blocks
+        .filter_map(|block| block.split_once('\n'))
+        .filter(|(marker, _)| *marker == language)
         .map(|(_, text)| text)
         .collect()
 }
 
 #[test]
-fn the_page_shows_what_the_program_says_of_its_example() {
-    let folder = folder(parts("fb")[0]);
+fn the_page_shows_the_output_of_the_program_for_its_example() {
+    let folder = folder(code_blocks("fb")[0]);
     assert!(Path::new(EXAMPLE).exists());
     let settings = folder.path().join("CONFIG_JSON");
     symlink(EXAMPLE, settings).unwrap();
     let (code, out, err) = run(&folder, "config fmt --check park.fb");
     assert_eq!((code, out.as_str(), err.as_str()), (0, "", ""));
-    let asked = parts("console");
-    assert!(asked.len() >= 2, "{asked:?}");
-    for text in asked {
-        let (words, said) = text.strip_prefix("$ api-gateway ").unwrap().split_once('\n').unwrap();
-        let (code, out, err) = run(&folder, words);
-        assert_eq!((code, err + &out), (0, said.to_owned()), "{words}");
+    let sessions = code_blocks("console");
+    assert!(sessions.len() >= 2, "{sessions:?}");
+    for text in sessions {
+        let (arguments, expected) = text.strip_prefix("$ api-gateway ").unwrap().split_once('\n').unwrap();
+        let (code, out, err) = run(&folder, arguments);
+        assert_eq!((code, err + &out), (0, expected.to_owned()), "{arguments}");
     }
 }
