--- a/crates/api-gateway/tests/clocks.rs
+++ b/crates/api-gateway/tests/clocks.rs
@@ -1,14 +1,15 @@
-//! Real gateways whose clocks differ by 2 s both ways, before quotas that bind and hosts that come cold: no rule is
-//! broken. A test build: the feature `told-clock`. A program of its own, since gateways begin by way of it.
+//! Real gateways whose clocks are 2 s ahead and 2 s behind, with quotas below the demand and hosts that warm up: no
+//! invariant may be violated. Needs a test build with the feature `told-clock`. A test binary without the usual harness,
+//! since it also is the launcher of the gateways.
 
 use cluster_emulator::{become_process, play_real, Played, RealOptions};
 use cluster_model::file;
 use std::path::PathBuf;
 
-/// A run that the machine was too slow for says nothing; it is played again, so often in all.
-const PLAYS: usize = 4;
+/// Maximum number of runs: a run for which the machine was too slow has no result, and is repeated.
+const MAX_RUNS: usize = 4;
 
-const DAY: &str = "scenario \"Clocks that differ\"
+const SCENARIO: &str = "scenario \"Clocks that differ\"
 length 10 s
 site
   gateways 3
@@ -25,25 +26,25 @@
 
 fn main() {
     if let Err(error) = become_process() {
-        panic!("cannot begin: {error}");
+        panic!("cannot start: {error}");
     }
-    for _ in 0..PLAYS {
-        let played = play();
-        if let Some(slow) = &played.too_slow {
-            println!("{slow}");
+    for _ in 0..MAX_RUNS {
+        let played = run();
+        if let Some(reason) = &played.too_slow {
+            println!("{reason}");
             continue;
         }
         assert_eq!(played.verdict.breaches, []);
         assert_eq!(played.history.findings, []);
         assert_eq!(played.troubles, [""; 0]);
         assert!(played.verdict.share_served > 0.5, "{}", played.verdict.share_served);
-        println!("test gateways_whose_clocks_differ_break_no_rule ... ok");
+        println!("test gateways_whose_clocks_differ_violate_no_invariant ... ok");
         return;
     }
-    panic!("the machine was too slow {PLAYS} times");
+    panic!("the machine was too slow {MAX_RUNS} times");
 }
 
-fn play() -> Played {
+fn run() -> Played {
     let options = RealOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")),
         launcher: Some(std::env::current_exe().unwrap()),
@@ -54,6 +55,6 @@
         special: None,
         progress: None,
     };
-    let scenario = file::parse("clocks.scenario", DAY).unwrap();
+    let scenario = file::parse("clocks.scenario", SCENARIO).unwrap();
     play_real(&scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
 }
--- a/crates/api-gateway/tests/config_tools/check.rs
+++ b/crates/api-gateway/tests/config_tools/check.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn a_good_file_gets_one_line_that_says_what_is_in_it() {
+fn a_valid_file_gets_one_line_with_its_block_counts() {
     let folder = Folder::with("site.fb", GOOD);
     let contents = "site.fb: can be used: 1 file, 2 pools, 1 route, 1 quota policy";
     let without = format!("{contents}, not held against the platform's settings\n");
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn all_mistakes_are_told_with_their_lines_and_counted() {
+fn prints_and_counts_all_errors_with_their_lines() {
     let folder = Folder::with("names.fb", "let night = 20\n");
     folder.put(
         "site.fb",
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_warning_is_told_and_keeps_nothing_from_being_used() {
+fn prints_a_warning_of_a_file_that_can_be_used() {
     let folder = Folder::with("site.fb", "quota policy \"idle\" {\n  plan = \"premium\"\n}\n");
     let checked = folder.config("check site.fb");
     assert_eq!(checked.code, 0);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_platform_s_settings_are_held_against_the_file() {
+fn checks_the_file_against_the_platforms_settings() {
     let pool = "pool \"p\" {\n  zones = \"building-9\"\n}\n";
     let route = "pool \"p\" {}\n\nroute \"r\" {\n  classes = \"unit-orders\"\n  pool = \"p\"\n}\n";
     let grant = policy("40 units/s");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_a_gateway_could_not_put_in_force_is_an_error_of_a_check() {
+fn reports_errors_that_only_a_gateways_routing_tables_reveal() {
     let folder = Folder::with("site.fb", &policy("20 units/s"));
     platform(&folder, |document| {
         let premium = &mut document["settings"]["tariffs"][1];
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_used_get_one_line() {
+fn invalid_settings_fail_with_one_line() {
     let folder = Folder::with("site.fb", GOOD);
     folder.put("half.json", "{\"name\": ");
     for (tool, file) in [("check", "half.json"), ("show", "half.json"), ("check", "missing.json")] {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_big_change_wants_to_be_accepted() {
+fn a_big_change_has_to_be_accepted() {
     let folder = Folder::with("old.fb", &policy("25 units/s"));
     folder.put("new.fb", policy("25 units/min"));
     folder.put("near.fb", policy("24 units/s"));
@@ -114,13 +114,13 @@
     assert!(accepted.err.starts_with(reason) && accepted.out.starts_with("new.fb: can be used: "));
     let near = folder.config("check near.fb --against old.fb");
     assert_eq!((near.code, near.err.as_str()), (0, ""));
-    // An error is none that one can accept.
+    // Errors cannot be accepted.
     folder.put("new.fb", policy("25"));
     assert_eq!(folder.config("check new.fb --against old.fb --accept").code, 1);
 }
 
 #[test]
-fn a_first_policy_is_compared_with_what_the_platform_grants() {
+fn compares_a_first_policy_with_the_platforms_quota() {
     let folder = Folder::with("old.fb", "");
     folder.put("new.fb", policy("3 units/s"));
     assert_eq!(folder.config("check new.fb --against old.fb").code, 0);
@@ -130,14 +130,14 @@
 }
 
 #[test]
-fn what_runs_may_name_what_the_platform_no_longer_has() {
+fn the_file_in_force_may_use_names_that_the_platform_has_removed() {
     let folder = Folder::with("old.fb", &policy("9 units/s").replace("premium", "gone"));
     folder.put("new.fb", "");
     assert_eq!(folder.config(&format!("check new.fb --against old.fb --settings {EXAMPLE}")).code, 0);
 }
 
 #[test]
-fn an_old_file_that_cannot_be_read_gets_one_line_with_its_place() {
+fn an_invalid_file_in_force_fails_with_one_line_with_its_place() {
     let folder = Folder::with("site.fb", GOOD);
     folder.put("old.fb", "pool 7 {}\npool \"a\" {}\npool \"a\" {}\n");
     let checked = folder.config("check site.fb --against old.fb");
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_check_speaks_json() {
+fn check_prints_json() {
     let folder = Folder::with("site.fb", &policy("25"));
     folder.put("good.fb", policy("25 units/s"));
     folder.put("big.fb", policy("1 units/s"));
--- a/crates/api-gateway/tests/config_tools/command_line.rs
+++ b/crates/api-gateway/tests/config_tools/command_line.rs
@@ -6,14 +6,14 @@
 use std::os::unix::net::UnixStream;
 use std::process::{Command, Stdio};
 
-/// A stream whose other end is gone.
-fn broken() -> Stdio {
-    let (end, _gone) = UnixStream::pair().unwrap();
+/// Returns a stream whose other end is closed.
+fn closed_stream() -> Stdio {
+    let (end, _closed_end) = UnixStream::pair().unwrap();
     Stdio::from(OwnedFd::from(end))
 }
 
 #[test]
-fn a_reader_that_goes_away_is_no_failure() {
+fn an_output_closed_by_its_reader_does_not_change_the_exit_status() {
     let folder = Folder::with("site.fb", GOOD);
     folder.put("bad.fb", policy("25"));
     folder.put("untidy.fb", UNTIDY);
@@ -26,31 +26,31 @@
         ("config fmt --stdout untidy.fb", 0),
         ("completions zsh", 0),
     ];
-    for (words, code) in all {
-        let words: Vec<&str> = words.split(' ').collect();
-        let ended = Ended::from(folder.command(&words).stdout(broken()).output().unwrap());
-        assert_eq!((ended.code, ended.err.as_str()), (code, ""), "{words:?}");
+    for (arguments, code) in all {
+        let arguments: Vec<&str> = arguments.split(' ').collect();
+        let ended = Ended::from(folder.command(&arguments).stdout(closed_stream()).output().unwrap());
+        assert_eq!((ended.code, ended.err.as_str()), (code, ""), "{arguments:?}");
     }
-    for (words, code) in [("config check bad.fb", 1), ("config show site.fb --settings nowhere", 1)] {
-        let words: Vec<&str> = words.split(' ').collect();
-        let ended = Ended::from(folder.command(&words).stderr(broken()).output().unwrap());
-        assert_eq!(ended.code, code, "{words:?}");
+    for (arguments, code) in [("config check bad.fb", 1), ("config show site.fb --settings nowhere", 1)] {
+        let arguments: Vec<&str> = arguments.split(' ').collect();
+        let ended = Ended::from(folder.command(&arguments).stderr(closed_stream()).output().unwrap());
+        assert_eq!(ended.code, code, "{arguments:?}");
     }
 }
 
 #[test]
-fn a_result_that_cannot_be_written_is_a_failure() {
+fn fails_if_the_result_cannot_be_written() {
     let folder = Folder::with("site.fb", GOOD);
-    for words in [["config", "show", "site.fb"], ["config", "check", "site.fb"]] {
+    for arguments in [["config", "show", "site.fb"], ["config", "check", "site.fb"]] {
         let full = fs::OpenOptions::new().write(true).open("/dev/full").unwrap();
-        let ended = Ended::from(folder.command(&words).stdout(full).output().unwrap());
-        assert_eq!(ended.code, 1, "{words:?}");
+        let ended = Ended::from(folder.command(&arguments).stdout(full).output().unwrap());
+        assert_eq!(ended.code, 1, "{arguments:?}");
         assert!(ended.err.starts_with("api-gateway: cannot write the result: "), "{}", ended.err);
     }
 }
 
 #[test]
-fn each_tool_explains_itself() {
+fn help_of_each_tool_lists_its_options_and_exit_statuses() {
     let folder = Folder::new();
     let all = [
         ("check", &["--settings", "--against", "--accept", "--json"][..]),
@@ -58,11 +58,11 @@
         ("diff", &["--json", "--exit-code"]),
         ("show", &["--settings"]),
     ];
-    for (tool, words) in all {
+    for (tool, options) in all {
         let help = folder.run(&["config", tool, "--help"]);
         assert_eq!((help.code, help.err.as_str()), (0, ""));
-        for word in words.iter().chain(&["Exit status: 0 ", "2 wrong usage"]) {
-            assert!(help.out.contains(word), "{tool}: {word} is not in: {}", help.out);
+        for expected in options.iter().chain(&["Exit status: 0 ", "2 wrong usage"]) {
+            assert!(help.out.contains(expected), "{tool}: {expected} is not in: {}", help.out);
         }
         assert!(folder.run(&["config", "--help"]).out.contains(&format!("\n  {tool} ")), "{tool}");
     }
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn wrong_usage_has_a_status_of_its_own() {
+fn wrong_usage_exits_with_status_2() {
     let folder = Folder::with("a.fb", UNTIDY);
-    for words in [
+    for arguments in [
         "config",
         "config fit a.fb",
         "config check",
@@ -90,8 +90,8 @@
         "completions",
         "completions tcsh",
     ] {
-        let ended = folder.run(&words.split(' ').collect::<Vec<_>>());
-        assert_eq!((ended.code, ended.out.as_str()), (2, ""), "{words}");
+        let ended = folder.run(&arguments.split(' ').collect::<Vec<_>>());
+        assert_eq!((ended.code, ended.out.as_str()), (2, ""), "{arguments}");
         assert!(
             ended.err.contains("Usage: api-gateway") || ended.err.contains("possible values"),
             "{}",
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn each_shell_gets_its_completions() {
+fn prints_a_completion_script_for_each_shell() {
     let folder = Folder::new();
     for shell in ["bash", "zsh", "fish", "elvish", "powershell"] {
         let script = folder.run(&["completions", shell]);
@@ -114,16 +114,16 @@
 }
 
 #[test]
-fn bash_completes_the_words_of_the_tools() {
+fn bash_completes_the_subcommands_of_config() {
     let folder = Folder::new();
     let script = folder.run(&["completions", "bash"]).out;
     let registered = script.lines().find(|line| line.trim_start().starts_with("complete -F "));
     let function = registered.and_then(|line| line.split_whitespace().nth(2)).expect("a completion function");
-    let ask = format!(
+    let completion = format!(
         "compopt() {{ :; }}; COMP_WORDS=(api-gateway config f); COMP_CWORD=2\n\
          {function} api-gateway f config; echo \"${{COMPREPLY[@]}}\"\n"
     );
-    let bash = Command::new("bash").args(["-c", &format!("{script}\n{ask}")]).output().unwrap();
-    let told = Ended::from(bash);
-    told.is(0, "fmt\n", "");
+    let bash = Command::new("bash").args(["-c", &format!("{script}\n{completion}")]).output().unwrap();
+    let output = Ended::from(bash);
+    output.is(0, "fmt\n", "");
 }
--- a/crates/api-gateway/tests/config_tools/diff.rs
+++ b/crates/api-gateway/tests/config_tools/diff.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn diff_tells_of_blocks_and_of_nothing_where_both_mean_the_same() {
+fn diff_lists_changed_blocks_and_nothing_for_equivalent_files() {
     let folder = Folder::with("old.fb", GOOD);
     folder.put("new.fb", GOOD.replace("25 units/s", "30_000 units/s").replace("pool \"all\" {}", ""));
     folder.put("new.fb", folder.text("new.fb").replace("  fallback = \"all\"\n", ""));
@@ -15,14 +15,14 @@
 ";
     folder.config("diff old.fb new.fb").is(0, expected, "");
     folder.config("diff --exit-code old.fb new.fb").is(1, expected, "");
-    // Another text that means the same.
+    // A different text with the same meaning.
     folder.put("same.fb", GOOD.replace("25 units/s", "1_500 units/min").replace("# The", "#"));
     folder.config("diff old.fb same.fb").is(0, "", "");
     folder.config("diff --exit-code old.fb same.fb").is(0, "", "");
 }
 
 #[test]
-fn diff_speaks_json() {
+fn diff_prints_json() {
     let folder = Folder::with("old.fb", &policy("25 units/s"));
     folder.put("new.fb", policy("5 units/s"));
     let differs = folder.config("diff old.fb new.fb --json --exit-code");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn diff_says_what_is_wrong_with_either_file() {
+fn diff_prints_the_errors_of_both_files() {
     let idle = "quota policy \"idle\" {\n  plan = \"standard\"\n}\n";
     let folder = Folder::with("old.fb", &format!("{}{idle}", policy("25")));
     folder.put("new.fb", idle);
--- a/crates/api-gateway/tests/config_tools/format.rs
+++ b/crates/api-gateway/tests/config_tools/format.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 #[test]
-fn fmt_writes_a_file_anew_names_it_and_then_leaves_it_alone() {
+fn fmt_rewrites_and_lists_a_file_only_if_its_format_differs() {
     let folder = Folder::with("a.fb", UNTIDY);
     folder.put("b.fb", TIDY);
     folder.config("fmt a.fb b.fb").is(0, "a.fb\n", "");
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn whoever_reads_a_file_while_it_is_formatted_has_all_of_the_old_one() {
+fn a_concurrent_reader_gets_the_complete_old_file() {
     let folder = Folder::with("a.fb", UNTIDY);
     let mut before = fs::File::open(folder.path("a.fb")).unwrap();
     assert_eq!(folder.config("fmt a.fb").code, 0);
@@ -32,17 +32,17 @@
 fn permissions_and_owner_stay() {
     let folder = Folder::with("a.fb", UNTIDY);
     let path = folder.path("a.fb");
-    // Only root may give files away; others have nothing to lose.
-    let given = chown(&path, Some(4321), Some(1234)).is_ok();
+    // Only root may change the owner; without root only the mode is checked.
+    let is_owner_changed = chown(&path, Some(4321), Some(1234)).is_ok();
     fs::set_permissions(&path, fs::Permissions::from_mode(0o664)).unwrap();
     assert_eq!(folder.config("fmt a.fb").code, 0);
     let found = fs::metadata(&path).unwrap();
     assert_eq!((found.mode() & 0o7777, folder.text("a.fb").as_str()), (0o664, TIDY));
-    assert!(!given || (found.uid(), found.gid()) == (4321, 1234), "{found:?}");
+    assert!(!is_owner_changed || (found.uid(), found.gid()) == (4321, 1234), "{found:?}");
 }
 
 #[test]
-fn behind_a_link_the_file_is_written_and_the_link_stays() {
+fn fmt_rewrites_the_target_of_a_symbolic_link() {
     let folder = Folder::new();
     fs::create_dir(folder.path("real")).unwrap();
     folder.put("real/a.fb", UNTIDY);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_a_killed_process_left_is_in_nobody_s_way() {
+fn fmt_works_beside_leftover_temporary_files_up_to_their_limit() {
     let folder = Folder::with("a.fb", UNTIDY);
     folder.put(".fennelbeam-fmt.0.tmp", "half");
     assert_eq!(folder.config("fmt a.fb").code, 0);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_stays_and_the_others_are_formatted() {
+fn an_invalid_file_stays_and_the_others_are_formatted() {
     let broken = "pool \"a\" {\n  zones = \"b\n}\n";
     let folder = Folder::with("broken.fb", broken);
     folder.put("bytes.fb", b"pool \"a\" {}\n\xFF\n");
@@ -80,19 +80,19 @@
     fs::create_dir(folder.path("folder")).unwrap();
     let ended = folder.config("fmt broken.fb bytes.fb folder missing.fb a.fb");
     assert_eq!((ended.code, ended.out.as_str()), (1, "a.fb\n"));
-    for words in [
+    for message in [
         "error: the text that begins here has no closing quote\n --> broken.fb:2:11\n",
         "error: the byte 0xFF is not UTF-8\n --> bytes.fb:2:1\n",
         "api-gateway: folder: cannot be read: it is a folder\n",
         "api-gateway: missing.fb: cannot be read: there is no such file\n",
     ] {
-        assert!(ended.err.contains(words), "{words} is not in: {}", ended.err);
+        assert!(ended.err.contains(message), "{message} is not in: {}", ended.err);
     }
     assert_eq!((folder.text("broken.fb").as_str(), folder.text("a.fb").as_str()), (broken, TIDY));
 }
 
 #[test]
-fn fmt_check_names_what_differs_and_changes_nothing() {
+fn fmt_check_lists_files_that_differ_and_changes_nothing() {
     let folder = Folder::with("a.fb", UNTIDY);
     folder.put("b.fb", TIDY);
     folder.config("fmt --check a.fb b.fb").is(1, "a.fb\n", "");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn fmt_prints_instead_where_it_is_asked_to() {
+fn fmt_prints_the_text_with_stdout_or_standard_input() {
     let folder = Folder::with("a.fb", UNTIDY);
     folder.config("fmt --stdout a.fb").is(0, TIDY, "");
     assert_eq!(folder.text("a.fb"), UNTIDY);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn standard_input_is_bounded_and_what_is_wrong_with_it_is_told() {
+fn standard_input_is_limited_and_its_errors_are_printed() {
     let folder = Folder::new();
     let broken = folder.config_with("fmt -", b"pool \"a\n");
     assert_eq!((broken.code, broken.out.as_str()), (1, ""));
--- a/crates/api-gateway/tests/config_tools/main.rs
+++ b/crates/api-gateway/tests/config_tools/main.rs
@@ -1,4 +1,4 @@
-//! The tools for the operators' files, as the built program has them.
+//! The subcommands of `config`, tested with the built program.
 
 mod check;
 mod command_line;
--- a/crates/api-gateway/tests/config_tools/pages.rs
+++ b/crates/api-gateway/tests/config_tools/pages.rs
@@ -1,19 +1,19 @@
-//! The operators' file of the deploy folder, and the pages that name commands.
+//! The operators' file of the deploy folder, and the commands and files that documentation pages name.
 
 use crate::support::{Folder, EXAMPLE, OPERATORS, ROOT};
 use std::fs;
 use std::path::Path;
 
-/// The examples of the operators' file, as a file of their own.
+/// Returns the examples in the comments of the operators' file as one text.
 fn examples() -> String {
     let text = fs::read_to_string(OPERATORS).unwrap();
     let lines = text.lines().filter_map(|line| line.strip_prefix("#|"));
-    // Each part of the text has its example; there is a blank line between them.
+    // Each section of the file has an example, and ends it with an empty line.
     lines.map(|line| format!("{}\n", line.strip_prefix(' ').unwrap_or(line))).collect()
 }
 
 #[test]
-fn the_operators_file_is_good_tidy_and_changes_nothing() {
+fn the_operators_file_is_valid_formatted_and_without_effect() {
     let folder = Folder::with("empty.fb", "");
     folder.config(&format!("fmt --check {OPERATORS}")).is(0, "", "");
     for settings in ["", &format!(" --settings {EXAMPLE}")] {
@@ -27,8 +27,8 @@
     assert!(!shown.contains("from quota policy"), "{shown}");
 }
 
-/// Names in the example's settings, and what stands in their place in the operators' file.
-const NEUTRAL: [(&str, &str); 8] = [
+/// Names in the example's settings, and the placeholders for them in the operators' file.
+const PLACEHOLDERS: [(&str, &str); 8] = [
     ("price-read", "CLASS-1"),
     ("unit-order", "CLASS-2"),
     ("standard", "PLAN-1"),
@@ -40,11 +40,11 @@
 ];
 
 #[test]
-fn the_examples_in_the_operators_file_are_good_at_a_deployment_of_their_names() {
+fn the_examples_in_the_operators_file_are_valid_with_their_names() {
     let mut settings = fs::read_to_string(EXAMPLE).unwrap();
-    for (name, neutral) in NEUTRAL {
+    for (name, placeholder) in PLACEHOLDERS {
         assert!(settings.contains(&format!("\"{name}\"")), "{name}");
-        settings = settings.replace(&format!("\"{name}\""), &format!("\"{neutral}\""));
+        settings = settings.replace(&format!("\"{name}\""), &format!("\"{placeholder}\""));
     }
     let folder = Folder::with("examples.fb", &examples());
     folder.put("settings.json", settings);
@@ -68,33 +68,33 @@
     fs::read_to_string(Path::new(ROOT).join(name)).unwrap()
 }
 
-/// The commands `api-gateway config ...` of a text, each as its words.
+/// Returns the commands `api-gateway config ...` in a text, each split into its arguments.
 fn commands(text: &str) -> Vec<Vec<&str>> {
     let parts = text.split("api-gateway config ").skip(1);
     let commands = parts.map(|part| part.split(['`', '\n']).next().unwrap());
-    let words = commands.map(|command| command.split_whitespace().collect::<Vec<&str>>());
-    // `api-gateway config ...` stands for all of them.
-    words.filter(|words| words.first().is_some_and(|tool| *tool != "...")).collect()
+    let arguments = commands.map(|command| command.split_whitespace().collect::<Vec<&str>>());
+    // `api-gateway config ...` itself denotes all of them.
+    arguments.filter(|arguments| arguments.first().is_some_and(|tool| *tool != "...")).collect()
 }
 
 #[test]
-fn the_pages_name_commands_that_there_are() {
+fn commands_in_the_pages_exist() {
     let folder = Folder::new();
     let texts = PAGES.map(page);
     let all: Vec<Vec<&str>> = texts.iter().flat_map(|text| commands(text)).collect();
     assert!(all.len() >= 15, "{all:?}");
-    for words in all {
-        let tool = words[0].trim_end_matches(',');
+    for arguments in all {
+        let tool = arguments[0].trim_end_matches(',');
         let help = folder.run(&["config", tool, "--help"]);
-        assert_eq!(help.code, 0, "{words:?}");
-        for option in words.iter().filter(|word| word.starts_with("--")) {
-            assert!(help.out.contains(&format!("{option} ")), "{words:?}");
+        assert_eq!(help.code, 0, "{arguments:?}");
+        for option in arguments.iter().filter(|argument| argument.starts_with("--")) {
+            assert!(help.out.contains(&format!("{option} ")), "{arguments:?}");
         }
     }
 }
 
 #[test]
-fn the_pages_name_files_that_there_are() {
+fn files_in_the_pages_exist() {
     for (name, text) in PAGES.iter().zip(PAGES.map(page)) {
         for (at, _) in text.match_indices("deploy/") {
             let path =
--- a/crates/api-gateway/tests/config_tools/show.rs
+++ b/crates/api-gateway/tests/config_tools/show.rs
@@ -3,7 +3,7 @@
 use crate::support::{policy, Folder, EXAMPLE};
 
 #[test]
-fn show_prints_what_is_in_force_and_where_it_comes_from() {
+fn show_prints_the_values_in_force_with_their_sources() {
     let folder = Folder::with("names.fb", "let night-rate = 25 units/s\n");
     folder.put("site.fb", format!("include \"names.fb\"\n{}", policy("night-rate")));
     let shown = folder.config("show site.fb");
@@ -25,13 +25,13 @@
 ";
     assert_eq!((shown.code, shown.err.as_str()), (0, ""));
     assert!(shown.out.ends_with(quotas), "{}", shown.out);
-    // It is a file that means the same.
+    // The output is an equivalent file.
     folder.put("shown.fb", shown.out);
     folder.config("diff --exit-code site.fb shown.fb").is(0, "", "");
 }
 
 #[test]
-fn show_of_a_file_that_cannot_be_used_says_what_is_wrong() {
+fn show_of_an_invalid_file_prints_its_errors() {
     let folder = Folder::with("site.fb", &policy("25"));
     let shown = folder.config("show site.fb");
     assert_eq!((shown.code, shown.out.as_str()), (1, ""));
--- a/crates/api-gateway/tests/config_tools/support.rs
+++ b/crates/api-gateway/tests/config_tools/support.rs
@@ -1,4 +1,4 @@
-//! A folder in which the program runs, and the texts that the tests share.
+//! A folder in which the program runs, and the texts shared by the tests.
 
 use serde_json::Value;
 use std::fs;
@@ -12,7 +12,7 @@
 pub const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
 pub const OPERATORS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operators.fb");
 
-/// A file set that is written as `fmt` writes it.
+/// A valid file set in the format of `fmt`.
 pub const GOOD: &str = "\
 # The north takes orders.
 pool \"north\" {
@@ -39,7 +39,7 @@
     format!("quota policy \"night\" {{\n  plan = \"premium\"\n  rate = {rate}\n}}\n")
 }
 
-/// A folder of one test's own, in which the program runs.
+/// A folder for one test, in which the program runs.
 pub struct Folder(TempDir);
 
 impl Folder {
@@ -65,7 +65,7 @@
         fs::read_to_string(self.path(name)).unwrap()
     }
 
-    /// The names of all that is in it, in order.
+    /// Returns the names of all entries, sorted.
     pub fn names(&self) -> Vec<String> {
         let entries = fs::read_dir(self.0.path()).unwrap();
         let mut names: Vec<String> =
@@ -74,39 +74,40 @@
         names
     }
 
-    pub fn command(&self, words: &[&str]) -> Command {
+    pub fn command(&self, arguments: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
-        command.args(words).current_dir(self.0.path()).env_remove("ROUTER_CONFIG").stdin(Stdio::null());
+        command.args(arguments).current_dir(self.0.path()).env_remove("ROUTER_CONFIG").stdin(Stdio::null());
         command
     }
 
-    /// Runs the program to its end.
-    pub fn run(&self, words: &[&str]) -> Ended {
-        Ended::from(self.command(words).output().unwrap())
+    /// Runs the program, and returns its exit status and output.
+    pub fn run(&self, arguments: &[&str]) -> Ended {
+        Ended::from(self.command(arguments).output().unwrap())
     }
 
-    pub fn config(&self, words: &str) -> Ended {
-        let words: Vec<&str> = std::iter::once("config").chain(words.split(' ')).collect();
-        self.run(&words)
+    pub fn config(&self, arguments: &str) -> Ended {
+        let arguments: Vec<&str> = std::iter::once("config").chain(arguments.split(' ')).collect();
+        self.run(&arguments)
     }
 
-    /// The same with a text on standard input.
-    pub fn config_with(&self, words: &str, input: &[u8]) -> Ended {
-        let words: Vec<&str> = std::iter::once("config").chain(words.split(' ')).collect();
-        let mut command = self.command(&words);
+    /// As [`Folder::config`], with a text on standard input.
+    pub fn config_with(&self, arguments: &str, input: &[u8]) -> Ended {
+        let arguments: Vec<&str> = std::iter::once("config").chain(arguments.split(' ')).collect();
+        let mut command = self.command(&arguments);
         let pipes = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = pipes.spawn().unwrap();
         let mut stdin = child.stdin.take().unwrap();
         let input = input.to_vec();
-        // Beside the reading, or both might wait for one another. It may end before it has read what is too much.
-        let written = thread::spawn(move || drop(stdin.write_all(&input)));
+        // Written in a thread, since writing and reading the output could block each other. The program may exit before
+        // it has read an input that is too large.
+        let writer = thread::spawn(move || drop(stdin.write_all(&input)));
         let ended = Ended::from(child.wait_with_output().unwrap());
-        written.join().unwrap();
+        writer.join().unwrap();
         ended
     }
 }
 
-/// How the program ended, and what it said.
+/// The exit status and the output of the program.
 #[derive(Debug)]
 pub struct Ended {
     pub code: i32,
@@ -117,7 +118,7 @@
 impl From<Output> for Ended {
     fn from(output: Output) -> Ended {
         Ended {
-            code: output.status.code().expect("a signal ended it"),
+            code: output.status.code().expect("the program was ended by a signal"),
             out: String::from_utf8(output.stdout).unwrap(),
             err: String::from_utf8(output.stderr).unwrap(),
         }
@@ -136,7 +137,7 @@
     }
 }
 
-/// The example's platform with a change, as a file in the folder.
+/// Writes a changed copy of the example's configuration to `platform.json` in the folder.
 pub fn platform(folder: &Folder, change: impl FnOnce(&mut Value)) {
     let mut document = serde_json::from_slice(&fs::read(EXAMPLE).unwrap()).unwrap();
     change(&mut document);
--- a/crates/api-gateway/tests/gateway/attempts.rs
+++ b/crates/api-gateway/tests/gateway/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at hosts: what is forwarded, and whether a failed attempt is repeated.
+//! Attempts at hosts: the forwarded request, and whether a failed attempt is retried.
 
 use crate::sockets::*;
 use crate::support::{
@@ -8,109 +8,110 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_call_goes_on_unchanged_but_for_its_time() {
+fn forwards_a_request_with_only_its_deadline_changed() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let mut client = gateway.client();
-    client.get(5);
-    let mut seen = host.command();
-    assert_eq!(seen.words[..3], ["CALL.GET", CUSTOMER, "0000000000000005"]);
-    let (sent, got) = ("c=read,t=team,d=8500,units=2,spread=1,first=0,k=7", seen.words[3].clone());
+    client.send_get(5);
+    let mut command = host.next_command();
+    assert_eq!(command.arguments[..3], ["CALL.GET", CUSTOMER, "0000000000000005"]);
+    let (sent, got) = ("c=read,t=team,d=8500,units=2,spread=1,first=0,k=7", command.arguments[3].clone());
     let d: u64 = field(&got, "d").parse().unwrap();
     assert!((1..=8000).contains(&d), "{got}");
     assert_eq!(got.replace(&format!("d={d}"), "d=8500"), sent);
-    seen.serve("price");
-    assert_eq!(client.answer(), "price");
+    command.serve("price");
+    assert_eq!(client.read_answer(), "price");
 
     wait_for_reusable_connections();
-    client.post(6, "buy");
-    let mut seen = host.command();
-    assert_eq!(seen.words[0], "CALL.POST");
-    assert_eq!(seen.words[4], "buy");
-    assert_eq!(seen.conn, (0, 0), "the idle connection is used again");
-    seen.serve("done");
-    assert_eq!(client.answer(), "done");
+    client.send_post(6, "buy");
+    let mut command = host.next_command();
+    assert_eq!(command.arguments[0], "CALL.POST");
+    assert_eq!(command.arguments[4], "buy");
+    assert_eq!(command.connection, (0, 0), "the idle connection is reused");
+    command.serve("done");
+    assert_eq!(client.read_answer(), "done");
 }
 
 #[test]
-fn a_value_of_the_greatest_length_passes() {
+fn forwards_a_value_of_the_maximum_length() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let (mut client, long) = (gateway.client(), "x".repeat(64 * 1024));
-    client.post(1, &long);
-    let mut seen = host.command();
-    assert_eq!(seen.words[4], long);
-    seen.serve(&long);
-    assert_eq!(client.answer(), long);
+    client.send_post(1, &long);
+    let mut command = host.next_command();
+    assert_eq!(command.arguments[4], long);
+    command.serve(&long);
+    assert_eq!(client.read_answer(), long);
 }
 
-// Rows of the table: may the host have run it? An unsafe call moves on only if it never ran.
+// Each of these tests covers a row of the protocol's table: whether the host may have executed the request. A request
+// that is not idempotent is retried only if it was certainly not executed.
 
 #[test]
-fn turned_away_never_ran_so_an_unsafe_call_moves_on() {
+fn retries_a_non_idempotent_request_that_a_host_rejected() {
     let hosts = Peers::start(2);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &hosts);
     let mut client = gateway.client();
-    client.post(1, "body");
-    let mut first = hosts.command();
+    client.send_post(1, "body");
+    let mut first = hosts.next_command();
     first.write("-BUSY\r\n");
-    let mut second = hosts.command();
-    assert_ne!(first.conn.0, second.conn.0);
+    let mut second = hosts.next_command();
+    assert_ne!(first.connection.0, second.connection.0);
     second.serve("second");
-    assert_eq!(client.answer(), "second");
+    assert_eq!(client.read_answer(), "second");
 }
 
 #[test]
-fn refused_connections_never_ran_so_an_unsafe_call_moves_on() {
+fn retries_a_non_idempotent_request_after_a_refused_connection() {
     let refusing = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let host = Peers::start(1);
     let discovery = Discovery::start();
     let lines =
-        [host_line("s-0", refusing, "in_service", 0), host_line("s-1", host.addrs[0], "in_service", 0)];
+        [host_entry("s-0", refusing, "in_service", 0), host_entry("s-1", host.addrs[0], "in_service", 0)];
     let gateway = Program::start(settings(), &lines, discovery.addr, CLOSED_ADDRESS.parse().unwrap());
     let mut client = gateway.client();
     for id in 0..4 {
-        client.post(id, "body");
-        host.command().serve("served");
-        assert_eq!(client.answer(), "served");
+        client.send_post(id, "body");
+        host.next_command().serve("served");
+        assert_eq!(client.read_answer(), "served");
     }
 }
 
 #[test]
-fn an_error_may_have_run_so_an_unsafe_call_fails() {
+fn does_not_retry_a_non_idempotent_request_after_an_error() {
     let hosts = Peers::start(2);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &hosts);
     let mut client = gateway.client();
-    client.post(1, "body");
-    hosts.command().write("-ERR failed\r\n");
-    assert_eq!(client.answer(), "-ERR failed");
-    assert_eq!(hosts.others(), 0);
+    client.send_post(1, "body");
+    hosts.next_command().write("-ERR failed\r\n");
+    assert_eq!(client.read_answer(), "-ERR failed");
+    assert_eq!(hosts.count_unread_commands(), 0);
 }
 
 #[test]
-fn a_break_after_the_last_byte_may_have_run_so_an_unsafe_call_fails() {
+fn does_not_retry_a_non_idempotent_request_whose_connection_broke_after_the_last_byte() {
     let hosts = Peers::start(2);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &hosts);
     let mut client = gateway.client();
-    client.post(1, "body");
-    hosts.command().close();
-    assert_eq!(client.answer(), "-ERR failed");
-    assert_eq!(hosts.others(), 0);
+    client.send_post(1, "body");
+    hosts.next_command().close();
+    assert_eq!(client.read_answer(), "-ERR failed");
+    assert_eq!(hosts.count_unread_commands(), 0);
 }
 
 #[test]
-fn the_log_says_why_a_request_failed_and_how_its_attempts_went() {
+fn logs_why_a_request_failed_with_the_outcomes_of_its_attempts() {
     let hosts = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &hosts);
     let mut client = gateway.client();
-    client.post(7, "body");
-    hosts.command().serve("served");
-    assert_eq!(client.answer(), "served");
+    client.send_post(7, "body");
+    hosts.next_command().serve("served");
+    assert_eq!(client.read_answer(), "served");
     wait_for_reusable_connections();
-    client.post(8, "body");
-    hosts.command().close();
-    assert_eq!(client.answer(), "-ERR failed");
-    gateway.until_logged(1, "request missed its latency objective request=");
+    client.send_post(8, "body");
+    hosts.next_command().close();
+    assert_eq!(client.read_answer(), "-ERR failed");
+    gateway.wait_for_log(1, "request missed its latency objective request=");
     let log = gateway.log();
     let line =
         log.iter().find(|line| line.contains("request missed its latency objective request=")).unwrap();
@@ -120,81 +121,81 @@
 }
 
 #[test]
-fn nonsense_from_a_host_is_its_failure_and_ends_the_connection() {
+fn a_malformed_answer_fails_the_request_and_ends_the_connection() {
     let hosts = Peers::start(2);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &hosts);
-    for (id, nonsense) in
+    for (id, malformed) in
         [":1\r\n", "*1\r\n$-1\r\n", "*1\r\n*1\r\n", "$99999999\r\n", "huh"].iter().enumerate()
     {
         let mut client = gateway.client();
-        client.post(id as u64, "body");
-        let mut seen = hosts.command();
-        seen.write(nonsense);
-        assert_eq!(client.answer(), "-ERR failed", "{nonsense:?}");
-        hosts.end(seen.conn);
+        client.send_post(id as u64, "body");
+        let mut command = hosts.next_command();
+        command.write(malformed);
+        assert_eq!(client.read_answer(), "-ERR failed", "{malformed:?}");
+        hosts.wait_for_end(command.connection);
     }
 }
 
 #[test]
-fn a_begun_answer_that_gets_no_further_is_spoilt_long_before_the_time_out() {
+fn retries_an_incomplete_answer_long_before_the_request_timeout() {
     let hosts = Peers::start(2);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &hosts);
     let mut client = gateway.client();
     let start = Instant::now();
-    client.get(1);
-    let mut first = hosts.command();
+    client.send_get(1);
+    let mut first = hosts.next_command();
     first.write("*3\r\n$9\r\nhalf");
-    let mut second = hosts.command();
+    let mut second = hosts.next_command();
     second.serve("whole");
-    assert_eq!(client.answer(), "whole");
-    assert!(start.elapsed() < Duration::from_secs(6), "the aim is 8 s");
+    assert_eq!(client.read_answer(), "whole");
+    assert!(start.elapsed() < Duration::from_secs(6), "the latency objective is 8 s");
 }
 
 #[test]
-fn silence_ends_at_the_time_out_by_closing_the_connection() {
+fn closes_the_connection_of_an_unanswered_request_at_the_timeout() {
     let mut settings = settings();
     settings["services"][1]["aim"] = 2_000_000_000u64.into();
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings, &host);
     let mut client = gateway.client();
-    client.post(1, "body");
-    let mut seen = host.command();
-    assert_eq!(client.answer(), "-ERR failed");
-    host.end(seen.conn);
-    // An answer that comes after all finds nobody, and the next call gets its own.
-    seen.write_late("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n");
+    client.send_post(1, "body");
+    let mut command = host.next_command();
+    assert_eq!(client.read_answer(), "-ERR failed");
+    host.wait_for_end(command.connection);
+    // A late answer reaches no client, and the next request gets its own answer.
+    command.write_ignoring_errors("*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n");
     assert_served(&mut client, &host, 2, "own");
 }
 
 #[test]
-fn a_host_silent_through_a_time_out_keeps_no_idle_connections() {
+fn a_timeout_closes_the_idle_connections_of_its_host() {
     let mut settings = settings();
     settings["services"][1]["aim"] = 2_000_000_000u64.into();
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings, &host);
     let (mut client, mut other) = (gateway.client(), gateway.client());
-    client.get(1);
-    let mut first = host.command();
-    other.get(2);
-    let mut second = host.command();
+    client.send_get(1);
+    let mut first = host.next_command();
+    other.send_get(2);
+    let mut second = host.next_command();
     first.serve("one");
-    assert_eq!(client.answer(), "one");
+    assert_eq!(client.read_answer(), "one");
     second.serve("two");
-    assert_eq!(other.answer(), "two");
+    assert_eq!(other.read_answer(), "two");
     wait_for_reusable_connections();
-    client.post(3, "body");
-    assert_eq!(host.command().conn, second.conn, "the newest idle one is used");
-    assert_eq!(client.answer(), "-ERR failed");
-    host.end(first.conn);
+    client.send_post(3, "body");
+    assert_eq!(host.next_command().connection, second.connection, "the newest idle connection is used");
+    assert_eq!(client.read_answer(), "-ERR failed");
+    host.wait_for_end(first.connection);
 }
 
 #[test]
-fn a_safe_call_is_repeated_after_a_break() {
+fn retries_an_idempotent_request_after_its_connection_broke() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let mut client = gateway.client();
-    client.get(1);
-    host.command().close();
-    host.command().serve("again");
-    assert_eq!(client.answer(), "again");
+    client.send_get(1);
+    host.next_command().close();
+    host.next_command().serve("again");
+    assert_eq!(client.read_answer(), "again");
 }
--- a/crates/api-gateway/tests/gateway/clients.rs
+++ b/crates/api-gateway/tests/gateway/clients.rs
@@ -1,48 +1,48 @@
-//! Commands of clients: their order, their errors, and clients that leave.
+//! Commands of clients: their order, their errors, and clients that disconnect.
 
 use crate::sockets::*;
 use crate::support::{assert_served, gateway_with_hosts, settings_with_cancel};
 use std::time::{Duration, Instant};
 
 #[test]
-fn answers_come_in_the_order_of_the_commands() {
+fn answers_commands_in_their_order() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let mut client = gateway.client();
-    client.get(1);
-    let mut first = host.command();
-    client.get(2);
-    let mut second = host.command();
-    assert_ne!(first.conn, second.conn, "one request at a time on a connection");
-    client.call(&["PING"]);
+    client.send_get(1);
+    let mut first = host.next_command();
+    client.send_get(2);
+    let mut second = host.next_command();
+    assert_ne!(first.connection, second.connection, "one request at a time on a connection");
+    client.send_command(&["PING"]);
     second.serve("two");
     first.serve("one");
-    assert_eq!(client.answer(), "one");
-    assert_eq!(client.answer(), "two");
-    assert!(["+PONG", "-ERR starting"].contains(&client.answer().as_str()));
+    assert_eq!(client.read_answer(), "one");
+    assert_eq!(client.read_answer(), "two");
+    assert!(["+PONG", "-ERR starting"].contains(&client.read_answer().as_str()));
 }
 
 #[test]
-fn a_client_that_goes_takes_its_attempt_along() {
+fn cancels_the_attempt_of_a_client_that_disconnects() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings_with_cancel(), &host);
     let mut client = gateway.client();
     let start = Instant::now();
-    client.post(1, "body");
-    let seen = host.command();
+    client.send_post(1, "body");
+    let command = host.next_command();
     drop(client);
-    host.end(seen.conn);
-    assert!(start.elapsed() < Duration::from_secs(6), "the aim is 8 s");
+    host.wait_for_end(command.connection);
+    assert!(start.elapsed() < Duration::from_secs(6), "the latency objective is 8 s");
 }
 
 #[test]
-fn what_is_no_call_gets_an_error_and_the_connection_stays() {
+fn invalid_commands_get_an_error_and_the_connection_stays_open() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let mut client = gateway.client();
     let id = "0000000000000001";
     let good = "c=read,t=team,d=100,units=1,spread=1,first=0";
-    for words in [
+    for arguments in [
         &["NOPE"][..],
         &["CALL.GET", CUSTOMER, id],
         &["CALL.GET", "zz", id, good],
@@ -55,15 +55,15 @@
         &["CALL.GET", CUSTOMER, id, "c=order,t=team,d=100,units=1,spread=1,first=0"],
         &["CALL.POST", CUSTOMER, id, good, "body"],
     ] {
-        client.call(words);
-        let answer = client.answer();
-        assert!(answer.starts_with("-ERR "), "{words:?}: {answer}");
+        client.send_command(arguments);
+        let answer = client.read_answer();
+        assert!(answer.starts_with("-ERR "), "{arguments:?}: {answer}");
     }
     assert_served(&mut client, &host, 2, "still here");
 }
 
 #[test]
-fn what_the_settings_cannot_mean_reaches_no_host() {
+fn does_not_forward_requests_with_invalid_fields() {
     let host = Peers::start(1);
     let mut settings = settings();
     settings["domain"]["units-top"] = 6.0.into();
@@ -98,33 +98,33 @@
         let mut list: Vec<&str> =
             good.into_iter().filter(|pair| pair.split('=').next() != Some(name)).collect();
         list.push(bad);
-        client.call(&["CALL.GET", CUSTOMER, "0000000000000001", &list.join(",")]);
-        let answer = client.answer();
+        client.send_command(&["CALL.GET", CUSTOMER, "0000000000000001", &list.join(",")]);
+        let answer = client.read_answer();
         assert!(answer.starts_with("-ERR "), "{bad:?}: {answer}");
     }
     for missing_or_twice in ["c=read,t=team,d=100", "c=read,t=team,d=100,d=100,units=1,spread=1,first=0"] {
-        client.call(&["CALL.GET", CUSTOMER, "0000000000000001", missing_or_twice]);
-        assert!(client.answer().starts_with("-ERR "), "{missing_or_twice:?}");
+        client.send_command(&["CALL.GET", CUSTOMER, "0000000000000001", missing_or_twice]);
+        assert!(client.read_answer().starts_with("-ERR "), "{missing_or_twice:?}");
     }
-    assert_eq!(host.others(), 0);
+    assert_eq!(host.count_unread_commands(), 0);
 }
 
 #[test]
-fn the_id_of_an_open_request_is_refused_to_others() {
+fn rejects_a_request_with_the_id_of_one_in_flight() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let (mut client, mut other) = (gateway.client(), gateway.client());
-    client.get(1);
-    let mut seen = host.command();
-    other.get(1);
-    assert!(other.answer().starts_with("-ERR "));
-    seen.serve("own");
-    assert_eq!(client.answer(), "own");
+    client.send_get(1);
+    let mut command = host.next_command();
+    other.send_get(1);
+    assert!(other.read_answer().starts_with("-ERR "));
+    command.serve("own");
+    assert_eq!(client.read_answer(), "own");
     assert_served(&mut other, &host, 1, "over");
 }
 
 #[test]
-fn malformed_or_oversized_input_gets_an_error_and_ends() {
+fn malformed_or_oversized_input_gets_an_error_and_ends_the_connection() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let nested = "*1\r\n".repeat(20_000);
@@ -133,34 +133,39 @@
     {
         let mut client = gateway.client();
         client.write(bytes.as_bytes());
-        let answer = client.answer();
+        let answer = client.read_answer();
         assert!(answer.starts_with("-ERR "), "{answer}");
-        assert!(client.ended(), "after {:?}", &bytes[..8]);
+        assert!(client.is_closed(), "after {:?}", &bytes[..8]);
     }
 }
 
 #[test]
-fn malformed_input_behind_calls_gets_one_error_after_what_was_owed() {
+fn malformed_input_after_requests_gets_one_error_after_their_answers() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
-    // Each with more behind it, of which nothing is taken.
+    // After each malformed input, further commands follow, which the gateway ignores.
     for (n, malformed) in (0..).zip(["GET / HTTP/1.1\r\n\r\n", "*1\r\n$70000\r\n", "*-7\r\n", ":1\r\n"]) {
         let (mut client, mut other) = (gateway.client(), gateway.client());
-        client.get(2 * n);
-        let mut owed = host.command();
-        client.get(2 * n + 1);
-        let mut second = host.command();
+        client.send_get(2 * n);
+        let mut first = host.next_command();
+        client.send_get(2 * n + 1);
+        let mut second = host.next_command();
         client.write(malformed.as_bytes());
-        client.call(&["PING"]);
-        client.post(99, "never taken");
-        // The end of the first is held back until the malformed one has been read: another client's call comes later.
+        client.send_command(&["PING"]);
+        client.send_post(99, "ignored");
+        // The first request is answered only after the malformed input has been read: by then a later request of another
+        // client has been served.
         assert_served(&mut other, &host, 1_000 + n, "others go on");
         second.serve("second");
-        owed.serve("first");
-        assert_eq!((client.answer(), client.answer()), ("first".into(), "second".into()), "{malformed:?}");
-        let error = client.answer();
+        first.serve("first");
+        assert_eq!(
+            (client.read_answer(), client.read_answer()),
+            ("first".into(), "second".into()),
+            "{malformed:?}"
+        );
+        let error = client.read_answer();
         assert!(error.starts_with("-ERR protocol error: "), "{malformed:?}: {error}");
-        assert!(client.ended(), "{malformed:?}");
-        assert_eq!(host.others(), 0);
+        assert!(client.is_closed(), "{malformed:?}");
+        assert_eq!(host.count_unread_commands(), 0);
     }
 }
--- a/crates/api-gateway/tests/gateway/connection_limits.rs
+++ b/crates/api-gateway/tests/gateway/connection_limits.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn idle_clients_make_room_for_new_ones() {
+fn evicts_idle_clients_for_new_ones() {
     let host = Peers::start(1);
-    // Far fewer than 80 fit: idle ones make room, and none is lost in the backlog.
+    // Far fewer than 80 clients fit: idle connections are closed for new ones, and none is lost in the backlog.
     let (gateway, _discovery) = gateway_with_few_sockets(&host);
     let mut clients = Vec::new();
     for id in 0..80 {
@@ -20,164 +20,168 @@
         assert_served(&mut client, &host, id, "served");
         clients.push(client);
     }
-    assert!(clients[0].ended(), "the one that has been idle longest went first");
+    assert!(clients[0].is_closed(), "the longest idle client was evicted first");
 }
 
 #[test]
-fn callers_that_ask_once_and_stay_make_room_before_all_places_are_taken() {
+fn evicts_clients_idle_after_a_request_before_all_connection_slots_are_taken() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
-    let mut usual = gateway.client();
-    let mut stayed = Vec::new();
-    // Descriptors are 256: callers may hold a third for requests, with 160 places in all.
+    let mut regular = gateway.client();
+    let mut idle = Vec::new();
+    // Of the 256 descriptors, clients use at most a third for requests; there are 160 connection slots in all.
     for id in 0..80 {
         let mut client = gateway.client();
-        for (client, id) in [(&mut client, 2 * id), (&mut usual, 2 * id + 1)] {
+        for (client, id) in [(&mut client, 2 * id), (&mut regular, 2 * id + 1)] {
             assert_served(client, &host, id, "served");
         }
-        stayed.push(client);
+        idle.push(client);
     }
-    assert!(stayed[0].ended(), "the one that has been idle longest went");
+    assert!(idle[0].is_closed(), "the longest idle client was evicted");
 }
 
 #[test]
-fn connections_that_only_ping_go_before_idle_callers() {
+fn evicts_connections_that_only_ping_before_idle_clients_with_requests() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_few_sockets(&host);
-    let mut usual = gateway.client();
-    assert_served(&mut usual, &host, 1, "first");
+    let mut regular = gateway.client();
+    assert_served(&mut regular, &host, 1, "first");
     let ping = || {
         let mut client = gateway.client();
-        client.call(&["PING"]);
-        client.answer();
+        client.send_command(&["PING"]);
+        client.read_answer();
         client
     };
     let mut pings: Vec<Client> = (0..20).map(|_| ping()).collect();
     std::thread::sleep(Duration::from_millis(300));
     pings.extend((0..15).map(|_| ping()));
-    assert!(pings[0].ended(), "the oldest made room");
-    assert_served(&mut usual, &host, 2, "still here");
+    assert!(pings[0].is_closed(), "the oldest was evicted");
+    assert_served(&mut regular, &host, 2, "still here");
 }
 
 #[test]
-fn silent_connections_go_before_usual_ones_that_are_idle() {
+fn evicts_silent_connections_before_idle_clients_with_requests() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_few_sockets(&host);
-    let mut usual = gateway.client();
-    assert_served(&mut usual, &host, 1, "first");
+    let mut regular = gateway.client();
+    assert_served(&mut regular, &host, 1, "first");
     let mut silent: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
-    // Long enough for their first command not to be on its way.
+    // Long enough for the gateway to assume that no first command is in transit.
     std::thread::sleep(Duration::from_millis(300));
     silent.extend((0..15).map(|_| gateway.client()));
     let mut last = gateway.client();
-    last.call(&["PING"]);
-    assert_ne!(last.answer(), "", "by then all before it have had their place");
-    assert_served(&mut usual, &host, 2, "still here");
+    last.send_command(&["PING"]);
+    assert_ne!(last.read_answer(), "", "all earlier connections have been accepted by then");
+    assert_served(&mut regular, &host, 2, "still here");
 }
 
 #[test]
-fn a_first_command_and_the_rest_of_one_are_owed_in_time() {
+fn an_incomplete_command_times_out_with_an_error() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
-    let (mut half, mut later) = (gateway.client(), gateway.client());
-    half.write(b"*4\r\n$8\r\nCALL");
-    assert_served(&mut later, &host, 1, "served");
-    later.write(b"*1\r\n");
-    for client in [&mut half, &mut later] {
-        let answer = client.answer();
+    let (mut first_command, mut later_command) = (gateway.client(), gateway.client());
+    first_command.write(b"*4\r\n$8\r\nCALL");
+    assert_served(&mut later_command, &host, 1, "served");
+    later_command.write(b"*1\r\n");
+    for client in [&mut first_command, &mut later_command] {
+        let answer = client.read_answer();
         assert!(answer.starts_with("-ERR "), "{answer:?}");
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
 }
 
 #[test]
-fn a_client_that_never_spoke_gets_a_plain_end() {
+fn a_client_that_sent_nothing_is_closed_without_an_error_line() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings(), &host);
-    // An error line would pass for the answer to a command that crosses it.
-    assert!(gateway.client().ended());
+    // The client would take an error line for the answer to a command that it has just sent.
+    assert!(gateway.client().is_closed());
 }
 
 #[test]
-fn the_end_of_a_client_is_noticed_while_its_pipeline_is_full() {
+fn cancels_the_attempts_of_a_client_that_disconnects_with_a_full_pipeline() {
     let host = Peers::start(1);
     let (gateway, _discovery) = gateway_with_hosts(settings_with_cancel(), &host);
     let mut client = gateway.client();
     let start = Instant::now();
     for id in 0..17 {
-        client.get(id);
+        client.send_get(id);
     }
-    let seen = host.command();
+    let command = host.next_command();
     drop(client);
-    host.skip_to_end(seen.conn);
-    assert!(start.elapsed() < Duration::from_secs(6), "the aim is 8 s");
+    host.skip_until_end(command.connection);
+    assert!(start.elapsed() < Duration::from_secs(6), "the latency objective is 8 s");
 }
 
 #[test]
-fn fewer_descriptors_than_configured_are_told_and_kept_to() {
+fn logs_and_respects_a_descriptor_limit_below_the_configured_one() {
     let host = Peers::start(1);
     let discovery = Discovery::start();
-    let line = [host_line("s-0", host.addrs[0], "in_service", 0)];
+    let line = [host_entry("s-0", host.addrs[0], "in_service", 0)];
     let limits = json!({"cores": 1.0, "memory_mb": 192, "sockets": 1024});
     let nowhere = CLOSED_ADDRESS.parse().unwrap();
-    let gateway = Program::within(limits, Some(100), settings(), &line, discovery.addr, nowhere);
-    // More of those that say nothing than there are descriptors.
+    let gateway = Program::with_limits(limits, Some(100), settings(), &line, discovery.addr, nowhere);
+    // More silent clients than there are descriptors.
     let silent: Vec<Client> = (0..150).map(|_| gateway.client()).collect();
-    let mut usual = gateway.client();
-    assert_served(&mut usual, &host, 1, "served");
+    let mut regular = gateway.client();
+    assert_served(&mut regular, &host, 1, "served");
     drop(silent);
     let log = gateway.log();
     assert!(log.iter().any(|line| line.contains("grants 100 descriptors")), "{log:?}");
     let failed = log.iter().filter(|line| line.contains("accept")).count();
-    assert_eq!(failed, 0, "out of descriptors all the same: {log:?}");
+    assert_eq!(failed, 0, "out of descriptors despite the limit: {log:?}");
 }
 
 #[test]
-fn clients_that_never_read_do_not_fill_the_memory() {
+fn clients_that_never_read_stay_within_the_memory_limit() {
     let hosts = Peers::start(4);
     let discovery = Discovery::start();
-    let line = |(i, addr): (usize, &SocketAddr)| host_line(&format!("s-{i}"), *addr, "in_service", 0);
+    let line = |(i, addr): (usize, &SocketAddr)| host_entry(&format!("s-{i}"), *addr, "in_service", 0);
     let lines: Vec<Value> = hosts.addrs.iter().enumerate().map(line).collect();
     let limits = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
     let mut settings = settings();
     settings["tariffs"][0]["refill"] = 1e6.into();
     settings["tariffs"][0]["burst"] = 1e6.into();
     let gateway =
-        Program::within(limits, None, settings, &lines, discovery.addr, CLOSED_ADDRESS.parse().unwrap());
+        Program::with_limits(limits, None, settings, &lines, discovery.addr, CLOSED_ADDRESS.parse().unwrap());
     let served = hosts.serve_all("x".repeat(65_000));
-    // Before that, requests wait for the list of hosts, and hold their places.
-    let mut usual = gateway.client();
-    usual.until_ready();
-    let deaf: Vec<Client> = (0..32)
-        .map(|client| {
-            let mut deaf = gateway.deaf_client();
-            (0..100).for_each(|call| deaf.get(1000 * client + call));
-            deaf
+    // Until the gateway is ready, requests wait for the endpoint list and occupy their slots.
+    let mut regular = gateway.client();
+    regular.wait_until_ready();
+    let non_reading: Vec<Client> = (0..32)
+        .map(|number| {
+            let mut client = gateway.non_reading_client();
+            (0..100).for_each(|request| client.send_get(1000 * number + request));
+            client
         })
         .collect();
-    // Others are served all the while; when they have been, the deaf ones have had their turns too.
+    // Another client is served meanwhile; afterwards the requests of the non-reading clients have had their turns too.
     for id in 0..200 {
-        usual.get(1_000_000 + id);
-        let answer = usual.answer();
+        regular.send_get(1_000_000 + id);
+        let answer = regular.read_answer();
         assert!(answer == "-BUSY" || answer.len() == 65_000, "{answer}");
     }
-    // At one moment all places may be taken; not for as long as this, far below what ends a deaf connection.
+    // All slots may be taken for a moment, but not for this many requests, which take far less time than the limit after
+    // which a connection that does not read is closed.
     let is_served = (0..1_000).any(|id| {
-        usual.get(2_000_000 + id);
-        usual.answer().len() == 65_000
+        regular.send_get(2_000_000 + id);
+        regular.read_answer().len() == 65_000
     });
-    assert!(is_served, "no place is left for those who read");
+    assert!(is_served, "no slot is left for clients that read");
     let (peak, sent) = (gateway.peak_memory(), served.load(Ordering::Relaxed));
     assert!(peak < 32 << 20, "{} MB", peak >> 20);
-    assert!(sent < 800, "{sent} of 3401 calls were sent to hosts, most of them for nobody");
-    drop(deaf);
+    assert!(
+        sent < 800,
+        "{sent} of 3401 requests were sent to hosts, most of them for clients that do not read"
+    );
+    drop(non_reading);
 }
 
 #[test]
-fn beyond_the_quota_is_refused_at_once_with_the_advice_that_is_allowed() {
-    for (advice, wanted) in [(false, "-BUSY"), (true, "-BUSY 1500")] {
+fn rejects_requests_beyond_the_quota_at_once_with_the_allowed_retry_after() {
+    for (retry_after, expected) in [(false, "-BUSY"), (true, "-BUSY 1500")] {
         let mut settings = settings();
-        settings["allowed"]["retry-after"] = advice.into();
+        settings["allowed"]["retry-after"] = retry_after.into();
         settings["allowed"]["max-retry-after"] = 1_500_000_000u64.into();
         settings["tariffs"][0]["refill"] = 0.001.into();
         settings["tariffs"][0]["burst"] = 3.0.into();
@@ -185,8 +189,8 @@
         let (gateway, _discovery) = gateway_with_hosts(settings, &host);
         let mut client = gateway.client();
         assert_served(&mut client, &host, 1, "inside");
-        client.get(2);
-        assert_eq!(client.answer(), wanted);
-        assert_eq!(host.others(), 0);
+        client.send_get(2);
+        assert_eq!(client.read_answer(), expected);
+        assert_eq!(host.count_unread_commands(), 0);
     }
 }
--- a/crates/api-gateway/tests/gateway/shutdown.rs
+++ b/crates/api-gateway/tests/gateway/shutdown.rs
@@ -6,45 +6,45 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn after_sigterm_all_that_was_taken_is_answered() {
+fn answers_all_accepted_requests_after_sigterm() {
     let host = Peers::start(1);
     let (mut gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let (mut client, mut idle) = (gateway.client(), gateway.client());
-    idle.call(&["PING"]);
-    idle.answer();
-    client.post(1, "body");
-    let mut seen = host.command();
+    idle.send_command(&["PING"]);
+    idle.read_answer();
+    client.send_post(1, "body");
+    let mut command = host.next_command();
     gateway.terminate();
-    assert!(idle.ended(), "a connection between requests closes");
-    seen.serve("served");
-    assert_eq!(client.answer(), "served");
-    assert!(client.ended());
-    assert!(gateway.exit().success());
+    assert!(idle.is_closed(), "a connection between requests closes");
+    command.serve("served");
+    assert_eq!(client.read_answer(), "served");
+    assert!(client.is_closed());
+    assert!(gateway.wait_for_exit().success());
 }
 
 #[test]
-fn signals_during_a_stop_change_nothing() {
+fn ignores_signals_during_shutdown() {
     let host = Peers::start(1);
     let (mut gateway, _discovery) = gateway_with_hosts(settings(), &host);
     let (mut client, mut idle) = (gateway.client(), gateway.client());
-    idle.call(&["PING"]);
-    idle.answer();
-    client.post(1, "body");
-    let mut seen = host.command();
+    idle.send_command(&["PING"]);
+    idle.read_answer();
+    client.send_post(1, "body");
+    let mut command = host.next_command();
     gateway.terminate();
     gateway.terminate();
-    gateway.hang_up();
-    assert!(idle.ended(), "a connection between requests closes");
-    gateway.hang_up();
+    gateway.send_sighup();
+    assert!(idle.is_closed(), "a connection between requests closes");
+    gateway.send_sighup();
     gateway.terminate();
-    seen.serve("served");
-    assert_eq!(client.answer(), "served");
-    assert!(client.ended());
-    assert!(gateway.exit().success());
+    command.serve("served");
+    assert_eq!(client.read_answer(), "served");
+    assert!(client.is_closed());
+    assert!(gateway.wait_for_exit().success());
 }
 
 #[test]
-fn a_client_stuck_within_a_command_does_not_hold_up_the_stop() {
+fn an_incomplete_command_does_not_delay_shutdown() {
     let mut settings = settings();
     for class in settings["services"].as_array_mut().unwrap() {
         class["aim"] = 500_000_000u64.into();
@@ -52,23 +52,23 @@
     }
     let host = Peers::start(1);
     let (mut gateway, _discovery) = gateway_with_hosts(settings, &host);
-    let mut stuck = gateway.client();
-    stuck.call(&["PING"]);
-    stuck.answer();
-    stuck.write(b"*4\r\n$8\r\nCALL");
+    let mut incomplete = gateway.client();
+    incomplete.send_command(&["PING"]);
+    incomplete.read_answer();
+    incomplete.write(b"*4\r\n$8\r\nCALL");
     gateway.terminate();
-    assert!(gateway.exit().success());
+    assert!(gateway.wait_for_exit().success());
 }
 
 #[test]
-fn for_a_while_after_sigterm_new_connections_are_served() {
-    // A machine too busy to connect in time tells nothing: then once more.
+fn serves_new_connections_shortly_after_sigterm() {
+    // On a machine too busy to connect in time, the test tries again.
     let in_time = (0..10).any(|_| {
         let host = Peers::start(1);
         let (mut gateway, _discovery) = gateway_with_hosts(settings(), &host);
         let mut early = gateway.client();
-        early.post(1, "body");
-        let mut held = host.command();
+        early.send_post(1, "body");
+        let mut in_flight = host.next_command();
         let start = Instant::now();
         gateway.terminate();
         let late = gateway.try_client();
@@ -77,19 +77,19 @@
         }
         let mut late = late.expect("a connection soon after SIGTERM");
         assert_served(&mut late, &host, 2, "served");
-        held.serve("held");
-        assert_eq!(early.answer(), "held");
-        assert!(gateway.exit().success());
+        in_flight.serve("in flight");
+        assert_eq!(early.read_answer(), "in flight");
+        assert!(gateway.wait_for_exit().success());
         true
     });
     assert!(in_time);
 }
 
 #[test]
-fn a_missing_or_bad_configuration_is_one_line_and_a_failure() {
-    let bad = std::env::temp_dir().join(format!("fennelbeam-bad-{}.json", std::process::id()));
-    std::fs::write(&bad, "{\"name\": 3}").unwrap();
-    for path in ["/nonexistent/config.json", bad.to_str().unwrap()] {
+fn a_missing_or_invalid_configuration_fails_with_one_line() {
+    let invalid = std::env::temp_dir().join(format!("fennelbeam-bad-{}.json", std::process::id()));
+    std::fs::write(&invalid, "{\"name\": 3}").unwrap();
+    for path in ["/nonexistent/config.json", invalid.to_str().unwrap()] {
         let output = Command::new(env!("CARGO_BIN_EXE_api-gateway"))
             .env("ROUTER_CONFIG", path)
             .stdin(Stdio::null())
@@ -100,5 +100,5 @@
         assert_eq!(text.lines().count(), 1, "{text}");
         assert!(text.starts_with("api-gateway: "), "{text}");
     }
-    std::fs::remove_file(bad).unwrap();
+    std::fs::remove_file(invalid).unwrap();
 }
--- a/crates/api-gateway/tests/gateway/support.rs
+++ b/crates/api-gateway/tests/gateway/support.rs
@@ -12,11 +12,11 @@
 /// list, so the gateway uses the list of its configuration after a second.
 pub fn gateway_with_hosts(settings: Value, hosts: &Peers) -> (Program, Discovery) {
     let discovery = Discovery::start();
-    let line = |(i, addr): (usize, &SocketAddr)| host_line(&format!("s-{i}"), *addr, "in_service", 0);
+    let line = |(i, addr): (usize, &SocketAddr)| host_entry(&format!("s-{i}"), *addr, "in_service", 0);
     let lines: Vec<Value> = hosts.addrs.iter().enumerate().map(line).collect();
     let gateway = Program::start(settings, &lines, discovery.addr, CLOSED_ADDRESS.parse().unwrap());
     if !lines.is_empty() {
-        gateway.client().until_ready();
+        gateway.client().wait_until_ready();
     }
     (gateway, discovery)
 }
@@ -31,17 +31,17 @@
 /// Starts a gateway with one host, and descriptors for 24 clients.
 pub fn gateway_with_few_sockets(host: &Peers) -> (Program, Discovery) {
     let discovery = Discovery::start();
-    let line = [host_line("s-0", host.addrs[0], "in_service", 0)];
+    let line = [host_entry("s-0", host.addrs[0], "in_service", 0)];
     let gateway =
         Program::with_sockets(64, settings(), &line, discovery.addr, CLOSED_ADDRESS.parse().unwrap());
     (gateway, discovery)
 }
 
-/// Sends a call, has the host answer it with this value, and checks that the client gets it.
+/// Sends a request, has the host answer it with this value, and checks that the client gets the value.
 pub fn assert_served(client: &mut Client, host: &Peers, id: u64, value: &str) {
-    client.get(id);
-    host.command().serve(value);
-    assert_eq!(client.answer(), value);
+    client.send_get(id);
+    host.next_command().serve(value);
+    assert_eq!(client.read_answer(), value);
 }
 
 /// Waits until connections to hosts may be reused after their last answer. A longer wait does no harm.
--- a/crates/api-gateway/tests/leaving.rs
+++ b/crates/api-gateway/tests/leaving.rs
@@ -1,6 +1,6 @@
-//! Clients of the real program that go in numbers and in one moment while their requests wait. Nothing of theirs is begun
-//! any more, and nothing stays taken: a next client has as many attempts out at once as they had, and all connections
-//! are given back.
+//! Many clients of the real program that disconnect simultaneously while their requests wait. None of these requests may
+//! be forwarded afterwards, and no resource may stay occupied: the next client has as many attempts in flight as they had,
+//! and all connections are closed.
 #[expect(dead_code, reason = "other tests use the rest")]
 mod sockets;
 
@@ -11,31 +11,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// Where nobody listens.
-const NOWHERE: &str = "127.0.0.1:9";
-/// Clients that go, and the calls of each.
+/// An address on which nothing listens.
+const CLOSED_ADDRESS: &str = "127.0.0.1:9";
+/// Number of clients that disconnect, and of requests of each.
 const CLIENTS: u64 = 100;
-const CALLS: u64 = 3;
-/// Attempts that one host has out at once.
+const REQUESTS: u64 = 3;
+/// Maximum number of concurrent attempts at one host.
 const SLOTS: usize = 4;
-/// Calls of the client that comes after them, and their ids.
-const NEXT: std::ops::Range<u64> = 1_000..1_008;
-/// What begins within this after a close is none of the gateway's faults.
-const GRACE: Duration = Duration::from_millis(100);
+/// The ids of the requests of the client that connects after them.
+const NEXT_IDS: std::ops::Range<u64> = 1_000..1_008;
+/// Time after a close within which the gateway may still forward requests.
+const CLOSE_GRACE: Duration = Duration::from_millis(100);
 
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Going {
-    Closes,
-    Resets,
-    /// Closes with an answer unread, which its system makes a reset.
-    Unread,
+enum Disconnect {
+    Close,
+    Reset,
+    /// Closes with an answer unread, which the system turns into a reset.
+    CloseUnread,
 }
 
-const GOINGS: [Going; 3] = [Going::Closes, Going::Resets, Going::Unread];
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::Reset, Disconnect::CloseUnread];
 
-/// Idle connections to hosts last for half a second, so that in the end there are none. Requests have longer than any
-/// wait of a test, or a busy machine would have them refused.
-fn tight(cancel: bool) -> Value {
+/// Returns settings with an idle lifetime of half a second for connections to hosts, so that none is left at the end.
+/// Deadlines are longer than any wait of a test, since requests could be rejected on a busy machine otherwise.
+fn test_settings(cancel: bool) -> Value {
     let mut settings = settings();
     for class in settings["services"].as_array_mut().unwrap() {
         (class["aim"], class["hard-limit"]) = (60_000_000_000u64.into(), 60_000_000_000u64.into());
@@ -45,204 +46,215 @@
     settings
 }
 
-struct Scene {
+struct Site {
     gateway: Program,
     hosts: Vec<SocketAddr>,
     _discovery: Discovery,
     _watch: Watch,
 }
 
-impl Scene {
-    fn start(settings: Value, hosts: &[SocketAddr], counter: SocketAddr) -> Scene {
+impl Site {
+    fn start(settings: Value, hosts: &[SocketAddr], counter: SocketAddr) -> Site {
         let discovery = Discovery::start();
-        let line = |(i, addr): (usize, &SocketAddr)| host_line(&format!("s-{i}"), *addr, "in_service", 0);
+        let line = |(i, addr): (usize, &SocketAddr)| host_entry(&format!("s-{i}"), *addr, "in_service", 0);
         let lines: Vec<Value> = hosts.iter().enumerate().map(line).collect();
         let gateway = Program::with_sockets(512, settings, &lines, discovery.addr, counter);
-        let mut watch = discovery.watch();
-        watch.tell(&list(1, false, &[]));
-        gateway.client().until_ready();
-        Scene { gateway, hosts: hosts.to_vec(), _discovery: discovery, _watch: watch }
+        let mut watch = discovery.accept_watch();
+        watch.send_list(&endpoint_list(1, false, &[]));
+        gateway.client().wait_until_ready();
+        Site { gateway, hosts: hosts.to_vec(), _discovery: discovery, _watch: watch }
     }
 
-    /// Clients whose calls have been read: each has the answer to what stood before them.
-    fn burst(&self) -> Vec<Client> {
-        let ask = |number: u64| {
+    /// Connects clients that send requests, and returns them when the gateway has read all: each client has the answer to
+    /// the PING before its requests.
+    fn connect_clients(&self) -> Vec<Client> {
+        let connect = |number: u64| {
             let mut client = self.gateway.client();
-            client.call(&["PING"]);
-            (0..CALLS).for_each(|call| post(&mut client, CALLS * number + call, "of one who goes"));
+            client.send_command(&["PING"]);
+            (0..REQUESTS).for_each(|request| {
+                post(&mut client, REQUESTS * number + request, "of a disconnected client")
+            });
             client
         };
-        let clients: Vec<Client> = (0..CLIENTS).map(ask).collect();
-        clients.iter().for_each(Client::until_answered);
+        let clients: Vec<Client> = (0..CLIENTS).map(connect).collect();
+        clients.iter().for_each(Client::wait_for_answer);
         clients
     }
 
-    /// When another client has been answered after them, the ends of these have been read.
-    fn until_noticed(&self) {
-        thread::sleep(GRACE);
-        self.gateway.client().until_ready();
+    /// Waits until the gateway has noticed the disconnects: when it answers another client, it has read earlier ends.
+    fn wait_until_noticed(&self) {
+        thread::sleep(CLOSE_GRACE);
+        self.gateway.client().wait_until_ready();
     }
 
-    fn ask_next(&self) -> Client {
+    fn connect_next(&self) -> Client {
         let mut client = self.gateway.client();
-        NEXT.for_each(|id| post(&mut client, id, "of the next"));
+        NEXT_IDS.for_each(|id| post(&mut client, id, "of the next client"));
         client
     }
 
-    /// The next client's calls come to the hosts, so many before any is answered, and no others.
-    fn serve_next(&self, mut client: Client, hosts: &Peers, at_once: usize) {
-        let command = || {
-            let seen = hosts.command();
-            assert_eq!(seen.words[4], "of the next", "{} begins after its client has gone", seen.words[2]);
-            seen
+    /// Serves the next client's requests, and checks that hosts get only these, with this number of concurrent attempts.
+    fn serve_next(&self, mut client: Client, hosts: &Peers, concurrent: usize) {
+        let next_command = || {
+            let command = hosts.next_command();
+            assert_eq!(
+                command.arguments[4], "of the next client",
+                "{} is forwarded after its client has disconnected",
+                command.arguments[2]
+            );
+            command
         };
-        let mut out: Vec<Seen> = (0..at_once).map(|_| command()).collect();
-        for _ in NEXT {
-            out.pop().unwrap_or_else(command).serve("served");
+        let mut in_flight: Vec<ReceivedCommand> = (0..concurrent).map(|_| next_command()).collect();
+        for _ in NEXT_IDS {
+            in_flight.pop().unwrap_or_else(next_command).serve("served");
         }
-        NEXT.for_each(|id| assert_eq!(client.answer(), "served", "{id}"));
+        NEXT_IDS.for_each(|id| assert_eq!(client.read_answer(), "served", "{id}"));
         drop(client);
-        let own = self.gateway.addr.port();
-        let is_meant = |at: u16, peer: u16| at == own || self.hosts.iter().any(|host| host.port() == peer);
-        until("all connections to be given back", || self.gateway.connections(is_meant) == 0);
+        let own_port = self.gateway.addr.port();
+        let matches =
+            |local: u16, peer: u16| local == own_port || self.hosts.iter().any(|host| host.port() == peer);
+        wait_until("all connections to be closed", || self.gateway.count_connections(matches) == 0);
     }
 }
 
 fn post(client: &mut Client, id: u64, body: &str) {
     let list = "c=order,t=team,d=60000,units=2,spread=1,first=0";
-    client.call(&["CALL.POST", CUSTOMER, &format!("{id:016x}"), list, body]);
+    client.send_command(&["CALL.POST", CUSTOMER, &format!("{id:016x}"), list, body]);
 }
 
-fn go(clients: Vec<Client>, going: Going) {
+fn disconnect_all(clients: Vec<Client>, kind: Disconnect) {
     for mut client in clients {
-        match going {
-            Going::Closes => assert_eq!(client.answer(), "+PONG"),
-            Going::Resets => client.reset(),
-            Going::Unread => {}
+        match kind {
+            Disconnect::Close => assert_eq!(client.read_answer(), "+PONG"),
+            Disconnect::Reset => client.reset(),
+            Disconnect::CloseUnread => {}
         }
     }
 }
 
-/// In what order clients go and what they wait for comes.
+/// The order of the disconnects and of the answers that the clients wait for.
 #[derive(Clone, Copy, Debug)]
 enum Order {
-    /// The ends of the clients have been read before.
+    /// The gateway has read the disconnects before the answers arrive.
     Noticed,
-    /// Both lie with the system as the gateway looks.
-    EndsFirst,
+    /// Both are in the system's buffers before the gateway reads either.
+    DisconnectsFirst,
     AnswersFirst,
 }
 
-/// Answers of hosts to what is out.
+/// The answers of hosts to the attempts in flight.
 #[derive(Clone, Copy, Debug)]
-enum Says {
-    Serves,
-    /// Never ran: another host would do.
-    TurnsAway,
+enum HostAnswer {
+    Served,
+    /// The request was not executed, so it could be retried at another host.
+    Rejected,
 }
 
-impl Says {
-    fn answer(self, out: &mut [Seen]) {
-        out.iter_mut().for_each(|seen| match self {
-            Says::Serves => seen.serve("late"),
-            Says::TurnsAway => seen.write("-BUSY\r\n"),
+impl HostAnswer {
+    fn send(self, in_flight: &mut [ReceivedCommand]) {
+        in_flight.iter_mut().for_each(|command| match self {
+            HostAnswer::Served => command.serve("late"),
+            HostAnswer::Rejected => command.write("-BUSY\r\n"),
         });
     }
 }
 
 #[test]
-fn a_burst_that_goes_while_it_waits_for_slots_and_hosts_begins_nothing_and_leaves_nothing() {
-    let orders = [Order::Noticed, Order::EndsFirst, Order::AnswersFirst];
-    let pairs = GOINGS.into_iter().zip(orders).chain([(Going::Closes, Order::EndsFirst)]);
-    for (says, (going, order)) in pairs.flat_map(|pair| [(Says::Serves, pair), (Says::TurnsAway, pair)]) {
+fn clients_that_disconnect_while_waiting_for_slots_and_hosts_leave_no_requests_or_resources() {
+    let orders = [Order::Noticed, Order::DisconnectsFirst, Order::AnswersFirst];
+    let pairs = DISCONNECTS.into_iter().zip(orders).chain([(Disconnect::Close, Order::DisconnectsFirst)]);
+    for (answer, (disconnect, order)) in
+        pairs.flat_map(|pair| [(HostAnswer::Served, pair), (HostAnswer::Rejected, pair)])
+    {
         let hosts = Peers::start(2);
-        let scene = Scene::start(tight(false), &hosts.addrs, NOWHERE.parse().unwrap());
-        let clients = scene.burst();
-        let mut out: Vec<Seen> = (0..2 * SLOTS).map(|_| hosts.command()).collect();
+        let site = Site::start(test_settings(false), &hosts.addrs, CLOSED_ADDRESS.parse().unwrap());
+        let clients = site.connect_clients();
+        let mut in_flight: Vec<ReceivedCommand> = (0..2 * SLOTS).map(|_| hosts.next_command()).collect();
         match order {
             Order::Noticed => {
-                go(clients, going);
-                scene.until_noticed();
-                says.answer(&mut out);
+                disconnect_all(clients, disconnect);
+                site.wait_until_noticed();
+                answer.send(&mut in_flight);
             }
-            Order::EndsFirst | Order::AnswersFirst => {
-                scene.gateway.freeze();
+            Order::DisconnectsFirst | Order::AnswersFirst => {
+                site.gateway.pause();
                 if let Order::AnswersFirst = order {
-                    says.answer(&mut out);
-                    go(clients, going);
+                    answer.send(&mut in_flight);
+                    disconnect_all(clients, disconnect);
                 } else {
-                    go(clients, going);
-                    says.answer(&mut out);
+                    disconnect_all(clients, disconnect);
+                    answer.send(&mut in_flight);
                 }
-                scene.gateway.thaw();
+                site.gateway.resume();
             }
         }
-        // Turned away, hosts may get fewer.
-        let at_once = if let Says::Serves = says { 2 * SLOTS } else { 1 };
-        let client = scene.ask_next();
-        scene.serve_next(client, &hosts, at_once);
+        // Hosts that rejected requests may get fewer concurrent attempts.
+        let concurrent = if let HostAnswer::Served = answer { 2 * SLOTS } else { 1 };
+        let client = site.connect_next();
+        site.serve_next(client, &hosts, concurrent);
     }
 }
 
 #[test]
-fn the_attempts_of_a_burst_that_goes_are_cancelled_where_the_site_allows() {
-    for going in GOINGS {
+fn cancels_the_attempts_of_disconnected_clients_if_the_settings_allow() {
+    for disconnect in DISCONNECTS {
         let hosts = Peers::start(2);
-        let scene = Scene::start(tight(true), &hosts.addrs, NOWHERE.parse().unwrap());
-        let clients = scene.burst();
-        let out: Vec<Seen> = (0..2 * SLOTS).map(|_| hosts.command()).collect();
-        // Long before their time is over. In one moment: else slots that the first leave would go to those who have yet to leave.
-        scene.gateway.freeze();
-        go(clients, going);
-        scene.gateway.thaw();
-        hosts.all_end(out.iter().map(|seen| seen.conn).collect());
-        let client = scene.ask_next();
-        scene.serve_next(client, &hosts, 2 * SLOTS);
+        let site = Site::start(test_settings(true), &hosts.addrs, CLOSED_ADDRESS.parse().unwrap());
+        let clients = site.connect_clients();
+        let in_flight: Vec<ReceivedCommand> = (0..2 * SLOTS).map(|_| hosts.next_command()).collect();
+        // Long before their deadlines. Simultaneously, since a slot freed by the first disconnect would otherwise be given to
+        // a client that is about to disconnect.
+        site.gateway.pause();
+        disconnect_all(clients, disconnect);
+        site.gateway.resume();
+        hosts.wait_for_ends(in_flight.iter().map(|command| command.connection).collect());
+        let client = site.connect_next();
+        site.serve_next(client, &hosts, 2 * SLOTS);
     }
 }
 
 #[test]
-fn a_burst_that_goes_while_it_waits_for_connections_is_not_written_when_they_come_up() {
-    for going in [Going::Closes, Going::Unread] {
+fn does_not_send_requests_of_clients_that_disconnect_while_waiting_for_connections() {
+    for disconnect in [Disconnect::Close, Disconnect::CloseUnread] {
         let (stuck, listener, full) = full_backlog();
-        let mut settings = tight(false);
+        let mut settings = test_settings(false);
         settings["allowed"]["dial-timeout"] = 60_000_000_000u64.into();
-        let scene = Scene::start(settings, &[stuck], NOWHERE.parse().unwrap());
-        go(scene.burst(), going);
-        scene.until_noticed();
-        let client = scene.ask_next();
+        let site = Site::start(settings, &[stuck], CLOSED_ADDRESS.parse().unwrap());
+        disconnect_all(site.connect_clients(), disconnect);
+        site.wait_until_noticed();
+        let client = site.connect_next();
         drop(full);
-        scene.serve_next(client, &Peers::behind(listener.into()), SLOTS);
+        site.serve_next(client, &Peers::on_listener(listener.into()), SLOTS);
     }
 }
 
 #[test]
-fn a_burst_that_goes_while_it_waits_for_the_counter_is_not_sent_on_when_that_answers() {
-    for going in [Going::Closes, Going::Resets] {
+fn does_not_forward_requests_of_clients_that_disconnect_while_waiting_for_the_counter() {
+    for disconnect in [Disconnect::Close, Disconnect::Reset] {
         let (hosts, counter) = (Peers::start(2), Peers::start(1));
-        let mut settings = tight(false);
+        let mut settings = test_settings(false);
         settings["domain"]["shared-counter"] = true.into();
         settings["domain"]["counter-timeout"] = 9_000_000_000u64.into();
-        let scene = Scene::start(settings, &hosts.addrs, counter.addrs[0]);
-        let clients = scene.burst();
-        let first = counter.command();
-        assert_eq!(hosts.others(), 0, "it waits for nothing");
-        go(clients, going);
-        scene.until_noticed();
-        thread::spawn(move || count(first, &counter));
-        let client = scene.ask_next();
-        scene.serve_next(client, &hosts, 2 * SLOTS);
+        let site = Site::start(settings, &hosts.addrs, counter.addrs[0]);
+        let clients = site.connect_clients();
+        let first = counter.next_command();
+        assert_eq!(hosts.count_unread_commands(), 0, "the requests do not wait for the counter");
+        disconnect_all(clients, disconnect);
+        site.wait_until_noticed();
+        thread::spawn(move || serve_counter(first, &counter));
+        let client = site.connect_next();
+        site.serve_next(client, &hosts, 2 * SLOTS);
     }
 }
 
-/// Answers all calls of a counter with their totals, from this one on.
-fn count(mut seen: Seen, counter: &Peers) {
+/// Answers this counter call and all further ones with the totals of their keys.
+fn serve_counter(mut command: ReceivedCommand, counter: &Peers) {
     let mut totals: BTreeMap<String, f64> = BTreeMap::new();
     loop {
-        let total = totals.entry(seen.words[1].clone()).or_default();
-        *total += seen.words[2].parse::<f64>().unwrap();
+        let total = totals.entry(command.arguments[1].clone()).or_default();
+        *total += command.arguments[2].parse::<f64>().unwrap();
         let text = total.to_string();
-        seen.write_late(&format!("${}\r\n{text}\r\n", text.len()));
-        seen = counter.command();
+        command.write_ignoring_errors(&format!("${}\r\n{text}\r\n", text.len()));
+        command = counter.next_command();
     }
 }
--- a/crates/api-gateway/tests/load.rs
+++ b/crates/api-gateway/tests/load.rs
@@ -1,4 +1,4 @@
-//! The real program under the load rig: what it holds stays within what it was granted, and nothing is lost.
+//! The real program under generated load: its memory stays within the limit, and no request is lost.
 
 use load_generator::{play, Customers, Outcome, Progress, Rig, Spec, Subject};
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn customers_that_come_once_do_not_push_a_small_gateway_over() {
+fn one_time_customers_do_not_exceed_the_memory_of_a_small_gateway() {
     let spec = Spec {
         draw: Customers::Once,
         customers: 10_000_000,
@@ -25,10 +25,10 @@
         ..Spec::default()
     };
     let outcome = run(&spec);
-    // Of 8 MB the program is granted 6, most of which are pages of its file: how many of a test build's are in memory
-    // is the system's choice. What it holds beside them is its own, and 2.0 MB where customers are held to their part.
+    // Of the 8 MB, 6 are reserved for the program, most of which are pages of its executable: the system decides how many of
+    // those of a test build are resident. The anonymous memory beside them is 2.0 MB if customers stay within their part.
     assert!(outcome.anonymous_mb < 2.5, "{} MB", outcome.anonymous_mb);
-    // However slow the machine, regular customers are served as all are.
+    // Regular customers are served as well as all others, also on a slow machine.
     let Outcome { all, regular, ended_well, .. } = outcome;
     assert!(all.due > 100 && regular.due > 10, "{all:?}");
     assert_eq!((all.lost, all.wrong, all.failed), (0, 0, 0), "{all:?}");
--- a/crates/api-gateway/tests/operators.rs
+++ b/crates/api-gateway/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' file at a real gateway: routes, reloads, and files that cannot be used.
+//! The operators' file at a real gateway: routes, reloads, and invalid files.
 #[allow(dead_code)]
 mod sockets;
 
@@ -10,8 +10,8 @@
 use std::thread;
 use tempfile::TempDir;
 
-/// Reads go to one host and orders to another; the third is in no pool.
-const APART: &str = r#"
+/// Reads go to one host and orders to another; the third host is in no pool.
+const ROUTES: &str = r#"
 include "pools.fb"
 route "reads" {
   classes = "read"
@@ -30,20 +30,20 @@
 }
 "#;
 
-/// A folder with the file set.
+/// A folder with the operators' files.
 struct Files(TempDir);
 
 impl Files {
     fn new() -> Files {
         let files = Files(tempfile::tempdir().unwrap());
         files.write("pools.fb", POOLS);
-        files.write("site.fb", APART);
+        files.write("site.fb", ROUTES);
         files
     }
     fn site(&self) -> PathBuf {
         self.0.path().join("site.fb")
     }
-    /// Replaces a file whole.
+    /// Replaces a file atomically.
     fn write(&self, name: &str, text: &str) {
         let new = self.0.path().join("new");
         std::fs::write(&new, text).unwrap();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Hosts that serve at once, and say by their value which one they are.
+/// Starts hosts that answer at once with their own number.
 fn hosts(count: usize) -> Vec<SocketAddr> {
     let host = |number: usize| {
         let peers = Peers::start(1);
@@ -64,24 +64,24 @@
 
 fn gateway(file: &Path) -> Program {
     let (discovery, counter) = (Discovery::start(), Peers::start(1));
-    let line = |(number, addr)| host_line(&format!("s-{number}"), addr, "in_service", 0);
+    let line = |(number, addr)| host_entry(&format!("s-{number}"), addr, "in_service", 0);
     let known: Vec<_> = hosts(3).into_iter().enumerate().map(line).collect();
     let mut settings = settings();
     settings["tariffs"][0]["refill"] = 1e6.into();
     settings["tariffs"][0]["burst"] = 1e6.into();
     let gateway = Program::with_operators(file, settings, &known, discovery.addr, counter.addrs[0]);
-    gateway.client().until_ready();
+    gateway.client().wait_until_ready();
     gateway
 }
 
 fn read(client: &mut Client, id: u64) -> String {
-    client.get(id);
-    client.answer()
+    client.send_get(id);
+    client.read_answer()
 }
 
 fn order(client: &mut Client, id: u64) -> String {
-    client.post(id, "body");
-    client.answer()
+    client.send_post(id, "body");
+    client.read_answer()
 }
 
 #[test]
@@ -95,8 +95,8 @@
     }
     // Only the included file changes.
     files.write("pools.fb", &POOLS.replace("s-0", "s-2"));
-    gateway.hang_up();
-    gateway.until_logged(1, "operators' files are in effect routes=2");
+    gateway.send_sighup();
+    gateway.wait_for_log(1, "operators' files are in effect routes=2");
     for id in 20..40 {
         assert_eq!(read(&mut client, 2 * id), "host-2");
         assert_eq!(order(&mut client, 2 * id + 1), "host-1");
@@ -104,11 +104,11 @@
 }
 
 #[test]
-fn a_bad_file_changes_nothing_and_the_log_names_file_and_line() {
+fn an_invalid_file_changes_nothing_and_is_logged_with_file_and_line() {
     let files = Files::new();
     let gateway = gateway(&files.site());
     let mut client = gateway.client();
-    let broken = [
+    let invalid_files = [
         ("pools.fb", "pool \"second\" {}\npool \"first\" {\n  ids = \"s-2\n}\n", "pools.fb:3:9: error: "),
         ("pools.fb", "pool \"first\" {\n  ids = \"s-2\"\n}\n", "site.fb:8:10: error: "),
         ("site.fb", "include \"gone.fb\"\n", "site.fb:1:9: error: "),
@@ -119,13 +119,13 @@
             "site.fb:2:10: error: ",
         ),
     ];
-    for (n, (name, text, named)) in broken.into_iter().enumerate() {
-        files.write("site.fb", APART);
+    for (n, (name, text, expected)) in invalid_files.into_iter().enumerate() {
+        files.write("site.fb", ROUTES);
         files.write(name, text);
-        gateway.hang_up();
-        gateway.until_logged(n + 1, "configuration reload failed, the current one stays in effect error=");
+        gateway.send_sighup();
+        gateway.wait_for_log(n + 1, "configuration reload failed, the current one stays in effect error=");
         let line = gateway.log().into_iter().rfind(|line| line.contains("reload failed")).unwrap();
-        assert!(line.contains(named), "{line}");
+        assert!(line.contains(expected), "{line}");
         assert_eq!(read(&mut client, 2 * n as u64 + 2), "host-0", "{name}: {text}");
         files.write("pools.fb", POOLS);
     }
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_ends_the_start_with_one_line() {
+fn an_invalid_file_fails_the_start_with_one_line() {
     let files = Files::new();
     files.write("site.fb", "pool \"a\" {\n  zones = \"elsewhere\"\n}\n");
     let document = files.0.path().join("config.json");
@@ -146,61 +146,61 @@
         .output()
         .unwrap();
     assert_eq!(program.status.code(), Some(1));
-    let said = String::from_utf8(program.stderr).unwrap();
-    assert!(said.contains("site.fb:2:11: error: ") && said.lines().count() == 1, "{said}");
+    let log = String::from_utf8(program.stderr).unwrap();
+    assert!(log.contains("site.fb:2:11: error: ") && log.lines().count() == 1, "{log}");
 }
 
 #[test]
-fn a_tenfold_change_is_told_in_the_log() {
+fn logs_a_tenfold_change() {
     let files = Files::new();
     let policy =
         |rate: &str| format!("quota policy \"q\" {{\n  plan = \"team\"\n  rate = {rate} units/s\n}}\n");
     files.write("site.fb", &policy("30"));
     let gateway = gateway(&files.site());
     files.write("site.fb", &policy("300"));
-    gateway.hang_up();
-    gateway.until_logged(1, "site.fb:3:10: warning: ");
-    gateway.until_logged(1, "operators' files are in effect");
+    gateway.send_sighup();
+    gateway.wait_for_log(1, "site.fb:3:10: warning: ");
+    gateway.wait_for_log(1, "operators' files are in effect");
 }
 
 #[test]
-fn a_thousand_reloads_under_load_lose_nothing() {
+fn a_thousand_reloads_under_load_lose_no_requests() {
     let files = Files::new();
     let gateway = gateway(&files.site());
     let versions =
         [POOLS.to_owned(), POOLS.replace("s-0", "s-x").replace("s-1", "s-0").replace("s-x", "s-1")];
-    let (going, next) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicU64::new(1)));
+    let (is_running, next) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicU64::new(1)));
     let served: Arc<Mutex<Vec<(bool, String)>>> = Arc::default();
     let clients: Vec<_> = (0..4)
         .map(|_| {
             let mut client = gateway.client();
-            let (going, next, served) = (going.clone(), next.clone(), served.clone());
+            let (is_running, next, served) = (is_running.clone(), next.clone(), served.clone());
             thread::spawn(move || {
-                let mut asked = 0;
-                while going.load(Ordering::Relaxed) {
+                let mut sent = 0;
+                while is_running.load(Ordering::Relaxed) {
                     let id = next.fetch_add(1, Ordering::Relaxed);
                     let is_read = id % 2 == 0;
                     let answer = if is_read { read(&mut client, id) } else { order(&mut client, id) };
                     served.lock().unwrap().push((is_read, answer));
-                    asked += 1;
+                    sent += 1;
                 }
-                asked
+                sent
             })
         })
         .collect();
     for n in 1..=1_000 {
         files.write("pools.fb", &versions[n % 2]);
-        gateway.hang_up();
-        gateway.until_logged(n, "operators' files are in effect");
+        gateway.send_sighup();
+        gateway.wait_for_log(n, "operators' files are in effect");
     }
-    going.store(false, Ordering::Relaxed);
-    let asked: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    is_running.store(false, Ordering::Relaxed);
+    let sent: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
     let served = std::mem::take(&mut *served.lock().unwrap());
-    assert_eq!(served.len(), asked);
-    assert!(asked > 1_000, "{asked}");
-    // Both versions have both hosts, and neither has the third; none fails, none is refused.
-    let wrong = served.iter().find(|(_, answer)| !["host-0", "host-1"].contains(&answer.as_str()));
-    assert_eq!(wrong, None, "of {asked}");
-    assert!(served.iter().any(|(is_read, answer)| *is_read && answer == "host-1"), "no reload counted");
+    assert_eq!(served.len(), sent);
+    assert!(sent > 1_000, "{sent}");
+    // Both versions use the first two hosts and not the third; no request may fail or be rejected.
+    let unexpected = served.iter().find(|(_, answer)| !["host-0", "host-1"].contains(&answer.as_str()));
+    assert_eq!(unexpected, None, "of {sent}");
+    assert!(served.iter().any(|(is_read, answer)| *is_read && answer == "host-1"), "no reload took effect");
     assert!(!gateway.log().iter().any(|line| line.contains("reload failed")));
 }
--- a/crates/api-gateway/tests/pages.rs
+++ b/crates/api-gateway/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages on counter failures say what the program says.
+//! The documentation pages on counter failures match the output of the program.
 
 use quota::bound::{max_overshoot, Failure, Quota};
 use quota::CounterState;
@@ -8,42 +8,42 @@
 const OPERATORS: &str = include_str!("../../../docs/counter-failures.md");
 const DESIGN: &str = include_str!("../../../docs/quota-doubt.md");
 
-/// A quota at a site of three gateways with requests of up to six units.
+/// Returns a quota at a site of three gateways with requests of up to six units.
 fn quota(rate: f64, burst: f64) -> Quota {
     Quota { rate, burst, set_size: 3, max_request_units: 6.0 }
 }
 
-fn two_minutes(sides: u32, answers: bool, replaced: u32) -> Failure {
-    Failure { duration_s: 120.0, partitions: sides, counter_answers: answers, counter_resets: replaced }
+fn two_minutes(partitions: u32, counter_answers: bool, counter_resets: u32) -> Failure {
+    Failure { duration_s: 120.0, partitions, counter_answers, counter_resets }
 }
 
-/// The bound in whole units, rounded up: for a known customer, and for one that asks for too much.
+/// Returns the bound rounded up to integer units: for a customer within its quota, and for one over its limit.
 fn bounds(quota: &Quota, failure: &Failure) -> [f64; 2] {
-    [true, false].map(|known| (max_overshoot(quota, failure, known) - 1e-6).ceil())
+    [true, false].map(|is_within_limit| (max_overshoot(quota, failure, is_within_limit) - 1e-6).ceil())
 }
 
 #[test]
-fn each_line_that_the_log_may_say_stands_in_the_page() {
-    let apart = CounterState::Partitioned { alive: 2, gateways: 3 };
-    for state in [CounterState::Unused, CounterState::Complete, apart, CounterState::Unreachable] {
+fn the_page_lists_each_counter_state_of_the_log() {
+    let partitioned = CounterState::Partitioned { alive: 2, gateways: 3 };
+    for state in [CounterState::Unused, CounterState::Complete, partitioned, CounterState::Unreachable] {
         let line = format!(" state={state}\n");
         assert!(OPERATORS.contains(&line), "the page lacks: {line}");
     }
 }
 
 #[test]
-fn what_check_says_of_the_plans_stands_in_the_page() {
+fn the_page_has_the_output_of_check_for_the_plans() {
     let checked = Command::new(env!("CARGO_BIN_EXE_api-gateway")).args(["check", EXAMPLE]).output().unwrap();
-    let said = String::from_utf8(checked.stdout).unwrap();
-    let plans: Vec<&str> = said.lines().filter(|line| line.starts_with("  plan ")).collect();
-    assert_eq!(plans.len(), 2, "{said}");
+    let output = String::from_utf8(checked.stdout).unwrap();
+    let plans: Vec<&str> = output.lines().filter(|line| line.starts_with("  plan ")).collect();
+    assert_eq!(plans.len(), 2, "{output}");
     for line in plans {
         assert!(OPERATORS.contains(&format!("\n{line}\n")), "the page lacks: {line}");
     }
 }
 
 #[test]
-fn the_bounds_over_the_range_of_plans_stand_in_the_page() {
+fn the_page_has_the_bounds_of_the_range_of_plans() {
     let plans = [
         ("standard, smallest", 3.3, 14.2),
         ("standard, largest", 5.7, 34.2),
@@ -52,14 +52,14 @@
     ];
     for (name, rate, burst) in plans {
         let quota = quota(rate, burst);
-        let [known, greedy] = bounds(&quota, &Failure::counter_unreachable(120.0, &quota));
-        let row = format!("| {name} | {rate} and {burst} | {known} units | {greedy} units |\n");
+        let [within_limit, over_limit] = bounds(&quota, &Failure::counter_unreachable(120.0, &quota));
+        let row = format!("| {name} | {rate} and {burst} | {within_limit} units | {over_limit} units |\n");
         assert!(OPERATORS.contains(&row), "the page lacks: {row}");
     }
 }
 
 #[test]
-fn the_bounds_of_each_failure_stand_in_the_design_note() {
+fn the_design_note_has_the_bounds_of_each_failure() {
     let failures = [
         ("lost for 120 s", two_minutes(3, false, 0)),
         ("split 1 + 2 for 120 s", two_minutes(2, true, 0)),
@@ -67,9 +67,11 @@
         ("replaced three times", two_minutes(1, true, 3)),
     ];
     for (name, failure) in failures {
-        let [known, greedy] = bounds(&quota(4.0, 20.0), &failure);
-        let [premium_known, premium_greedy] = bounds(&quota(30.0, 60.0), &failure);
-        let row = format!("| {name} | {known} | {greedy} | {premium_known} | {premium_greedy} |\n");
+        let [within_limit, over_limit] = bounds(&quota(4.0, 20.0), &failure);
+        let [premium_within_limit, premium_over_limit] = bounds(&quota(30.0, 60.0), &failure);
+        let row = format!(
+            "| {name} | {within_limit} | {over_limit} | {premium_within_limit} | {premium_over_limit} |\n"
+        );
         assert!(DESIGN.contains(&row), "the note lacks: {row}");
     }
 }
--- a/crates/api-gateway/tests/platform.rs
+++ b/crates/api-gateway/tests/platform.rs
@@ -1,5 +1,5 @@
-//! What the platform of the whole fleet's days asks of the deploy file and of the program: one process from `exec` on,
-//! linked dynamically, without fork, io_uring, splice, sendfile and Unix sockets.
+//! Requirements of the deployment platform on the deploy file and the program: one process from `exec` on, linked
+//! dynamically, without fork, io_uring, splice, sendfile and Unix sockets.
 
 #[allow(dead_code)] // other tests use the rest of it
 mod sockets;
@@ -15,10 +15,10 @@
 use std::process::Command;
 
 const DEPLOY: &str = include_str!("../../../deploy/balancer.toml");
-/// Names the program that the helper below turns into.
+/// Environment variable with the path of the program that `confined` executes.
 const CONFINED: &str = "FENNELBEAM_TEST_CONFINED";
 
-/// Numbers of system calls, as Linux has them on this kind of machine.
+/// Numbers of system calls on Linux for this architecture.
 #[cfg(target_arch = "x86_64")]
 mod number {
     pub const SENDFILE: i64 = 40;
@@ -33,19 +33,19 @@
     pub const CLONE3: i64 = 435;
 }
 
-/// Of clone, that it makes a thread; of socket, the family of Unix sockets.
-const THREAD: u64 = 0x1_0000;
-const UNIX: u64 = 1;
+/// The flag of clone for threads, and the family of Unix sockets.
+const CLONE_THREAD: u64 = 0x1_0000;
+const AF_UNIX: u64 = 1;
 
 #[cfg(target_arch = "x86_64")]
-fn refuse(rules: BTreeMap<i64, Vec<SeccompRule>>, action: SeccompAction) {
+fn install_filter(rules: BTreeMap<i64, Vec<SeccompRule>>, action: SeccompAction) {
     let filter = SeccompFilter::new(rules, SeccompAction::Allow, action, TargetArch::x86_64).unwrap();
     let program: BpfProgram = filter.try_into().unwrap();
     apply_filter(&program).unwrap();
 }
 
-/// Not a test of its own: run by the one below, it turns into the program, which dies at the first call that the
-/// platform refuses. Elsewhere it does nothing.
+/// A helper process of the test below, not a test: it executes the program under a filter that kills it at the first
+/// system call that the platform forbids. Without the environment variable it does nothing.
 #[cfg(target_arch = "x86_64")]
 #[test]
 fn confined() {
@@ -55,55 +55,59 @@
         vec![SeccompRule::new(vec![condition]).unwrap()]
     };
     use number::*;
-    let mut refused = BTreeMap::from([
-        (CLONE, when(0, SeccompCmpOp::MaskedEq(THREAD), 0)),
-        (SOCKET, when(0, SeccompCmpOp::Eq, UNIX)),
+    let mut forbidden = BTreeMap::from([
+        (CLONE, when(0, SeccompCmpOp::MaskedEq(CLONE_THREAD), 0)),
+        (SOCKET, when(0, SeccompCmpOp::Eq, AF_UNIX)),
     ]);
     for call in [FORK, VFORK, SENDFILE, SPLICE, TEE, VMSPLICE].into_iter().chain(IO_URING) {
-        refused.insert(call, Vec::new());
+        forbidden.insert(call, Vec::new());
     }
-    // What cannot be looked into is said not to exist: the C library then asks in a way that can.
-    refuse(BTreeMap::from([(CLONE3, Vec::new())]), SeccompAction::Errno(38));
-    refuse(refused, SeccompAction::KillProcess);
+    // A filter cannot inspect the arguments of clone3, so the filter reports it as missing (ENOSYS): the C library then
+    // falls back to clone, whose arguments can be inspected.
+    install_filter(BTreeMap::from([(CLONE3, Vec::new())]), SeccompAction::Errno(38));
+    install_filter(forbidden, SeccompAction::KillProcess);
     panic!("{}", Command::new(program).arg("serve").exec());
 }
 
 #[cfg(target_arch = "x86_64")]
 #[test]
-fn a_start_a_request_a_reload_and_a_stop_need_no_call_that_the_platform_refuses() {
+fn start_request_reload_and_shutdown_need_no_forbidden_system_call() {
     let peers = Peers::start(1);
     let mut command = Command::new(std::env::current_exe().unwrap());
     command.args(["--exact", "confined", "--nocapture"]).env(CONFINED, env!("CARGO_BIN_EXE_api-gateway"));
     let limits = json!({"cores": 1.0, "memory_mb": 64, "sockets": 128});
-    let known = [host_line("s-1", peers.addrs[0], "in_service", 0)];
+    let known = [host_entry("s-1", peers.addrs[0], "in_service", 0)];
     let counter = peers.addrs[0];
     let mut program = Program::spawn(command, limits, settings(), &known, counter, counter);
     let mut client = program.client();
-    client.until_ready();
-    client.get(1);
-    peers.command().serve("one");
-    assert_eq!(client.answer(), "one");
+    client.wait_until_ready();
+    client.send_get(1);
+    peers.next_command().serve("one");
+    assert_eq!(client.read_answer(), "one");
     program.reload(counter, counter);
-    program.until_logged(1, "configuration reloaded");
-    client.get(2);
-    peers.command().serve("two");
-    assert_eq!(client.answer(), "two");
+    program.wait_for_log(1, "configuration reloaded");
+    client.send_get(2);
+    peers.next_command().serve("two");
+    assert_eq!(client.read_answer(), "two");
     program.terminate();
-    let status = program.exit();
+    let status = program.wait_for_exit();
     assert_eq!(status.code(), Some(0), "{status}: {:?}", program.log());
 }
 
 #[test]
-fn the_deploy_file_starts_one_process_that_the_build_has_made() {
+fn the_deploy_file_builds_and_starts_one_process() {
     let value = |key: &str| {
         let line = DEPLOY.lines().find_map(|line| line.strip_prefix(key)?.trim_start().strip_prefix('='));
         line.unwrap_or_else(|| panic!("no {key}")).trim().trim_matches('"').to_owned()
     };
     assert_eq!(value("build"), "cargo build --release");
     let run = value("run");
-    let words: Vec<&str> = run.split_whitespace().collect();
-    assert_eq!(words[..3], ["exec", "target/release/api-gateway", "serve"], "{run}");
-    assert!(!run.contains([';', '&', '|', '$', '`', '\n']), "one command and no shell beside it: {run}");
+    let arguments: Vec<&str> = run.split_whitespace().collect();
+    assert_eq!(arguments[..3], ["exec", "target/release/api-gateway", "serve"], "{run}");
+    assert!(
+        !run.contains([';', '&', '|', '$', '`', '\n']),
+        "not a single command without shell syntax: {run}"
+    );
     let sim = value("sim");
     assert_eq!(sim, "exec target/release/simulator-adapter");
 }
@@ -111,11 +115,11 @@
 #[cfg(target_os = "linux")]
 #[test]
 fn the_program_is_linked_dynamically_against_the_c_library() {
-    // What its interpreter and its dynamic section name stands in the file as text.
+    // The names of the interpreter and of the libraries in the dynamic section are text in the file.
     let bytes = std::fs::read(env!("CARGO_BIN_EXE_api-gateway")).unwrap();
-    let holds = |text: &[u8]| bytes.windows(text.len()).any(|window| window == text);
+    let contains = |text: &[u8]| bytes.windows(text.len()).any(|window| window == text);
     assert!(
-        holds(b"libc.so.6\0") && holds(b"ld-linux"),
-        "a library of the platform's cannot be loaded into it"
+        contains(b"libc.so.6\0") && contains(b"ld-linux"),
+        "a library of the platform cannot be loaded into the program"
     );
 }
--- a/crates/api-gateway/tests/sockets/mod.rs
+++ b/crates/api-gateway/tests/sockets/mod.rs
@@ -1,5 +1,5 @@
-//! The real program on loopback, with clients, hosts, a counter and discovery that do just what a test tells them. All
-//! ports are ephemeral, and every wait is for an event, with a limit far above what it takes.
+//! The real program on loopback, with clients, hosts, a counter and discovery that each test controls. All ports are
+//! ephemeral, and every wait is for an event, with a time limit far above the usual duration.
 
 mod client;
 mod discovery;
@@ -7,10 +7,10 @@
 mod program;
 
 pub use client::*;
-#[allow(unused_imports)] // some tests need no discovery of their own
+#[allow(unused_imports)] // some tests need no discovery
 pub use discovery::*;
 pub use peers::*;
-#[allow(unused_imports)] // some tests start the program in another way
+#[allow(unused_imports)] // some tests start the program in a different way
 pub use program::*;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
@@ -18,11 +18,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far above what anything takes, also on a loaded machine.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Time limit of all waits, far above their usual duration also on a loaded machine.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Attempts may not be withdrawn: the module does so with safe ones that are slow against those before, and
-/// between tests on a busy machine any may be.
+/// Returns settings that forbid to cancel attempts. The policy module cancels idempotent attempts that are slow compared
+/// with earlier ones, which any attempt may be on a machine that is busy with other tests.
 pub fn settings() -> Value {
     json!({
         "allowed": {"cancel": false, "conn-idle": 60_000_000_000u64, "dial-timeout": 2_000_000_000u64,
@@ -44,29 +44,29 @@
     })
 }
 
-pub fn host_line(name: &str, addr: SocketAddr, lifecycle: &str, started: u64) -> Value {
+pub fn host_entry(name: &str, addr: SocketAddr, lifecycle: &str, started: u64) -> Value {
     json!({"instanceId": name, "hostPort": addr.to_string(), "zone": "a", "machineType": "m", "cell": 1,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": started})
 }
 
-pub fn list(generation: u64, reset: bool, hosts: &[Value]) -> Value {
+pub fn endpoint_list(generation: u64, reset: bool, hosts: &[Value]) -> Value {
     json!({"generation": generation, "reset": reset, "instances": hosts})
 }
 
-fn next<T>(from: &Receiver<T>, what: &str) -> T {
-    from.recv_timeout(LONG).unwrap_or_else(|_| panic!("waited in vain for {what}"))
+fn receive<T>(receiver: &Receiver<T>, awaited: &str) -> T {
+    receiver.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("timed out waiting for {awaited}"))
 }
 
-/// Waits for something that is sure to come.
-pub fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
-    while !is() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+/// Waits for a condition that is certain to become true.
+pub fn wait_until(awaited: &str, mut is_reached: impl FnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !is_reached() {
+        assert!(Instant::now() < end, "timed out waiting for {awaited}");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A listener whose backlog is full: connections to it stay on their way. Keep the streams.
+/// Returns a listener whose backlog is full as long as the streams are kept: connections to it are not established.
 pub fn full_backlog() -> (SocketAddr, socket2::Socket, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
--- a/crates/api-gateway/tests/sockets/peers.rs
+++ b/crates/api-gateway/tests/sockets/peers.rs
@@ -1,6 +1,6 @@
-//! Hosts or counters that do what a test tells them.
+//! Fake hosts or counters whose answers each test controls.
 
-use super::next;
+use super::receive;
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,51 +10,51 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a peer that speaks RESP saw.
-enum Saw {
-    Command(Seen),
-    Ended(Conn),
+/// An event at a peer that speaks RESP.
+enum PeerEvent {
+    Command(ReceivedCommand),
+    Ended(ConnectionId),
 }
 
-/// Number of a peer, and of a connection to it in the order of coming.
-pub type Conn = (usize, u32);
+/// The number of a peer, and the number of a connection to it, in the order in which they were accepted.
+pub type ConnectionId = (usize, u32);
 
-/// A command that has come whole, and the connection that it came on.
-pub struct Seen {
-    pub conn: Conn,
-    pub words: Vec<String>,
+/// A completely received command, and its connection.
+pub struct ReceivedCommand {
+    pub connection: ConnectionId,
+    pub arguments: Vec<String>,
     stream: TcpStream,
 }
 
-impl Seen {
+impl ReceivedCommand {
     pub fn write(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).unwrap();
     }
-    /// Writes to a connection that may be gone.
-    pub fn write_late(&mut self, bytes: &str) {
+    /// Writes to a connection that the gateway may have closed.
+    pub fn write_ignoring_errors(&mut self, bytes: &str) {
         let _ = self.stream.write_all(bytes.as_bytes());
     }
     pub fn serve(&mut self, value: &str) {
         self.write(&format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()));
     }
-    /// Serves on a connection that may be gone.
-    pub fn serve_late(&mut self, value: &str) {
-        self.write_late(&format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()));
+    /// Answers on a connection that the gateway may have closed.
+    pub fn serve_ignoring_errors(&mut self, value: &str) {
+        self.write_ignoring_errors(&format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()));
     }
     pub fn close(self) {
         self.stream.shutdown(Shutdown::Both).unwrap();
     }
-    /// Ends the connection, with a reset right behind; one that is gone takes none.
-    pub fn break_off(self) {
+    /// Closes the connection, with a reset right after it if it is still open.
+    pub fn close_with_reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Hosts or counters: what comes to any of them goes to the test.
+/// Fake hosts or counters that pass all events to the test.
 pub struct Peers {
     pub addrs: Vec<SocketAddr>,
-    saw: Receiver<Saw>,
+    events: Receiver<PeerEvent>,
 }
 
 impl Peers {
@@ -62,91 +62,98 @@
         Self::listen((0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()))
     }
 
-    /// One that takes over a listener.
-    pub fn behind(listener: TcpListener) -> Self {
+    /// Starts one peer on an existing listener.
+    pub fn on_listener(listener: TcpListener) -> Self {
         Self::listen([listener].into_iter())
     }
 
     fn listen(listeners: impl Iterator<Item = TcpListener>) -> Self {
-        let (tell, saw) = channel();
+        let (sender, events) = channel();
         let start = |(peer, listener): (usize, TcpListener)| {
             let addr = listener.local_addr().unwrap();
-            let tell = tell.clone();
+            let sender = sender.clone();
             thread::spawn(move || {
                 for (number, stream) in (0..).zip(listener.incoming()) {
-                    let (Ok(stream), tell) = (stream, tell.clone()) else { return };
-                    thread::spawn(move || read_commands((peer, number), stream, &tell));
+                    let (Ok(stream), sender) = (stream, sender.clone()) else { return };
+                    thread::spawn(move || read_commands((peer, number), stream, &sender));
                 }
             });
             addr
         };
-        Peers { addrs: listeners.enumerate().map(start).collect(), saw }
+        Peers { addrs: listeners.enumerate().map(start).collect(), events }
     }
 
-    pub fn command(&self) -> Seen {
+    pub fn next_command(&self) -> ReceivedCommand {
         loop {
-            if let Saw::Command(seen) = next(&self.saw, "a command") {
-                return seen;
+            if let PeerEvent::Command(command) = receive(&self.events, "a command") {
+                return command;
             }
         }
     }
 
-    /// Waits for the end of a connection on which nothing more comes.
-    pub fn end(&self, conn: Conn) {
+    /// Waits for the end of a connection, with no command on any connection before it.
+    pub fn wait_for_end(&self, connection: ConnectionId) {
         loop {
-            match next(&self.saw, "the end of a connection") {
-                Saw::Ended(ended) if ended == conn => return,
-                Saw::Ended(_) => {}
-                Saw::Command(seen) => panic!("a command in place of the end: {:?}", seen.words),
+            match receive(&self.events, "the end of a connection") {
+                PeerEvent::Ended(ended) if ended == connection => return,
+                PeerEvent::Ended(_) => {}
+                PeerEvent::Command(command) => {
+                    panic!("a command instead of the end: {:?}", command.arguments)
+                }
             }
         }
     }
 
-    /// Waits for the ends of all these connections, in any order, with no command meanwhile.
-    pub fn all_end(&self, mut conns: BTreeSet<Conn>) {
-        while !conns.is_empty() {
-            match next(&self.saw, "the ends of connections") {
-                Saw::Ended(conn) => drop(conns.remove(&conn)),
-                Saw::Command(seen) => panic!("a command in place of an end: {:?}", seen.words),
+    /// Waits for the ends of all these connections in any order, with no command before the last one.
+    pub fn wait_for_ends(&self, mut connections: BTreeSet<ConnectionId>) {
+        while !connections.is_empty() {
+            match receive(&self.events, "the ends of connections") {
+                PeerEvent::Ended(connection) => drop(connections.remove(&connection)),
+                PeerEvent::Command(command) => panic!("a command instead of an end: {:?}", command.arguments),
             }
         }
     }
 
-    /// Waits for the end of a connection, whatever comes on others.
-    pub fn skip_to_end(&self, conn: Conn) {
-        while !matches!(next(&self.saw, "the end of a connection"), Saw::Ended(ended) if ended == conn) {}
+    /// Waits for the end of a connection, and skips all other events.
+    pub fn skip_until_end(&self, connection: ConnectionId) {
+        while !matches!(receive(&self.events, "the end of a connection"), PeerEvent::Ended(ended) if ended == connection)
+        {
+        }
     }
 
-    /// Serves all commands that come, from now on, and counts them.
+    /// Answers all further commands with this value, and returns their count.
     pub fn serve_all(self, value: String) -> Arc<AtomicUsize> {
         let served = Arc::new(AtomicUsize::new(0));
         let count = served.clone();
         thread::spawn(move || {
-            for saw in self.saw {
-                if let Saw::Command(mut seen) = saw {
+            for event in self.events {
+                if let PeerEvent::Command(mut command) = event {
                     count.fetch_add(1, Ordering::Relaxed);
-                    seen.write_late(&format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()));
+                    command.write_ignoring_errors(&format!(
+                        "*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n",
+                        value.len()
+                    ));
                 }
             }
         });
         served
     }
 
-    /// Commands that have come and were not asked for.
-    pub fn others(&self) -> usize {
-        self.saw.try_iter().filter(|saw| matches!(saw, Saw::Command(_))).count()
+    /// Returns the number of commands that have arrived and that the test has not taken.
+    pub fn count_unread_commands(&self) -> usize {
+        self.events.try_iter().filter(|event| matches!(event, PeerEvent::Command(_))).count()
     }
 }
 
-fn read_commands(conn: Conn, stream: TcpStream, tell: &Sender<Saw>) {
+fn read_commands(connection: ConnectionId, stream: TcpStream, sender: &Sender<PeerEvent>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    while let Some(words) = read_command(&mut reader) {
+    while let Some(arguments) = read_command(&mut reader) {
         let stream = stream.try_clone().unwrap();
-        if tell.send(Saw::Command(Seen { conn, words, stream })).is_err() {
+        if sender.send(PeerEvent::Command(ReceivedCommand { connection, arguments, stream })).is_err() {
             return;
         }
     }
-    let _ = tell.send(Saw::Ended(conn));
+    let _ = sender.send(PeerEvent::Ended(connection));
 }
 
 fn read_command(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
@@ -156,12 +163,12 @@
         line.get(1..)?.trim_end().parse().ok()
     };
     let count = number(reader)?;
-    let mut words = Vec::new();
+    let mut arguments = Vec::new();
     for _ in 0..count {
         let mut value = vec![0; number(reader)? + 2];
         reader.read_exact(&mut value).ok()?;
         value.truncate(value.len() - 2);
-        words.push(String::from_utf8(value).ok()?);
+        arguments.push(String::from_utf8(value).ok()?);
     }
-    Some(words)
+    Some(arguments)
 }
--- a/crates/api-gateway/tests/sockets/program.rs
+++ b/crates/api-gateway/tests/sockets/program.rs
@@ -1,6 +1,6 @@
 //! The program under test, as a process.
 
-use super::{list, next, until, Client, LONG};
+use super::{endpoint_list, receive, wait_until, Client, TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The program under test; killed with the test.
+/// The program under test, which is killed when it is dropped.
 pub struct Program {
     child: Child,
     path: PathBuf,
@@ -22,66 +22,71 @@
 }
 
 impl Program {
-    pub fn start(settings: Value, known: &[Value], discovery: SocketAddr, counter: SocketAddr) -> Self {
-        Self::with_sockets(256, settings, known, discovery, counter)
+    pub fn start(
+        settings: Value,
+        cached_hosts: &[Value],
+        discovery: SocketAddr,
+        counter: SocketAddr,
+    ) -> Self {
+        Self::with_sockets(256, settings, cached_hosts, discovery, counter)
     }
 
     pub fn with_sockets(
         sockets: usize,
         settings: Value,
-        known: &[Value],
+        cached_hosts: &[Value],
         discovery: SocketAddr,
         counter: SocketAddr,
     ) -> Self {
         let limits = json!({"cores": 1.0, "memory_mb": 192, "sockets": sockets});
-        Self::within(limits, None, settings, known, discovery, counter)
+        Self::with_limits(limits, None, settings, cached_hosts, discovery, counter)
     }
 
-    /// With an operators' file.
+    /// Starts the program with an operators' file.
     pub fn with_operators(
         file: &Path,
         settings: Value,
-        known: &[Value],
+        cached_hosts: &[Value],
         discovery: SocketAddr,
         counter: SocketAddr,
     ) -> Self {
         let limits = json!({"cores": 1.0, "memory_mb": 192, "sockets": 256});
         let mut command = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
         command.args(["serve", "--operator"]).arg(file);
-        Self::spawn(command, limits, settings, known, discovery, counter)
+        Self::spawn(command, limits, settings, cached_hosts, discovery, counter)
     }
 
-    /// Within these limits of its configuration, and so many descriptors of the system.
-    pub fn within(
+    /// Starts the program with these limits in its configuration, and with this limit of descriptors of the system.
+    pub fn with_limits(
         limits: Value,
         descriptors: Option<u32>,
         settings: Value,
-        known: &[Value],
+        cached_hosts: &[Value],
         discovery: SocketAddr,
         counter: SocketAddr,
     ) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_api-gateway"));
         if let Some(descriptors) = descriptors {
             command = Command::new("sh");
-            let run = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_api-gateway"));
-            command.args(["-c", &run]);
+            let script = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_api-gateway"));
+            command.args(["-c", &script]);
         }
-        Self::spawn(command, limits, settings, known, discovery, counter)
+        Self::spawn(command, limits, settings, cached_hosts, discovery, counter)
     }
 
-    /// By a command that ends up as the program.
+    /// Starts the program by a command that executes it.
     pub fn spawn(
         mut command: Command,
         limits: Value,
         settings: Value,
-        known: &[Value],
+        cached_hosts: &[Value],
         discovery: SocketAddr,
         counter: SocketAddr,
     ) -> Self {
         let config = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "7",
             "limits": limits, "counter": counter.to_string(),
-            "known": list(1, true, known), "settings": settings,
+            "known": endpoint_list(1, true, cached_hosts), "settings": settings,
         });
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -89,21 +94,21 @@
         std::fs::write(&path, config.to_string()).unwrap();
         let mut child = command.env("ROUTER_CONFIG", &path).stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let (told, port) = channel();
+        let (sender, address) = channel();
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let kept = lines.clone();
+        let log_lines = lines.clone();
         thread::spawn(move || {
             let mut line = String::new();
             while log.read_line(&mut line).is_ok_and(|n| n > 0) {
-                kept.lock().unwrap().push(line.trim_end().to_owned());
+                log_lines.lock().unwrap().push(line.trim_end().to_owned());
                 if line.contains("listening name=") {
                     let (_, addr) = line.trim_end().rsplit_once("address=").unwrap();
-                    let _ = told.send(addr.parse().unwrap());
+                    let _ = sender.send(addr.parse().unwrap());
                 }
                 line.clear();
             }
         });
-        let addr = next(&port, "the gateway to listen");
+        let addr = receive(&address, "the gateway to listen");
         Program { child, path, config, log: lines, addr }
     }
 
@@ -111,8 +116,8 @@
         self.try_client().unwrap()
     }
 
-    /// One whose system takes few bytes that it has not read.
-    pub fn deaf_client(&self) -> Client {
+    /// Returns a client that never reads, with a small receive buffer.
+    pub fn non_reading_client(&self) -> Client {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&self.addr.into()).unwrap();
@@ -121,18 +126,18 @@
 
     pub fn try_client(&self) -> std::io::Result<Client> {
         let stream = TcpStream::connect(self.addr)?;
-        stream.set_read_timeout(Some(LONG))?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
         Ok(Client { stream: BufReader::new(stream) })
     }
 
-    /// Replaces the configuration, whole as a deployment does, and sends SIGHUP.
+    /// Replaces the configuration file atomically, as a deployment does, and sends SIGHUP.
     pub fn reload(&mut self, discovery: SocketAddr, counter: SocketAddr) {
         self.config["discovery"] = discovery.to_string().into();
         self.config["counter"] = counter.to_string().into();
         self.reload_text(&self.config.to_string());
     }
 
-    /// The configuration that it started with, but for the addresses that [`Program::reload`] has moved.
+    /// Returns the configuration of the start, with the addresses of the last [`Program::reload`].
     pub fn document(&self) -> &Value {
         &self.config
     }
@@ -144,31 +149,35 @@
         self.signal("HUP");
     }
 
-    /// Where its configuration is.
-    pub fn config(&self) -> PathBuf {
+    /// Returns the path of the configuration file.
+    pub fn config_path(&self) -> PathBuf {
         self.path.clone()
     }
 
     /// Sends SIGHUP.
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal("HUP");
     }
 
-    /// Waits until so many lines of its log hold this.
-    pub fn until_logged(&self, count: usize, text: &str) {
-        let end = Instant::now() + LONG;
+    /// Waits until this number of log lines contain the text.
+    pub fn wait_for_log(&self, count: usize, text: &str) {
+        let end = Instant::now() + TIMEOUT;
         while self.log().iter().filter(|line| line.contains(text)).count() < count {
-            assert!(Instant::now() < end, "waited in vain for {count} times `{text}`: {:?}", self.log());
+            assert!(
+                Instant::now() < end,
+                "timed out waiting for {count} log lines with `{text}`: {:?}",
+                self.log()
+            );
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// What it has written to its log so far.
+    /// Returns the lines of the log until now.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 
-    /// The most memory it has held, in bytes.
+    /// Returns the peak of its resident memory, in bytes.
     pub fn peak_memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
@@ -179,44 +188,44 @@
         self.signal("TERM");
     }
 
-    /// It stands still from now on, while time and its peers go on: what comes lies with the system.
-    pub fn freeze(&self) {
+    /// Stops the process with SIGSTOP. Time and the peers go on, and incoming bytes stay in the system's buffers.
+    pub fn pause(&self) {
         self.signal("STOP");
-        until("the program to stand still", || {
+        wait_until("the program to stop", || {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
             stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('T'))
         });
     }
 
-    /// It goes on.
-    pub fn thaw(&self) {
+    /// Resumes the process.
+    pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// How many connections it holds, of those whose own port and whose peer's are meant.
-    pub fn connections(&self, is_meant: impl Fn(u16, u16) -> bool) -> usize {
+    /// Returns the number of its connections whose local port and peer port match.
+    pub fn count_connections(&self, matches: impl Fn(u16, u16) -> bool) -> usize {
         let table = std::fs::read_to_string(format!("/proc/{}/net/tcp", self.child.id())).unwrap();
         let port = |address: &str| u16::from_str_radix(address.rsplit(':').next().unwrap(), 16).unwrap();
-        let is_held = |line: &&str| {
-            let words: Vec<&str> = line.split_whitespace().collect();
-            // What its process has closed has no inode any more; 0A listens.
-            words[9] != "0" && words[3] != "0A" && is_meant(port(words[1]), port(words[2]))
+        let is_counted = |line: &&str| {
+            let columns: Vec<&str> = line.split_whitespace().collect();
+            // Sockets that the process has closed have no inode; state 0A is a listener.
+            columns[9] != "0" && columns[3] != "0A" && matches(port(columns[1]), port(columns[2]))
         };
-        table.lines().skip(1).filter(is_held).count()
+        table.lines().skip(1).filter(is_counted).count()
     }
 
     fn signal(&self, name: &str) {
         assert!(self.try_signal(name));
     }
 
-    /// Sends it a signal; false: it has ended.
+    /// Sends a signal, and returns whether the process still exists.
     pub fn try_signal(&self, name: &str) -> bool {
         let kill = format!("kill -{name} {}", self.child.id());
         Command::new("sh").args(["-c", &kill]).stderr(Stdio::null()).status().unwrap().success()
     }
 
-    pub fn exit(&mut self) -> ExitStatus {
-        let end = Instant::now() + LONG;
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
--- a/crates/api-gateway/tests/stopping.rs
+++ b/crates/api-gateway/tests/stopping.rs
@@ -1,5 +1,5 @@
-//! Clients that go on as if nothing were while the real program stops: on connections that they have and on new ones, up
-//! to the end.
+//! Clients that continue to send requests while the real program shuts down, on existing and on new connections, until it
+//! has ended.
 #[expect(dead_code, reason = "other tests use the rest")]
 mod sockets;
 
@@ -13,17 +13,17 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Time from one command, and from one new connection, to the next.
-const EVERY: Duration = Duration::from_millis(40);
-/// Plays of a case, until one ends with all answered.
-const PLAYS: usize = 10;
-/// What an answer takes to be more than the systems hold for a client that does not read.
+/// Interval between two commands of a client, and between two new connections.
+const SEND_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum number of runs of a case until one ends with all requests answered.
+const MAX_RUNS: usize = 10;
+/// Length of values that do not fit into the socket buffers of a client that does not read, in bytes.
 const LONG_VALUE: usize = 60_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Hosts {
+enum HostBehavior {
     Serve,
-    /// Half of the time that there is.
+    /// Answers after half of the deadline.
     Slow,
     Hang,
 }
@@ -31,96 +31,97 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     deadline: Duration,
-    hosts: Hosts,
-    /// One client takes nothing.
-    deaf: bool,
+    hosts: HostBehavior,
+    /// Whether one client never reads.
+    has_non_reading_client: bool,
 }
 
-/// How a connection ended for its client.
+/// The end of a connection as command by its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
-    Plain,
+    Closed,
     Reset,
 }
 
-/// What passed on a connection.
-struct Talk {
+/// The requests and answers of a connection.
+struct Session {
     ids: Vec<u64>,
-    heard: Vec<String>,
+    answers: Vec<String>,
     end: End,
 }
 
-/// A value names its id at its begin.
+/// Returns a value that begins with the id of its request.
 fn value(id: &str, case: Case) -> String {
-    format!("{id}{}", if case.deaf { "x".repeat(LONG_VALUE) } else { String::new() })
+    format!("{id}{}", if case.has_non_reading_client { "x".repeat(LONG_VALUE) } else { String::new() })
 }
 
-/// Answers up to the end of the connection, each cut to an id's length.
+/// Reads answers until the end of the connection, each truncated to the length of an id.
 fn read_all(stream: TcpStream) -> (Vec<String>, End) {
-    let (mut reader, mut heard) = (BufReader::new(stream), Vec::new());
+    let (mut reader, mut answers) = (BufReader::new(stream), Vec::new());
     loop {
         let mut line = String::new();
         match reader.read_line(&mut line) {
-            Ok(0) => return (heard, End::Plain),
+            Ok(0) => return (answers, End::Closed),
             Ok(_) => {}
             Err(error) => {
                 let is_reset = [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe].contains(&error.kind());
-                assert!(is_reset, "neither an answer nor an end: {error}");
-                return (heard, End::Reset);
+                assert!(is_reset, "neither an answer nor the end of the connection: {error}");
+                return (answers, End::Reset);
             }
         }
         if let Some(length) = line.strip_prefix('$') {
             let mut text = vec![0; length.trim_end().parse::<usize>().unwrap() + 2];
             if reader.read_exact(&mut text).is_err() {
-                return (heard, End::Reset);
+                return (answers, End::Reset);
             }
             line = String::from_utf8_lossy(&text[..16]).into_owned();
         }
-        heard.push(line.trim_end().to_owned());
+        answers.push(line.trim_end().to_owned());
     }
 }
 
-/// A client that sends a command every so often, whatever it hears, until its connection ends. `None`: it is refused.
-fn talk(to: SocketAddr, case: Case, next: Arc<AtomicU64>) -> JoinHandle<Option<Talk>> {
+/// Starts a client that sends commands at a fixed interval, whatever it receives, until its connection ends. Returns `None`
+/// if the connection is refused.
+fn run_client(to: SocketAddr, case: Case, next: Arc<AtomicU64>) -> JoinHandle<Option<Session>> {
     thread::spawn(move || {
         let mut stream = TcpStream::connect(to).ok()?;
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         let own = stream.try_clone().unwrap();
-        let reading = thread::spawn(move || read_all(own));
+        let reader = thread::spawn(move || read_all(own));
         let list = format!("c=order,t=team,d={},units=1,spread=1,first=0", case.deadline.as_millis());
         let mut ids = Vec::new();
-        while !reading.is_finished() {
+        while !reader.is_finished() {
             let id = next.fetch_add(1, Ordering::Relaxed);
             ids.push(id);
-            let call = command(&["CALL.POST", CUSTOMER, &format!("{id:016x}"), &list, "body"]);
+            let call = encode_command(&["CALL.POST", CUSTOMER, &format!("{id:016x}"), &list, "body"]);
             if stream.write_all(&call).is_err() {
                 break;
             }
-            thread::sleep(EVERY);
+            thread::sleep(SEND_INTERVAL);
         }
-        let (heard, end) = reading.join().unwrap();
-        Some(Talk { ids, heard, end })
+        let (answers, end) = reader.join().unwrap();
+        Some(Session { ids, answers, end })
     })
 }
 
-/// Answers commands in their manner, and notes their ids.
+/// Answers commands as the case says, and returns the ids of all received requests.
 fn serve(hosts: Peers, case: Case) -> Arc<Mutex<BTreeSet<u64>>> {
     let received: Arc<Mutex<BTreeSet<u64>>> = Arc::default();
-    let noted = received.clone();
+    let recorded = received.clone();
     thread::spawn(move || {
         let mut hanging = Vec::new();
         loop {
-            let mut seen = hosts.command();
-            noted.lock().unwrap().insert(u64::from_str_radix(&seen.words[2], 16).unwrap());
-            let value = value(&seen.words[2], case);
+            let mut command = hosts.next_command();
+            recorded.lock().unwrap().insert(u64::from_str_radix(&command.arguments[2], 16).unwrap());
+            let value = value(&command.arguments[2], case);
             match case.hosts {
-                Hosts::Serve => seen.serve_late(&value),
-                Hosts::Slow => drop(thread::spawn(move || {
+                HostBehavior::Serve => command.serve_ignoring_errors(&value),
+                HostBehavior::Slow => drop(thread::spawn(move || {
                     thread::sleep(case.deadline / 2);
-                    seen.serve_late(&value);
+                    command.serve_ignoring_errors(&value);
                 })),
-                Hosts::Hang => hanging.push(seen),
+                HostBehavior::Hang => hanging.push(command),
             }
         }
     });
@@ -135,89 +136,98 @@
             (class["aim"], class["hard-limit"]) = (nanos.into(), nanos.into());
         }
         let (hosts, discovery) = (Peers::start(4), Discovery::start());
-        let line = |(i, addr): (usize, &SocketAddr)| host_line(&format!("s-{i}"), *addr, "in_service", 0);
+        let line = |(i, addr): (usize, &SocketAddr)| host_entry(&format!("s-{i}"), *addr, "in_service", 0);
         let lines: Vec<Value> = hosts.addrs.iter().enumerate().map(line).collect();
         let gateway = Program::start(settings, &lines, discovery.addr, "127.0.0.1:9".parse().unwrap());
-        let mut watch = discovery.watch();
-        watch.tell(&list(1, false, &[]));
-        gateway.client().until_ready();
+        let mut watch = discovery.accept_watch();
+        watch.send_list(&endpoint_list(1, false, &[]));
+        gateway.client().wait_until_ready();
         (gateway, serve(hosts, self), discovery, watch)
     }
 
-    /// Whether it ended with all answered: on a machine so busy that the process stood still for a tenth of a second,
-    /// it may not have.
-    fn play(self) -> bool {
+    /// Runs the case, and returns whether the gateway answered all requests before it ended. It may not on a machine so
+    /// busy that the process is not scheduled for a tenth of a second.
+    fn run(self) -> bool {
         let (mut gateway, received, _discovery, _watch) = self.start();
         let (ids, addr) = (Arc::new(AtomicU64::new(1)), gateway.addr);
-        let mut deaf = self.deaf.then(|| gateway.deaf_client());
-        deaf.iter_mut().for_each(|deaf| (0..12).for_each(|n| deaf.post(1_000_000 + n, "body")));
-        let mut talks: Vec<_> = (0..3).map(|_| talk(addr, self, ids.clone())).collect();
-        // New ones come all the while, up to the end.
+        let mut non_reading = self.has_non_reading_client.then(|| gateway.non_reading_client());
+        non_reading
+            .iter_mut()
+            .for_each(|client| (0..12).for_each(|n| client.send_post(1_000_000 + n, "body")));
+        let mut clients: Vec<_> = (0..3).map(|_| run_client(addr, self, ids.clone())).collect();
+        // New clients connect until the program has ended.
         let has_ended = Arc::new(AtomicBool::new(false));
         let (ended, next) = (has_ended.clone(), ids.clone());
-        let coming = thread::spawn(move || {
-            let mut talks = Vec::new();
+        let connector = thread::spawn(move || {
+            let mut clients = Vec::new();
             while !ended.load(Ordering::Relaxed) {
-                talks.push(talk(addr, self, next.clone()));
-                thread::sleep(EVERY);
+                clients.push(run_client(addr, self, next.clone()));
+                thread::sleep(SEND_INTERVAL);
             }
-            talks
+            clients
         });
         thread::sleep(Duration::from_millis(200));
-        let begun = Instant::now();
+        let start = Instant::now();
         gateway.terminate();
-        // Connections close after 0.45 s, and no commands are taken after 0.5 s.
+        // Connections close after 0.45 s, and no commands are accepted after 0.5 s.
         for (after, signal) in [(100, "TERM"), (200, "HUP"), (470, "HUP"), (550, "TERM")] {
-            thread::sleep(Duration::from_millis(after).saturating_sub(begun.elapsed()));
+            thread::sleep(Duration::from_millis(after).saturating_sub(start.elapsed()));
             gateway.try_signal(signal);
         }
-        assert!(gateway.exit().success(), "{self:?}");
-        assert!(begun.elapsed() < self.deadline + Duration::from_secs(5), "{self:?}: {:?}", begun.elapsed());
+        assert!(gateway.wait_for_exit().success(), "{self:?}");
+        assert!(start.elapsed() < self.deadline + Duration::from_secs(5), "{self:?}: {:?}", start.elapsed());
         has_ended.store(true, Ordering::Relaxed);
-        talks.extend(coming.join().unwrap());
-        drop(deaf);
+        clients.extend(connector.join().unwrap());
+        drop(non_reading);
         if gateway.log().iter().any(|line| line.contains("shutdown timed out with requests in flight")) {
             return false;
         }
-        let talks: Vec<Talk> = talks.into_iter().filter_map(|talk| talk.join().unwrap()).collect();
+        let sessions: Vec<Session> =
+            clients.into_iter().filter_map(|client| client.join().unwrap()).collect();
         let received = received.lock().unwrap();
-        talks.iter().for_each(|talk| self.check(talk, &received));
-        let served = talks.iter().flat_map(|talk| &talk.heard).filter(|text| text.len() == 16).count();
-        assert_eq!(served > 0, self.hosts != Hosts::Hang, "{self:?}: {served}");
+        sessions.iter().for_each(|session| self.check(session, &received));
+        let served =
+            sessions.iter().flat_map(|session| &session.answers).filter(|text| text.len() == 16).count();
+        assert_eq!(served > 0, self.hosts != HostBehavior::Hang, "{self:?}: {served}");
         true
     }
 
-    /// Each command that went on to a host has its answer, in its place and before an end that is no reset.
-    fn check(self, talk: &Talk, received: &BTreeSet<u64>) {
-        let Talk { ids, heard, end } = talk;
-        assert!(*end == End::Plain || heard.is_empty(), "a reset behind {heard:?}: {self:?}");
-        for (id, answer) in ids.iter().zip(heard) {
-            let is_right =
+    /// Checks that each forwarded request got its answer, in the order of the requests and before a close without a reset.
+    fn check(self, session: &Session, received: &BTreeSet<u64>) {
+        let Session { ids, answers, end } = session;
+        assert!(*end == End::Closed || answers.is_empty(), "a reset after {answers:?}: {self:?}");
+        for (id, answer) in ids.iter().zip(answers) {
+            let is_expected =
                 *answer == format!("{id:016x}") || answer.starts_with("-BUSY") || answer == "-ERR failed";
-            assert!(is_right, "{answer} for {id}: {self:?}");
+            assert!(is_expected, "{answer} for {id}: {self:?}");
         }
-        let without: Vec<&u64> = ids.iter().skip(heard.len()).filter(|id| received.contains(id)).collect();
-        assert!(without.is_empty(), "{without:?} were sent on, and have no answer: {self:?}");
+        let unanswered: Vec<&u64> =
+            ids.iter().skip(answers.len()).filter(|id| received.contains(id)).collect();
+        assert!(unanswered.is_empty(), "{unanswered:?} were forwarded, and have no answer: {self:?}");
     }
 }
 
-fn play_all(deadline: Duration, deaf: bool) {
-    let play = |hosts: Hosts| {
-        let case = Case { deadline, hosts, deaf: deaf && hosts == Hosts::Serve };
+fn run_all(deadline: Duration, has_non_reading_client: bool) {
+    let start = |hosts: HostBehavior| {
+        let case = Case {
+            deadline,
+            hosts,
+            has_non_reading_client: has_non_reading_client && hosts == HostBehavior::Serve,
+        };
         thread::spawn(move || {
-            assert!((0..PLAYS).any(|_| case.play()), "ends with requests unanswered: {case:?}")
+            assert!((0..MAX_RUNS).any(|_| case.run()), "ends with requests unanswered: {case:?}")
         })
     };
-    let plays = [Hosts::Serve, Hosts::Slow, Hosts::Hang].map(play);
-    plays.into_iter().for_each(|play| play.join().unwrap());
+    let runs = [HostBehavior::Serve, HostBehavior::Slow, HostBehavior::Hang].map(start);
+    runs.into_iter().for_each(|run| run.join().unwrap());
 }
 
 #[test]
-fn what_is_sent_on_during_a_stop_is_answered_before_its_end_where_time_is_short() {
-    play_all(Duration::from_millis(100), false);
+fn answers_requests_forwarded_during_shutdown_with_a_short_deadline() {
+    run_all(Duration::from_millis(100), false);
 }
 
 #[test]
-fn what_is_sent_on_during_a_stop_is_answered_before_its_end_where_time_is_long() {
-    play_all(Duration::from_secs(3), true);
+fn answers_requests_forwarded_during_shutdown_with_a_long_deadline() {
+    run_all(Duration::from_secs(3), true);
 }
