--- a/crates/api-gateway/src/plan/json.rs
+++ b/crates/api-gateway/src/plan/json.rs
@@ -9,7 +9,7 @@
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Returns the whole report as one object.
+/// Returns the complete report as one object.
 pub fn render(report: &LossReport) -> Value {
     let sites: Vec<Value> = report.plan.sites.iter().map(|site| site_object(report, site)).collect();
     let tiers = report.plan.shedding.tiers.iter();
--- a/crates/api-gateway/src/plan/text.rs
+++ b/crates/api-gateway/src/plan/text.rs
@@ -92,7 +92,7 @@
             vec![report.lost_sites(loss).join(" and "), row.carried, row.refused, row.fullest_site];
         cells.extend(details.next());
         table.add_row(cells);
-        // Each further detail has a row of its own, below the first.
+        // Each further detail has a separate row, below the first.
         for detail in details {
             table.add_row(vec![String::new(), String::new(), String::new(), String::new(), detail]);
         }
--- a/crates/api-gateway/tests/clocks.rs
+++ b/crates/api-gateway/tests/clocks.rs
@@ -1,6 +1,6 @@
 //! Real gateways whose clocks are 2 s ahead and 2 s behind, with quotas below the demand and hosts that warm up: no
-//! invariant may be violated. Needs a test build with the feature `told-clock`. A test binary without the usual harness,
-//! since it also is the launcher of the gateways.
+//! invariant may be violated. Needs a test build with the feature `told-clock`. A test binary without the usual
+//! harness, since it also is the launcher of the gateways.
 
 use cluster_emulator::{become_process, play_real, Played, RealOptions};
 use cluster_model::file;
--- a/crates/api-gateway/tests/deployments.rs
+++ b/crates/api-gateway/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! The same program serves any deployment: the settings determine its behaviour, and a reload with another configuration
-//! changes only addresses and operators' files.
+//! The same program serves any deployment: the settings determine its behaviour, and a reload with another
+//! configuration changes only addresses and operators' files.
 #[allow(dead_code)] // other tests use the rest of it
 mod sockets;
 
@@ -145,9 +145,9 @@
             assert_eq!(answer(program, verb, customer, list), expected, "{verb} {list}");
         }
     }
-    // Whether a request whose connection broke after its last byte is retried depends on the semantics, the lifetime of the
-    // key and the limit of attempts. If it is not retried, a rejection allows the client to retry, which is not allowed
-    // with an unsafe class.
+    // Whether a request whose connection broke after its last byte is retried depends on the semantics, the lifetime of
+    // the key and the limit of attempts. If it is not retried, a rejection allows the client to retry, which is not
+    // allowed with an unsafe class.
     for (customer, (at_one, verb, list, failures, delay, expected)) in (100..).zip([
         (true, "CALL.GET", "c=look,t=gold,d=9000", 1, NONE, "served"),
         (true, "CALL.GET", "c=look,t=gold,d=9000", 2, NONE, "-BUSY"),
--- a/crates/api-gateway/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -1,7 +1,8 @@
 //! Several processes of the program with faulty links between them, checked by the invariant checker.
 //!
-//! A test binary without the usual harness, since it also is the launcher of the gateways, and since tests run an emulator
-//! in a process that can be killed or stopped. Arguments other than flags select tests by a part of their names.
+//! A test binary without the usual harness, since it also is the launcher of the gateways, and since tests run an
+//! emulator in a process that can be killed or stopped. Arguments other than flags select tests by a part of their
+//! names.
 
 use cluster_emulator::{
     become_process, play_real, play_virtual, OnProgress, Played, Progress, RealOptions, RunTrace,
@@ -263,8 +264,8 @@
     assert!(served(&played, 16..17) * 2 > usual);
 }
 
-/// A stopped counter process handles no calls, and handles those in the system's buffers after it resumes. A building that
-/// loses power takes the counter down, and a new process starts with the building.
+/// A stopped counter process handles no calls, and handles those in the system's buffers after it resumes. A building
+/// that loses power takes the counter down, and a new process starts with the building.
 fn a_counter_is_stopped_and_fails_with_its_building() {
     let played = run_checked(
         "scenario \"The counter's process\"
--- a/crates/api-gateway/tests/floods.rs
+++ b/crates/api-gateway/tests/floods.rs
@@ -44,8 +44,8 @@
     format!("{id:016x}")
 }
 
-/// The program is stopped while the command is sent and the time limit for it expires: when it resumes, its timer expires
-/// before it has read any bytes.
+/// The program is stopped while the command is sent and the time limit for it expires: when it resumes, its timer
+/// expires before it has read any bytes.
 #[test]
 fn answers_a_first_command_that_is_unread_when_its_time_limit_expires() {
     let host = Peers::start(1);
@@ -88,8 +88,8 @@
     gateway.resume();
     (100..).zip(&mut idle).for_each(|(id, client)| assert_eq!(client.read_answer(), id_text(id)));
     drop(new);
-    // All idle connections are evicted, in whatever order they were answered, and their clients send a request when they
-    // see the end.
+    // All idle connections are evicted, in whatever order they were answered, and their clients send a request when
+    // they see the end.
     let _others: Vec<Client> = (200..224).map(served_client).collect();
     for (id, client) in (300..).zip(&mut idle[..8]) {
         assert!(client.is_closed());
--- a/crates/api-gateway/tests/gateway/clients.rs
+++ b/crates/api-gateway/tests/gateway/clients.rs
@@ -153,8 +153,8 @@
         client.write(malformed.as_bytes());
         client.send_command(&["PING"]);
         client.send_post(99, "ignored");
-        // The first request is answered only after the malformed input has been read: by then a later request of another
-        // client has been served.
+        // The first request is answered only after the malformed input has been read: by then a later request of
+        // another client has been served.
         assert_served(&mut other, &host, 1_000 + n, "others go on");
         second.serve("second");
         first.serve("first");
--- a/crates/api-gateway/tests/gateway/connection_limits.rs
+++ b/crates/api-gateway/tests/gateway/connection_limits.rs
@@ -161,8 +161,8 @@
         let answer = regular.read_answer();
         assert!(answer == "-BUSY" || answer.len() == 65_000, "{answer}");
     }
-    // All slots may be taken for a moment, but not for this many requests, which take far less time than the limit after
-    // which a connection that does not read is closed.
+    // All slots may be taken for a moment, but not for this many requests, which take far less time than the limit
+    // after which a connection that does not read is closed.
     let is_served = (0..1_000).any(|id| {
         regular.send_get(2_000_000 + id);
         regular.read_answer().len() == 65_000
--- a/crates/api-gateway/tests/gateway/discovery.rs
+++ b/crates/api-gateway/tests/gateway/discovery.rs
@@ -136,7 +136,8 @@
     let line = [host_entry("s-0", host.addrs[0], "in_service", 0)];
     let mut gateway = Program::start(settings(), &line, unreachable, CLOSED_ADDRESS.parse().unwrap());
     let mut client = gateway.client();
-    // The gateway becomes ready after a second without a list: by then it has tried to reach discovery about eight times.
+    // The gateway becomes ready after a second without a list: by then it has tried to reach discovery about eight
+    // times.
     client.wait_until_ready();
     gateway.terminate();
     gateway.wait_for_exit();
--- a/crates/api-gateway/tests/gateway/support.rs
+++ b/crates/api-gateway/tests/gateway/support.rs
@@ -8,8 +8,8 @@
 /// An address on which nothing listens.
 pub const CLOSED_ADDRESS: &str = "127.0.0.1:9";
 
-/// Starts a gateway with hosts that are in service, and discovery. Returns when the gateway is ready: discovery sends no
-/// list, so the gateway uses the list of its configuration after a second.
+/// Starts a gateway with hosts that are in service, and discovery. Returns when the gateway is ready: discovery sends
+/// no list, so the gateway uses the list of its configuration after a second.
 pub fn gateway_with_hosts(settings: Value, hosts: &Peers) -> (Program, Discovery) {
     let discovery = Discovery::start();
     let line = |(i, addr): (usize, &SocketAddr)| host_entry(&format!("s-{i}"), *addr, "in_service", 0);
--- a/crates/api-gateway/tests/leaving.rs
+++ b/crates/api-gateway/tests/leaving.rs
@@ -1,6 +1,6 @@
-//! Many clients of the real program that disconnect simultaneously while their requests wait. None of these requests may
-//! be forwarded afterwards, and no resource may stay occupied: the next client has as many attempts in flight as they had,
-//! and all connections are closed.
+//! Many clients of the real program that disconnect simultaneously while their requests wait. None of these requests
+//! may be forwarded afterwards, and no resource may stay occupied: the next client has as many attempts in flight as
+//! they had, and all connections are closed.
 #[expect(dead_code, reason = "other tests use the rest")]
 mod sockets;
 
@@ -65,8 +65,8 @@
         Site { gateway, hosts: hosts.to_vec(), _discovery: discovery, _watch: watch }
     }
 
-    /// Connects clients that send requests, and returns them when the gateway has read all: each client has the answer to
-    /// the PING before its requests.
+    /// Connects clients that send requests, and returns them when the gateway has read all: each client has the answer
+    /// to the PING before its requests.
     fn connect_clients(&self) -> Vec<Client> {
         let connect = |number: u64| {
             let mut client = self.gateway.client();
@@ -93,7 +93,8 @@
         client
     }
 
-    /// Serves the next client's requests, and checks that hosts get only these, with this number of concurrent attempts.
+    /// Serves the next client's requests, and checks that hosts get only these, with this number of concurrent
+    /// attempts.
     fn serve_next(&self, mut client: Client, hosts: &Peers, concurrent: usize) {
         let next_command = || {
             let command = hosts.next_command();
@@ -202,8 +203,8 @@
         let site = Site::start(test_settings(true), &hosts.addrs, CLOSED_ADDRESS.parse().unwrap());
         let clients = site.connect_clients();
         let in_flight: Vec<ReceivedCommand> = (0..2 * SLOTS).map(|_| hosts.next_command()).collect();
-        // Long before their deadlines. Simultaneously, since a slot freed by the first disconnect would otherwise be given to
-        // a client that is about to disconnect.
+        // Long before their deadlines. Simultaneously, since a slot freed by the first disconnect would otherwise be
+        // given to a client that is about to disconnect.
         site.gateway.pause();
         disconnect_all(clients, disconnect);
         site.gateway.resume();
--- a/crates/api-gateway/tests/load.rs
+++ b/crates/api-gateway/tests/load.rs
@@ -25,8 +25,9 @@
         ..Spec::default()
     };
     let outcome = run(&spec);
-    // Of the 8 MB, 6 are reserved for the program, most of which are pages of its executable: the system decides how many of
-    // those of a test build are resident. The anonymous memory beside them is 2.0 MB if customers stay within their part.
+    // Of the 8 MB, 6 are reserved for the program, most of which are pages of its executable: the system decides how
+    // many of those of a test build are resident. The anonymous memory beside them is 2.0 MB if customers stay within
+    // their part.
     assert!(outcome.anonymous_mb < 2.5, "{} MB", outcome.anonymous_mb);
     // Regular customers are served as well as all others, also on a slow machine.
     let Outcome { all, regular, ended_well, .. } = outcome;
--- a/crates/api-gateway/tests/signals.rs
+++ b/crates/api-gateway/tests/signals.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// Until the program has installed its handlers, either signal ends it, like any process. Afterwards SIGHUP does not, and
-/// SIGTERM ends it with status 0. The system's scheduling decides which of the two happens to signals sent at once.
+/// Until the program has installed its handlers, either signal ends it, like any process. Afterwards SIGHUP does not,
+/// and SIGTERM ends it with status 0. The system's scheduling decides which of the two happens to signals sent at once.
 #[test]
 fn signals_right_after_the_start_kill_the_program_or_stop_it_gracefully() {
     for signals in ORDERS.into_iter().cycle().take(20) {
--- a/crates/api-gateway/tests/sockets/mod.rs
+++ b/crates/api-gateway/tests/sockets/mod.rs
@@ -21,8 +21,8 @@
 /// Time limit of all waits, far above their usual duration also on a loaded machine.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Returns settings that forbid to cancel attempts. The policy module cancels idempotent attempts that are slow compared
-/// with earlier ones, which any attempt may be on a machine that is busy with other tests.
+/// Returns settings that forbid to cancel attempts. The policy module cancels idempotent attempts that are slow
+/// compared with earlier ones, which any attempt may be on a machine that is busy with other tests.
 pub fn settings() -> Value {
     json!({
         "allowed": {"cancel": false, "conn-idle": 60_000_000_000u64, "dial-timeout": 2_000_000_000u64,
--- a/crates/api-gateway/tests/stopping.rs
+++ b/crates/api-gateway/tests/stopping.rs
@@ -1,5 +1,5 @@
-//! Clients that continue to send requests while the real program shuts down, on existing and on new connections, until it
-//! has ended.
+//! Clients that continue to send requests while the real program shuts down, on existing and on new connections, until
+//! it has ended.
 #[expect(dead_code, reason = "other tests use the rest")]
 mod sockets;
 
@@ -80,8 +80,8 @@
     }
 }
 
-/// Starts a client that sends commands at a fixed interval, whatever it receives, until its connection ends. Returns `None`
-/// if the connection is refused.
+/// Starts a client that sends commands at a fixed interval, whatever it receives, until its connection ends. Returns
+/// `None` if the connection is refused.
 fn run_client(to: SocketAddr, case: Case, next: Arc<AtomicU64>) -> JoinHandle<Option<Session>> {
     thread::spawn(move || {
         let mut stream = TcpStream::connect(to).ok()?;
@@ -192,7 +192,8 @@
         true
     }
 
-    /// Checks that each forwarded request got its answer, in the order of the requests and before a close without a reset.
+    /// Checks that each forwarded request got its answer, in the order of the requests and before a close without a
+    /// reset.
     fn check(self, session: &Session, received: &BTreeSet<u64>) {
         let Session { ids, answers, end } = session;
         assert!(*end == End::Closed || answers.is_empty(), "a reset after {answers:?}: {self:?}");
