--- a/crates/gateway/tests/simulated_network/host_crossings.rs
+++ b/crates/gateway/tests/simulated_network/host_crossings.rs
@@ -2,26 +2,27 @@
 //! a connection that comes up late.
 
 use crate::support::{
-    command, entry, get, list, name, post, served, Client, Manner, Peer, Plan, Room, Seen, CLIENT, END, HERE,
-    HOST,
+    command, endpoint_list, format_id, get, host_entry, post, value_reply, Behavior, Client, Peer, Received,
+    Setup, SimulatedNetwork, CLIENT_DELAY, CLOSED, HOST_DELAY, LOCAL_DELAY,
 };
 use cluster_model::{MS, SECOND};
 use runtime::Span;
 use simulated_runtime::Cut;
 
-pub fn calls(host: &Peer) -> Vec<Seen> {
-    host.seen().into_iter().filter(|seen| seen.text.starts_with("CALL")).collect()
+pub fn calls(host: &Peer) -> Vec<Received> {
+    host.take_received().into_iter().filter(|received| received.text.starts_with("CALL")).collect()
 }
 
 /// How long a call for a host is that has four digits of time left.
-pub fn length_at_host(id: u64) -> usize {
-    command(&["CALL.GET", &name(1), &name(id), "c=read,t=team,d=7999,units=1,spread=1,first=0"]).len()
+pub fn forwarded_call_len(id: u64) -> usize {
+    command(&["CALL.GET", &format_id(1), &format_id(id), "c=read,t=team,d=7999,units=1,spread=1,first=0"])
+        .len()
 }
 
 /// Sent so that it comes to the gateway then, and to a host that it has a connection to one way later.
-pub fn ask_at(room: &Room, client: &Client, at: Span, call: bytes::Bytes) {
-    room.run_to(at - CLIENT);
-    client.say(call);
+pub fn call_at(network: &SimulatedNetwork, client: &Client, at: Span, call: bytes::Bytes) {
+    network.run_until(at - CLIENT_DELAY);
+    client.send(call);
 }
 
 /// What a host says of an earlier request, some milliseconds after its answer, and how it comes.
@@ -38,26 +39,26 @@
 fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
     let mut wrong = Vec::new();
     for (what, later, before) in SECOND_ANSWERS {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
         client.post(1);
-        room.run_to(10 * MS);
-        let first = host.one();
-        host.say(first.line, served("first"));
-        room.run(HOST);
+        network.run_until(10 * MS);
+        let first = host.take_single();
+        host.send(first.connection, value_reply("first"));
+        network.run_for(HOST_DELAY);
         // The rest comes to the gateway so long after the answer, and just after the next request has left it.
-        let answered = room.now();
-        room.run_to(answered + (later / 2).max(HOST) - HOST);
-        host.say(first.line, served("first").slice(..before));
-        ask_at(&room, &client, answered + later.max(2 * CLIENT) - 1, post(2, 1, 1.0));
-        room.run_to(answered + later.max(2 * CLIENT) - HOST);
-        host.say(first.line, served("first").slice(before..));
-        room.run(10 * MS);
+        let answered = network.now();
+        network.run_until(answered + (later / 2).max(HOST_DELAY) - HOST_DELAY);
+        host.send(first.connection, value_reply("first").slice(..before));
+        call_at(&network, &client, answered + later.max(2 * CLIENT_DELAY) - 1, post(2, 1, 1.0));
+        network.run_until(answered + later.max(2 * CLIENT_DELAY) - HOST_DELAY);
+        host.send(first.connection, value_reply("first").slice(before..));
+        network.run_for(10 * MS);
         let second = calls(host);
         assert_eq!(second.len(), 1, "{what}: {second:?}");
-        host.say(second[0].line, served("second"));
-        room.run(SECOND);
-        if client.heard() != ["first", "second"] {
+        host.send(second[0].connection, value_reply("second"));
+        network.run_for(SECOND);
+        if client.take_replies() != ["first", "second"] {
             wrong.push(what);
         }
     }
@@ -65,22 +66,26 @@
 }
 
 /// How long a connection rests after an answer.
-const REST: Span = 10 * MS;
+const REUSE_DELAY: Span = 10 * MS;
 
 #[test]
 fn a_connection_that_has_rested_since_its_answer_is_used_again() {
     // How long after the answer the next request comes, and which connection it goes out on.
-    for (later, line) in [(MS, 1), (REST - MS, 1), (REST, 0), (SECOND, 0)] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
-        host.manner(Manner::serve(1, 0));
+    for (later, connection) in [(MS, 1), (REUSE_DELAY - MS, 1), (REUSE_DELAY, 0), (SECOND, 0)] {
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
+        host.set_behavior(Behavior::serve(1, 0));
         client.post(1);
-        room.run_to(10 * MS);
-        let answered = client.seen()[0].0 - CLIENT;
-        host.seen();
-        ask_at(&room, &client, (answered + later).max(room.now() + CLIENT), post(2, 1, 1.0));
-        room.run(100 * MS);
-        assert_eq!(calls(host).iter().map(|seen| seen.line).collect::<Vec<_>>(), [line], "{later}");
+        network.run_until(10 * MS);
+        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        host.take_received();
+        call_at(&network, &client, (answered + later).max(network.now() + CLIENT_DELAY), post(2, 1, 1.0));
+        network.run_for(100 * MS);
+        assert_eq!(
+            calls(host).iter().map(|received| received.connection).collect::<Vec<_>>(),
+            [connection],
+            "{later}"
+        );
     }
 }
 
@@ -88,85 +93,85 @@
 #[test]
 fn a_request_does_not_wait_for_a_new_connection_longer_than_for_a_rested_one() {
     for is_lost in [false, true] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
-        host.manner(Manner::serve(1, 0));
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
+        host.set_behavior(Behavior::serve(1, 0));
         client.get(1);
-        room.run_to(10 * MS);
-        let answered = client.seen()[0].0 - CLIENT;
-        assert_eq!((calls(host).len(), host.lines()), (1, 1));
+        network.run_until(10 * MS);
+        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        assert_eq!((calls(host).len(), host.connection_count()), (1, 1));
         client.get(2);
-        room.run(CLIENT);
+        network.run_for(CLIENT_DELAY);
         // What asks for another connection may be lost, and comes again after a second.
         let machines = if is_lost { vec![host.machine.id()] } else { vec![] };
-        let cut = room.sim.cut(machines, vec![room.gateway()], Cut::Silent);
-        room.run(2 * HOST);
-        room.sim.heal(cut);
-        room.run(100 * MS);
-        let seen = calls(host);
-        assert_eq!(seen.len(), 1);
-        let expected = if is_lost { answered + REST } else { 10 * MS + CLIENT + 2 * HOST };
-        assert_eq!((seen[0].sent, seen[0].line == 1), (expected, !is_lost));
+        let cut = network.sim.cut(machines, vec![network.gateway_machine_id()], Cut::Silent);
+        network.run_for(2 * HOST_DELAY);
+        network.sim.heal(cut);
+        network.run_for(100 * MS);
+        let received = calls(host);
+        assert_eq!(received.len(), 1);
+        let expected = if is_lost { answered + REUSE_DELAY } else { 10 * MS + CLIENT_DELAY + 2 * HOST_DELAY };
+        assert_eq!((received[0].sent, received[0].connection == 1), (expected, !is_lost));
     }
 }
 
 /// The host answers without having read, so the next request finds no room for a byte.
 #[test]
 fn a_line_that_takes_no_byte_does_not_hold_a_request_up_past_a_drain() {
-    let mut plan = Plan::default();
-    plan.network.window = length_at_host(1) as u32;
-    let room = Room::start(plan);
-    let (host, client) = (&room.hosts[0], room.client());
-    host.deaf(0);
+    let mut setup = Setup::default();
+    setup.network.window = forwarded_call_len(1) as u32;
+    let network = SimulatedNetwork::start(setup);
+    let (host, client) = (&network.hosts[0], network.client());
+    host.set_read_limit(0);
     client.get(1);
-    room.run_to(10 * MS);
-    host.say(0, served("first"));
-    room.run(100 * MS);
-    assert_eq!(client.heard(), ["first"]);
+    network.run_until(10 * MS);
+    host.send(0, value_reply("first"));
+    network.run_for(100 * MS);
+    assert_eq!(client.take_replies(), ["first"]);
     client.get(2);
-    room.run(10 * MS);
-    let told = room.now() + HERE;
-    room.discovery.tell(0, &list(2, false, &[entry(&room.hosts, 0, "terminating")]));
-    room.run(100 * MS);
-    host.manner(Manner::serve(1, 0));
-    host.hear();
-    room.run(SECOND);
-    let late: Vec<_> = calls(host).into_iter().filter(|seen| seen.sent > told).collect();
-    assert!(late.is_empty(), "told at {told}: {late:?}");
-    assert_eq!(client.heard(), [name(2)], "another connection took it before");
+    network.run_for(10 * MS);
+    let notified_at = network.now() + LOCAL_DELAY;
+    network.discovery.send_list(0, &endpoint_list(2, false, &[host_entry(&network.hosts, 0, "terminating")]));
+    network.run_for(100 * MS);
+    host.set_behavior(Behavior::serve(1, 0));
+    host.read_all();
+    network.run_for(SECOND);
+    let late: Vec<_> = calls(host).into_iter().filter(|received| received.sent > notified_at).collect();
+    assert!(late.is_empty(), "told at {notified_at}: {late:?}");
+    assert_eq!(client.take_replies(), [format_id(2)], "another connection took it before");
 }
 
 /// A room whose connections take so much of a request and no more.
-pub fn narrow(window: usize) -> Room {
-    let mut plan = Plan::default();
-    plan.network.window = window as u32;
-    Room::start(plan)
+pub fn start_with_window(window: usize) -> SimulatedNetwork {
+    let mut setup = Setup::default();
+    setup.network.window = window as u32;
+    SimulatedNetwork::start(setup)
 }
 
 /// A kept connection has a part of a request when its client leaves and then the connection breaks.
 #[test]
 fn a_request_that_its_connection_lost_goes_nowhere_once_its_client_has_left() {
     for is_left_first in [false, true] {
-        let room = narrow(length_at_host(1) - 10);
-        let (host, client, leaver) = (&room.hosts[0], room.client(), room.client());
-        host.manner(Manner::serve(1, 0));
+        let network = start_with_window(forwarded_call_len(1) - 10);
+        let (host, client, leaving_client) = (&network.hosts[0], network.client(), network.client());
+        host.set_behavior(Behavior::serve(1, 0));
         // It reads the first request and no more.
-        host.deaf(length_at_host(1));
+        host.set_read_limit(forwarded_call_len(1));
         client.get(1);
-        room.run_to(100 * MS);
-        assert_eq!(client.heard(), [name(1)]);
-        host.seen();
-        leaver.get(2);
-        room.run(10 * MS);
+        network.run_until(100 * MS);
+        assert_eq!(client.take_replies(), [format_id(1)]);
+        host.take_received();
+        leaving_client.get(2);
+        network.run_for(10 * MS);
         if is_left_first {
-            leaver.close();
-            room.run(10 * MS);
+            leaving_client.close();
+            network.run_for(10 * MS);
         }
-        host.deaf(usize::MAX);
-        let cut = room.sim.cut(vec![host.machine.id()], vec![room.gateway()], Cut::Reset);
-        room.sim.heal(cut);
-        room.run(100 * MS);
-        let again: Vec<_> = calls(host).into_iter().map(|seen| seen.line).collect();
+        host.set_read_limit(usize::MAX);
+        let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Reset);
+        network.sim.heal(cut);
+        network.run_for(100 * MS);
+        let again: Vec<_> = calls(host).into_iter().map(|received| received.connection).collect();
         assert_eq!(again, if is_left_first { vec![] } else { vec![1] }, "left first: {is_left_first}");
     }
 }
@@ -174,34 +179,34 @@
 /// The same where the host drains meanwhile: what has begun there may go on, and nothing begins there anew.
 #[test]
 fn a_request_that_its_connection_lost_does_not_begin_anew_at_a_host_that_drains() {
-    let room = narrow(length_at_host(1) - 10);
-    let (host, client) = (&room.hosts[0], room.client());
-    host.manner(Manner::serve(1, 0));
-    host.deaf(length_at_host(1));
+    let network = start_with_window(forwarded_call_len(1) - 10);
+    let (host, client) = (&network.hosts[0], network.client());
+    host.set_behavior(Behavior::serve(1, 0));
+    host.set_read_limit(forwarded_call_len(1));
     client.get(1);
-    room.run_to(100 * MS);
-    host.seen();
+    network.run_until(100 * MS);
+    host.take_received();
     client.get(2);
-    room.run(10 * MS);
-    room.discovery.tell(0, &list(2, false, &[entry(&room.hosts, 0, "terminating")]));
-    room.run(10 * MS);
-    host.deaf(usize::MAX);
-    let cut = room.sim.cut(vec![host.machine.id()], vec![room.gateway()], Cut::Reset);
-    room.sim.heal(cut);
-    room.run(10 * SECOND);
+    network.run_for(10 * MS);
+    network.discovery.send_list(0, &endpoint_list(2, false, &[host_entry(&network.hosts, 0, "terminating")]));
+    network.run_for(10 * MS);
+    host.set_read_limit(usize::MAX);
+    let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Reset);
+    network.sim.heal(cut);
+    network.run_for(10 * SECOND);
     assert!(calls(host).is_empty());
-    assert_eq!(client.heard(), [name(1), "-BUSY".to_owned()]);
+    assert_eq!(client.take_replies(), [format_id(1), "-BUSY".to_owned()]);
 }
 
 /// A room with two hosts, and the keyed class in place of the unsafe one.
-fn keyed(window: Span) -> Room {
-    let mut plan = Plan { hosts: 2, ..Plan::default() };
-    plan.settings["allowed"]["dial-timeout"] = (4 * SECOND).into();
-    let order = &mut plan.settings["services"][1];
+fn start_keyed(window: Span) -> SimulatedNetwork {
+    let mut setup = Setup { hosts: 2, ..Setup::default() };
+    setup.settings["allowed"]["dial-timeout"] = (4 * SECOND).into();
+    let order = &mut setup.settings["services"][1];
     order["semantics"] = "keyed".into();
     order["dedup-scope"] = "all".into();
     order["key-ttl"] = window.into();
-    Room::start(plan)
+    SimulatedNetwork::start(setup)
 }
 
 /// The window, and whether the repeat is made where the other host is reached a second after the first failed.
@@ -211,26 +216,26 @@
 #[test]
 fn a_keyed_request_is_not_written_again_after_its_window() {
     for (window, is_repeated) in WINDOWS {
-        let room = keyed(window);
-        let client = room.client();
+        let network = start_keyed(window);
+        let client = network.client();
         client.post(1);
-        room.run_to(10 * MS);
-        let first = room.hosts.iter().position(|host| host.lines() == 1).unwrap();
-        let (host, other) = (&room.hosts[first], &room.hosts[1 - first]);
-        let sent = host.one().sent;
-        other.manner(Manner::serve(1, 0));
-        let cut = room.sim.cut(vec![other.machine.id()], vec![room.gateway()], Cut::Silent);
-        host.say(0, "-ERR failed\r\n");
-        room.run(500 * MS);
-        room.sim.heal(cut);
-        room.run(7 * SECOND);
+        network.run_until(10 * MS);
+        let first = network.hosts.iter().position(|host| host.connection_count() == 1).unwrap();
+        let (host, other) = (&network.hosts[first], &network.hosts[1 - first]);
+        let sent = host.take_single().sent;
+        other.set_behavior(Behavior::serve(1, 0));
+        let cut = network.sim.cut(vec![other.machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
+        host.send(0, "-ERR failed\r\n");
+        network.run_for(500 * MS);
+        network.sim.heal(cut);
+        network.run_for(7 * SECOND);
         let again = calls(other);
         assert_eq!(again.len(), usize::from(is_repeated), "{window}: {again:?}");
-        assert!(again.iter().all(|seen| seen.at < sent + window), "{window}");
-        let heard = client.seen();
-        let [(at, answer)] = &heard[..] else { panic!("{window}: {heard:?}") };
+        assert!(again.iter().all(|received| received.at < sent + window), "{window}");
+        let replies = client.take_timed_replies();
+        let [(at, answer)] = &replies[..] else { panic!("{window}: {replies:?}") };
         if is_repeated {
-            assert_eq!(*answer, name(1));
+            assert_eq!(*answer, format_id(1));
         } else {
             assert_eq!(answer, "-BUSY", "hosts drop repeats: to try again is harmless");
             assert!(
@@ -245,92 +250,92 @@
 #[test]
 fn a_keyed_request_that_waits_for_room_is_not_finished_after_its_window() {
     let window = SECOND;
-    let mut plan = Plan { hosts: 2, ..Plan::default() };
-    plan.network.window = 64;
-    let order = &mut plan.settings["services"][1];
+    let mut setup = Setup { hosts: 2, ..Setup::default() };
+    setup.network.window = 64;
+    let order = &mut setup.settings["services"][1];
     order["semantics"] = "keyed".into();
     order["dedup-scope"] = "all".into();
     order["key-ttl"] = window.into();
-    let room = Room::start(plan);
-    let client = room.client();
+    let network = SimulatedNetwork::start(setup);
+    let client = network.client();
     client.post(1);
-    room.run_to(10 * MS);
-    let first = room.hosts.iter().position(|host| host.lines() == 1).unwrap();
-    let (host, other) = (&room.hosts[first], &room.hosts[1 - first]);
-    let sent = host.one().sent;
-    other.deaf(0);
-    host.say(0, "-ERR failed\r\n");
-    room.run_to(sent + 950 * MS);
-    other.hear();
-    room.run(SECOND);
+    network.run_until(10 * MS);
+    let first = network.hosts.iter().position(|host| host.connection_count() == 1).unwrap();
+    let (host, other) = (&network.hosts[first], &network.hosts[1 - first]);
+    let sent = host.take_single().sent;
+    other.set_read_limit(0);
+    host.send(0, "-ERR failed\r\n");
+    network.run_until(sent + 950 * MS);
+    other.read_all();
+    network.run_for(SECOND);
     assert!(calls(other).is_empty());
-    assert_eq!(client.heard(), ["-BUSY"]);
+    assert_eq!(client.take_replies(), ["-BUSY"]);
 }
 
 /// It dialed for a request that was given up long before.
 #[test]
 fn a_connection_that_comes_up_late_serves_the_next_request() {
-    let mut plan = Plan::default();
-    plan.settings["allowed"]["dial-timeout"] = (4 * SECOND).into();
-    let room = Room::start(plan);
-    let (host, client, leaver) = (&room.hosts[0], room.client(), room.client());
-    host.manner(Manner::serve(1, 0));
-    let cut = room.sim.cut(vec![host.machine.id()], vec![room.gateway()], Cut::Silent);
-    leaver.post(1);
-    room.run_to(100 * MS);
-    leaver.close();
-    room.run_to(500 * MS);
-    room.sim.heal(cut);
-    room.run_to(2 * SECOND);
-    assert_eq!((host.lines(), host.seen()), (1, vec![]));
+    let mut setup = Setup::default();
+    setup.settings["allowed"]["dial-timeout"] = (4 * SECOND).into();
+    let network = SimulatedNetwork::start(setup);
+    let (host, client, leaving_client) = (&network.hosts[0], network.client(), network.client());
+    host.set_behavior(Behavior::serve(1, 0));
+    let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
+    leaving_client.post(1);
+    network.run_until(100 * MS);
+    leaving_client.close();
+    network.run_until(500 * MS);
+    network.sim.heal(cut);
+    network.run_until(2 * SECOND);
+    assert_eq!((host.connection_count(), host.take_received()), (1, vec![]));
     client.post(2);
-    room.run(100 * MS);
-    assert_eq!(client.heard(), [name(2)]);
-    assert_eq!(host.one().line, 0);
+    network.run_for(100 * MS);
+    assert_eq!(client.take_replies(), [format_id(2)]);
+    assert_eq!(host.take_single().connection, 0);
 }
 
 /// The failure of a dial is that of the request it was made for, not of one that came just before its end.
 #[test]
 fn a_dial_whose_request_has_gone_fails_no_other() {
-    let mut plan = Plan::default();
-    plan.settings["allowed"]["max-attempts"] = 1.into();
-    let room = Room::start(plan);
-    let (host, client, leaver) = (&room.hosts[0], room.client(), room.client());
-    host.manner(Manner::serve(1, 0));
-    let cut = room.sim.cut(vec![host.machine.id()], vec![room.gateway()], Cut::Silent);
-    leaver.post(1);
-    room.run_to(100 * MS);
-    leaver.close();
-    room.run_to(240 * MS);
-    room.sim.heal(cut);
+    let mut setup = Setup::default();
+    setup.settings["allowed"]["max-attempts"] = 1.into();
+    let network = SimulatedNetwork::start(setup);
+    let (host, client, leaving_client) = (&network.hosts[0], network.client(), network.client());
+    host.set_behavior(Behavior::serve(1, 0));
+    let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
+    leaving_client.post(1);
+    network.run_until(100 * MS);
+    leaving_client.close();
+    network.run_until(240 * MS);
+    network.sim.heal(cut);
     client.post(2);
-    room.run_to(2 * SECOND);
-    assert_eq!(client.heard(), [name(2)]);
-    let seen = host.one();
-    assert!(seen.at < 255 * MS, "at once when the dial had failed: {seen:?}");
+    network.run_until(2 * SECOND);
+    assert_eq!(client.take_replies(), [format_id(2)]);
+    let received = host.take_single();
+    assert!(received.at < 255 * MS, "at once when the dial had failed: {received:?}");
 }
 
 /// The host's end of an idle connection and a request on it cross on the way.
 #[test]
 fn a_request_that_crosses_the_hosts_close_of_an_idle_connection() {
     for (call, is_repeated) in [(get(2), true), (post(2, 1, 1.0), false)] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
-        host.manner(Manner::serve(1, 0));
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
+        host.set_behavior(Behavior::serve(1, 0));
         client.get(1);
-        room.run_to(500 * MS);
-        host.seen();
-        client.heard();
+        network.run_until(500 * MS);
+        host.take_received();
+        client.take_replies();
         // Half a way before the request leaves the gateway, so that each is on its way when the other is.
-        room.run_to(SECOND - CLIENT);
-        client.say(call);
-        room.run_to(SECOND - HOST / 2);
+        network.run_until(SECOND - CLIENT_DELAY);
+        client.send(call);
+        network.run_until(SECOND - HOST_DELAY / 2);
         host.close(0);
-        room.run(SECOND);
-        let seen = calls(host);
-        assert_eq!(seen.len(), usize::from(is_repeated), "{seen:?}");
-        let answer = if is_repeated { name(2) } else { "-ERR failed".to_owned() };
-        assert_eq!(client.heard(), [answer], "it may have run, as far as anybody can tell");
+        network.run_for(SECOND);
+        let received = calls(host);
+        assert_eq!(received.len(), usize::from(is_repeated), "{received:?}");
+        let answer = if is_repeated { format_id(2) } else { "-ERR failed".to_owned() };
+        assert_eq!(client.take_replies(), [answer], "it may have run, as far as anybody can tell");
     }
 }
 
@@ -338,19 +343,19 @@
 #[test]
 fn a_request_that_crosses_our_close_of_an_idle_connection_goes_out_once() {
     for offset in [-1_i64, 0, 1] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
-        host.manner(Manner::serve(1, 0));
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
+        host.set_behavior(Behavior::serve(1, 0));
         client.post(1);
-        room.run_to(SECOND);
-        let answered = client.seen()[0].0 - CLIENT;
-        host.seen();
+        network.run_until(SECOND);
+        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        host.take_received();
         let at = (answered + 5 * SECOND).saturating_add_signed(offset);
-        ask_at(&room, &client, at, post(2, 1, 1.0));
-        room.run(SECOND);
-        assert_eq!(client.heard(), [name(2)], "{offset}");
+        call_at(&network, &client, at, post(2, 1, 1.0));
+        network.run_for(SECOND);
+        assert_eq!(client.take_replies(), [format_id(2)], "{offset}");
         assert_eq!(calls(host).len(), 1, "{offset}");
-        assert!(host.lines() <= 2, "{offset}");
+        assert!(host.connection_count() <= 2, "{offset}");
     }
 }
 
@@ -358,21 +363,22 @@
 #[test]
 fn half_a_line_on_an_idle_connection_ends_it_and_no_request() {
     for before in [1, MS, SECOND] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
-        host.manner(Manner::serve(1, 0));
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
+        host.set_behavior(Behavior::serve(1, 0));
         client.post(1);
-        room.run_to(2 * SECOND - before - HOST);
-        host.seen();
-        client.heard();
-        host.say(0, served("nobody asked").slice(..9));
-        ask_at(&room, &client, 2 * SECOND, post(2, 1, 1.0));
-        room.run(10 * MS);
-        host.say(0, served("nobody asked").slice(9..));
-        room.run(SECOND);
-        assert_eq!(client.heard(), [name(2)], "{before}");
-        let seen: Vec<_> = host.seen().into_iter().filter(|seen| seen.text != END).collect();
-        assert_eq!(seen.iter().map(|seen| seen.line).collect::<Vec<_>>(), [1], "{before}");
+        network.run_until(2 * SECOND - before - HOST_DELAY);
+        host.take_received();
+        client.take_replies();
+        host.send(0, value_reply("nobody asked").slice(..9));
+        call_at(&network, &client, 2 * SECOND, post(2, 1, 1.0));
+        network.run_for(10 * MS);
+        host.send(0, value_reply("nobody asked").slice(9..));
+        network.run_for(SECOND);
+        assert_eq!(client.take_replies(), [format_id(2)], "{before}");
+        let received: Vec<_> =
+            host.take_received().into_iter().filter(|received| received.text != CLOSED).collect();
+        assert_eq!(received.iter().map(|received| received.connection).collect::<Vec<_>>(), [1], "{before}");
     }
 }
 
@@ -380,22 +386,24 @@
 #[test]
 fn a_request_that_waits_for_a_rested_connection_does_not_go_out_after_a_drain() {
     for is_drained in [false, true] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
-        host.manner(Manner::serve(1, 0));
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
+        host.set_behavior(Behavior::serve(1, 0));
         client.get(1);
-        room.run_to(10 * MS);
-        host.seen();
-        let answered = client.seen()[0].0 - CLIENT;
-        let cut = room.sim.cut(vec![host.machine.id()], vec![room.gateway()], Cut::Silent);
+        network.run_until(10 * MS);
+        host.take_received();
+        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
         client.get(2);
-        room.run(2 * MS);
-        room.sim.heal(cut);
+        network.run_for(2 * MS);
+        network.sim.heal(cut);
         if is_drained {
-            room.run_to(answered + REST - HERE - 1);
-            room.discovery.tell(0, &list(2, false, &[entry(&room.hosts, 0, "terminating")]));
+            network.run_until(answered + REUSE_DELAY - LOCAL_DELAY - 1);
+            network
+                .discovery
+                .send_list(0, &endpoint_list(2, false, &[host_entry(&network.hosts, 0, "terminating")]));
         }
-        room.run(SECOND);
+        network.run_for(SECOND);
         assert_eq!(calls(host).len(), usize::from(!is_drained));
     }
 }
@@ -404,21 +412,24 @@
 #[test]
 fn a_host_that_comes_back_after_it_was_given_up_answers_nobody() {
     for (call, answer) in [(get(1), "-BUSY"), (post(1, 1, 1.0), "-ERR failed")] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
-        client.say(call);
-        room.run_to(9 * SECOND);
-        assert_eq!(client.heard(), [answer]);
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
+        client.send(call);
+        network.run_until(9 * SECOND);
+        assert_eq!(client.take_replies(), [answer]);
         let given_up = calls(host);
-        given_up.iter().for_each(|seen| host.say(seen.line, served("late")));
+        given_up.iter().for_each(|received| host.send(received.connection, value_reply("late")));
         client.post(2);
-        room.run(10 * MS);
-        given_up.iter().for_each(|seen| host.say(seen.line, served("later")));
+        network.run_for(10 * MS);
+        given_up.iter().for_each(|received| host.send(received.connection, value_reply("later")));
         let [second] = &calls(host)[..] else { panic!("one more") };
-        assert!(given_up.iter().all(|seen| seen.line != second.line), "on a connection of its own");
-        host.say(second.line, served("second"));
-        room.run(10 * MS);
-        assert_eq!(client.heard(), ["second"]);
+        assert!(
+            given_up.iter().all(|received| received.connection != second.connection),
+            "on a connection of its own"
+        );
+        host.send(second.connection, value_reply("second"));
+        network.run_for(10 * MS);
+        assert_eq!(client.take_replies(), ["second"]);
     }
 }
 
@@ -429,79 +440,86 @@
     for (after, safe) in
         [None, Some(MS), Some(5 * SECOND)].iter().flat_map(|after| [(*after, true), (*after, false)])
     {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
         client.get(1);
-        room.run_to(10 * MS);
-        host.say(host.one().line, served("first"));
-        room.run(2 * SECOND);
+        network.run_until(10 * MS);
+        host.send(host.take_single().connection, value_reply("first"));
+        network.run_for(2 * SECOND);
         let reset = || {
-            let cut = room.sim.cut(vec![host.machine.id()], vec![room.gateway()], Cut::Reset);
-            room.sim.heal(cut);
+            let cut =
+                network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Reset);
+            network.sim.heal(cut);
         };
         let ask = || if safe { client.get(2) } else { client.post(2) };
         match after {
             None => {
                 reset();
-                room.run(SECOND);
+                network.run_for(SECOND);
                 ask();
             }
             Some(after) => {
                 ask();
-                room.run(CLIENT + HOST + after);
+                network.run_for(CLIENT_DELAY + HOST_DELAY + after);
                 assert_eq!(calls(host).len(), 1);
                 reset();
             }
         }
-        host.manner(Manner::serve(1, 0));
-        room.run(SECOND);
+        host.set_behavior(Behavior::serve(1, 0));
+        network.run_for(SECOND);
         let is_sent = after.is_none() || safe;
         assert_eq!(calls(host).len(), usize::from(is_sent), "{after:?}, safe: {safe}");
-        let answer = if is_sent { name(2) } else { "-ERR failed".to_owned() };
-        assert_eq!(client.heard(), ["first".to_owned(), answer], "{after:?}, safe: {safe}");
+        let answer = if is_sent { format_id(2) } else { "-ERR failed".to_owned() };
+        assert_eq!(client.take_replies(), ["first".to_owned(), answer], "{after:?}, safe: {safe}");
     }
 }
 
 /// It never ends, and gets on each time: its request's time ends it.
 #[test]
 fn an_answer_that_never_ends_ends_with_the_time_of_its_request() {
-    let room = Room::start(Plan::default());
-    let (host, client) = (&room.hosts[0], room.client());
+    let network = SimulatedNetwork::start(Setup::default());
+    let (host, client) = (&network.hosts[0], network.client());
     client.post(1);
-    room.run_to(10 * MS);
-    let line = host.one().line;
-    host.say(line, "*3\r\n$60000\r\n");
-    while room.now() < 10 * SECOND {
-        host.say(line, "x");
-        room.run(100 * MS);
+    network.run_until(10 * MS);
+    let connection = host.take_single().connection;
+    host.send(connection, "*3\r\n$60000\r\n");
+    while network.now() < 10 * SECOND {
+        host.send(connection, "x");
+        network.run_for(100 * MS);
     }
-    assert_eq!(client.seen(), [(3 * CLIENT + 8 * SECOND + CLIENT, "-ERR failed".to_owned())]);
-    assert_eq!(host.seen()[0].text, END);
+    assert_eq!(
+        client.take_timed_replies(),
+        [(3 * CLIENT_DELAY + 8 * SECOND + CLIENT_DELAY, "-ERR failed".to_owned())]
+    );
+    assert_eq!(host.take_received()[0].text, CLOSED);
 }
 
 #[test]
 fn a_connection_is_given_back_after_its_answer_where_hosts_turn_new_ones_away() {
     for (turned_away, is_kept) in [(0, true), (2, true), (4, false)] {
-        let room = Room::start(Plan::default());
-        let (host, client) = (&room.hosts[0], room.client());
+        let network = SimulatedNetwork::start(Setup::default());
+        let (host, client) = (&network.hosts[0], network.client());
         for id in 2..2 + turned_away {
             client.post(id);
             let call = loop {
-                room.run(HOST / 2);
+                network.run_for(HOST_DELAY / 2);
                 if let Some(call) = calls(host).pop() {
                     break call;
                 }
             };
-            host.close(call.line);
-            room.run(5 * MS);
+            host.close(call.connection);
+            network.run_for(5 * MS);
         }
         client.post(1);
-        room.run(5 * MS);
-        let line = calls(host).last().unwrap().line;
-        host.say(line, served("first"));
-        room.run(5 * MS);
-        assert_eq!(client.heard().last().unwrap(), "first");
-        let has_ended = host.seen().iter().any(|seen| seen.line == line && seen.text == END);
+        network.run_for(5 * MS);
+        let connection = calls(host).last().unwrap().connection;
+        host.send(connection, value_reply("first"));
+        network.run_for(5 * MS);
+        assert_eq!(client.take_replies().last().unwrap(), "first");
+        let has_ended = host
+            .take_received()
+            .iter()
+            .any(|received| received.connection == connection && received.text == CLOSED);
         assert_eq!(has_ended, !is_kept, "{turned_away} turned away");
     }
 }
--- a/crates/gateway/tests/simulated_network/leaving.rs
+++ b/crates/gateway/tests/simulated_network/leaving.rs
@@ -1,12 +1,15 @@
 //! Clients that go while they are still owed answers.
 
-use crate::support::{bulk, command, name, post, served, tariff, Client, Plan, Room, Seen, CLIENT, HOST};
+use crate::support::{
+    bulk, command, customer_plan, format_id, post, value_reply, Client, Received, Setup, SimulatedNetwork,
+    CLIENT_DELAY, HOST_DELAY,
+};
 use cluster_model::MS;
 use runtime::Span;
 
 /// How a client goes.
 #[derive(Clone, Copy, Debug)]
-enum Going {
+enum Departure {
     Closes,
     Resets,
 }
@@ -19,85 +22,90 @@
     calls: u64,
     body: usize,
     /// Bytes of answers that the client takes.
-    reads: usize,
+    read_limit: usize,
     /// Hosts answer this many calls before it goes.
     answered: usize,
     /// Bytes that are no command, behind the calls.
-    nonsense: usize,
-    going: Going,
+    garbage: usize,
+    departure: Departure,
     /// The hosts' answers arrive so much later than the clients' ends, in nanoseconds; `None`: long after.
-    meets: Option<i64>,
+    reply_offset: Option<i64>,
 }
 
 impl Case {
     fn commands(&self, first: u64) -> Vec<u8> {
         let list = "c=order,t=team,d=8500,units=1,spread=1,first=0";
         let body = "b".repeat(self.body);
-        let call = |id: u64| command(&["CALL.POST", &name(1), &name(id), list, &body]).to_vec();
-        (first..first + self.calls).flat_map(call).chain(std::iter::repeat_n(b'x', self.nonsense)).collect()
+        let call = |id: u64| command(&["CALL.POST", &format_id(1), &format_id(id), list, &body]).to_vec();
+        (first..first + self.calls).flat_map(call).chain(std::iter::repeat_n(b'x', self.garbage)).collect()
     }
 }
 
 /// Commands that have come to the hosts.
-fn commands(room: &Room) -> Vec<(usize, Seen)> {
+fn commands(network: &SimulatedNetwork) -> Vec<(usize, Received)> {
     let of = |(number, host): (usize, &crate::support::Peer)| {
-        host.seen().into_iter().filter(|seen| seen.text.starts_with("CALL")).map(move |seen| (number, seen))
+        host.take_received()
+            .into_iter()
+            .filter(|received| received.text.starts_with("CALL"))
+            .map(move |received| (number, received))
     };
-    room.hosts.iter().enumerate().flat_map(of).collect()
+    network.hosts.iter().enumerate().flat_map(of).collect()
 }
 
-fn serve(room: &Room, commands: &[(usize, Seen)], length: usize) {
+fn serve(network: &SimulatedNetwork, commands: &[(usize, Received)], length: usize) {
     let value = "v".repeat(length);
-    commands.iter().for_each(|(host, seen)| room.hosts[*host].say(seen.line, served(&value)));
+    commands
+        .iter()
+        .for_each(|(host, received)| network.hosts[*host].send(received.connection, value_reply(&value)));
 }
 
 /// Of a value that goes in many pieces.
-const LONG: usize = 60_000;
+const LARGE_VALUE_LEN: usize = 60_000;
 
 /// Two clients ask alike, one after the other; gives how many attempts each has out at first.
-fn play(case: &Case) -> [usize; 2] {
-    let room = Room::start(Plan { hosts: 2, ..Plan::default() });
-    let ask = |first: u64| -> (Vec<Client>, Vec<(usize, Seen)>) {
+fn run_case(case: &Case) -> [usize; 2] {
+    let network = SimulatedNetwork::start(Setup { hosts: 2, ..Setup::default() });
+    let ask = |first: u64| -> (Vec<Client>, Vec<(usize, Received)>) {
         let ask = |number: u64| {
-            room.client_that_says(case.commands(first + number * case.calls).into(), case.reads)
+            network.client_with_call(case.commands(first + number * case.calls).into(), case.read_limit)
         };
         let clients = (0..case.clients).map(ask).collect();
-        room.run(50 * MS);
-        let out = commands(&room);
-        (clients, out)
+        network.run_for(50 * MS);
+        let in_flight = commands(&network);
+        (clients, in_flight)
     };
-    let (clients, mut out) = ask(1);
-    let first = out.len();
+    let (clients, mut in_flight) = ask(1);
+    let first = in_flight.len();
     assert!(first > 0 && (first as u64) < case.clients * case.calls, "{first}, and none waits: {case:?}");
-    serve(&room, &out.drain(..case.answered).collect::<Vec<_>>(), LONG);
-    room.run(50 * MS);
-    clients.iter().for_each(|client| match case.going {
-        Going::Closes => client.close(),
-        Going::Resets => client.reset(),
+    serve(&network, &in_flight.drain(..case.answered).collect::<Vec<_>>(), LARGE_VALUE_LEN);
+    network.run_for(50 * MS);
+    clients.iter().for_each(|client| match case.departure {
+        Departure::Closes => client.close(),
+        Departure::Resets => client.reset(),
     });
-    let late: Span = room.now() + 100 * MS;
-    if let Some(later) = case.meets {
-        room.run((CLIENT - HOST).saturating_add_signed(later));
-        serve(&room, &std::mem::take(&mut out), 1);
+    let late: Span = network.now() + 100 * MS;
+    if let Some(later) = case.reply_offset {
+        network.run_for((CLIENT_DELAY - HOST_DELAY).saturating_add_signed(later));
+        serve(&network, &std::mem::take(&mut in_flight), 1);
         // What an answer that came first has let out is answered long after.
-        room.run(10 * MS);
-        out = commands(&room);
+        network.run_for(10 * MS);
+        in_flight = commands(&network);
     }
-    room.run_to(late);
+    network.run_until(late);
     // Slots come free, and connections with them.
-    while !out.is_empty() {
-        serve(&room, &out, LONG);
-        room.run(50 * MS);
-        out = commands(&room);
-        let sent_late: Vec<_> = out.iter().filter(|(_, seen)| seen.sent > late).collect();
+    while !in_flight.is_empty() {
+        serve(&network, &in_flight, LARGE_VALUE_LEN);
+        network.run_for(50 * MS);
+        in_flight = commands(&network);
+        let sent_late: Vec<_> = in_flight.iter().filter(|(_, received)| received.sent > late).collect();
         assert!(
             sent_late.is_empty(),
             "{} are sent on after their client has gone: {case:?}",
             sent_late.len()
         );
     }
-    let (_clients, out) = ask(1_000);
-    [first, out.len()]
+    let (_clients, in_flight) = ask(1_000);
+    [first, in_flight.len()]
 }
 
 #[test]
@@ -106,33 +114,33 @@
         clients: 1,
         calls: 20,
         body: 10,
-        reads: usize::MAX,
+        read_limit: usize::MAX,
         answered: 0,
-        nonsense: 0,
-        going: Going::Closes,
-        meets: None,
+        garbage: 0,
+        departure: Departure::Closes,
+        reply_offset: None,
     };
     let cases = [
         Case { ..usual },
         Case { calls: 100, ..usual },
         Case { clients: 100, calls: 3, ..usual },
-        Case { clients: 100, calls: 3, going: Going::Resets, ..usual },
-        Case { calls: 100, answered: 2, reads: 0, ..usual },
-        Case { answered: 1, reads: 0, ..usual },
-        Case { answered: 1, reads: 0, body: 60_000, ..usual },
+        Case { clients: 100, calls: 3, departure: Departure::Resets, ..usual },
+        Case { calls: 100, answered: 2, read_limit: 0, ..usual },
+        Case { answered: 1, read_limit: 0, ..usual },
+        Case { answered: 1, read_limit: 0, body: 60_000, ..usual },
         Case { body: 60_000, ..usual },
-        Case { body: 60_000, going: Going::Resets, ..usual },
-        Case { nonsense: 100, ..usual },
-        Case { nonsense: 30_000, ..usual },
+        Case { body: 60_000, departure: Departure::Resets, ..usual },
+        Case { garbage: 100, ..usual },
+        Case { garbage: 30_000, ..usual },
         // As their answers are given: a nanosecond before, in the same one, a nanosecond after.
-        Case { meets: Some(-1), ..usual },
-        Case { meets: Some(0), ..usual },
-        Case { meets: Some(1), ..usual },
-        Case { meets: Some(0), clients: 100, calls: 3, ..usual },
-        Case { meets: Some(0), clients: 100, calls: 3, going: Going::Resets, ..usual },
+        Case { reply_offset: Some(-1), ..usual },
+        Case { reply_offset: Some(0), ..usual },
+        Case { reply_offset: Some(1), ..usual },
+        Case { reply_offset: Some(0), clients: 100, calls: 3, ..usual },
+        Case { reply_offset: Some(0), clients: 100, calls: 3, departure: Departure::Resets, ..usual },
     ];
     for case in cases {
-        let [first, second] = play(&case);
+        let [first, second] = run_case(&case);
         assert_eq!(first, second, "slots are left taken: {case:?}");
     }
 }
@@ -150,57 +158,61 @@
 fn nothing_that_comes_after_its_client_has_gone_starts_an_attempt() {
     let cases =
         [WaitsFor::Counter, WaitsFor::Retry].into_iter().flat_map(|what| [(what, false), (what, true)]);
-    for (what, goes) in cases {
-        let mut plan = Plan { hosts: 2, ..Plan::default() };
+    for (what, client_closes) in cases {
+        let mut setup = Setup { hosts: 2, ..Setup::default() };
         if matches!(what, WaitsFor::Counter) {
-            plan.settings["domain"]["shared-counter"] = true.into();
-            plan.settings["tariffs"] = serde_json::json!([tariff(0.001, 10.0)]);
+            setup.settings["domain"]["shared-counter"] = true.into();
+            setup.settings["tariffs"] = serde_json::json!([customer_plan(0.001, 10.0)]);
         }
-        let room = Room::start(plan);
-        room.run_to(10 * MS);
-        let client = room.client();
-        client.say(post(1, 1, 1.0));
-        room.run(10 * MS);
-        let out = commands(&room);
-        let counted: Vec<Seen> =
-            room.counter.seen().into_iter().filter(|seen| seen.text.starts_with("ADDGET")).collect();
-        if goes {
+        let network = SimulatedNetwork::start(setup);
+        network.run_until(10 * MS);
+        let client = network.client();
+        client.send(post(1, 1, 1.0));
+        network.run_for(10 * MS);
+        let in_flight = commands(&network);
+        let counted: Vec<Received> = network
+            .counter
+            .take_received()
+            .into_iter()
+            .filter(|received| received.text.starts_with("ADDGET"))
+            .collect();
+        if client_closes {
             client.close();
             // The word of it is there before the answer.
-            room.run(5 * MS);
+            network.run_for(5 * MS);
         }
         match what {
             WaitsFor::Counter => {
-                assert!(out.is_empty() && !counted.is_empty(), "it does not wait: {out:?}");
-                counted.iter().for_each(|seen| room.counter.say(seen.line, bulk("1")));
+                assert!(in_flight.is_empty() && !counted.is_empty(), "it does not wait: {in_flight:?}");
+                counted.iter().for_each(|received| network.counter.send(received.connection, bulk("1")));
             }
             WaitsFor::Retry => {
-                let [(host, seen)] = &out[..] else { panic!("{out:?}") };
-                room.hosts[*host].say(seen.line, "-BUSY\r\n");
+                let [(host, received)] = &in_flight[..] else { panic!("{in_flight:?}") };
+                network.hosts[*host].send(received.connection, "-BUSY\r\n");
             }
         }
-        room.run(10 * MS);
-        assert_eq!(commands(&room).len(), usize::from(!goes), "{what:?}, gone: {goes}");
+        network.run_for(10 * MS);
+        assert_eq!(commands(&network).len(), usize::from(!client_closes), "{what:?}, gone: {client_closes}");
     }
 }
 
 /// A host that cannot be told to stop goes on with what its client has left, and the id is not free before it ends.
 #[test]
 fn an_id_whose_attempt_is_still_out_is_not_sent_on_again_whoever_asks() {
-    let room = Room::start(Plan::default());
-    room.run_to(10 * MS);
-    let (gone, again) = (room.client(), room.client());
+    let network = SimulatedNetwork::start(Setup::default());
+    network.run_until(10 * MS);
+    let (gone, again) = (network.client(), network.client());
     gone.post(1);
-    room.run(10 * MS);
-    let out = commands(&room);
+    network.run_for(10 * MS);
+    let in_flight = commands(&network);
     gone.close();
-    room.run(10 * MS);
+    network.run_for(10 * MS);
     again.post(1);
-    room.run(10 * MS);
-    assert_eq!((again.heard(), commands(&room)), (vec!["-ERR failed".to_owned()], Vec::new()));
-    serve(&room, &out, 1);
-    room.run(10 * MS);
+    network.run_for(10 * MS);
+    assert_eq!((again.take_replies(), commands(&network)), (vec!["-ERR failed".to_owned()], Vec::new()));
+    serve(&network, &in_flight, 1);
+    network.run_for(10 * MS);
     again.post(1);
-    room.run(10 * MS);
-    assert_eq!(commands(&room).len(), 1, "it stays taken");
+    network.run_for(10 * MS);
+    assert_eq!(commands(&network).len(), 1, "it stays taken");
 }
--- a/crates/gateway/tests/simulated_network/support.rs
+++ b/crates/gateway/tests/simulated_network/support.rs
@@ -21,86 +21,86 @@
 /// What the clock shows at first: not 0, so that a moment is not taken for a span.
 const START: Time = 1_000_000 * SECOND;
 /// One way between a client and the gateway, the gateway and a host or the counter, and on one machine.
-pub const CLIENT: Span = 600_000;
-pub const HOST: Span = 200_000;
-pub const HERE: Span = 20_000;
+pub const CLIENT_DELAY: Span = 600_000;
+pub const HOST_DELAY: Span = 200_000;
+pub const LOCAL_DELAY: Span = 20_000;
 
 /// Something that a peer has read, or how its connection ended. Moments are spans since the gateway's start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Received {
     /// When it was there whole.
     pub at: Span,
     /// When the first byte of what it came with was sent.
     pub sent: Span,
     /// Number of the connection, in the order of their coming to this peer.
-    pub line: usize,
+    pub connection: usize,
     /// The words of a command, a value, an error with its `-`, the head of a question; or [`END`], [`BROKEN`].
     pub text: String,
 }
 
 /// The other side has ended the connection, with all that it had to say.
-pub const END: &str = "(end)";
+pub const CLOSED: &str = "(end)";
 /// The connection is broken.
-pub const BROKEN: &str = "(broken)";
+pub const CONNECTION_ERROR: &str = "(broken)";
 
 /// What a peer says to a question, from how long after it and in parts: spans since the question.
-pub type Says = Vec<(Span, Order)>;
+pub type TimedActions = Vec<(Span, Action)>;
 
-type Script = Box<dyn FnMut(Span, &str) -> Says + Send>;
+type Script = Box<dyn FnMut(Span, &str) -> TimedActions + Send>;
 
 /// What a peer does by itself with the commands that come to it.
-pub enum Manner {
+pub enum Behavior {
     /// Nothing: the test answers.
-    Wait,
+    Manual,
     /// Serves each with its id, one after the other on so many cores, each for so long.
     Serve {
         /// Since when each core is free.
-        free: Vec<Time>,
+        core_free_at: Vec<Time>,
         /// Time for each.
-        each: Span,
+        service_time: Span,
     },
     /// Adds, and answers with the total at once.
-    Count(BTreeMap<String, f64>),
+    Counter(BTreeMap<String, f64>),
     /// Whatever the test says to this question, which came so long after the start.
     Script(Script),
 }
 
-impl Manner {
-    pub fn serve(cores: usize, each: Span) -> Manner {
-        Manner::Serve { free: vec![0; cores], each }
+impl Behavior {
+    pub fn serve(cores: usize, service_time: Span) -> Behavior {
+        Behavior::Serve { core_free_at: vec![0; cores], service_time }
     }
 
-    pub fn count() -> Manner {
-        Manner::Count(BTreeMap::new())
+    pub fn counter() -> Behavior {
+        Behavior::Counter(BTreeMap::new())
     }
 
-    pub fn script(says: impl FnMut(Span, &str) -> Says + Send + 'static) -> Manner {
-        Manner::Script(Box::new(says))
+    pub fn script(respond: impl FnMut(Span, &str) -> TimedActions + Send + 'static) -> Behavior {
+        Behavior::Script(Box::new(respond))
     }
 
     /// The answer to a command, and when it is given.
-    fn answer(&mut self, now: Time, words: &str) -> Says {
+    fn answer(&mut self, now: Time, words: &str) -> TimedActions {
         let word = |n: usize| words.split(' ').nth(n).unwrap_or_default();
         match self {
-            Manner::Wait => Vec::new(),
-            Manner::Serve { free, each } => {
-                let Some(core) = free.iter_mut().min() else { return Vec::new() };
-                *core = now.max(*core) + *each;
-                vec![(*core - now, Order::Say(served(word(2))))]
+            Behavior::Manual => Vec::new(),
+            Behavior::Serve { core_free_at, service_time } => {
+                let Some(core) = core_free_at.iter_mut().min() else { return Vec::new() };
+                *core = now.max(*core) + *service_time;
+                vec![(*core - now, Action::Write(value_reply(word(2))))]
             }
-            Manner::Count(totals) => {
+            Behavior::Counter(totals) => {
                 let total = totals.entry(word(1).to_owned()).or_default();
                 *total += word(2).parse::<f64>().unwrap();
-                vec![(0, Order::Say(bulk(&total.to_string())))]
+                vec![(0, Action::Write(bulk(&total.to_string())))]
             }
-            Manner::Script(says) => says(now - START, words),
+            Behavior::Script(respond) => respond(now - START, words),
         }
     }
 }
 
 /// What a connection of a peer is told to do.
-pub enum Order {
-    Say(Bytes),
+pub enum Action {
+    Write(Bytes),
     Read(usize),
     Close,
     Reset,
@@ -109,69 +109,69 @@
 /// What all connections of a peer share.
 struct Shared {
     env: SimEnv,
-    seen: Mutex<Vec<Seen>>,
-    lines: Mutex<Vec<UnboundedSender<Order>>>,
-    manner: Mutex<Manner>,
+    received: Mutex<Vec<Received>>,
+    connections: Mutex<Vec<UnboundedSender<Action>>>,
+    behavior: Mutex<Behavior>,
     /// Bytes that each connection reads before it is told to read more.
-    reads: Mutex<usize>,
+    read_limit: Mutex<usize>,
 }
 
 impl Shared {
     fn new(env: SimEnv) -> Arc<Shared> {
         Arc::new(Shared {
             env,
-            seen: Mutex::default(),
-            lines: Mutex::default(),
-            manner: Mutex::new(Manner::Wait),
-            reads: Mutex::new(usize::MAX),
+            received: Mutex::default(),
+            connections: Mutex::default(),
+            behavior: Mutex::new(Behavior::Manual),
+            read_limit: Mutex::new(usize::MAX),
         })
     }
 
-    fn add_line(&self) -> (usize, UnboundedReceiver<Order>) {
-        let (orders, inbox) = unbounded_channel();
-        let mut lines = self.lines.lock().unwrap();
-        lines.push(orders);
-        (lines.len() - 1, inbox)
+    fn add_connection(&self) -> (usize, UnboundedReceiver<Action>) {
+        let (actions, inbox) = unbounded_channel();
+        let mut connections = self.connections.lock().unwrap();
+        connections.push(actions);
+        (connections.len() - 1, inbox)
     }
 
-    fn order(&self, line: usize, order: Order) {
+    fn queue(&self, connection: usize, action: Action) {
         // One that has ended takes none.
-        let _ = self.lines.lock().unwrap()[line].send(order);
+        let _ = self.connections.lock().unwrap()[connection].send(action);
     }
 
-    fn see(&self, line: usize, sent: Time, text: String) {
-        let seen = Seen { at: self.env.now() - START, sent: sent - START, line, text };
-        self.seen.lock().unwrap().push(seen);
+    fn record(&self, connection: usize, sent: Time, text: String) {
+        let received = Received { at: self.env.now() - START, sent: sent - START, connection, text };
+        self.received.lock().unwrap().push(received);
     }
 }
 
 /// One connection of a peer.
-struct Carrier {
+struct PeerConnection {
     shared: Arc<Shared>,
-    line: usize,
+    connection: usize,
     input: BytesMut,
     /// When the first byte of what lies in the input was sent.
-    begun: Time,
-    reads: usize,
+    input_sent_at: Time,
+    read_limit: usize,
 }
 
-impl Carrier {
-    async fn run(mut self, stream: SimStream, mut orders: UnboundedReceiver<Order>) {
+impl PeerConnection {
+    async fn run(mut self, stream: SimStream, mut actions: UnboundedReceiver<Action>) {
         let (mut reader, mut writer) = stream.into_split();
         let (mut output, mut open) = (BytesMut::new(), true);
         loop {
             tokio::select! {
                 biased;
-                order = orders.recv() => match order {
-                    Some(Order::Say(bytes)) => output.extend_from_slice(&bytes),
-                    Some(Order::Read(more)) => self.reads = self.reads.saturating_add(more),
-                    Some(Order::Reset) => return writer.reset(),
-                    Some(Order::Close) | None => return,
+                action = actions.recv() => match action {
+                    Some(Action::Write(bytes)) => output.extend_from_slice(&bytes),
+                    Some(Action::Read(more)) => self.read_limit = self.read_limit.saturating_add(more),
+                    Some(Action::Reset) => return writer.reset(),
+                    Some(Action::Close) | None => return,
                 },
                 wrote = writer.write_buf(&mut output), if !output.is_empty() => if wrote.is_err() {
                     output.clear();
                 },
-                count = self.read(&mut reader), if open && self.reads > 0 => open = count > 0,
+                count = self.read(&mut reader), if open && self.read_limit > 0 => open = count > 0,
             }
         }
     }
@@ -179,19 +179,19 @@
     /// Reads what there is, notes it, and does what the peer does with it.
     async fn read(&mut self, reader: &mut SimReader) -> usize {
         let was_empty = self.input.is_empty();
-        let read = (&mut *reader).take(self.reads as u64).read_buf(&mut self.input).await;
+        let read = (&mut *reader).take(self.read_limit as u64).read_buf(&mut self.input).await;
         if was_empty {
-            self.begun = reader.sent_at().unwrap_or_default();
+            self.input_sent_at = reader.sent_at().unwrap_or_default();
         }
         let now = self.shared.env.now();
         match read {
-            Ok(0) => self.shared.see(self.line, now, END.into()),
-            Err(_) => self.shared.see(self.line, now, BROKEN.into()),
+            Ok(0) => self.shared.record(self.connection, now, CLOSED.into()),
+            Err(_) => self.shared.record(self.connection, now, CONNECTION_ERROR.into()),
             Ok(count) => {
-                self.reads -= if self.reads == usize::MAX { 0 } else { count };
-                while let Some(text) = take(&mut self.input) {
+                self.read_limit -= if self.read_limit == usize::MAX { 0 } else { count };
+                while let Some(text) = take_message(&mut self.input) {
                     self.answer(&text);
-                    self.shared.see(self.line, self.begun, text);
+                    self.shared.record(self.connection, self.input_sent_at, text);
                 }
                 return count;
             }
@@ -201,28 +201,28 @@
 
     fn answer(&self, text: &str) {
         let env = self.shared.env.clone();
-        let (answer, asked) = (self.shared.manner.lock().unwrap().answer(env.now(), text), env.now());
-        let (shared, line) = (self.shared.clone(), self.line);
+        let (answer, asked) = (self.shared.behavior.lock().unwrap().answer(env.now(), text), env.now());
+        let (shared, connection) = (self.shared.clone(), self.connection);
         env.clone().spawn(async move {
-            for (after, order) in answer {
+            for (after, action) in answer {
                 env.sleep_until(asked + after).await;
-                shared.order(line, order);
+                shared.queue(connection, action);
             }
         });
     }
 }
 
 /// The first whole thing in the input: RESP, or the head of an HTTP question.
-fn take(input: &mut BytesMut) -> Option<String> {
+fn take_message(input: &mut BytesMut) -> Option<String> {
     if input.starts_with(b"GET ") {
         let end = input.windows(4).position(|four| four == b"\r\n\r\n")?;
         let head = input.split_to(end + 4);
         return Some(String::from_utf8_lossy(&head).lines().next()?.to_owned());
     }
-    Some(words(&decode(input).unwrap()?))
+    Some(frame_text(&decode(input).unwrap()?))
 }
 
-fn words(frame: &Frame) -> String {
+fn frame_text(frame: &Frame) -> String {
     let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
     match frame {
         Frame::Bulk(bytes) => text(bytes),
@@ -230,7 +230,7 @@
         Frame::Error(bytes) => format!("-{}", text(bytes)),
         Frame::Integer(bytes) => format!(":{}", text(bytes)),
         Frame::Null => "(null)".into(),
-        Frame::Array(parts) => parts.iter().map(words).collect::<Vec<_>>().join(" "),
+        Frame::Array(parts) => parts.iter().map(frame_text).collect::<Vec<_>>().join(" "),
     }
 }
 
@@ -249,11 +249,17 @@
         let accepting = shared.clone();
         env.clone().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (line, orders) = accepting.add_line();
-                let reads = *accepting.reads.lock().unwrap();
+                let (connection, actions) = accepting.add_connection();
+                let read_limit = *accepting.read_limit.lock().unwrap();
                 let shared = accepting.clone();
-                let carrier = Carrier { shared, line, input: BytesMut::new(), begun: 0, reads };
-                env.spawn(carrier.run(stream, orders));
+                let connection_task = PeerConnection {
+                    shared,
+                    connection,
+                    input: BytesMut::new(),
+                    input_sent_at: 0,
+                    read_limit,
+                };
+                env.spawn(connection_task.run(stream, actions));
             }
         });
         Peer { machine, addr, shared }
@@ -264,65 +270,66 @@
     }
 
     /// What it does by itself from now on.
-    pub fn manner(&self, manner: Manner) {
-        *self.shared.manner.lock().unwrap() = manner;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *self.shared.behavior.lock().unwrap() = behavior;
     }
 
     /// Its connections read so many bytes, and no more until they are told to.
-    pub fn deaf(&self, reads: usize) {
-        *self.shared.reads.lock().unwrap() = reads;
+    pub fn set_read_limit(&self, read_limit: usize) {
+        *self.shared.read_limit.lock().unwrap() = read_limit;
     }
 
     /// All connections that there are read whatever comes.
-    pub fn hear(&self) {
-        self.deaf(usize::MAX);
-        (0..self.lines()).for_each(|line| self.shared.order(line, Order::Read(usize::MAX)));
+    pub fn read_all(&self) {
+        self.set_read_limit(usize::MAX);
+        (0..self.connection_count())
+            .for_each(|connection| self.shared.queue(connection, Action::Read(usize::MAX)));
     }
 
     /// Connections that have come so far.
-    pub fn lines(&self) -> usize {
-        self.shared.lines.lock().unwrap().len()
+    pub fn connection_count(&self) -> usize {
+        self.shared.connections.lock().unwrap().len()
     }
 
     /// What has been read since this was last asked.
-    pub fn seen(&self) -> Vec<Seen> {
-        std::mem::take(&mut self.shared.seen.lock().unwrap())
+    pub fn take_received(&self) -> Vec<Received> {
+        std::mem::take(&mut self.shared.received.lock().unwrap())
     }
 
     /// The one command, or the one end, that has come since this was last asked.
-    pub fn one(&self) -> Seen {
-        let mut seen = self.seen();
-        assert_eq!(seen.len(), 1, "{seen:?}");
-        seen.remove(0)
+    pub fn take_single(&self) -> Received {
+        let mut received = self.take_received();
+        assert_eq!(received.len(), 1, "{received:?}");
+        received.remove(0)
     }
 
-    pub fn say(&self, line: usize, bytes: impl Into<Bytes>) {
-        self.shared.order(line, Order::Say(bytes.into()));
+    pub fn send(&self, connection: usize, bytes: impl Into<Bytes>) {
+        self.shared.queue(connection, Action::Write(bytes.into()));
     }
 
     /// Closes a connection: with bytes unread that is a reset.
-    pub fn close(&self, line: usize) {
-        self.shared.order(line, Order::Close);
+    pub fn close(&self, connection: usize) {
+        self.shared.queue(connection, Action::Close);
     }
 
     /// Begins the answer to a watch.
-    pub fn open_watch(&self, line: usize) {
-        self.say(line, CHUNKED);
+    pub fn start_watch_response(&self, connection: usize) {
+        self.send(connection, CHUNKED_HEAD);
     }
 
     /// The empty line that comes every two seconds.
-    pub fn keep_watch(&self, line: usize) {
-        self.say(line, chunk("\n"));
+    pub fn send_keep_alive(&self, connection: usize) {
+        self.send(connection, chunk("\n"));
     }
 
     /// A line of a watch.
-    pub fn tell(&self, line: usize, list: &Value) {
-        self.say(line, chunk(&format!("{list}\n")));
+    pub fn send_list(&self, connection: usize, list: &Value) {
+        self.send(connection, chunk(&format!("{list}\n")));
     }
 }
 
 /// The head of an answer in chunks.
-pub const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
@@ -334,47 +341,47 @@
 }
 
 impl Client {
-    pub fn say(&self, bytes: impl Into<Bytes>) {
-        self.shared.order(0, Order::Say(bytes.into()));
+    pub fn send(&self, bytes: impl Into<Bytes>) {
+        self.shared.queue(0, Action::Write(bytes.into()));
     }
 
     /// A call that may be repeated.
     pub fn get(&self, id: u64) {
-        self.say(get(id));
+        self.send(get(id));
     }
 
     /// A call that may not.
     pub fn post(&self, id: u64) {
-        self.say(post(id, 1, 1.0));
+        self.send(post(id, 1, 1.0));
     }
 
     /// What has come since this was last asked: when, and what.
-    pub fn seen(&self) -> Vec<(Span, String)> {
-        let seen = std::mem::take(&mut *self.shared.seen.lock().unwrap());
-        seen.into_iter().map(|seen| (seen.at, seen.text)).collect()
+    pub fn take_timed_replies(&self) -> Vec<(Span, String)> {
+        let received = std::mem::take(&mut *self.shared.received.lock().unwrap());
+        received.into_iter().map(|received| (received.at, received.text)).collect()
     }
 
     /// What has come since this was last asked.
-    pub fn heard(&self) -> Vec<String> {
-        self.seen().into_iter().map(|(_, text)| text).collect()
+    pub fn take_replies(&self) -> Vec<String> {
+        self.take_timed_replies().into_iter().map(|(_, text)| text).collect()
     }
 
     /// Reads so many more bytes.
     pub fn read(&self, more: usize) {
-        self.shared.order(0, Order::Read(more));
+        self.shared.queue(0, Action::Read(more));
     }
 
     pub fn close(&self) {
-        self.shared.order(0, Order::Close);
+        self.shared.queue(0, Action::Close);
     }
 
     pub fn reset(&self) {
-        self.shared.order(0, Order::Reset);
+        self.shared.queue(0, Action::Reset);
     }
 }
 
 /// What a room is like before it starts.
-pub struct Plan {
+pub struct Setup {
     pub seed: u64,
     pub network: NetworkSpec,
     pub hosts: usize,
@@ -382,22 +389,27 @@
     pub memory_mb: usize,
     pub settings: Value,
     /// The list known before the start: its version, and the states of hosts that are not in service.
-    pub known: (u64, Vec<&'static str>),
+    pub initial_list: (u64, Vec<&'static str>),
     /// The operators' file.
     pub operators: String,
 }
 
-impl Default for Plan {
+impl Default for Setup {
     /// Without jitter. No quota, no counter; attempts may not be withdrawn.
-    fn default() -> Plan {
-        Plan {
+    fn default() -> Setup {
+        Setup {
             seed: 1,
-            network: NetworkSpec { same: HOST, client: CLIENT, jitter: 0.0, ..NetworkSpec::default() },
+            network: NetworkSpec {
+                same: HOST_DELAY,
+                client: CLIENT_DELAY,
+                jitter: 0.0,
+                ..NetworkSpec::default()
+            },
             hosts: 1,
             sockets: 256,
             memory_mb: 192,
             settings: settings(),
-            known: (1, Vec::new()),
+            initial_list: (1, Vec::new()),
             operators: String::new(),
         }
     }
@@ -417,12 +429,12 @@
                 "worth": 1.0, "late-worth": 0.0, "stream": false},
             {"name": "order", "semantics": "unsafe", "aim": 8 * SECOND, "hard-limit": 9 * SECOND,
                 "worth": 3.0, "late-worth": 0.0, "stream": false}],
-        "tariffs": [tariff(0.0, 0.0)],
+        "tariffs": [customer_plan(0.0, 0.0)],
     })
 }
 
 /// The plan of all customers: units a second, and what the store holds; zeros for no quota.
-pub fn tariff(refill: f64, burst: f64) -> Value {
+pub fn customer_plan(refill: f64, burst: f64) -> Value {
     json!({"name": "team", "worth-factor": 1.0, "refill": refill, "burst": burst, "concurrency": 0,
         "extra-worth": 0.0, "overrun-cost": 0.0, "ceiling-rate": 0.0, "never-over-depth": 0.0,
         "cap-slack": 0.0})
@@ -439,7 +451,7 @@
 }
 
 /// A room with a gateway that has just started, and knows these hosts from before.
-pub struct Room {
+pub struct SimulatedNetwork {
     pub sim: Sim,
     pub hosts: Vec<Peer>,
     /// Listens on the gateway's own machine.
@@ -452,33 +464,37 @@
 
 const GATEWAY_PORT: u16 = 6379;
 
-impl Room {
-    pub fn start(plan: Plan) -> Room {
-        let sim = Sim::new(SimConfig { seed: plan.seed, start: START, network: plan.network.clone() });
+impl SimulatedNetwork {
+    pub fn start(setup: Setup) -> SimulatedNetwork {
+        let sim = Sim::new(SimConfig { seed: setup.seed, start: START, network: setup.network.clone() });
         let gateway_machine = sim.machine("gateway", Place::Building(0));
         let machine = |name: &str| sim.machine(name, Place::Building(0));
         let host = |number: usize| Peer::start(machine(&format!("host {number}")), "host", 80);
-        let hosts: Vec<Peer> = (0..plan.hosts).map(host).collect();
+        let hosts: Vec<Peer> = (0..setup.hosts).map(host).collect();
         let discovery = Peer::start(gateway_machine.clone(), "discovery", 8500);
         let counter = Peer::start(machine("counter"), "counter", 7000);
         // Its first question is answered at once: nothing has changed. The others are left to the test.
-        let mut news = Some(chunk(&format!("{}\n", list(1, false, &[]))));
-        discovery.manner(Manner::script(move |_, _| {
-            news.take().map(|news| (0, Order::Say(format!("{CHUNKED}{news}").into()))).into_iter().collect()
+        let mut update = Some(chunk(&format!("{}\n", endpoint_list(1, false, &[]))));
+        discovery.set_behavior(Behavior::script(move |_, _| {
+            update
+                .take()
+                .map(|update| (0, Action::Write(format!("{CHUNKED_HEAD}{update}").into())))
+                .into_iter()
+                .collect()
         }));
-        let document = document(&plan, &gateway_machine, &hosts, discovery.addr, counter.addr);
+        let document = document(&setup, &gateway_machine, &hosts, discovery.addr, counter.addr);
         let clients = sim.machine("clients", Place::Client).process("clients");
-        let gateway = Gateway::start(&gateway_machine, document, plan.operators);
-        Room { sim, hosts, discovery, counter, gateway, gateway_machine, clients }
+        let gateway = Gateway::start(&gateway_machine, document, setup.operators);
+        SimulatedNetwork { sim, hosts, discovery, counter, gateway, gateway_machine, clients }
     }
 
     /// Lets time pass.
-    pub fn run(&self, span: Span) {
-        self.run_to(self.now() + span);
+    pub fn run_for(&self, span: Span) {
+        self.run_until(self.now() + span);
     }
 
     /// Lets time pass up to so long after the start.
-    pub fn run_to(&self, at: Span) {
+    pub fn run_until(&self, at: Span) {
         self.sim.run_until(START + at).unwrap();
     }
 
@@ -488,36 +504,42 @@
     }
 
     /// Does something so long after the start.
-    pub fn at(&self, at: Span, action: impl FnOnce(&Sim) + Send + 'static) {
+    pub fn schedule(&self, at: Span, action: impl FnOnce(&Sim) + Send + 'static) {
         self.sim.at(START + at, action);
     }
 
     /// A client that asks for a connection now.
     pub fn client(&self) -> Client {
-        self.client_that_reads(usize::MAX)
+        self.client_with_read_limit(usize::MAX)
     }
 
     /// One that reads so many bytes and no more until it is told to.
-    pub fn client_that_reads(&self, reads: usize) -> Client {
+    pub fn client_with_read_limit(&self, read_limit: usize) -> Client {
         let (env, shared) = (self.clients.clone(), Shared::new(self.clients.clone()));
-        let (line, orders) = shared.add_line();
+        let (connection, actions) = shared.add_connection();
         let (addr, own) = (SocketAddr::new(self.gateway_machine.ip(), GATEWAY_PORT), shared.clone());
         env.clone().spawn(async move {
             match env.connect(addr).await {
                 Ok(stream) => {
-                    let carrier = Carrier { shared: own, line, input: BytesMut::new(), begun: 0, reads };
-                    carrier.run(stream, orders).await;
+                    let connection_task = PeerConnection {
+                        shared: own,
+                        connection,
+                        input: BytesMut::new(),
+                        input_sent_at: 0,
+                        read_limit,
+                    };
+                    connection_task.run(stream, actions).await;
                 }
-                Err(_) => own.see(line, env.now(), BROKEN.into()),
+                Err(_) => own.record(connection, env.now(), CONNECTION_ERROR.into()),
             }
         });
         Client { shared }
     }
 
     /// One that makes this call at once, and reads so many bytes.
-    pub fn client_that_says(&self, call: Bytes, reads: usize) -> Client {
-        let client = self.client_that_reads(reads);
-        client.say(call);
+    pub fn client_with_call(&self, call: Bytes, read_limit: usize) -> Client {
+        let client = self.client_with_read_limit(read_limit);
+        client.send(call);
         client
     }
 
@@ -527,17 +549,17 @@
     }
 
     /// Where signals to the gateway go, for what is set for later.
-    pub fn signals(&self) -> UnboundedSender<Signal> {
+    pub fn signal_sender(&self) -> UnboundedSender<Signal> {
         self.gateway.signals.clone()
     }
 
     /// Another counter or agent, in a process of its own.
-    pub fn peer(&self, name: &str, port: u16) -> Peer {
-        self.listen(&self.machine(name), name, port)
+    pub fn start_peer(&self, name: &str, port: u16) -> Peer {
+        self.listen(&self.add_machine(name), name, port)
     }
 
     /// A machine on which nobody listens yet.
-    pub fn machine(&self, name: &str) -> Machine {
+    pub fn add_machine(&self, name: &str) -> Machine {
         self.sim.machine(name, Place::Building(0))
     }
 
@@ -574,26 +596,26 @@
     }
 
     /// The configuration is gone.
-    pub fn lose_configuration(&self) {
+    pub fn remove_configuration(&self) {
         *self.gateway.document.lock().unwrap() = None;
     }
 
     /// When the gateway's process ended.
-    pub fn ended(&self) -> Option<Span> {
+    pub fn ended_at(&self) -> Option<Span> {
         self.gateway.ended.lock().unwrap().map(|at| at - START)
     }
 
     /// The gateway's machine.
-    pub fn gateway(&self) -> MachineId {
+    pub fn gateway_machine_id(&self) -> MachineId {
         self.gateway_machine.id()
     }
 
     /// What arrives from now on: when, from and to which machine, and what.
-    pub fn wire(&self) -> Wire {
-        let wire = Wire::default();
-        let seen = wire.0.clone();
-        self.sim.trace(Box::new(move |packet: &Packet| seen.lock().unwrap().push(packet.clone())));
-        wire
+    pub fn trace_packets(&self) -> PacketTrace {
+        let trace = PacketTrace::default();
+        let received = trace.0.clone();
+        self.sim.trace(Box::new(move |packet: &Packet| received.lock().unwrap().push(packet.clone())));
+        trace
     }
 }
 
@@ -606,12 +628,12 @@
         let (own, end) = (env.clone(), ended.clone());
         let operators = Arc::new(Mutex::new(operators));
         let (disk, file) = (document.clone(), operators.clone());
-        let again = move || match &*disk.lock().unwrap() {
+        let reload = move || match &*disk.lock().unwrap() {
             Some(document) => read(document, &file.lock().unwrap()),
             None => anyhow::bail!("no configuration"),
         };
         env.spawn(async move {
-            serve(own.clone(), config, again, inbox).await.unwrap();
+            serve(own.clone(), config, reload, inbox).await.unwrap();
             *end.lock().unwrap() = Some(own.now());
             own.exit();
         });
@@ -631,51 +653,52 @@
 }
 
 fn document(
-    plan: &Plan,
+    setup: &Setup,
     gateway: &Machine,
     hosts: &[Peer],
     discovery: SocketAddr,
     counter: SocketAddr,
 ) -> Value {
-    let (version, states) = &plan.known;
+    let (version, states) = &setup.initial_list;
     let state = |number: usize| states.get(number).copied().unwrap_or("in_service");
-    let known: Vec<Value> = (0..hosts.len()).map(|number| entry(hosts, number, state(number))).collect();
+    let initial_list: Vec<Value> =
+        (0..hosts.len()).map(|number| host_entry(hosts, number, state(number))).collect();
     json!({
         "name": "n0", "listen": SocketAddr::new(gateway.ip(), GATEWAY_PORT).to_string(), "seed": "7",
         "discovery": discovery.to_string(), "counter": counter.to_string(),
-        "limits": {"cores": 1.0, "memory_mb": plan.memory_mb, "sockets": plan.sockets},
-        "known": list(*version, true, &known), "settings": plan.settings,
+        "limits": {"cores": 1.0, "memory_mb": setup.memory_mb, "sockets": setup.sockets},
+        "known": endpoint_list(*version, true, &initial_list), "settings": setup.settings,
     })
 }
 
 /// What has passed on the wires.
 #[derive(Clone, Default)]
-pub struct Wire(Arc<Mutex<Vec<Packet>>>);
+pub struct PacketTrace(Arc<Mutex<Vec<Packet>>>);
 
-impl Wire {
+impl PacketTrace {
     /// When this arrived from one machine at another.
-    pub fn arrivals(&self, from: &str, to: &str, what: &What) -> Vec<Span> {
+    pub fn arrivals(&self, from: &str, to: &str, kind: &What) -> Vec<Span> {
         let packets = self.0.lock().unwrap();
-        let meant = |packet: &&Packet| {
-            &*packet.from.machine == from && &*packet.to.machine == to && packet.what == *what
+        let matches = |packet: &&Packet| {
+            &*packet.from.machine == from && &*packet.to.machine == to && packet.what == *kind
         };
-        packets.iter().filter(meant).map(|packet| packet.at - START).collect()
+        packets.iter().filter(matches).map(|packet| packet.at - START).collect()
     }
 
     /// How often this has arrived from a machine.
-    pub fn count(&self, from: &str, what: &What) -> usize {
+    pub fn count(&self, from: &str, kind: &What) -> usize {
         let packets = self.0.lock().unwrap();
-        packets.iter().filter(|packet| &*packet.from.machine == from && packet.what == *what).count()
+        packets.iter().filter(|packet| &*packet.from.machine == from && packet.what == *kind).count()
     }
 }
 
 /// Discovery's entry of a host, which has run for long.
-pub fn entry(hosts: &[Peer], number: usize, lifecycle: &str) -> Value {
+pub fn host_entry(hosts: &[Peer], number: usize, lifecycle: &str) -> Value {
     json!({"instanceId": format!("s-{number}"), "hostPort": hosts[number].addr.to_string(), "zone": "a",
         "machineType": "m", "cell": 1, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-pub fn list(generation: u64, reset: bool, entries: &[Value]) -> Value {
+pub fn endpoint_list(generation: u64, reset: bool, entries: &[Value]) -> Value {
     json!({"generation": generation, "reset": reset, "instances": entries})
 }
 
@@ -688,19 +711,19 @@
 }
 
 /// An id as it stands in commands, and comes back as a value from a host that serves by itself.
-pub fn name(id: u64) -> String {
+pub fn format_id(id: u64) -> String {
     format!("{id:016x}")
 }
 
 /// A call that may be repeated.
 pub fn get(id: u64) -> Bytes {
-    command(&["CALL.GET", &name(1), &name(id), "c=read,t=team,d=8500,units=1,spread=1,first=0"])
+    command(&["CALL.GET", &format_id(1), &format_id(id), "c=read,t=team,d=8500,units=1,spread=1,first=0"])
 }
 
 /// A call that may not, of a customer, for so many units.
 pub fn post(id: u64, customer: u64, units: f64) -> Bytes {
     let list = format!("c=order,t=team,d=8500,units={units},spread=1,first=0");
-    command(&["CALL.POST", &name(customer), &name(id), &list, "body"])
+    command(&["CALL.POST", &format_id(customer), &format_id(id), &list, "body"])
 }
 
 pub fn bulk(value: &str) -> Bytes {
@@ -708,6 +731,6 @@
 }
 
 /// A host's answer with a value.
-pub fn served(value: &str) -> Bytes {
+pub fn value_reply(value: &str) -> Bytes {
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()).into()
 }
