--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations that cannot be used: each is refused with one message that names the key.
+//! Invalid configurations are rejected with a single error message that names the offending key.
 
 use gateway::Config;
 use serde_json::{json, Value};
@@ -7,22 +7,22 @@
     serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap()
 }
 
-fn refusal(document: &Value) -> String {
+fn parse_error(document: &Value) -> String {
     match Config::parse(document.to_string().as_bytes()) {
-        Ok(_) => panic!("taken: {document}"),
+        Ok(_) => panic!("accepted: {document}"),
         Err(error) => format!("{error:#}"),
     }
 }
 
 #[test]
-fn the_example_is_taken_without_a_remark() {
+fn accepts_the_example_without_unknown_keys() {
     let config = Config::parse(example().to_string().as_bytes()).unwrap();
     assert_eq!(config.unknown_keys, Vec::<String>::new());
 }
 
 #[test]
-fn each_refusal_names_its_key() {
-    for (pointer, value, message) in [
+fn each_parse_error_names_its_key() {
+    for (pointer, value, prefix) in [
         ("/listen", json!("localhost:7001"), "`listen`: invalid socket address syntax"),
         ("/listen", json!(7001), "`listen`: invalid type: integer `7001`"),
         ("/discovery", Value::Null, "`discovery`: invalid type: null"),
@@ -40,23 +40,23 @@
     ] {
         let mut document = example();
         *document.pointer_mut(pointer).unwrap_or_else(|| panic!("no {pointer}")) = value;
-        let said = refusal(&document);
-        assert!(said.starts_with(message), "{pointer}: {said}");
+        let message = parse_error(&document);
+        assert!(message.starts_with(prefix), "{pointer}: {message}");
     }
 }
 
 #[test]
-fn a_misspelt_key_is_refused_and_a_new_one_is_told() {
+fn rejects_a_misspelt_key_and_reports_an_unknown_one() {
     for (right, misspelt) in [("listen", "listn"), ("counter", "countr"), ("seed", "sead")] {
         let mut document = example();
         let value = document.as_object_mut().unwrap().remove(right).unwrap();
         document[misspelt] = value;
-        assert_eq!(refusal(&document), format!("`{misspelt}` is unknown: is `{right}` meant?"));
+        assert_eq!(parse_error(&document), format!("`{misspelt}` is unknown: is `{right}` meant?"));
     }
     let mut document = example();
     document["limits"]["socket"] = json!(10);
     document["limits"].as_object_mut().unwrap().remove("sockets");
-    assert_eq!(refusal(&document), "`limits`: `socket` is unknown: is `sockets` meant?");
+    assert_eq!(parse_error(&document), "`limits`: `socket` is unknown: is `sockets` meant?");
 
     let mut newer = example();
     newer["rack"] = json!(4);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_is_no_json_says_where() {
-    let said = format!("{:#}", Config::parse(b"{\"name\": \"n1\",\n \"listen\" 3}").unwrap_err());
-    assert!(said.contains("line 2 column 11"), "{said}");
+fn a_json_syntax_error_reports_its_line_and_column() {
+    let message = format!("{:#}", Config::parse(b"{\"name\": \"n1\",\n \"listen\" 3}").unwrap_err());
+    assert!(message.contains("line 2 column 11"), "{message}");
 }
--- a/crates/gateway/tests/simulated_network/connections.rs
+++ b/crates/gateway/tests/simulated_network/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to hosts and what crosses on them: a request half written, a host that goes or moves, an end, half a line,
-//! an answer that nobody asked for.
+//! Connections to hosts and events that race on them: a half-written request, a host that is removed or changes its
+//! address, the close of a connection, part of a response, an unsolicited response.
 
 use crate::host_crossings::{call_at, calls, forwarded_call_len, start_with_window};
 use crate::support::{
@@ -11,13 +11,13 @@
 use serde_json::Value;
 use simulated_runtime::Cut;
 
-/// All connections between the gateway and a host are reset.
+/// Resets all connections between the gateway and a host.
 pub fn reset_connections(network: &SimulatedNetwork, host: &Peer) {
     let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Reset);
     network.sim.heal(cut);
 }
 
-/// What asks for a connection to a host now is lost, and comes again after a second; all else passes.
+/// Loses requests for a connection to a host that are sent now; they are resent after a second. Other packets pass.
 pub fn lose_connection_requests(network: &SimulatedNetwork, host: &Peer) {
     let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
     network.run_for(2 * HOST_DELAY);
@@ -28,7 +28,7 @@
     received.iter().map(|received| received.connection).collect()
 }
 
-/// Lists that take a host out.
+/// Returns the endpoint lists that take a host out of service, each with a description.
 fn removal_lists(network: &SimulatedNetwork, number: usize) -> [(&'static str, Value); 3] {
     let others = (0..network.hosts.len()).filter(|n| *n != number);
     let others: Vec<Value> = others.map(|n| host_entry(&network.hosts, n, "in_service")).collect();
@@ -37,14 +37,14 @@
     };
     [
         ("drains", with("terminating")),
-        ("is gone", with("terminated")),
+        ("is removed", with("terminated")),
         ("is left out", endpoint_list(2, true, &others)),
     ]
 }
 
-/// A send counts from its first byte: it goes on, once, and its connection is not used again.
+/// A request counts as sent from its first byte on: it is completed, once, and its connection is not reused.
 #[test]
-fn a_request_of_which_a_part_is_written_when_its_host_goes_is_finished_there_and_ends_its_connection() {
+fn a_partly_written_request_is_completed_at_its_removed_host_and_its_connection_is_closed() {
     for case in 0..3 {
         let mut setup =
             Setup { hosts: 2, initial_list: (1, vec!["in_service", "terminating"]), ..Setup::default() };
@@ -79,11 +79,11 @@
     }
 }
 
-/// Half a line comes just before we close an idle connection at its age, in that instant, just after, or to an end that is
-/// on its way; the next request comes at once or when that end is there.
+/// Part of a response arrives just before the gateway closes an idle connection at its idle lifetime, at that instant,
+/// just after, or while the close is in transit; the next request arrives at once or when the close has arrived.
 #[test]
-fn half_a_line_that_crosses_our_close_of_an_idle_connection_touches_no_request() {
-    for (half, asked) in [
+fn part_of_a_response_that_races_with_closing_an_idle_connection_affects_no_request() {
+    for (partial_response_offset, request_at) in [
         (-1, 1),
         (0, 1),
         (1, 2),
@@ -99,22 +99,23 @@
         let closed = client.take_timed_replies()[0].0 - CLIENT_DELAY + 5 * SECOND;
         host.take_received();
         let trace = network.trace_packets();
-        network.run_until(closed.saturating_add_signed(half) - HOST_DELAY);
+        network.run_until(closed.saturating_add_signed(partial_response_offset) - HOST_DELAY);
         host.send(0, value_reply("nobody asked").slice(..9));
-        call_at(&network, &client, closed + asked, post(2, 1, 1.0));
+        call_at(&network, &client, closed + request_at, post(2, 1, 1.0));
         network.run_for(SECOND);
-        assert_eq!(client.take_replies(), [format_id(2)], "{half}, {asked}");
-        assert_eq!(connection_numbers(&calls(host)), [1], "{half}, {asked}");
+        assert_eq!(client.take_replies(), [format_id(2)], "{partial_response_offset}, {request_at}");
+        assert_eq!(connection_numbers(&calls(host)), [1], "{partial_response_offset}, {request_at}");
         drop(trace);
     }
 }
 
-/// What discovery says of a host while a connection to it is on its way.
-const UPDATES: [&str; 5] = ["drains", "is gone", "is left out", "has another address", "has started anew"];
+/// What discovery reports of a host while a connection to it is being opened.
+const UPDATES: [&str; 5] = ["drains", "is removed", "is left out", "has another address", "has restarted"];
 
-/// The connection is closed unused, and the request goes elsewhere, once; where it came up before, the request is out.
+/// The connection is closed unused, and the request is sent elsewhere, once. If the connection was established before the
+/// update, the request has been sent on it.
 #[test]
-fn a_connection_that_comes_up_as_its_host_goes_or_moves_carries_nothing() {
+fn a_connection_established_after_its_host_is_removed_or_changed_carries_no_request() {
     for (case, what) in UPDATES.into_iter().enumerate() {
         for offset in [-500 * MS as i64, -1, 0, 1] {
             let states = vec!["in_service", "terminating", "terminating"];
@@ -143,26 +144,31 @@
             network.run_until(3 * SECOND);
             assert_eq!(client.take_replies(), [format_id(1)], "{what} {offset}");
             let received: Vec<_> = network.hosts.iter().map(Peer::take_received).collect();
-            let [there, elsewhere @ ..] = &received[..] else { panic!("hosts") };
-            let [of_it, again] = [0, 1]
-                .map(|connection| there.iter().filter(move |received| received.connection == connection));
-            let of_it: Vec<&str> = of_it.map(|received| &*received.text).collect();
+            let [at_host, elsewhere @ ..] = &received[..] else { panic!("hosts") };
+            let [on_first_connection, on_new_connection] = [0, 1]
+                .map(|connection| at_host.iter().filter(move |received| received.connection == connection));
+            let on_first_connection: Vec<&str> =
+                on_first_connection.map(|received| &*received.text).collect();
             let before =
-                there.iter().filter(|received| received.connection == 0 && received.text != CLOSED).count();
+                at_host.iter().filter(|received| received.connection == 0 && received.text != CLOSED).count();
             assert!(
                 before == usize::from(offset > 0) || offset == 0 && before == 1,
-                "{what} {offset}: {there:?}"
+                "{what} {offset}: {at_host:?}"
+            );
+            assert_eq!(
+                on_first_connection.last(),
+                Some(&CLOSED),
+                "{what} {offset}: the connection closes, used or not"
             );
-            assert_eq!(of_it.last(), Some(&CLOSED), "{what} {offset}: it ends, used or not");
             let others = elsewhere.iter().flatten().filter(|received| received.text != CLOSED).count();
-            assert_eq!(before + again.count() + others, 1, "{what} {offset}: {received:?}");
+            assert_eq!(before + on_new_connection.count() + others, 1, "{what} {offset}: {received:?}");
         }
     }
 }
 
-/// The failure of a dial says nothing of an address that it was not made to.
+/// A failed dial does not count against an address that it did not connect to.
 #[test]
-fn a_dial_to_an_address_that_is_no_more_fails_nothing() {
+fn a_failed_dial_to_a_replaced_address_fails_no_request() {
     for is_refused in [false, true] {
         let mut setup =
             Setup { hosts: 2, initial_list: (1, vec!["in_service", "terminating"]), ..Setup::default() };
@@ -173,7 +179,7 @@
         client.post(1);
         let how = if is_refused { Cut::Reset } else { Cut::Silent };
         network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], how);
-        // Asked for, and not yet answered.
+        // The connection has been requested, but not yet answered.
         network.run_until(3 * CLIENT_DELAY + HOST_DELAY);
         let mut moved = host_entry(&network.hosts, 0, "in_service");
         moved["hostPort"] = next.addr.to_string().into();
@@ -185,8 +191,9 @@
     }
 }
 
-/// What a host says while the rest of a request waits for room; none: it closes. It begins a command at its last byte, so
-/// nothing of it is an answer, and of what it has turned away it may not get the rest.
+/// What a host sends while the rest of a request waits for the window; none: it closes. A host starts a command at its
+/// last byte, so nothing that it sends before is a response, and it must not get the rest of a request that it has
+/// rejected.
 const EARLY_RESPONSES: [Option<&str>; 6] = [
     Some("-BUSY\r\n"),
     Some("-ERR failed\r\n"),
@@ -197,8 +204,9 @@
 ];
 
 #[test]
-fn what_a_host_says_before_it_has_the_whole_request_is_no_answer_and_the_rest_is_not_sent() {
-    // On a kept connection, how long after its first bytes are written; on a new one its host can speak later only.
+fn bytes_sent_before_the_request_is_complete_are_no_response_and_its_rest_is_not_sent() {
+    // Whether the connection was used before, and the time after the first bytes are written. On a new connection the host
+    // can send only later.
     let offsets = [(true, -1), (true, 0), (true, 1), (true, 50 * MS as i64), (false, 50 * MS as i64)];
     for (early, (is_kept, offset)) in
         EARLY_RESPONSES.iter().flat_map(|early| offsets.map(|offset| (early, offset)))
@@ -214,9 +222,9 @@
             network.run_for(100 * MS);
             assert_eq!((client.take_replies(), calls(host).len()), (vec![format_id(1)], 1));
         }
-        let asked = network.now() + SECOND;
-        call_at(&network, &client, asked, post(2, 1, 1.0));
-        network.run_until(asked.saturating_add_signed(offset) - HOST_DELAY);
+        let request_at = network.now() + SECOND;
+        call_at(&network, &client, request_at, post(2, 1, 1.0));
+        network.run_until(request_at.saturating_add_signed(offset) - HOST_DELAY);
         match early {
             Some(text) => host.send(0, *text),
             None => host.close(0),
@@ -226,7 +234,7 @@
         assert_eq!(
             client.take_replies(),
             [format_id(2)],
-            "{early:?}, kept: {is_kept}, {offset}: before it has read on"
+            "{early:?}, kept: {is_kept}, {offset}: before the host reads on"
         );
         host.read_all();
         network.run_for(SECOND);
@@ -235,12 +243,13 @@
     }
 }
 
-/// It says half a line long after an answer, just before that to the next request. Where exactly two bytes of its value
-/// lack, the head of the true answer stands for them; wherever else it is cut, the two are not taken for a value.
+/// A host sends part of a response long after one response and just before the next. Where exactly two bytes of its value
+/// are missing, the first two bytes of the true response complete it; cut anywhere else, the two together are not accepted
+/// as a value.
 #[test]
-fn half_a_line_before_an_answer_is_no_part_of_a_value_but_where_two_bytes_of_one_lack() {
+fn a_stale_partial_response_corrupts_a_value_only_where_two_bytes_of_it_are_missing() {
     let stale = value_reply("first");
-    let mut wrong = Vec::new();
+    let mut corrupted = Vec::new();
     for (cut, is_safe) in (1..stale.len()).flat_map(|cut| [(cut, false), (cut, true)]) {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
@@ -248,12 +257,12 @@
         network.run_until(10 * MS);
         host.send(host.take_single().connection, stale.clone());
         network.run_for(SECOND);
-        let asked = network.now() + CLIENT_DELAY;
+        let request_at = network.now() + CLIENT_DELAY;
         client.send(if is_safe { get(2) } else { post(2, 1, 1.0) });
-        // It comes just after the request has left, and the answer behind it.
-        network.run_until(asked + 1 - HOST_DELAY);
+        // The partial response arrives just after the request has been sent, and the true response follows.
+        network.run_until(request_at + 1 - HOST_DELAY);
         host.send(0, stale.slice(..cut));
-        network.run_until(asked + 10 * MS);
+        network.run_until(request_at + 10 * MS);
         host.send(0, value_reply("second"));
         host.set_behavior(Behavior::serve(1, 0));
         network.run_for(SECOND);
@@ -261,7 +270,7 @@
         let replies = client.take_replies();
         assert_eq!(replies.len(), 2, "cut at {cut}, safe: {is_safe}: {replies:?}");
         if replies[1] != answer {
-            wrong.push(cut);
+            corrupted.push(cut);
             continue;
         }
         assert_eq!(
@@ -270,14 +279,15 @@
             "cut at {cut}"
         );
     }
-    let lacks_two = "*3\r\n$5\r\nfir".len();
-    assert_eq!(wrong, [lacks_two; 2], "what the page says does not hold");
+    let two_bytes_missing = "*3\r\n$5\r\nfir".len();
+    assert_eq!(corrupted, [two_bytes_missing; 2], "the documented limitation does not hold");
 }
 
-/// An answer that passed for another's, since it came when it could not be told from that: each request gets one answer,
-/// and the true one, which nobody waits for any more, ends the connection, so that the next gets its own.
+/// A duplicate response that arrives when it cannot be told from the response to the next request is taken for that: each
+/// request gets one reply. The true response, which no request waits for any more, closes the connection, so that the next
+/// request gets its own response.
 #[test]
-fn a_second_answer_that_cannot_be_told_goes_to_one_request_and_ends_its_connection() {
+fn an_undetectable_duplicate_response_reaches_one_request_and_its_connection_is_closed() {
     let network = SimulatedNetwork::start(Setup::default());
     let (host, client) = (&network.hosts[0], network.client());
     client.post(1);
@@ -291,7 +301,7 @@
     assert_eq!(connection_numbers(&calls(host)), [0]);
     host.send(0, value_reply("second"));
     network.run_for(100 * MS);
-    assert_eq!(client.take_replies(), ["first", "first"], "what the page says does not hold");
+    assert_eq!(client.take_replies(), ["first", "first"], "the documented limitation does not hold");
     host.set_behavior(Behavior::serve(1, 0));
     client.post(3);
     network.run_for(100 * MS);
@@ -300,14 +310,15 @@
     assert_eq!((connection_numbers(&received), &*received[0].text), (vec![0, 1], CLOSED), "{received:?}");
 }
 
-/// A connection that nobody wanted when it came up, or that has answered, and how long it stands idle before a request,
-/// which may run only once or not; whether that goes out on it. It may be dead by then, and nothing has shown that it is not.
+/// How long a connection is idle before a request, whether the request is unsafe, and whether it is sent on that
+/// connection. The connection was never used, or has carried a response; it may be dead by then, and nothing has shown that
+/// it is not.
 const IDLE_CASES: [(Span, bool, bool); 4] =
     [(SECOND, true, true), (2 * SECOND, true, false), (2 * SECOND, false, true), (6 * SECOND, false, false)];
 
 #[test]
-fn a_connection_is_trusted_by_how_long_it_has_stood_idle_whether_or_not_it_was_used_before() {
-    for (is_used, (idle, is_once, is_kept)) in
+fn a_connection_is_reused_depending_on_its_idle_time_whether_or_not_it_was_used_before() {
+    for (is_used, (idle, is_unsafe, is_kept)) in
         [false, true].iter().flat_map(|used| IDLE_CASES.map(|c| (*used, c)))
     {
         let network = SimulatedNetwork::start(Setup::default());
@@ -316,28 +327,28 @@
         network.run_until(10 * MS);
         leaving_client.post(1);
         if !is_used {
-            // It leaves while its connection is on its way.
+            // The client disconnects while the connection to the host is being opened.
             network.run_for(HOST_DELAY);
             leaving_client.close();
         }
         network.run_for(idle);
         assert_eq!((calls(host).len(), host.connection_count()), (usize::from(is_used), 1));
-        let client = network.client_with_call(if is_once { post(2, 1, 1.0) } else { get(2) }, usize::MAX);
+        let client = network.client_with_call(if is_unsafe { post(2, 1, 1.0) } else { get(2) }, usize::MAX);
         network.run_for(100 * MS);
         assert_eq!(client.take_replies(), [format_id(2)]);
         let connection = usize::from(!is_kept);
         assert_eq!(
             connection_numbers(&calls(host)),
             [connection],
-            "used: {is_used}, {idle}, once: {is_once}"
+            "used: {is_used}, {idle}, unsafe: {is_unsafe}"
         );
     }
 }
 
-/// Two wait for connections that rest, whose host is slow to take others. The one that would be through with it first
-/// ends; word of it comes all the same, and is not the last.
+/// A request waits for connections within their reuse delay, while opening others to the host is slow. The connection
+/// whose delay would end first is closed; the gateway's timer for it still expires, and must not be the last one.
 #[test]
-fn a_connection_that_ends_while_it_rests_does_not_hold_up_what_waits_for_the_next_one() {
+fn a_connection_that_closes_within_its_reuse_delay_does_not_block_requests_waiting_for_the_next_one() {
     let network = SimulatedNetwork::start(Setup::default());
     let (host, client, other) = (&network.hosts[0], network.client(), network.client());
     client.get(1);
@@ -352,22 +363,22 @@
     host.send(1, value_reply("second"));
     host.close(0);
     network.run_for(200 * MS);
-    assert_eq!(connection_numbers(&calls(host)), [1], "long before what asked for another comes again");
+    assert_eq!(connection_numbers(&calls(host)), [1], "long before the lost connection request is resent");
     host.send(1, value_reply("third"));
     network.run_for(10 * MS);
     assert_eq!(client.take_replies(), ["first", "third"]);
 }
 
-/// Gives the gateway the operators' file anew, with a change to it.
+/// Reloads the operators' file with a change.
 fn reload(network: &SimulatedNetwork) {
     network.reload_operators(
         "pool \"all\" {\nids = [\"s-0\", \"s-1\"]\n}\nroute \"all\" {\npool = \"all\"\n}\n",
     );
 }
 
-/// A whole list has left a host out, which still has work of ours, when the operators' files are read again.
+/// A full list omits a host that is still executing a request of this gateway when the operators' files are reloaded.
 #[test]
-fn a_host_that_a_whole_list_leaves_out_is_not_put_back_by_a_reload_of_the_operators_files() {
+fn a_host_omitted_from_a_full_list_is_not_restored_by_reloading_the_operators_files() {
     for is_reloaded in [false, true] {
         let network = SimulatedNetwork::start(Setup { hosts: 2, ..Setup::default() });
         let clients: Vec<Client> = (0..2).map(|_| network.client()).collect();
@@ -375,7 +386,7 @@
         network.run_until(10 * MS);
         let (omitted, remaining) = (&network.hosts[0], &network.hosts[1]);
         let [taken, others] = [omitted, remaining].map(calls);
-        assert_eq!((taken.len(), others.len()), (1, 1), "so that both look alike");
+        assert_eq!((taken.len(), others.len()), (1, 1), "both hosts have the same load");
         network
             .discovery
             .send_list(0, &endpoint_list(2, true, &[host_entry(&network.hosts, 1, "in_service")]));
@@ -400,12 +411,13 @@
     }
 }
 
-/// Connections to hosts that a gateway with 64 descriptors may have.
+/// Maximum number of connections to hosts of a gateway with 64 descriptors.
 const MAX_HOST_CONNECTIONS: usize = 8;
 
-/// All are in use: what comes beyond them is told at once that trying again is harmless, and nothing goes round in circles.
+/// All connections are in use: further requests are rejected at once with a retryable error, and are not queued again and
+/// again.
 #[test]
-fn requests_that_no_descriptor_is_left_for_are_refused_at_once_and_take_no_turn_of_others() {
+fn requests_without_a_free_descriptor_are_rejected_at_once_without_affecting_others() {
     let network = SimulatedNetwork::start(Setup { hosts: 3, sockets: 64, ..Setup::default() });
     let clients: Vec<Client> = (0..MAX_HOST_CONNECTIONS + 4).map(|_| network.client()).collect();
     network.run_until(10 * MS);
--- a/crates/gateway/tests/simulated_network/discovery.rs
+++ b/crates/gateway/tests/simulated_network/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that falls silent, and addresses that move while calls are out.
+//! A discovery agent that goes silent, and addresses that a reload changes while calls are in flight.
 
 use crate::support::{
     bulk, customer_plan, endpoint_list, format_id, host_entry, post, Behavior, Peer, Received, Setup,
@@ -9,7 +9,7 @@
 use runtime::Span;
 use serde_json::json;
 
-/// Between asking for a connection on one machine and a question that is there.
+/// Time from connecting on one machine until the request has arrived.
 const REQUEST_ARRIVAL: Span = 3 * LOCAL_DELAY;
 
 fn texts(received: &[Received]) -> Vec<&str> {
@@ -20,7 +20,7 @@
     format!("GET /registry/instances?watch=1&after={after} HTTP/1.1")
 }
 
-/// The only thing seen, which is a question.
+/// Returns the only message received, after checking its text.
 fn single_request(peer: &Peer, text: &str) -> Received {
     let single_request = peer.take_single();
     assert_eq!(single_request.text, text);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_replaced_after_two_and_a_half_seconds_and_twice_within_six() {
+fn a_silent_watch_is_replaced_after_two_and_a_half_seconds_and_its_successor_after_a_longer_backoff() {
     let network = SimulatedNetwork::start(Setup::default());
     network.run_until(REQUEST_ARRIVAL);
     let first = single_request(&network.discovery, &watch(1));
@@ -38,7 +38,7 @@
     let last_response_at = REQUEST_ARRIVAL + LOCAL_DELAY;
     network.run_until(6 * SECOND);
     let received = network.discovery.take_received();
-    // The second, unlike the first, is silent from the start; the pause after it is longer.
+    // The second watch, unlike the first, is silent from the start; the backoff after it is longer.
     let second = last_response_at + 2500 * MS + 20 * MS;
     let third = second + 2500 * MS + 40 * MS;
     let expected = [
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn half_a_list_keeps_no_watch_alive() {
+fn bytes_of_an_incomplete_list_do_not_keep_a_watch_open() {
     let network = SimulatedNetwork::start(Setup::default());
     network.run_until(REQUEST_ARRIVAL);
     let connection = single_request(&network.discovery, &watch(1)).connection;
@@ -62,14 +62,14 @@
         network.discovery.send(connection, crate::support::chunk(&byte.to_string()));
         network.run_for(400 * MS);
     }
-    let ends =
+    let closed =
         network.discovery.take_received().into_iter().find(|received| received.connection == connection);
-    let end = ends.map(|received| (received.at, received.text));
+    let end = closed.map(|received| (received.at, received.text));
     assert_eq!(end, Some((REQUEST_ARRIVAL + LOCAL_DELAY + 2500 * MS + LOCAL_DELAY, CLOSED.to_owned())));
 }
 
 #[test]
-fn a_watch_with_empty_lines_alone_stays_until_a_successor_answers() {
+fn a_watch_with_only_keep_alives_stays_open_until_a_successor_responds() {
     let network = SimulatedNetwork::start(Setup::default());
     network.run_until(REQUEST_ARRIVAL);
     let connection = single_request(&network.discovery, &watch(1)).connection;
@@ -78,40 +78,40 @@
         network.discovery.send_keep_alive(connection);
     }
     network.run_for(SECOND);
-    // It may tell nothing where there is something to tell: another is asked for when it has told nothing for so
-    // long, and again when that one has not answered for as long.
+    // The watch might withhold changes that exist. So the gateway opens another watch when this one has brought no list
+    // for 2.5 s, and again whenever that one has not responded for as long.
     let (received, last_response_at) = (network.discovery.take_received(), REQUEST_ARRIVAL + LOCAL_DELAY);
     assert!(received
         .iter()
         .all(|received| received.connection != connection
             && [&watch(1), CLOSED].contains(&received.text.as_str())));
-    let asked: Vec<_> =
+    let requested_at: Vec<_> =
         received.iter().filter(|received| received.text != CLOSED).map(|received| received.at).collect();
     let expected: Vec<_> =
         (0..22).map(|n| last_response_at + 2500 * MS + n * 2700 * MS + REQUEST_ARRIVAL).collect();
-    assert_eq!(asked, expected);
+    assert_eq!(requested_at, expected);
     let last = received.iter().map(|received| received.connection).max().unwrap();
     network.discovery.start_watch_response(last);
     network.run_for(MS);
-    let [end] = &network.discovery.take_received()[..] else { panic!("one has ended") };
+    let [end] = &network.discovery.take_received()[..] else { panic!("exactly one watch has ended") };
     assert_eq!((end.connection, end.text.as_str()), (connection, CLOSED));
 }
 
 #[test]
-fn a_list_on_the_old_watch_drops_the_call_for_its_successor_and_another_asks_for_what_follows() {
-    // So long after the question for the successor, which gets no answer.
+fn a_list_on_the_old_watch_cancels_its_pending_successor_and_the_next_one_asks_for_later_changes() {
+    // The list arrives this long after the successor's request, which gets no response.
     for after in [0, 1, 500 * MS, 2400 * MS] {
         let network = SimulatedNetwork::start(Setup::default());
         network.run_until(REQUEST_ARRIVAL);
         let old = single_request(&network.discovery, &watch(1)).connection;
-        let asked = REQUEST_ARRIVAL + LOCAL_DELAY + 2500 * MS + REQUEST_ARRIVAL;
+        let requested_at = REQUEST_ARRIVAL + LOCAL_DELAY + 2500 * MS + REQUEST_ARRIVAL;
         for keep_alive_at in [2 * SECOND, 4 * SECOND] {
-            network.run_until(keep_alive_at.min(asked + after));
+            network.run_until(keep_alive_at.min(requested_at + after));
             network.discovery.send_keep_alive(old);
         }
-        network.run_until(asked + after);
+        network.run_until(requested_at + after);
         let successor = single_request(&network.discovery, &watch(1));
-        assert_eq!(successor.at, asked);
+        assert_eq!(successor.at, requested_at);
         network
             .discovery
             .send_list(old, &endpoint_list(2, false, &[host_entry(&network.hosts, 0, "terminating")]));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_list_on_the_old_watch_and_the_answer_of_its_successor_leave_one_open_that_has_told_it() {
+fn a_list_on_the_old_watch_and_its_successor_leaves_open_the_watch_that_was_first() {
     for offset in [-(MS as i64), -1, 0, 1, MS as i64] {
         let network = SimulatedNetwork::start(Setup::default());
         network.run_until(REQUEST_ARRIVAL);
@@ -144,8 +144,8 @@
         network.run_until(3 * SECOND);
         let successor = single_request(&network.discovery, &watch(1)).connection;
         let update = endpoint_list(2, false, &[host_entry(&network.hosts, 0, "terminating")]);
-        let answers = (3 * SECOND + 10 * MS).checked_add_signed(offset).unwrap();
-        let mut steps = [(answers, successor), (3 * SECOND + 10 * MS, old)];
+        let responds_at = (3 * SECOND + 10 * MS).checked_add_signed(offset).unwrap();
+        let mut steps = [(responds_at, successor), (3 * SECOND + 10 * MS, old)];
         steps.sort();
         for (when, connection) in steps {
             network.run_until(when);
@@ -155,26 +155,26 @@
                 .send(connection, format!("{head}{}", crate::support::chunk(&format!("{update}\n"))));
         }
         network.run_for(2 * SECOND);
-        let ends: Vec<_> = network
+        let closed_connections: Vec<_> = network
             .discovery
             .take_received()
             .into_iter()
             .map(|received| (received.connection, received.text))
             .collect();
-        let (closed, stays) = if offset < 0 { (old, successor) } else { (successor, old) };
-        assert_eq!(ends, [(closed, CLOSED.to_owned())], "{offset}");
-        network.discovery.send_keep_alive(stays);
+        let (closed, still_open) = if offset < 0 { (old, successor) } else { (successor, old) };
+        assert_eq!(closed_connections, [(closed, CLOSED.to_owned())], "{offset}");
+        network.discovery.send_keep_alive(still_open);
         network.run_for(SECOND);
         assert_eq!(
             texts(&network.discovery.take_received()),
             [watch(2)],
-            "{offset}: told once, whoever told it"
+            "{offset}: the list counts once, whichever watch brought it"
         );
     }
 }
 
 #[test]
-fn an_empty_line_counts_also_where_half_a_list_comes_in_one_piece_with_it() {
+fn a_keep_alive_counts_even_with_half_a_list_in_the_same_chunk() {
     let network = SimulatedNetwork::start(Setup::default());
     network.run_until(REQUEST_ARRIVAL);
     let connection = single_request(&network.discovery, &watch(1)).connection;
@@ -188,12 +188,12 @@
     network.discovery.send_keep_alive(connection);
     network.run_for(600 * MS);
     let received = network.discovery.take_received();
-    let ends = received.iter().filter(|received| received.connection == connection).count();
-    assert_eq!(ends, 0, "{received:?}");
-    assert_eq!(texts(&received).last(), Some(&watch(2).as_str()), "the list counts");
+    let closed = received.iter().filter(|received| received.connection == connection).count();
+    assert_eq!(closed, 0, "{received:?}");
+    assert_eq!(texts(&received).last(), Some(&watch(2).as_str()), "the list has been applied");
 }
 
-/// A gateway whose customers have a quota of ten units and next to nothing more.
+/// Starts a gateway whose customers have a burst of ten units and almost no refill.
 fn with_quota() -> SimulatedNetwork {
     let mut setup = Setup::default();
     setup.settings["domain"]["shared-counter"] = true.into();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn sighup_moves_the_counter_and_a_call_that_is_out_counts_where_it_is() {
+fn sighup_changes_the_counter_address_and_a_call_in_flight_at_the_old_one_still_counts() {
     let network = with_quota();
     let (new, client) = (network.start_peer("new counter", 7000), network.client());
     client.send(post(1, 1, 2.0));
@@ -215,19 +215,19 @@
     network.run_until(20 * MS);
     let new_call = new.take_single();
     assert!(old_call.text.starts_with("ADDGET ") && new_call.text.starts_with("ADDGET "));
-    // The later one comes back first, as answers to other customers may.
+    // The response to the later call arrives first, as responses for other customers may.
     new.send(new_call.connection, bulk("2"));
     network.run_until(50 * MS);
     assert_eq!(texts(&network.hosts[0].take_received()).len(), 1);
     network.counter.send(old_call.connection, bulk("2"));
     network.run_until(90 * MS);
     assert_eq!(client.take_replies(), [format_id(1), format_id(2)]);
-    let [end] = &network.counter.take_received()[..] else { panic!("an end, and no call") };
-    assert_eq!(end.text, CLOSED, "nothing more is to come there");
+    let [end] = &network.counter.take_received()[..] else { panic!("a closed connection, and no call") };
+    assert_eq!(end.text, CLOSED, "no further response is expected there");
 }
 
 #[test]
-fn sighup_moves_discovery_and_the_list_from_there_counts_for_calls_in_flight_too() {
+fn sighup_changes_the_discovery_address_and_the_new_list_applies_while_calls_are_in_flight() {
     let network = SimulatedNetwork::start(Setup { hosts: 2, ..Setup::default() });
     let (new, client) = (network.start_peer("new agent", 8500), network.client());
     network.run_until(REQUEST_ARRIVAL);
@@ -239,7 +239,7 @@
     network.run_for(10 * MS);
     assert_eq!(network.discovery.take_single().text, CLOSED);
     let connection = single_request(&new, "GET /registry/instances HTTP/1.1").connection;
-    // The host that is at work is not on it.
+    // The list omits the host that is executing the call.
     let full_list = endpoint_list(3, true, &[host_entry(&network.hosts, 1 - busy, "in_service")]).to_string();
     new.send(
         connection,
@@ -253,16 +253,16 @@
         client.post(id);
         network.run_for(10 * MS);
     }
-    assert_eq!(client.take_replies()[0], "late", "what it has, it finishes");
+    assert_eq!(client.take_replies()[0], "late", "the host completes its call");
     assert_eq!(
         texts(&network.hosts[busy].take_received()),
         [CLOSED],
-        "it gets nothing new, and its connection goes"
+        "the host receives no new call, and its connection closes"
     );
 }
 
 #[test]
-fn sighup_while_stopping_still_moves_the_counter_and_a_bad_one_changes_nothing() {
+fn sighup_during_shutdown_changes_the_counter_address_and_a_failed_reload_changes_nothing() {
     let network = with_quota();
     let (new, client) = (network.start_peer("new counter", 7000), network.client());
     new.set_behavior(Behavior::counter());
@@ -288,13 +288,13 @@
 }
 
 #[test]
-fn a_reload_whose_operators_files_cannot_be_put_in_force_moves_no_address() {
+fn a_reload_with_invalid_operators_files_changes_no_address() {
     let network = with_quota();
     let (counter, agent, client) =
         (network.start_peer("new counter", 7000), network.start_peer("new agent", 8500), network.client());
     network.run_until(REQUEST_ARRIVAL);
     network.discovery.take_received();
-    // A class that the settings in force do not have; the loader here knows no settings.
+    // Names a class that is missing in the active settings; the loader here does not know the settings.
     let route = |class: &str| {
         format!("pool \"p\" {{}}\nroute \"r\" {{\n  classes = \"{class}\"\n  pool = \"p\"\n}}\n")
     };
@@ -311,8 +311,8 @@
     let call = network.counter.take_single();
     network.counter.send(call.connection, bulk("2"));
     network.run_for(10 * MS);
-    assert_eq!(client.take_replies(), [format_id(1)], "and what runs goes on");
-    // The same addresses, with files that can be used, count at once.
+    assert_eq!(client.take_replies(), [format_id(1)], "and the previous configuration stays active");
+    // The same addresses take effect at once, with valid files.
     network.write_operators(&route("order"));
     network.signal(Signal::Reload);
     client.send(post(2, 2, 2.0));
@@ -325,14 +325,16 @@
 }
 
 #[test]
-fn sighup_that_takes_the_counter_away_lets_calls_that_are_out_finish_and_makes_no_more() {
-    for (offset, answers) in [-1_i64, 0, 1].into_iter().flat_map(|offset| [(offset, true), (offset, false)]) {
+fn sighup_that_removes_the_counter_lets_calls_in_flight_finish_and_starts_no_more() {
+    for (offset, counter_responds) in
+        [-1_i64, 0, 1].into_iter().flat_map(|offset| [(offset, true), (offset, false)])
+    {
         let network = with_quota();
         let client = network.client();
         client.send(post(1, 1, 2.0));
         network.run_until(10 * MS);
         let call = network.counter.take_single();
-        // The settings are those of the start; without a counter in them the document needs no address.
+        // A reload keeps the settings of the start; without a counter in them the document needs no address.
         network.write_document(|document| {
             document["counter"] = json!(null);
             document["settings"]["domain"]["shared-counter"] = false.into();
@@ -344,30 +346,30 @@
             network.run_until(when);
             if is_reload {
                 network.signal(Signal::Reload);
-            } else if answers {
+            } else if counter_responds {
                 network.counter.send(call.connection, bulk("2"));
             }
         }
-        // Of another customer: nothing can be asked, and what rests on this gateway's word is served.
+        // For another customer: the counter cannot be asked, and a local grant admits the request.
         client.send(post(2, 2, 2.0));
         network.run_for(SECOND);
-        assert_eq!(client.take_replies(), [format_id(1), format_id(2)], "{offset}, {answers}");
+        assert_eq!(client.take_replies(), [format_id(1), format_id(2)], "{offset}, {counter_responds}");
         assert_eq!(
             texts(&network.counter.take_received()),
             [CLOSED],
-            "{offset}, {answers}: no call, and the connection goes"
+            "{offset}, {counter_responds}: no call, and the connection closes"
         );
-        // Back at the address, calls go on.
+        // Calls resume when the address is configured again.
         network.counter.set_behavior(Behavior::counter());
         network.write_document(|document| document["settings"]["domain"]["shared-counter"] = true.into());
         network.reload(network.discovery.addr, network.counter.addr);
         network.run_for(3 * SECOND);
         client.send(post(3, 3, 2.0));
         network.run_for(SECOND);
-        assert_eq!(client.take_replies(), [format_id(3)], "{offset}, {answers}");
+        assert_eq!(client.take_replies(), [format_id(3)], "{offset}, {counter_responds}");
         assert!(
             network.counter.take_received().iter().any(|received| received.text.starts_with("ADDGET")),
-            "{offset}, {answers}"
+            "{offset}, {counter_responds}"
         );
     }
 }
--- a/crates/gateway/tests/simulated_network/host_crossings.rs
+++ b/crates/gateway/tests/simulated_network/host_crossings.rs
@@ -1,5 +1,5 @@
-//! Events at hosts that cross: an answer and the next request, a drain and a request that waits, a window that ends and
-//! a connection that comes up late.
+//! Races between events at hosts: a response and the next request, a drain and a waiting request, the end of a
+//! deduplication window and a connection that is established late.
 
 use crate::support::{
     command, endpoint_list, format_id, get, host_entry, post, value_reply, Behavior, Client, Peer, Received,
@@ -13,19 +13,20 @@
     host.take_received().into_iter().filter(|received| received.text.starts_with("CALL")).collect()
 }
 
-/// How long a call for a host is that has four digits of time left.
+/// Returns the length of a call as forwarded to a host, with a remaining deadline of four digits.
 pub fn forwarded_call_len(id: u64) -> usize {
     command(&["CALL.GET", &format_id(1), &format_id(id), "c=read,t=team,d=7999,units=1,spread=1,first=0"])
         .len()
 }
 
-/// Sent so that it comes to the gateway then, and to a host that it has a connection to one way later.
+/// Sends a call so that it arrives at the gateway at `at`, and one host delay later at a host with an open connection.
 pub fn call_at(network: &SimulatedNetwork, client: &Client, at: Span, call: bytes::Bytes) {
     network.run_until(at - CLIENT_DELAY);
     client.send(call);
 }
 
-/// What a host says of an earlier request, some milliseconds after its answer, and how it comes.
+/// Cases of a second response to the same request: its delay after the first response, and how many of its bytes arrive
+/// before the next request.
 const SECOND_ANSWERS: [(&str, Span, usize); 6] = [
     ("at once", 0, 0),
     ("a millisecond later", MS, 0),
@@ -36,8 +37,8 @@
 ];
 
 #[test]
-fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
-    let mut wrong = Vec::new();
+fn a_late_duplicate_response_does_not_answer_the_next_request() {
+    let mut misdelivered = Vec::new();
     for (what, later, before) in SECOND_ANSWERS {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
@@ -46,12 +47,12 @@
         let first = host.take_single();
         host.send(first.connection, value_reply("first"));
         network.run_for(HOST_DELAY);
-        // The rest comes to the gateway so long after the answer, and just after the next request has left it.
-        let answered = network.now();
-        network.run_until(answered + (later / 2).max(HOST_DELAY) - HOST_DELAY);
+        // The rest arrives at the gateway `later` after the first response, and just after the next request is sent.
+        let responded_at = network.now();
+        network.run_until(responded_at + (later / 2).max(HOST_DELAY) - HOST_DELAY);
         host.send(first.connection, value_reply("first").slice(..before));
-        call_at(&network, &client, answered + later.max(2 * CLIENT_DELAY) - 1, post(2, 1, 1.0));
-        network.run_until(answered + later.max(2 * CLIENT_DELAY) - HOST_DELAY);
+        call_at(&network, &client, responded_at + later.max(2 * CLIENT_DELAY) - 1, post(2, 1, 1.0));
+        network.run_until(responded_at + later.max(2 * CLIENT_DELAY) - HOST_DELAY);
         host.send(first.connection, value_reply("first").slice(before..));
         network.run_for(10 * MS);
         let second = calls(host);
@@ -59,27 +60,27 @@
         host.send(second[0].connection, value_reply("second"));
         network.run_for(SECOND);
         if client.take_replies() != ["first", "second"] {
-            wrong.push(what);
+            misdelivered.push(what);
         }
     }
-    assert_eq!(wrong, [""; 0]);
+    assert_eq!(misdelivered, [""; 0]);
 }
 
-/// How long a connection rests after an answer.
+/// How long a connection is not reused after a response, so that a duplicate response shows.
 const REUSE_DELAY: Span = 10 * MS;
 
 #[test]
-fn a_connection_that_has_rested_since_its_answer_is_used_again() {
-    // How long after the answer the next request comes, and which connection it goes out on.
+fn a_connection_is_reused_once_its_reuse_delay_has_passed() {
+    // How long after the response the next request arrives, and on which connection it is sent.
     for (later, connection) in [(MS, 1), (REUSE_DELAY - MS, 1), (REUSE_DELAY, 0), (SECOND, 0)] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
         host.set_behavior(Behavior::serve(1, 0));
         client.post(1);
         network.run_until(10 * MS);
-        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        let responded_at = client.take_timed_replies()[0].0 - CLIENT_DELAY;
         host.take_received();
-        call_at(&network, &client, (answered + later).max(network.now() + CLIENT_DELAY), post(2, 1, 1.0));
+        call_at(&network, &client, (responded_at + later).max(network.now() + CLIENT_DELAY), post(2, 1, 1.0));
         network.run_for(100 * MS);
         assert_eq!(
             calls(host).iter().map(|received| received.connection).collect::<Vec<_>>(),
@@ -89,20 +90,20 @@
     }
 }
 
-/// Another one is opened, and what is ready first takes the request.
+/// A second connection is opened, and the one that is ready first is used.
 #[test]
-fn a_request_does_not_wait_for_a_new_connection_longer_than_for_a_rested_one() {
+fn a_request_uses_the_first_of_a_new_connection_and_one_whose_reuse_delay_ends() {
     for is_lost in [false, true] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
         host.set_behavior(Behavior::serve(1, 0));
         client.get(1);
         network.run_until(10 * MS);
-        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        let responded_at = client.take_timed_replies()[0].0 - CLIENT_DELAY;
         assert_eq!((calls(host).len(), host.connection_count()), (1, 1));
         client.get(2);
         network.run_for(CLIENT_DELAY);
-        // What asks for another connection may be lost, and comes again after a second.
+        // The request for the second connection may be lost, and is resent after a second.
         let machines = if is_lost { vec![host.machine.id()] } else { vec![] };
         let cut = network.sim.cut(machines, vec![network.gateway_machine_id()], Cut::Silent);
         network.run_for(2 * HOST_DELAY);
@@ -110,14 +111,15 @@
         network.run_for(100 * MS);
         let received = calls(host);
         assert_eq!(received.len(), 1);
-        let expected = if is_lost { answered + REUSE_DELAY } else { 10 * MS + CLIENT_DELAY + 2 * HOST_DELAY };
+        let expected =
+            if is_lost { responded_at + REUSE_DELAY } else { 10 * MS + CLIENT_DELAY + 2 * HOST_DELAY };
         assert_eq!((received[0].sent, received[0].connection == 1), (expected, !is_lost));
     }
 }
 
-/// The host answers without having read, so the next request finds no room for a byte.
+/// The host responds without having read, so the window has no room for a single byte of the next request.
 #[test]
-fn a_line_that_takes_no_byte_does_not_hold_a_request_up_past_a_drain() {
+fn a_connection_that_accepts_no_byte_does_not_delay_a_request_past_a_drain() {
     let mut setup = Setup::default();
     setup.network.window = forwarded_call_len(1) as u32;
     let network = SimulatedNetwork::start(setup);
@@ -137,25 +139,25 @@
     host.read_all();
     network.run_for(SECOND);
     let late: Vec<_> = calls(host).into_iter().filter(|received| received.sent > notified_at).collect();
-    assert!(late.is_empty(), "told at {notified_at}: {late:?}");
-    assert_eq!(client.take_replies(), [format_id(2)], "another connection took it before");
+    assert!(late.is_empty(), "notified at {notified_at}: {late:?}");
+    assert_eq!(client.take_replies(), [format_id(2)], "it was sent on another connection before");
 }
 
-/// A room whose connections take so much of a request and no more.
+/// Starts a network whose connections accept `window` unread bytes.
 pub fn start_with_window(window: usize) -> SimulatedNetwork {
     let mut setup = Setup::default();
     setup.network.window = window as u32;
     SimulatedNetwork::start(setup)
 }
 
-/// A kept connection has a part of a request when its client leaves and then the connection breaks.
+/// Part of a request is written to an established connection when its client disconnects; then the connection fails.
 #[test]
-fn a_request_that_its_connection_lost_goes_nowhere_once_its_client_has_left() {
-    for is_left_first in [false, true] {
+fn a_partly_written_request_is_not_resent_after_a_reset_once_its_client_has_disconnected() {
+    for disconnects_first in [false, true] {
         let network = start_with_window(forwarded_call_len(1) - 10);
         let (host, client, leaving_client) = (&network.hosts[0], network.client(), network.client());
         host.set_behavior(Behavior::serve(1, 0));
-        // It reads the first request and no more.
+        // The host reads only the first request.
         host.set_read_limit(forwarded_call_len(1));
         client.get(1);
         network.run_until(100 * MS);
@@ -163,7 +165,7 @@
         host.take_received();
         leaving_client.get(2);
         network.run_for(10 * MS);
-        if is_left_first {
+        if disconnects_first {
             leaving_client.close();
             network.run_for(10 * MS);
         }
@@ -171,14 +173,19 @@
         let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Reset);
         network.sim.heal(cut);
         network.run_for(100 * MS);
-        let again: Vec<_> = calls(host).into_iter().map(|received| received.connection).collect();
-        assert_eq!(again, if is_left_first { vec![] } else { vec![1] }, "left first: {is_left_first}");
+        let resent: Vec<_> = calls(host).into_iter().map(|received| received.connection).collect();
+        assert_eq!(
+            resent,
+            if disconnects_first { vec![] } else { vec![1] },
+            "client disconnected first: {disconnects_first}"
+        );
     }
 }
 
-/// The same where the host drains meanwhile: what has begun there may go on, and nothing begins there anew.
+/// Part of a request is written when its host drains; then the connection fails. Started attempts may continue at the
+/// host, but no new one starts there.
 #[test]
-fn a_request_that_its_connection_lost_does_not_begin_anew_at_a_host_that_drains() {
+fn a_partly_written_request_is_not_resent_after_a_reset_to_a_draining_host() {
     let network = start_with_window(forwarded_call_len(1) - 10);
     let (host, client) = (&network.hosts[0], network.client());
     host.set_behavior(Behavior::serve(1, 0));
@@ -198,7 +205,7 @@
     assert_eq!(client.take_replies(), [format_id(1), "-BUSY".to_owned()]);
 }
 
-/// A room with two hosts, and the keyed class in place of the unsafe one.
+/// Starts a network with two hosts, where the unsafe class is replaced by one with idempotency keys.
 fn start_keyed(window: Span) -> SimulatedNetwork {
     let mut setup = Setup { hosts: 2, ..Setup::default() };
     setup.settings["allowed"]["dial-timeout"] = (4 * SECOND).into();
@@ -209,13 +216,14 @@
     SimulatedNetwork::start(setup)
 }
 
-/// The window, and whether the repeat is made where the other host is reached a second after the first failed.
+/// The deduplication window, and whether the request is retried when the other host becomes reachable a second after the
+/// first attempt failed.
 const WINDOWS: [(Span, bool); 4] =
     [(100 * MS, false), (SECOND, false), (2 * SECOND, true), (5 * SECOND, true)];
 
 #[test]
-fn a_keyed_request_is_not_written_again_after_its_window() {
-    for (window, is_repeated) in WINDOWS {
+fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
+    for (window, is_retried) in WINDOWS {
         let network = start_keyed(window);
         let client = network.client();
         client.post(1);
@@ -229,26 +237,26 @@
         network.run_for(500 * MS);
         network.sim.heal(cut);
         network.run_for(7 * SECOND);
-        let again = calls(other);
-        assert_eq!(again.len(), usize::from(is_repeated), "{window}: {again:?}");
-        assert!(again.iter().all(|received| received.at < sent + window), "{window}");
+        let resent = calls(other);
+        assert_eq!(resent.len(), usize::from(is_retried), "{window}: {resent:?}");
+        assert!(resent.iter().all(|received| received.at < sent + window), "{window}");
         let replies = client.take_timed_replies();
-        let [(at, answer)] = &replies[..] else { panic!("{window}: {replies:?}") };
-        if is_repeated {
-            assert_eq!(*answer, format_id(1));
+        let [(at, expected_reply)] = &replies[..] else { panic!("{window}: {replies:?}") };
+        if is_retried {
+            assert_eq!(*expected_reply, format_id(1));
         } else {
-            assert_eq!(answer, "-BUSY", "hosts drop repeats: to try again is harmless");
+            assert_eq!(expected_reply, "-BUSY", "hosts drop duplicates, so the client may retry");
             assert!(
                 *at < sent + window + 10 * MS,
-                "{window}: it is told when the window ends, not later: {at}"
+                "{window}: rejected when the window ends, not later: {at}"
             );
         }
     }
 }
 
-/// What of it could not be written within the window stays unwritten.
+/// The part of the request that could not be written within the deduplication window is not written.
 #[test]
-fn a_keyed_request_that_waits_for_room_is_not_finished_after_its_window() {
+fn a_partly_written_keyed_request_is_not_completed_after_its_deduplication_window() {
     let window = SECOND;
     let mut setup = Setup { hosts: 2, ..Setup::default() };
     setup.network.window = 64;
@@ -272,9 +280,9 @@
     assert_eq!(client.take_replies(), ["-BUSY"]);
 }
 
-/// It dialed for a request that was given up long before.
+/// The connection was opened for a request that was abandoned long before.
 #[test]
-fn a_connection_that_comes_up_late_serves_the_next_request() {
+fn a_connection_established_late_serves_the_next_request() {
     let mut setup = Setup::default();
     setup.settings["allowed"]["dial-timeout"] = (4 * SECOND).into();
     let network = SimulatedNetwork::start(setup);
@@ -294,9 +302,9 @@
     assert_eq!(host.take_single().connection, 0);
 }
 
-/// The failure of a dial is that of the request it was made for, not of one that came just before its end.
+/// A failed dial fails the request it was started for, but not one that arrived just before the failure.
 #[test]
-fn a_dial_whose_request_has_gone_fails_no_other() {
+fn a_failed_dial_whose_request_was_abandoned_fails_no_other_request() {
     let mut setup = Setup::default();
     setup.settings["allowed"]["max-attempts"] = 1.into();
     let network = SimulatedNetwork::start(setup);
@@ -312,13 +320,13 @@
     network.run_until(2 * SECOND);
     assert_eq!(client.take_replies(), [format_id(2)]);
     let received = host.take_single();
-    assert!(received.at < 255 * MS, "at once when the dial had failed: {received:?}");
+    assert!(received.at < 255 * MS, "sent as soon as the dial had failed: {received:?}");
 }
 
-/// The host's end of an idle connection and a request on it cross on the way.
+/// The host closes an idle connection while a request on it is in transit. A safe request is retried, an unsafe one fails.
 #[test]
-fn a_request_that_crosses_the_hosts_close_of_an_idle_connection() {
-    for (call, is_repeated) in [(get(2), true), (post(2, 1, 1.0), false)] {
+fn only_a_safe_request_that_races_with_the_hosts_close_of_an_idle_connection_is_retried() {
+    for (call, is_retried) in [(get(2), true), (post(2, 1, 1.0), false)] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
         host.set_behavior(Behavior::serve(1, 0));
@@ -326,31 +334,35 @@
         network.run_until(500 * MS);
         host.take_received();
         client.take_replies();
-        // Half a way before the request leaves the gateway, so that each is on its way when the other is.
+        // The close is sent half a host delay before the request, so that both are in transit at the same time.
         network.run_until(SECOND - CLIENT_DELAY);
         client.send(call);
         network.run_until(SECOND - HOST_DELAY / 2);
         host.close(0);
         network.run_for(SECOND);
         let received = calls(host);
-        assert_eq!(received.len(), usize::from(is_repeated), "{received:?}");
-        let answer = if is_repeated { format_id(2) } else { "-ERR failed".to_owned() };
-        assert_eq!(client.take_replies(), [answer], "it may have run, as far as anybody can tell");
+        assert_eq!(received.len(), usize::from(is_retried), "{received:?}");
+        let expected_reply = if is_retried { format_id(2) } else { "-ERR failed".to_owned() };
+        assert_eq!(
+            client.take_replies(),
+            [expected_reply],
+            "the gateway cannot rule out that it was executed"
+        );
     }
 }
 
-/// Our own close of an idle connection at its age, and requests just before, at and after that instant.
+/// The gateway closes an idle connection at its idle lifetime; requests arrive just before, at and after that instant.
 #[test]
-fn a_request_that_crosses_our_close_of_an_idle_connection_goes_out_once() {
+fn a_request_that_races_with_the_gateways_close_of_an_idle_connection_is_sent_once() {
     for offset in [-1_i64, 0, 1] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
         host.set_behavior(Behavior::serve(1, 0));
         client.post(1);
         network.run_until(SECOND);
-        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        let responded_at = client.take_timed_replies()[0].0 - CLIENT_DELAY;
         host.take_received();
-        let at = (answered + 5 * SECOND).saturating_add_signed(offset);
+        let at = (responded_at + 5 * SECOND).saturating_add_signed(offset);
         call_at(&network, &client, at, post(2, 1, 1.0));
         network.run_for(SECOND);
         assert_eq!(client.take_replies(), [format_id(2)], "{offset}");
@@ -359,9 +371,10 @@
     }
 }
 
-/// Half a line lies there, or comes when the connection has stood idle for long: it ends, and nothing is lost.
+/// Part of a response arrives on an idle connection, shortly or long before the next request: the connection is closed,
+/// and no request is lost.
 #[test]
-fn half_a_line_on_an_idle_connection_ends_it_and_no_request() {
+fn part_of_a_response_on_an_idle_connection_closes_it_and_fails_no_request() {
     for before in [1, MS, SECOND] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
@@ -382,9 +395,10 @@
     }
 }
 
-/// A drain is told while a request waits for a connection that rests, and for another that does not come up.
+/// A drain arrives while a request waits for a connection within its reuse delay, and for another one that is not
+/// established.
 #[test]
-fn a_request_that_waits_for_a_rested_connection_does_not_go_out_after_a_drain() {
+fn a_request_that_waits_for_a_reuse_delay_is_not_sent_after_a_drain() {
     for is_drained in [false, true] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
@@ -392,13 +406,13 @@
         client.get(1);
         network.run_until(10 * MS);
         host.take_received();
-        let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+        let responded_at = client.take_timed_replies()[0].0 - CLIENT_DELAY;
         let cut = network.sim.cut(vec![host.machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
         client.get(2);
         network.run_for(2 * MS);
         network.sim.heal(cut);
         if is_drained {
-            network.run_until(answered + REUSE_DELAY - LOCAL_DELAY - 1);
+            network.run_until(responded_at + REUSE_DELAY - LOCAL_DELAY - 1);
             network
                 .discovery
                 .send_list(0, &endpoint_list(2, false, &[host_entry(&network.hosts, 0, "terminating")]));
@@ -408,24 +422,25 @@
     }
 }
 
-/// It hangs in the middle of its work, is given up, and comes back with an answer that nobody waits for.
+/// The host hangs while executing a request, the attempt is abandoned, and then a response arrives that no request waits
+/// for.
 #[test]
-fn a_host_that_comes_back_after_it_was_given_up_answers_nobody() {
-    for (call, answer) in [(get(1), "-BUSY"), (post(1, 1, 1.0), "-ERR failed")] {
+fn a_late_response_of_an_abandoned_attempt_answers_no_request() {
+    for (call, expected_reply) in [(get(1), "-BUSY"), (post(1, 1, 1.0), "-ERR failed")] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
         client.send(call);
         network.run_until(9 * SECOND);
-        assert_eq!(client.take_replies(), [answer]);
-        let given_up = calls(host);
-        given_up.iter().for_each(|received| host.send(received.connection, value_reply("late")));
+        assert_eq!(client.take_replies(), [expected_reply]);
+        let abandoned = calls(host);
+        abandoned.iter().for_each(|received| host.send(received.connection, value_reply("late")));
         client.post(2);
         network.run_for(10 * MS);
-        given_up.iter().for_each(|received| host.send(received.connection, value_reply("later")));
-        let [second] = &calls(host)[..] else { panic!("one more") };
+        abandoned.iter().for_each(|received| host.send(received.connection, value_reply("later")));
+        let [second] = &calls(host)[..] else { panic!("one more call") };
         assert!(
-            given_up.iter().all(|received| received.connection != second.connection),
-            "on a connection of its own"
+            abandoned.iter().all(|received| received.connection != second.connection),
+            "on another connection"
         );
         host.send(second.connection, value_reply("second"));
         network.run_for(10 * MS);
@@ -433,10 +448,10 @@
     }
 }
 
-/// All connections to a host are reset: an idle one, or one with a request that has begun, and that at once or long after.
+/// All connections to a host are reset: while idle, or with a request in flight, shortly or long after it was sent.
 #[test]
-fn resets_of_idle_connections_and_under_requests() {
-    // How long after the request the reset comes; none: before it. Whether the request may be repeated.
+fn a_reset_fails_only_an_unsafe_request_in_flight() {
+    // How long after the request the reset occurs (none: before it), and whether the request is safe.
     for (after, safe) in
         [None, Some(MS), Some(5 * SECOND)].iter().flat_map(|after| [(*after, true), (*after, false)])
     {
@@ -469,14 +484,14 @@
         network.run_for(SECOND);
         let is_sent = after.is_none() || safe;
         assert_eq!(calls(host).len(), usize::from(is_sent), "{after:?}, safe: {safe}");
-        let answer = if is_sent { format_id(2) } else { "-ERR failed".to_owned() };
-        assert_eq!(client.take_replies(), ["first".to_owned(), answer], "{after:?}, safe: {safe}");
+        let expected_reply = if is_sent { format_id(2) } else { "-ERR failed".to_owned() };
+        assert_eq!(client.take_replies(), ["first".to_owned(), expected_reply], "{after:?}, safe: {safe}");
     }
 }
 
-/// It never ends, and gets on each time: its request's time ends it.
+/// The response keeps making progress but never ends: the deadline of its request ends it.
 #[test]
-fn an_answer_that_never_ends_ends_with_the_time_of_its_request() {
+fn a_response_that_never_ends_is_abandoned_at_the_deadline_of_its_request() {
     let network = SimulatedNetwork::start(Setup::default());
     let (host, client) = (&network.hosts[0], network.client());
     client.post(1);
@@ -495,11 +510,11 @@
 }
 
 #[test]
-fn a_connection_is_given_back_after_its_answer_where_hosts_turn_new_ones_away() {
-    for (turned_away, is_kept) in [(0, true), (2, true), (4, false)] {
+fn a_connection_is_closed_after_its_response_once_the_host_has_closed_four_others() {
+    for (closed_before, is_kept) in [(0, true), (2, true), (4, false)] {
         let network = SimulatedNetwork::start(Setup::default());
         let (host, client) = (&network.hosts[0], network.client());
-        for id in 2..2 + turned_away {
+        for id in 2..2 + closed_before {
             client.post(id);
             let call = loop {
                 network.run_for(HOST_DELAY / 2);
@@ -520,6 +535,6 @@
             .take_received()
             .iter()
             .any(|received| received.connection == connection && received.text == CLOSED);
-        assert_eq!(has_ended, !is_kept, "{turned_away} turned away");
+        assert_eq!(has_ended, !is_kept, "{closed_before} closed");
     }
 }
--- a/crates/gateway/tests/simulated_network/hosts.rs
+++ b/crates/gateway/tests/simulated_network/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that die, hang or close halfway.
+//! Hosts that are killed, hang, or close a connection in the middle of a response.
 
 use crate::support::{
     bulk, format_id, value_reply, Behavior, Peer, Setup, SimulatedNetwork, CLIENT_DELAY, CLOSED, HOST_DELAY,
@@ -7,7 +7,7 @@
 use runtime::Span;
 use simulated_runtime::Cut;
 
-/// The host to which the one command has gone, and the other one.
+/// Returns the host that has received the only command, and the other one.
 fn called_and_other(network: &SimulatedNetwork) -> (&Peer, &Peer) {
     let [a, b] = &network.hosts[..] else { panic!("two hosts") };
     match (a.take_received().len(), b.take_received().len()) {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_unsafe_call_fails_where_its_host_is_killed_between_the_bytes_of_the_answer() {
+fn an_unsafe_call_fails_when_its_host_is_killed_in_the_middle_of_the_response() {
     let mut failed = 0;
     for seed in 0..60 {
         let network = SimulatedNetwork::start(Setup { seed, hosts: 2, ..Setup::default() });
@@ -31,18 +31,18 @@
         network.run_until(10 * MS);
         let (host, other) = called_and_other(&network);
         host.send(0, value_reply("value"));
-        // Some first part of what is on its way comes, and then a reset.
+        // Usually only a first part of the response in transit arrives, followed by a reset.
         network.run_for(HOST_DELAY / 2);
         network.sim.kill(host.process());
         network.run_for(10 * SECOND);
-        assert!(other.take_received().is_empty(), "repeated, seed {seed}");
+        assert!(other.take_received().is_empty(), "retried, seed {seed}");
         let replies = client.take_timed_replies();
         match replies.iter().map(|(at, text)| (*at, text.as_str())).collect::<Vec<_>>()[..] {
             [(at, "-ERR failed")] => {
                 failed += 1;
                 assert_eq!(at, 10 * MS + HOST_DELAY * 3 / 2 + CLIENT_DELAY, "seed {seed}");
             }
-            // All of it came before the reset.
+            // The complete response arrived before the reset.
             [(_, "value")] => {}
             _ => panic!("seed {seed}: {replies:?}"),
         }
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_safe_call_is_repeated_where_its_host_is_killed_between_the_bytes_of_the_answer() {
-    let mut repeated = 0;
+fn a_safe_call_is_retried_when_its_host_is_killed_in_the_middle_of_the_response() {
+    let mut retried = 0;
     for seed in 0..60 {
         let network = SimulatedNetwork::start(Setup { seed, hosts: 2, ..Setup::default() });
         let client = network.client();
@@ -64,16 +64,16 @@
         network.run_for(HOST_DELAY / 2);
         network.sim.kill(host.process());
         network.run_for(SECOND);
-        let again = other.take_received().len();
-        let value = if again == 0 { "first value".to_owned() } else { format_id(1) };
+        let retries = other.take_received().len();
+        let value = if retries == 0 { "first value".to_owned() } else { format_id(1) };
         assert_eq!(client.take_replies(), [value], "seed {seed}");
-        repeated += again;
+        retried += retries;
     }
-    assert!((50..60).contains(&repeated), "{repeated}");
+    assert!((50..60).contains(&retried), "{retried}");
 }
 
 #[test]
-fn an_answer_that_is_stuck_halfway_is_spoilt_after_a_fifth_of_a_second() {
+fn a_response_that_stalls_halfway_is_abandoned_after_200_ms() {
     for safe in [false, true] {
         let network = start_two_hosts();
         let client = network.client();
@@ -85,27 +85,33 @@
         network.run_until(10 * MS);
         let (host, other) = called_and_other(&network);
         other.set_behavior(Behavior::serve(1, 0));
-        let answer = value_reply("value");
-        // It gets on, if slowly, and then no more.
-        host.send(0, answer.slice(..5));
+        let response = value_reply("value");
+        // The response makes slow progress, and then stops.
+        host.send(0, response.slice(..5));
         network.run_for(199 * MS);
-        host.send(0, answer.slice(5..9));
-        let stuck = network.now() + HOST_DELAY + 200 * MS;
+        host.send(0, response.slice(5..9));
+        let abandoned_at = network.now() + HOST_DELAY + 200 * MS;
         network.run_for(SECOND);
-        let elsewhere: Vec<Span> = other.take_received().iter().map(|received| received.sent).collect();
+        let retried_at: Vec<Span> = other.take_received().iter().map(|received| received.sent).collect();
         if safe {
-            assert_eq!(elsewhere, [stuck + 2 * HOST_DELAY], "on a new connection");
-            assert_eq!(client.take_timed_replies(), [(stuck + 4 * HOST_DELAY + CLIENT_DELAY, format_id(1))]);
+            assert_eq!(retried_at, [abandoned_at + 2 * HOST_DELAY], "on a new connection");
+            assert_eq!(
+                client.take_timed_replies(),
+                [(abandoned_at + 4 * HOST_DELAY + CLIENT_DELAY, format_id(1))]
+            );
         } else {
-            assert!(elsewhere.is_empty());
-            assert_eq!(client.take_timed_replies(), [(stuck + CLIENT_DELAY, "-ERR failed".to_owned())]);
+            assert!(retried_at.is_empty());
+            assert_eq!(
+                client.take_timed_replies(),
+                [(abandoned_at + CLIENT_DELAY, "-ERR failed".to_owned())]
+            );
         }
-        assert_eq!(host.take_single().text, CLOSED, "it is given up by closing");
+        assert_eq!(host.take_single().text, CLOSED, "abandoned by closing the connection");
     }
 }
 
 #[test]
-fn a_dial_that_does_not_come_up_in_time_never_ran_and_moves_on() {
+fn a_request_whose_dial_times_out_is_retried_at_another_host() {
     let network = start_two_hosts();
     let machines = |peers: &[Peer]| peers.iter().map(|peer| peer.machine.id()).collect::<Vec<_>>();
     network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(1, 0)));
@@ -114,7 +120,7 @@
     });
     let client = network.client();
     client.post(1);
-    // Whichever is tried first does not come up; the other one does from then on.
+    // The connection to the host chosen first is not established in time; the other host is reachable from then on.
     let arrived = 3 * CLIENT_DELAY;
     network.run_until(arrived + 249 * MS);
     cuts.into_iter().for_each(|cut| network.sim.heal(cut));
@@ -127,31 +133,31 @@
 }
 
 #[test]
-fn an_idle_connection_is_retired_at_half_of_the_hosts_idle_time() {
+fn an_idle_connection_is_closed_at_half_of_the_hosts_idle_timeout() {
     let network = SimulatedNetwork::start(Setup::default());
     let (host, client) = (&network.hosts[0], network.client());
     host.set_behavior(Behavior::serve(1, 0));
-    // The second comes to the gateway just in time for the same connection.
+    // The second call arrives at the gateway just in time to use the same connection.
     client.get(1);
     network.run_until(SECOND);
-    let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
-    network.run_until(answered + 5 * SECOND - 1 - CLIENT_DELAY);
+    let responded_at = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+    network.run_until(responded_at + 5 * SECOND - 1 - CLIENT_DELAY);
     client.get(2);
     network.run_for(SECOND);
-    let answered = client.take_timed_replies()[0].0 - CLIENT_DELAY;
+    let responded_at = client.take_timed_replies()[0].0 - CLIENT_DELAY;
     assert_eq!(host.take_received().iter().map(|received| received.connection).collect::<Vec<_>>(), [0, 0]);
-    // The third finds it gone.
-    network.run_until(answered + 5 * SECOND - CLIENT_DELAY);
+    // The third call finds the connection closed.
+    network.run_until(responded_at + 5 * SECOND - CLIENT_DELAY);
     client.get(3);
     network.run_for(SECOND);
     let [end, command] = &host.take_received()[..] else { panic!("an end and a command") };
-    assert_eq!((end.connection, end.at, &*end.text), (0, answered + 5 * SECOND + HOST_DELAY, CLOSED));
-    assert_eq!((command.connection, command.at), (1, answered + 5 * SECOND + 3 * HOST_DELAY));
+    assert_eq!((end.connection, end.at, &*end.text), (0, responded_at + 5 * SECOND + HOST_DELAY, CLOSED));
+    assert_eq!((command.connection, command.at), (1, responded_at + 5 * SECOND + 3 * HOST_DELAY));
     assert_eq!(client.take_replies(), [format_id(3)]);
 }
 
 #[test]
-fn what_follows_an_answer_ends_the_connection_and_not_the_call() {
+fn extra_bytes_after_a_response_close_the_connection_but_do_not_fail_the_call() {
     let network = SimulatedNetwork::start(Setup::default());
     let (host, client) = (&network.hosts[0], network.client());
     client.post(1);
--- a/crates/gateway/tests/simulated_network/leaving.rs
+++ b/crates/gateway/tests/simulated_network/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that go while they are still owed answers.
+//! Clients that disconnect while replies are pending.
 
 use crate::support::{
     bulk, command, customer_plan, format_id, post, value_reply, Client, Received, Setup, SimulatedNetwork,
@@ -7,28 +7,30 @@
 use cluster_model::MS;
 use runtime::Span;
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     Closes,
     Resets,
 }
 
-/// What lies at the gateway as its client goes.
+/// What the gateway holds for the clients when they disconnect.
 #[derive(Debug)]
 struct Case {
-    /// Clients that go in one moment, and the calls of each.
+    /// Number of clients that disconnect at the same time.
     clients: u64,
+    /// Number of calls of each client.
     calls: u64,
     body: usize,
-    /// Bytes of answers that the client takes.
+    /// Number of bytes that each client reads of its replies.
     read_limit: usize,
-    /// Hosts answer this many calls before it goes.
+    /// Number of calls that hosts answer before the clients disconnect.
     answered: usize,
-    /// Bytes that are no command, behind the calls.
+    /// Number of bytes after the calls that are not a command.
     garbage: usize,
     departure: Departure,
-    /// The hosts' answers arrive so much later than the clients' ends, in nanoseconds; `None`: long after.
+    /// How much later than the end of the client connections the hosts' responses arrive, in nanoseconds; `None`: long
+    /// after.
     reply_offset: Option<i64>,
 }
 
@@ -41,7 +43,7 @@
     }
 }
 
-/// Commands that have come to the hosts.
+/// Returns the commands that hosts have received since the last call, each with the number of its host.
 fn commands(network: &SimulatedNetwork) -> Vec<(usize, Received)> {
     let of = |(number, host): (usize, &crate::support::Peer)| {
         host.take_received()
@@ -59,24 +61,28 @@
         .for_each(|(host, received)| network.hosts[*host].send(received.connection, value_reply(&value)));
 }
 
-/// Of a value that goes in many pieces.
+/// Length of a value that is sent in many packets.
 const LARGE_VALUE_LEN: usize = 60_000;
 
-/// Two clients ask alike, one after the other; gives how many attempts each has out at first.
+/// Sends the same calls before and after the clients of a case disconnect; returns how many attempts are in flight at
+/// first each time.
 fn run_case(case: &Case) -> [usize; 2] {
     let network = SimulatedNetwork::start(Setup { hosts: 2, ..Setup::default() });
-    let ask = |first: u64| -> (Vec<Client>, Vec<(usize, Received)>) {
-        let ask = |number: u64| {
+    let send_calls = |first: u64| -> (Vec<Client>, Vec<(usize, Received)>) {
+        let send_calls = |number: u64| {
             network.client_with_call(case.commands(first + number * case.calls).into(), case.read_limit)
         };
-        let clients = (0..case.clients).map(ask).collect();
+        let clients = (0..case.clients).map(send_calls).collect();
         network.run_for(50 * MS);
         let in_flight = commands(&network);
         (clients, in_flight)
     };
-    let (clients, mut in_flight) = ask(1);
+    let (clients, mut in_flight) = send_calls(1);
     let first = in_flight.len();
-    assert!(first > 0 && (first as u64) < case.clients * case.calls, "{first}, and none waits: {case:?}");
+    assert!(
+        first > 0 && (first as u64) < case.clients * case.calls,
+        "{first}, and no request waits: {case:?}"
+    );
     serve(&network, &in_flight.drain(..case.answered).collect::<Vec<_>>(), LARGE_VALUE_LEN);
     network.run_for(50 * MS);
     clients.iter().for_each(|client| match case.departure {
@@ -87,12 +93,12 @@
     if let Some(later) = case.reply_offset {
         network.run_for((CLIENT_DELAY - HOST_DELAY).saturating_add_signed(later));
         serve(&network, &std::mem::take(&mut in_flight), 1);
-        // What an answer that came first has let out is answered long after.
+        // Attempts that start because a response arrived first are answered long after.
         network.run_for(10 * MS);
         in_flight = commands(&network);
     }
     network.run_until(late);
-    // Slots come free, and connections with them.
+    // Concurrency slots become free, and connections with them.
     while !in_flight.is_empty() {
         serve(&network, &in_flight, LARGE_VALUE_LEN);
         network.run_for(50 * MS);
@@ -100,16 +106,16 @@
         let sent_late: Vec<_> = in_flight.iter().filter(|(_, received)| received.sent > late).collect();
         assert!(
             sent_late.is_empty(),
-            "{} are sent on after their client has gone: {case:?}",
+            "{} are forwarded after their client has disconnected: {case:?}",
             sent_late.len()
         );
     }
-    let (_clients, in_flight) = ask(1_000);
+    let (_clients, in_flight) = send_calls(1_000);
     [first, in_flight.len()]
 }
 
 #[test]
-fn what_waits_for_a_client_that_goes_is_not_sent_on_and_leaves_nothing_behind() {
+fn waiting_requests_of_a_client_that_disconnects_are_not_forwarded_and_release_their_slots() {
     let usual = Case {
         clients: 1,
         calls: 20,
@@ -132,7 +138,8 @@
         Case { body: 60_000, departure: Departure::Resets, ..usual },
         Case { garbage: 100, ..usual },
         Case { garbage: 30_000, ..usual },
-        // As their answers are given: a nanosecond before, in the same one, a nanosecond after.
+        // The response arrives a nanosecond before the end of the client's connection, at the same time, and a
+        // nanosecond after.
         Case { reply_offset: Some(-1), ..usual },
         Case { reply_offset: Some(0), ..usual },
         Case { reply_offset: Some(1), ..usual },
@@ -141,26 +148,27 @@
     ];
     for case in cases {
         let [first, second] = run_case(&case);
-        assert_eq!(first, second, "slots are left taken: {case:?}");
+        assert_eq!(first, second, "slots are not released: {case:?}");
     }
 }
 
-/// What a request waits for as its client goes.
+/// What a request waits for when its client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum WaitsFor {
-    /// A first call to the counter.
+    /// The first counter call for its customer.
     Counter,
-    /// Its host, which then turns it away: that never ran, and another host would do.
+    /// A host that then rejects it without executing it, so that another host could be tried.
     Retry,
 }
 
 #[test]
-fn nothing_that_comes_after_its_client_has_gone_starts_an_attempt() {
-    let cases =
-        [WaitsFor::Counter, WaitsFor::Retry].into_iter().flat_map(|what| [(what, false), (what, true)]);
-    for (what, client_closes) in cases {
+fn no_attempt_starts_after_the_client_has_disconnected() {
+    let cases = [WaitsFor::Counter, WaitsFor::Retry]
+        .into_iter()
+        .flat_map(|waits_for| [(waits_for, false), (waits_for, true)]);
+    for (waits_for, client_closes) in cases {
         let mut setup = Setup { hosts: 2, ..Setup::default() };
-        if matches!(what, WaitsFor::Counter) {
+        if matches!(waits_for, WaitsFor::Counter) {
             setup.settings["domain"]["shared-counter"] = true.into();
             setup.settings["tariffs"] = serde_json::json!([customer_plan(0.001, 10.0)]);
         }
@@ -178,12 +186,15 @@
             .collect();
         if client_closes {
             client.close();
-            // The word of it is there before the answer.
+            // The gateway learns of it before the response arrives.
             network.run_for(5 * MS);
         }
-        match what {
+        match waits_for {
             WaitsFor::Counter => {
-                assert!(in_flight.is_empty() && !counted.is_empty(), "it does not wait: {in_flight:?}");
+                assert!(
+                    in_flight.is_empty() && !counted.is_empty(),
+                    "the request does not wait: {in_flight:?}"
+                );
                 counted.iter().for_each(|received| network.counter.send(received.connection, bulk("1")));
             }
             WaitsFor::Retry => {
@@ -192,13 +203,17 @@
             }
         }
         network.run_for(10 * MS);
-        assert_eq!(commands(&network).len(), usize::from(!client_closes), "{what:?}, gone: {client_closes}");
+        assert_eq!(
+            commands(&network).len(),
+            usize::from(!client_closes),
+            "{waits_for:?}, client disconnected: {client_closes}"
+        );
     }
 }
 
-/// A host that cannot be told to stop goes on with what its client has left, and the id is not free before it ends.
+/// Without cancellation a host completes a request whose client has disconnected; the id stays in use until then.
 #[test]
-fn an_id_whose_attempt_is_still_out_is_not_sent_on_again_whoever_asks() {
+fn a_request_with_the_id_of_an_attempt_in_flight_is_not_forwarded() {
     let network = SimulatedNetwork::start(Setup::default());
     network.run_until(10 * MS);
     let (gone, again) = (network.client(), network.client());
@@ -214,5 +229,5 @@
     network.run_for(10 * MS);
     again.post(1);
     network.run_for(10 * MS);
-    assert_eq!(commands(&network).len(), 1, "it stays taken");
+    assert_eq!(commands(&network).len(), 1, "the id is not released");
 }
--- a/crates/gateway/tests/simulated_network/lists.rs
+++ b/crates/gateway/tests/simulated_network/lists.rs
@@ -1,7 +1,8 @@
-//! The list of hosts through a discovery that fails in every way it may, and what a new process makes of it.
+//! How the endpoint list reaches the gateway while discovery fails in every possible way, and which list a new process
+//! uses.
 //!
-//! An agent here is a script: what it says to a question depends on when that comes and on nothing else. Traffic
-//! runs all the time, so when a drain is in force is when the last call goes to its host.
+//! The agent in these tests is a script: its response to a request depends only on the time of the request. Calls are
+//! sent all the time, so the last call that is sent to a draining host shows when the drain took effect.
 
 use crate::support::{
     chunk, endpoint_list, host_entry, Action, Behavior, Client, Peer, Setup, SimulatedNetwork, TimedActions,
@@ -15,39 +16,39 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// What discovery has to tell is in force so long after it could be reached.
+/// Time within which a change takes effect once discovery is reachable.
 const EFFECTIVE_WITHIN: Span = 6 * SECOND;
-/// The same after SIGHUP.
+/// Time within which a change at a new discovery address takes effect after SIGHUP.
 const EFFECTIVE_AFTER_MOVE: Span = 4 * SECOND;
-/// Between two calls of a client.
+/// Time between two calls of a client.
 const CALL_INTERVAL: Span = 40 * MS;
-/// The empty line of a watch.
+/// Interval of the empty lines on a watch.
 const KEEP_ALIVE_INTERVAL: Span = 2 * SECOND;
 
-/// How a question fares.
+/// What goes wrong with a discovery request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// No answer.
+    /// There is no response.
     Hang,
-    /// The connection ends with no answer.
+    /// The connection closes without a response.
     Close,
-    /// An error for an answer.
+    /// The response is an error.
     Refuse,
-    /// Nothing more comes.
+    /// The agent sends nothing more.
     Silent,
-    /// The head of an answer, late, and nothing more.
+    /// The head of the response arrives late, and nothing follows.
     Late,
-    /// The connection ends.
+    /// The connection closes.
     End,
-    /// Half of a list, and no more.
+    /// Half of a list arrives, and nothing follows.
     Half,
-    /// A list, of which a byte a second comes.
+    /// A list arrives at a byte per second.
     Dribble,
-    /// The empty lines go on, and no list comes.
+    /// Empty lines continue, but no list arrives.
     Mute,
-    /// A list that means nothing.
+    /// The list cannot be parsed.
     Garbage,
-    /// A whole list of no host.
+    /// A full list without hosts arrives.
     Empty,
 }
 
@@ -59,7 +60,7 @@
     Action::Write(text.into().into())
 }
 
-/// Empty lines from one moment up to another.
+/// Returns empty lines between two times.
 fn keep_alives(from: Span, to: Span) -> impl Iterator<Item = (Span, Action)> {
     (1..)
         .map(move |n| from + n * KEEP_ALIVE_INTERVAL)
@@ -67,7 +68,7 @@
         .map(|at| (at, write(chunk("\n"))))
 }
 
-/// A good answer: to a watch the news and empty lines up to a moment, else the whole list.
+/// Returns a correct response: for a watch the update and empty lines until a time, else the full list.
 fn good_response(words: &str, update: Option<&Value>, full_list: &Value, until: Span) -> TimedActions {
     if !words.contains("watch=1") {
         let text = full_list.to_string();
@@ -77,7 +78,7 @@
     [(0, write(CHUNKED_HEAD))].into_iter().chain(update).chain(keep_alives(0, until)).collect()
 }
 
-/// A question that fares so, well up to a moment after it.
+/// Returns a response that is correct until `at` after the request, and then has the fault.
 fn faulty(fault: Fault, at: Span, update: &Value) -> TimedActions {
     let text = format!("{update}\n");
     let faulty_part = match fault {
@@ -99,7 +100,7 @@
     [(0, write(CHUNKED_HEAD))].into_iter().chain(keep_alives(0, at)).chain(faulty_part).collect()
 }
 
-/// A room of two hosts that serve, and a client.
+/// Starts a network of two hosts that serve, and a client.
 fn start_two_hosts() -> (SimulatedNetwork, Client) {
     let network = SimulatedNetwork::start(Setup { hosts: 2, ..Setup::default() });
     network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 0)));
@@ -107,7 +108,7 @@
     (network, client)
 }
 
-/// Lets time pass up to a moment, with calls.
+/// Advances the simulated time until `until`, with calls at a regular interval.
 fn call_periodically_until(network: &SimulatedNetwork, client: &Client, ids: &mut u64, until: Span) {
     while network.now() < until {
         *ids += 1;
@@ -116,13 +117,13 @@
     }
 }
 
-/// When the last call to a host was sent.
+/// Returns when the last call to a host was sent.
 fn last_call(host: &Peer) -> Option<Span> {
     let calls = host.take_received().into_iter().filter(|received| received.text.starts_with("CALL"));
     calls.map(|received| received.sent).max()
 }
 
-/// The first host drains from version 2 on.
+/// Returns the list before the change, the change, and the list after it: the first host drains from generation 2 on.
 fn initial_and_changed_lists(network: &SimulatedNetwork) -> (Value, Value, Value) {
     let (in_service, drains) =
         (host_entry(&network.hosts, 1, "in_service"), host_entry(&network.hosts, 0, "terminating"));
@@ -131,17 +132,18 @@
     (before, endpoint_list(2, false, &[drains]), full_list)
 }
 
-/// Up to `at` questions fare well and then fail, or fail from the start; the next that comes fails, and from then
-/// on all is well. How long the drain that discovery has at `at` took to be in force.
+/// Returns how long a drain that discovery has from `at` on takes to be effective. Responses to requests
+/// before `at` are correct until `at` and then have the fault `first`, or have it from the start; the next request has
+/// the fault `then`, and all further ones succeed.
 fn effective_after(first: Fault, then: Option<Fault>, at: Span) -> Span {
     let (network, client) = start_two_hosts();
     let (before, update, full_list) = initial_and_changed_lists(&network);
-    let left = AtomicUsize::new(usize::from(then.is_some()));
+    let then_faults_left = AtomicUsize::new(usize::from(then.is_some()));
     network.discovery.set_behavior(Behavior::script(move |now, words| {
         if now < at {
             return faulty_list_or_watch(words, first, at - now, &update, &before);
         }
-        match then.filter(|_| left.swap(0, Ordering::Relaxed) > 0) {
+        match then.filter(|_| then_faults_left.swap(0, Ordering::Relaxed) > 0) {
             Some(fault) => faulty_list_or_watch(words, fault, 0, &update, &full_list),
             None => good_response(words, Some(&update), &full_list, 60 * SECOND),
         }
@@ -149,14 +151,14 @@
     let mut ids = 0;
     call_periodically_until(&network, &client, &mut ids, at + EFFECTIVE_WITHIN + 2 * SECOND);
     let replies = client.take_replies();
-    let served = replies.iter().filter(|answer| !answer.starts_with('-')).count();
-    assert_eq!(replies.len() as u64, ids, "one answer each");
-    // Those of the first second may have been too early.
+    let served = replies.iter().filter(|reply| !reply.starts_with('-')).count();
+    assert_eq!(replies.len() as u64, ids, "one reply each");
+    // Calls of the first second may have arrived before the gateway was ready.
     assert!(served as u64 + SECOND / CALL_INTERVAL >= ids, "{served} of {ids}");
     last_call(&network.hosts[0]).map_or(0, |last| last.saturating_sub(at))
 }
 
-/// The same for a whole list, which has no empty lines.
+/// Returns a response like [`faulty`], also for a request for the full list, which has no empty lines.
 fn faulty_list_or_watch(
     words: &str,
     fault: Fault,
@@ -173,11 +175,11 @@
 }
 
 #[test]
-fn a_change_is_in_force_within_six_seconds_whichever_two_failures_come_before() {
+fn a_change_takes_effect_within_six_seconds_after_any_two_faults() {
     let mut slowest = (0, None);
     for first in ALL_FAULTS {
         for then in [None].into_iter().chain(ALL_FAULTS.map(Some)) {
-            // At any moment between two empty lines and between two watches.
+            // At several times between two empty lines and between two watches.
             for at in [2300, 3700, 4100, 4990, 5600].map(|ms| ms * MS) {
                 let delay = effective_after(first, then, at);
                 assert!(delay < EFFECTIVE_WITHIN, "{first:?}, {then:?} at {at}: {} ms", delay / MS);
@@ -189,8 +191,8 @@
 }
 
 #[test]
-fn a_watch_that_is_well_is_never_without_a_successor_that_tells() {
-    // Where nothing fails, news comes at once, however old the watch is.
+fn a_change_takes_effect_within_a_millisecond_whatever_the_age_of_the_watch() {
+    // Without faults a change arrives at once, however old the watch is.
     for at in (20..80).map(|n| n * 113 * MS) {
         let (network, client) = start_two_hosts();
         let (before, update, _) = initial_and_changed_lists(&network);
@@ -200,16 +202,16 @@
             .set_behavior(Behavior::script(move |_, words| good_response(words, None, &before, 60 * SECOND)));
         let mut ids = 0;
         call_periodically_until(&network, &client, &mut ids, at);
-        // The newest watch is told: the agent tells all that are open, and the others are closed.
+        // The agent sends the update on all connections; only the newest watch is open.
         (0..network.discovery.connection_count())
             .for_each(|connection| network.discovery.send_list(connection, &update_to_send));
         network.hosts[0].take_received();
         call_periodically_until(&network, &client, &mut ids, at + SECOND);
-        assert!(last_call(&network.hosts[0]).is_none_or(|last| last < at + MS), "told at {at}");
+        assert!(last_call(&network.hosts[0]).is_none_or(|last| last < at + MS), "notified at {at}");
     }
 }
 
-/// Lists in the forms that they may come in, on a watch.
+/// Returns the encodings in which a list may arrive on a watch.
 fn forms(update: &Value) -> Vec<(&'static str, TimedActions)> {
     let plain = format!("{update}\n");
     let indented = format!("{}\n", serde_json::to_string_pretty(update).unwrap());
@@ -232,7 +234,10 @@
         ("a byte a frame", frames(&plain, 1)),
         ("with brackets and quotes in a text, a byte a frame", frames(&odd.to_string(), 1)),
         ("without a line end", one_chunk(update.to_string())),
-        ("behind another in one frame", one_chunk(format!("{}{plain}", endpoint_list(1, false, &[])))),
+        (
+            "after another one in the same frame",
+            one_chunk(format!("{}{plain}", endpoint_list(1, false, &[]))),
+        ),
         ("without a length, left open", vec![(0, write(bare(&indented)))]),
         ("without a length, to the end", vec![(0, write(bare(&plain))), (MS, Action::Close)]),
         (
@@ -243,14 +248,14 @@
 }
 
 #[test]
-fn a_list_on_a_watch_is_taken_in_whatever_its_form() {
+fn a_list_on_a_watch_is_accepted_in_every_encoding() {
     let (network, _) = start_two_hosts();
     let count = forms(&initial_and_changed_lists(&network).1).len();
     for number in 0..count {
         let (network, client) = start_two_hosts();
         let (before, update, _) = initial_and_changed_lists(&network);
         let (name, actions) = forms(&update).swap_remove(number);
-        // The whole list does not hold the news: it has to come from the watch itself.
+        // The full list does not contain the update: it has to arrive on the watch itself.
         let mut actions = Some(actions);
         network.discovery.set_behavior(Behavior::script(move |_, words| {
             let is_watch = words.contains("watch=1");
@@ -264,8 +269,8 @@
 }
 
 #[test]
-fn a_whole_list_without_a_length_counts_when_it_is_whole_and_half_of_one_never() {
-    // At a new address; each of these comes once, then all is well.
+fn a_full_list_without_a_length_counts_once_complete_and_an_incomplete_one_never() {
+    // At a new address; each of these faults occurs once, then all requests succeed.
     let cases =
         [(Half, 0), (End, 0), (Hang, 0), (Close, 0), (Refuse, 0), (Dribble, 0), (Garbage, 0), (Empty, 0)];
     let open = [(false, "left open"), (true, "ended at once")];
@@ -297,8 +302,8 @@
     }
 }
 
-/// Discovery moves while a call hangs at the old address, and the first call at the new one fails. How long a
-/// drain that only the new one knows takes to be in force.
+/// Changes the discovery address while a request hangs at the old one; the first request at the new one has the fault.
+/// Returns how long a drain that only the new agent knows takes to be effective.
 fn delay_after_move_while_a_call_hangs(fault: Option<Fault>) -> Span {
     let (network, client) = start_two_hosts();
     let (_, update, full_list) = initial_and_changed_lists(&network);
@@ -309,7 +314,7 @@
         None => good_response(words, Some(&update), &full_list, 60 * SECOND),
     }));
     let mut ids = 0;
-    // No call at the old address is ever answered.
+    // No request at the old address gets a response.
     call_periodically_until(&network, &client, &mut ids, 2 * SECOND);
     network.reload(new.addr, network.counter.addr);
     call_periodically_until(&network, &client, &mut ids, 9 * SECOND);
@@ -317,7 +322,7 @@
 }
 
 #[test]
-fn discovery_that_moves_while_a_call_hangs_is_in_force_within_four_seconds() {
+fn a_new_discovery_address_takes_effect_within_four_seconds_while_a_request_hangs() {
     for fault in [None].into_iter().chain(ALL_FAULTS.map(Some)) {
         let delay = delay_after_move_while_a_call_hangs(fault);
         assert!(delay < EFFECTIVE_AFTER_MOVE, "{fault:?}: {} ms", delay / MS);
@@ -325,8 +330,8 @@
 }
 
 #[test]
-fn discovery_that_moves_to_where_nobody_listens_at_first_is_in_force_within_four_seconds() {
-    // How long after SIGHUP it can be reached; until then connections are refused, or nothing comes back at all.
+fn a_new_discovery_address_without_a_listener_takes_effect_within_four_seconds_of_being_reachable() {
+    // How long after SIGHUP the agent becomes reachable; until then connections are refused, or packets are lost.
     for (is_cut, after) in
         [false, true].into_iter().flat_map(|cut| [0, 1, 999, 1500, 2510, 3700, 6100].map(|ms| (cut, ms * MS)))
     {
@@ -356,18 +361,18 @@
         );
         let delay = last_call(&network.hosts[0]).map_or(0, |last| last - 2 * SECOND - after);
         assert!(delay < EFFECTIVE_AFTER_MOVE, "cut {is_cut}, {} ms: {} ms", after / MS, delay / MS);
-        assert_eq!(client.take_replies().len() as u64, ids, "one answer each");
+        assert_eq!(client.take_replies().len() as u64, ids, "one reply each");
         assert!(last_call(&network.hosts[1]).is_some());
     }
 }
 
-/// Just before, at and just after a moment, to the nanosecond and well.
+/// Returns times around one: a millisecond and a nanosecond before and after it, and the time itself.
 fn around(moment: Span) -> [Span; 5] {
     [moment - MS, moment - 1, moment, moment + 1, moment + MS]
 }
 
 #[test]
-fn a_drain_that_comes_as_the_known_list_comes_into_use_counts_from_then_on() {
+fn a_drain_that_arrives_when_the_initial_list_becomes_active_takes_effect_at_once() {
     for (changes, notified_at) in
         [true, false].into_iter().flat_map(|changes| around(SECOND).map(|at| (changes, at)))
     {
@@ -380,27 +385,29 @@
         network.discovery.send(0, format!("{CHUNKED_HEAD}{}", chunk(&format!("{list}\n"))));
         network.run_for(2 * SECOND);
         let case = format!("{notified_at} ns, changes {changes}");
-        assert_eq!(client.take_replies().len(), 16, "{case}: one answer each");
+        assert_eq!(client.take_replies().len(), 16, "{case}: one reply each");
         if notified_at < SECOND {
             assert_eq!(network.hosts[0].connection_count(), 0, "{case}: no connection either");
         }
         match last_call(&network.hosts[0]) {
             Some(last) => assert!(last <= notified_at, "{case}: sent at {last} ns"),
-            None => assert!(notified_at <= SECOND + 1, "{case}: before it was told, it could not be known"),
+            None => {
+                assert!(notified_at <= SECOND + 1, "{case}: the host gets calls until the drain is known")
+            }
         }
     }
 }
 
 #[test]
-fn a_drain_that_the_old_agent_tells_as_discovery_moves_counts() {
-    // What it wrote before the move may be read a little after it.
+fn a_drain_from_the_old_agent_counts_while_the_discovery_address_changes() {
+    // Updates that the old agent wrote before the change may be read shortly after it.
     for notified_at in [2 * SECOND - 1, 2 * SECOND, 2 * SECOND + 1, 2 * SECOND + 4 * MS] {
         let (network, client) = start_two_hosts();
         let (before, update, _) = initial_and_changed_lists(&network);
         network
             .discovery
             .set_behavior(Behavior::script(move |_, words| good_response(words, None, &before, 60 * SECOND)));
-        // It never answers.
+        // The new agent never responds.
         let new = network.start_peer("new agent", 8500);
         let mut ids = 0;
         let mut steps = [(notified_at - LOCAL_DELAY, false), (2 * SECOND, true)];
@@ -417,16 +424,16 @@
         call_periodically_until(&network, &client, &mut ids, 5 * SECOND);
         assert!(new.connection_count() > 0 && client.take_replies().len() as u64 == ids);
         let last = last_call(&network.hosts[0]).unwrap();
-        assert!(last <= notified_at, "told at {notified_at}, sent at {last}");
+        assert!(last <= notified_at, "notified at {notified_at}, sent at {last}");
     }
 }
 
 #[test]
-fn a_new_process_whose_discovery_moves_in_its_first_second_takes_the_list_from_there() {
+fn a_new_process_whose_discovery_address_changes_in_its_first_second_uses_the_list_from_the_new_one() {
     for moved in [0, 500 * MS, SECOND - 4 * LOCAL_DELAY].into_iter().chain(around(SECOND)) {
         let (network, client) = start_two_hosts();
         let (_, update, full_list) = initial_and_changed_lists(&network);
-        // The old agent never answers.
+        // The old agent never responds.
         network.discovery.set_behavior(Behavior::Manual);
         let new = network.start_peer("new agent", 8500);
         new.set_behavior(Behavior::script(move |_, words| {
@@ -435,10 +442,10 @@
         (1..=16).for_each(|id| client.get(id));
         network.run_until(moved);
         network.reload(new.addr, network.counter.addr);
-        // The last words of the old agent, then a connection, the question and its answer.
+        // Time for the last updates of the old agent, then for connecting, the request and its response.
         let notified_at = moved + 5 * MS + 4 * HOST_DELAY;
         network.run_until(moved + 3 * SECOND);
-        assert_eq!(client.take_replies().len(), 16, "{moved}: one answer each");
+        assert_eq!(client.take_replies().len(), 16, "{moved}: one reply each");
         assert!(last_call(&network.hosts[0]).is_none_or(|last| last <= notified_at), "{moved}");
         assert!(
             notified_at >= SECOND || network.hosts[0].connection_count() == 0,
@@ -448,7 +455,7 @@
 }
 
 #[test]
-fn at_another_address_versions_begin_anew_and_at_the_same_one_they_do_not() {
+fn generations_may_start_over_at_another_address_but_not_at_the_same_one() {
     for moves in [false, true] {
         let (network, client) = start_two_hosts();
         let (before, _, _) = initial_and_changed_lists(&network);
@@ -469,13 +476,13 @@
                 .for_each(|connection| network.discovery.send_list(connection, &before));
         }
         call_periodically_until(&network, &client, &mut ids, 3 * SECOND);
-        assert_eq!(last_call(&network.hosts[0]).is_some(), moves, "by a whole list of version 1");
+        assert_eq!(last_call(&network.hosts[0]).is_some(), moves, "by a full list of generation 1");
         assert!(last_call(&network.hosts[1]).is_some());
     }
 }
 
 #[test]
-fn a_drain_known_before_the_start_is_not_undone_by_an_older_list() {
+fn a_drain_in_the_initial_list_is_not_undone_by_an_older_list() {
     let mut setup = Setup { hosts: 2, ..Setup::default() };
     setup.initial_list = (5, vec!["terminating", "in_service"]);
     let network = SimulatedNetwork::start(setup);
@@ -490,11 +497,11 @@
 }
 
 #[test]
-fn a_list_that_is_empty_or_cannot_be_read_stops_no_service_and_is_not_asked_for_without_pause() {
+fn an_empty_or_invalid_list_stops_no_traffic_and_is_not_requested_in_a_tight_loop() {
     for fault in [Garbage, Empty] {
         let (network, client) = start_two_hosts();
-        let (asked, full_list) = (Arc::new(AtomicUsize::new(0)), initial_and_changed_lists(&network).0);
-        let count = asked.clone();
+        let (requests, full_list) = (Arc::new(AtomicUsize::new(0)), initial_and_changed_lists(&network).0);
+        let count = requests.clone();
         network.discovery.set_behavior(Behavior::script(move |_, words| {
             count.fetch_add(1, Ordering::Relaxed);
             match words.contains("watch=1") {
@@ -520,14 +527,14 @@
             ids - before,
             "{fault:?}"
         );
-        let asked = asked.load(Ordering::Relaxed);
-        assert!(asked < 15, "{fault:?}: asked {asked} times in 10 s");
+        let requests = requests.load(Ordering::Relaxed);
+        assert!(requests < 15, "{fault:?}: {requests} requests in 10 s");
     }
 }
 
 #[test]
-fn a_new_process_sends_nothing_to_a_host_whose_drain_its_agent_holds() {
-    // When the first question is answered, and whether with the changes or all hosts; the first may hang.
+fn a_new_process_sends_nothing_to_a_host_that_its_agent_reports_as_draining() {
+    // Delay in ms of the responses, whether the first contains the changes or all hosts, and how many requests hang.
     for (after, changes, hangs) in [
         (0, true, 0),
         (0, false, 0),
@@ -539,10 +546,10 @@
     ] {
         let (network, client) = start_two_hosts();
         let (_, update, full_list) = initial_and_changed_lists(&network);
-        let mut hangs_left = hangs;
+        let mut hanging_requests_left = hangs;
         network.discovery.set_behavior(Behavior::script(move |_, words| {
-            if hangs_left > 0 {
-                hangs_left -= 1;
+            if hanging_requests_left > 0 {
+                hanging_requests_left -= 1;
                 return Vec::new();
             }
             let update = if changes { &update } else { &full_list };
@@ -557,14 +564,14 @@
         assert_eq!(last_call(&network.hosts[0]), None, "{case}");
         assert_eq!(network.hosts[0].connection_count(), 0, "{case}: no connection either");
         let replies = client.take_replies();
-        assert_eq!(replies.len() as u64, ids, "{case}: one answer each");
+        assert_eq!(replies.len() as u64, ids, "{case}: one reply each");
         let served = replies.iter().filter(|text| !text.starts_with('-')).count();
-        assert_eq!(served as u64, ids, "{case}: those that came early wait");
+        assert_eq!(served as u64, ids, "{case}: requests that arrived early wait");
     }
 }
 
 #[test]
-fn a_new_process_without_news_is_ready_and_serves_after_a_second() {
+fn a_new_process_without_a_list_from_discovery_is_ready_after_a_second() {
     for fault in [Hang, Close, Refuse, Silent, Mute, Dribble, Garbage, Empty] {
         let (network, client) = start_two_hosts();
         let update = initial_and_changed_lists(&network).0;
@@ -575,7 +582,7 @@
         pings();
         network.run_until(990 * MS);
         assert_eq!(ping.take_replies(), ["-ERR starting"], "{fault:?}");
-        assert_eq!(client.take_replies(), [""; 0], "{fault:?}: it waits");
+        assert_eq!(client.take_replies(), [""; 0], "{fault:?}: the call waits");
         pings();
         network.run_until(1010 * MS);
         pings();
@@ -587,7 +594,7 @@
 }
 
 #[test]
-fn an_old_watch_is_closed_when_its_successor_answers() {
+fn an_old_watch_is_closed_when_its_successor_responds() {
     let (network, client) = start_two_hosts();
     let before = initial_and_changed_lists(&network).0;
     network
@@ -596,8 +603,8 @@
     call_periodically_until(&network, &client, &mut 0, 30 * SECOND);
     let ends =
         network.discovery.take_received().into_iter().filter(|received| received.text == CLOSED).count();
-    assert_eq!(ends + 1, network.discovery.connection_count(), "one is open");
-    // Every gateway of a fleet asks so often.
+    assert_eq!(ends + 1, network.discovery.connection_count(), "one watch is open");
+    // Bounds the load on discovery, since every gateway of a fleet opens watches at this rate.
     assert!(
         (5..=13).contains(&network.discovery.connection_count()),
         "{}",
--- a/crates/gateway/tests/simulated_network/main.rs
+++ b/crates/gateway/tests/simulated_network/main.rs
@@ -1,5 +1,5 @@
-//! The real network side in a simulated room: what real sockets hide behind their buffers, or blur by their
-//! clocks, is exact here, to the nanosecond and the same each time.
+//! Tests of the gateway's real network side on a simulated network and clock. Interleavings that the buffers and
+//! clocks of real sockets hide are reproduced exactly, to the nanosecond, in every run.
 
 mod attempt_ends;
 mod clients;
--- a/crates/gateway/tests/simulated_network/repeat.rs
+++ b/crates/gateway/tests/simulated_network/repeat.rs
@@ -1,4 +1,4 @@
-//! The same seed gives the same run, whatever is closed, drained or moved in it.
+//! The same seed gives the same run, even when connections close, hosts drain and requests move to other hosts.
 
 use crate::support::{endpoint_list, get, host_entry, Behavior, Client, Peer, Setup, SimulatedNetwork};
 use cluster_model::{MS, SECOND};
@@ -6,12 +6,12 @@
 
 const HOSTS: usize = 30;
 const CLIENTS: usize = 5;
-/// Calls that each client makes at once.
+/// Number of calls that each client sends at once.
 const CALLS: usize = 4;
-/// Descriptors with which the gateway may have 24 connections to hosts: fewer than there are hosts.
+/// Number of descriptors: with these the gateway may have 24 connections to hosts, fewer than there are hosts.
 const SOCKETS: usize = 128;
 
-/// All clients ask at once, with ids from here on.
+/// All clients send their calls at once, with ids that begin at `first`.
 fn send_burst(clients: &[Client], first: usize) {
     for (number, client) in clients.iter().enumerate() {
         let ids = (0..CALLS).map(|n| (first + CALLS * number + n) as u64);
@@ -23,8 +23,8 @@
     clients.iter().map(|client| client.take_replies().len()).sum()
 }
 
-/// Connections make room for others; then half of the hosts drain at once, with attempts at them that wait for
-/// connections which do not come up. Gives the digest.
+/// Connections are closed in favor of others; then half of the hosts drain at once, while attempts wait for connections
+/// to them that are never established. Returns the digest of the run.
 fn run_scenario(seed: u64) -> u128 {
     let mut setup = Setup { seed, hosts: HOSTS, sockets: SOCKETS, ..Setup::default() };
     setup.network.jitter = 0.5;
@@ -38,9 +38,9 @@
         network.run_for(100 * MS);
         assert_eq!(count_replies(&clients), CLIENTS * CALLS);
     }
-    assert!(trace.count("gateway", &What::Fin) > 5, "no connection had to make room");
+    assert!(trace.count("gateway", &What::Fin) > 5, "no connection was closed in favor of another");
 
-    // All that are left have retired by then.
+    // The remaining connections reach their idle lifetime during this time.
     for _ in 0..3 {
         network.run_for(2 * SECOND);
         network.discovery.send_keep_alive(0);
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn hosts_that_drain_at_once_give_the_same_run_each_time() {
+fn hosts_that_drain_at_once_give_the_same_digest_for_the_same_seed() {
     let digest = run_scenario(1);
     assert_eq!(digest, run_scenario(1));
     assert_ne!(digest, run_scenario(2));
-    // Written down so that other processes, builds and machines compare. It changes with what the gateway does,
-    // and is then written down anew; it may not change from run to run.
+    // A fixed value, so that other processes, builds and machines are compared too. It has to be updated when the
+    // gateway's behavior changes, but must not differ from run to run.
     assert_eq!(format!("{digest:032x}"), "81515e6c62c08a3072d81cf3f69a8102");
 }
--- a/crates/gateway/tests/simulated_network/routes.rs
+++ b/crates/gateway/tests/simulated_network/routes.rs
@@ -1,4 +1,4 @@
-//! Pools, routes and quota policies of the operators' files, also when those are read again in service.
+//! Pools, routes and quota policies of the operators' files, also when they are reloaded in service.
 
 use crate::support::{
     customer_plan, endpoint_list, format_id, get, host_entry, post, value_reply, Behavior, Client, Peer,
@@ -12,7 +12,7 @@
 use simulated_runtime::Cut;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reads go to the first two hosts, all else to the others.
+/// Reads go to the first two hosts, all other requests to the last two.
 const TWO_POOLS: &str = r#"
 pool "first" { ids = ["s-0", "s-1"] }
 pool "second" { ids = ["s-2", "s-3"] }
@@ -20,7 +20,7 @@
 route "rest" { pool = "second" }
 "#;
 
-/// On lines of their own, as the language wants it.
+/// Puts each statement on its own line, as the language requires.
 fn one_statement_per_line(text: &str) -> String {
     text.replace("{ ", "{\n").replace("  ", "\n").replace(" }", "\n}")
 }
@@ -35,7 +35,7 @@
     network
 }
 
-/// The ids that came to each host since this was last asked.
+/// Returns the ids that each host has received since the last call.
 fn calls(network: &SimulatedNetwork) -> Vec<Vec<u64>> {
     let id = |text: &str| text.split_whitespace().nth(2).map(|id| u64::from_str_radix(id, 16).unwrap());
     let of = |host: &Peer| {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn requests_go_to_the_pool_of_their_route_and_nowhere_else() {
+fn requests_go_only_to_the_pool_of_their_route() {
     let network = start_network(TWO_POOLS, 5);
     network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 0)));
     let client = network.client();
@@ -69,18 +69,18 @@
         "{received:?}"
     );
     assert!(received[2..4].iter().flatten().all(|id| id % 2 == 1), "{received:?}");
-    assert_eq!(received[4], [0; 0], "in no pool");
+    assert_eq!(received[4], [0; 0], "host in no pool");
 }
 
 #[test]
-fn a_request_in_hand_is_tried_again_under_the_route_that_it_began_with() {
+fn a_request_in_flight_is_retried_under_its_original_route() {
     let network = start_network(TWO_POOLS, 4);
     let client = network.client();
     client.get(2);
     network.run_for(10 * MS);
     let at = calls(&network).iter().position(|ids| ids == &[2]).unwrap();
     assert!(at < 2);
-    // The route is gone, and reads go elsewhere.
+    // The route is removed, and new reads go to other hosts.
     let without = r#"pool "second" { ids = ["s-2", "s-3"] }
 route "all" { pool = "second" }
 "#;
@@ -90,7 +90,7 @@
     network.run_for(10 * MS);
     let moved = calls(&network);
     assert!(moved[2..].iter().flatten().eq(&[4]), "{moved:?}");
-    // The first attempt fails: the next goes to the other host of the pool that is no longer there.
+    // The first attempt fails: the next one goes to the other host of the removed pool.
     network.hosts[at].send(0, "-ERR failed\r\n");
     network.run_for(10 * MS);
     let again = calls(&network);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_not_repeated_whatever_its_route_becomes() {
+fn an_unsafe_request_that_may_have_been_executed_is_not_retried_after_its_route_changes() {
     let network = start_network(TWO_POOLS, 4);
     let client = network.client();
     client.post(1);
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn a_host_that_leaves_a_pool_takes_nothing_new_for_it() {
+fn a_host_that_leaves_a_pool_gets_no_new_requests_of_it() {
     let network = start_network(TWO_POOLS, 4);
     network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 0)));
     let client = network.client();
     network.reload_operators(&one_statement_per_line(
         &TWO_POOLS.replace("ids = [\"s-0\", \"s-1\"]", "ids = \"s-1\""),
     ));
-    // Whatever was decided before goes on; all that comes from now on knows.
+    // Requests that were assigned before continue; new ones use the new pool.
     network.run_for(MS);
     for id in (2..40).step_by(2) {
         client.get(id);
@@ -134,10 +134,10 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_at_a_host_that_leaves_the_pool_goes_elsewhere_unsent() {
+fn an_attempt_that_waits_for_a_connection_moves_to_another_host_when_its_host_leaves_the_pool() {
     let network = start_network("pool \"first\" { ids = \"s-0\" }\nroute \"all\" { pool = \"first\" }\n", 2);
     let client = network.client();
-    // Nothing gets there: the attempt waits for its connection.
+    // The host is unreachable: the attempt waits for its connection.
     network.sim.cut(vec![network.hosts[0].machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
     client.post(1);
     network.run_for(20 * MS);
@@ -145,11 +145,11 @@
         "pool \"first\" { ids = \"s-1\" }\nroute \"all\" { pool = \"first\" }\n",
     ));
     network.run_for(20 * MS);
-    assert_eq!(calls(&network)[1], [1], "not after the time that a connection may take");
+    assert_eq!(calls(&network)[1], [1], "before the dial timeout");
 }
 
 #[test]
-fn files_read_again_put_back_no_host_that_a_whole_list_left_out_while_it_still_works() {
+fn a_reload_does_not_restore_a_host_that_a_full_list_omits_while_it_still_executes_a_request() {
     let both = "pool \"first\" { ids = [\"s-0\", \"s-1\"] }\nroute \"all\" { pool = \"first\" }\n";
     let network = start_network(both, 2);
     let client = network.client();
@@ -164,7 +164,7 @@
     network
         .reload_operators(&one_statement_per_line(&format!("pool \"second\" {{ ids = \"s-9\" }}\n{both}")));
     network.run_for(10 * MS);
-    // Each attempt at a host that is gone ends unsent, and costs one of the few further attempts.
+    // Each attempt at a removed host would end unsent, and use up one of the few attempts.
     for id in (4..60).step_by(2) {
         client.get(id);
         network.run_for(5 * MS);
@@ -177,26 +177,26 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_at_a_host_that_starts_anew_is_decided_on_anew() {
+fn attempts_that_wait_for_a_connection_are_reassigned_when_their_host_restarts() {
     let network = start_network("", 2);
     let client = network.client();
-    // Nothing gets there: attempts wait for their connections.
+    // The host is unreachable: attempts wait for their connections.
     network.sim.cut(vec![network.hosts[0].machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
     (1..=8).for_each(|id| client.get(id));
     network.run_for(20 * MS);
     let came = calls(&network)[1].len();
     assert!(came <= 6, "{came} of 8 went to the other host");
-    let mut anew = host_entry(&network.hosts, 0, "in_service");
-    anew["startedAtMs"] = json!((1_000_000 * SECOND + network.now()) / MS);
-    network.discovery.send_list(0, &endpoint_list(2, false, &[anew]));
+    let mut restarted = host_entry(&network.hosts, 0, "in_service");
+    restarted["startedAtMs"] = json!((1_000_000 * SECOND + network.now()) / MS);
+    network.discovery.send_list(0, &endpoint_list(2, false, &[restarted]));
     network.run_for(5 * MS);
-    // The cold host may get one.
+    // The host in slow start may get one request.
     let moved = calls(&network)[1].len();
     assert!(came + moved >= 7, "{came} of 8 before the list, {moved} after it");
 }
 
 #[test]
-fn a_bad_file_changes_nothing() {
+fn an_invalid_file_changes_nothing() {
     let network = start_network(TWO_POOLS, 4);
     network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 0)));
     let client = network.client();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn the_fallback_takes_over_while_discovery_has_no_host_of_the_pool() {
+fn the_fallback_pool_is_used_while_discovery_has_no_host_of_the_pool_in_service() {
     let with = "pool \"a\" { ids = \"s-0\" }\npool \"b\" { ids = \"s-1\" }\n\
                 route \"all\" { pool = \"a\"  fallback = \"b\" }\n";
     let network = start_network(with, 2);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_quota_policy_tightens_and_its_removal_gives_back_what_the_platform_grants() {
+fn a_quota_policy_lowers_the_quota_and_its_removal_restores_that_of_the_plan() {
     let mut setup = Setup { hosts: 1, ..Setup::default() };
     setup.settings["tariffs"] = json!([customer_plan(1.0, 20.0)]);
     let network = SimulatedNetwork::start(setup);
@@ -256,17 +256,17 @@
     let policy = "quota policy \"tight\" {\n plan = \"team\"\n rate = 1 units/s\n burst = 5 units\n}\n";
     network.reload_operators(policy);
     network.run_for(MS);
-    assert_eq!(served_count(200, 2), 5, "one that is met now");
-    assert_eq!(served_count(300, 1), 0, "one that had nothing left");
+    assert_eq!(served_count(200, 2), 5, "a customer without earlier requests");
+    assert_eq!(served_count(300, 1), 0, "a customer whose units are used up");
     network.run_for(60 * SECOND);
-    assert_eq!(served_count(400, 1), 5, "its store holds no more");
+    assert_eq!(served_count(400, 1), 5, "the token bucket holds no more");
     network.reload_operators("");
     network.run_for(60 * SECOND);
     assert_eq!(served_count(500, 1), 20);
 }
 
 #[test]
-fn a_route_has_no_more_attempts_out_than_its_limit_also_across_a_reload() {
+fn a_route_has_no_more_attempts_in_flight_than_its_limit_even_across_a_reload() {
     let limited =
         "pool \"all\" {}\nroute \"reads\" { classes = \"read\"  pool = \"all\"  most-out = 2 attempts }\n";
     let network = start_network(limited, 4);
@@ -274,11 +274,11 @@
     network.run_for(20 * MS);
     let in_flight = |network: &SimulatedNetwork| calls(network).iter().map(Vec::len).sum::<usize>();
     assert_eq!(in_flight(&network), 2);
-    // The same route in another place, with another one before it.
+    // The same route at another position, after another one.
     let more = format!("route \"other\" {{ classes = \"order\"  pool = \"all\" }}\n{limited}");
     network.reload_operators(&one_statement_per_line(&more));
     network.run_for(20 * MS);
-    assert_eq!(in_flight(&network), 0, "the two that are out count on");
+    assert_eq!(in_flight(&network), 0, "the two attempts in flight still count");
     network.reload_operators(&one_statement_per_line(&limited.replace("2 attempts", "3 attempts")));
     network.run_for(20 * MS);
     let late = network.client_with_call(get(7), usize::MAX);
@@ -288,13 +288,13 @@
 }
 
 #[test]
-fn a_reload_upon_a_reload_and_one_while_it_stops_count_in_their_order() {
+fn reloads_at_the_same_instant_and_during_shutdown_take_effect_in_order() {
     let network = start_network(TWO_POOLS, 4);
     network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 0)));
     let client = network.client();
     let only =
         |host: usize| format!("pool \"one\" {{ ids = \"s-{host}\" }}\nroute \"all\" {{ pool = \"one\" }}\n");
-    // Two at the same instant: the later one holds.
+    // Two reloads at the same instant: the later one takes effect.
     network.reload_operators(&one_statement_per_line(&only(2)));
     network.reload_operators(&one_statement_per_line(&only(3)));
     network.run_for(MS);
@@ -307,13 +307,13 @@
     network.run_for(MS);
     client.get(4);
     network.run_for(10 * MS);
-    assert_eq!(calls(&network)[1], [4], "for what it still takes");
+    assert_eq!(calls(&network)[1], [4], "for requests accepted during shutdown");
     assert_eq!(client.take_replies(), [format_id(2), format_id(4)]);
 }
 
 #[test]
-fn files_that_change_before_the_first_list_has_come_count_for_what_comes_after_them() {
-    // The agent tells the list itself, or the known one comes into use.
+fn files_that_change_before_the_first_list_apply_to_requests_that_arrive_later() {
+    // The agent sends the list, or the initial one becomes active.
     for list_arrives in [true, false] {
         let network = SimulatedNetwork::start(Setup {
             hosts: 4,
@@ -331,7 +331,7 @@
         network.run_until(20 * MS);
         (10..=16).step_by(2).for_each(|id| client.get(id));
         network.run_until(30 * MS);
-        assert!(calls(&network).iter().all(Vec::is_empty), "no list is in use");
+        assert!(calls(&network).iter().all(Vec::is_empty), "no list is active");
         if list_arrives {
             let hosts: Vec<_> =
                 (0..4).map(|number| host_entry(&network.hosts, number, "in_service")).collect();
@@ -344,7 +344,7 @@
         assert_eq!(
             came(&received[..2]),
             BTreeSet::from([2, 4, 6, 8]),
-            "{list_arrives}: by the route that they began with"
+            "{list_arrives}: by the route at their arrival"
         );
         assert_eq!(came(&received[2..]), BTreeSet::from([10, 12, 14, 16]), "{list_arrives}");
         assert_eq!(client.take_replies().len(), 8, "{list_arrives}");
@@ -352,9 +352,9 @@
 }
 
 #[test]
-fn files_that_change_after_a_whole_list_has_left_out_a_busy_host_do_not_bring_it_back() {
+fn a_reload_after_a_full_list_has_omitted_a_busy_host_assigns_no_request_to_it() {
     let mut setup = Setup { hosts: 2, ..Setup::default() };
-    // An attempt that could not be made would be the last.
+    // With one attempt per request, an attempt at the removed host would fail the request.
     setup.settings["allowed"]["max-attempts"] = 1.into();
     let network = SimulatedNetwork::start(setup);
     network.run_until(10 * MS);
@@ -369,18 +369,18 @@
     network.run_for(10 * MS);
     network.reload_operators("pool \"all\" {}\n");
     network.run_for(10 * MS);
-    // More at once than the other host takes: those behind wait, and are not spent on one that is gone.
+    // More requests than the other host has concurrency slots: the rest waits, and is not sent to the removed host.
     (2..=17).for_each(|id| client.post(id));
     network.run_for(4 * SECOND);
     assert_eq!(client.take_replies(), (2..=17).map(format_id).collect::<Vec<_>>());
     assert!(calls(&network)[at].is_empty());
     network.hosts[at].send(0, value_reply("late"));
     network.run_for(10 * MS);
-    assert_eq!(single_reply(&busy), "late", "what it has, it finishes");
+    assert_eq!(single_reply(&busy), "late", "the host completes its call");
 }
 
 #[test]
-fn files_whose_pools_find_no_place_beside_those_in_use_move_no_address_until_they_do() {
+fn files_with_more_pools_than_fit_beside_those_in_use_change_no_address_until_a_pool_is_free() {
     let pools: String = (0..64).map(|n| format!("pool \"p{n}\" {{}}\n")).collect();
     let route = |n: u64| format!("route \"r{n}\" {{ customers = {}  pool = \"p{n}\" }}\n", n + 1);
     let operators =
@@ -388,7 +388,7 @@
     let network = SimulatedNetwork::start(Setup { sockets: 1024, operators, ..Setup::default() });
     network.run_until(10 * MS);
     let clients: Vec<_> = (0..8).map(|_| network.client()).collect();
-    // One request of each customer is in hand, at the host or waiting for it, so each pool is in use.
+    // One request of each customer is in flight at the host or waiting for it, so each pool is in use.
     for (customer, client) in (1..=64).zip(clients.iter().cycle()) {
         client.send(post(customer, customer, 1.0));
     }
@@ -402,9 +402,9 @@
     network.run_for(10 * MS);
     assert!(
         agent.take_received().is_empty() && network.discovery.take_received().is_empty(),
-        "the old watch goes on"
+        "the old watch stays open"
     );
-    // One of them is over: the same files find a place.
+    // One request completes, which frees a pool: the same files can be loaded.
     network.hosts[0].send(in_flight[0].connection, value_reply(&id(&in_flight[0])));
     network.run_for(MS);
     network.signal(Signal::Reload);
@@ -419,7 +419,8 @@
     assert!(replies.len() == 64 && replies.iter().all(|text| !text.starts_with('-')), "{replies:?}");
 }
 
-/// Which hosts reads and orders may go to, by version; the last one is broken, and never in force.
+/// The hosts that reads and orders may go to, for each version of the files but the last one, which is invalid and never
+/// takes effect.
 const ALLOWED: [[&[usize]; 2]; 4] = {
     let all: &[usize] = &[0, 1, 2, 3];
     [[&[0, 1], &[2, 3]], [&[1, 2], all], [&[0], &[3]], [all, all]]
@@ -435,12 +436,12 @@
 ];
 
 #[test]
-fn a_thousand_reloads_under_load_lose_nothing_and_answer_nothing_twice() {
+fn a_thousand_reloads_under_load_give_each_request_exactly_one_reply() {
     let network = start_network(TWO_POOLS, 4);
     network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 3 * MS)));
     let clients: Vec<_> = (0..8).map(|_| network.client()).collect();
     let mut rng = Rng::stream(5, "reloads", 0);
-    // When each request was sent, and when each version came into force.
+    // When each request was sent, and when each version took effect.
     let mut sent: BTreeMap<u64, Span> = BTreeMap::new();
     let mut version_changes = vec![(0, 0)];
     for _ in 0..1_000 {
@@ -458,12 +459,16 @@
     network.run_for(10 * SECOND);
 
     let replies: Vec<String> = clients.iter().flat_map(Client::take_replies).collect();
-    assert_eq!(replies.len(), sent.len(), "each is answered, and once");
-    let refused = replies.iter().filter(|text| *text == "-BUSY").count();
+    assert_eq!(replies.len(), sent.len(), "each request has exactly one reply");
+    let rejected = replies.iter().filter(|text| *text == "-BUSY").count();
     let served: BTreeSet<&String> = replies.iter().filter(|text| !text.starts_with('-')).collect();
-    assert_eq!(served.len() + refused, sent.len(), "none fails, and no answer is given to two");
-    assert!(refused < sent.len() / 5, "{refused} of {}", sent.len());
-    // In force at some time from when it was sent by its client up to when it came to the host.
+    assert_eq!(
+        served.len() + rejected,
+        sent.len(),
+        "no request fails, and no response is delivered to two requests"
+    );
+    assert!(rejected < sent.len() / 5, "{rejected} of {}", sent.len());
+    // Returns the versions active at any time from when the client sent a request until the host received it.
     let in_force = |from: Span, to: Span| {
         let next = |n: usize| version_changes.get(n + 1).map_or(Span::MAX, |(at, _)| *at);
         let during =
@@ -481,5 +486,5 @@
             distinguishing += usize::from(!versions.contains(&3) && versions.len() == 1);
         }
     }
-    assert!(distinguishing > 1_000, "{distinguishing} calls could have gone wrong");
+    assert!(distinguishing > 1_000, "the check can fail for only {distinguishing} calls");
 }
--- a/crates/gateway/tests/simulated_network/stop.rs
+++ b/crates/gateway/tests/simulated_network/stop.rs
@@ -1,4 +1,4 @@
-//! SIGTERM with calls in flight and orders still coming.
+//! Graceful shutdown with calls in flight while orders keep arriving.
 
 use crate::support::{
     chunk, command, endpoint_list, format_id, get, host_entry, post, value_reply, Behavior, Received, Setup,
@@ -11,38 +11,39 @@
 use simulated_runtime::What;
 use std::collections::BTreeMap;
 
-/// When SIGTERM comes, and for how long after it new connections are taken.
+/// Time at which SIGTERM is sent.
 const SIGTERM_AT: Span = 505 * MS;
+/// How long new connections are accepted after SIGTERM.
 const STILL_ACCEPTING: Span = 450 * MS;
-/// Orders have this long; hosts that take under half of it answer well within time, as an order may wait for
-/// the other half until it is sent.
+/// Latency objective of orders. Hosts that take under half of it answer well in time, as an order may wait for the other
+/// half before it is forwarded.
 const LATENCY_OBJECTIVE: Span = 600 * MS;
-/// Ids of orders start here.
+/// Id of the first order; the others follow.
 const FIRST_ORDER_ID: u64 = 1_000;
 
-/// A gateway with 40 calls in flight, and ten orders before, during and after its stop.
+/// A gateway with 40 calls in flight, and ten orders before, during and after its shutdown.
 struct Scenario {
     seed: u64,
-    /// Hosts take this long for each call, and for four at once.
+    /// Service time of a call at a host; each host serves four calls at once.
     service_time: Span,
     signal: bool,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug)]
 struct Order {
     sent_at: Span,
-    answers: Vec<(Span, String)>,
-    /// How often it came whole to a host.
+    replies: Vec<(Span, String)>,
+    /// How often a host has received the complete order.
     received: usize,
 }
 
 impl Order {
     fn texts(&self) -> Vec<&str> {
-        self.answers.iter().map(|(_, text)| text.as_str()).collect()
+        self.replies.iter().map(|(_, text)| text.as_str()).collect()
     }
 
-    /// What it was answered, whatever came after.
+    /// Returns the reply to the order, ignoring the end of the connection.
     fn answer(&self) -> Option<&str> {
         self.texts().into_iter().find(|text| ![CLOSED, CONNECTION_ERROR].contains(text))
     }
@@ -71,10 +72,10 @@
             let signals = network.signal_sender();
             network.schedule(SIGTERM_AT, move |_| signals.send(Signal::Terminate).unwrap());
         }
-        let mut asked: Vec<Span> = (0..10).map(|_| 500 * MS + rng.below(900 * MS)).collect();
-        asked.sort_unstable();
-        // Every other one on a connection that has stood open, the rest on new ones.
-        for (number, (at, client)) in asked.iter().zip(&mut clients).enumerate() {
+        let mut send_times: Vec<Span> = (0..10).map(|_| 500 * MS + rng.below(900 * MS)).collect();
+        send_times.sort_unstable();
+        // Every other order is sent on a new connection, the rest on connections that have been open for long.
+        for (number, (at, client)) in send_times.iter().zip(&mut clients).enumerate() {
             network.run_until(*at);
             if number % 2 == 0 {
                 *client = network.client();
@@ -94,11 +95,11 @@
         let received: Vec<Received> = network.hosts.iter().flat_map(|host| host.take_received()).collect();
         let count =
             |id: u64| received.iter().filter(|received| received.text.contains(&format_id(id))).count();
-        let orders = (FIRST_ORDER_ID..).zip(asked.into_iter().zip(&clients));
+        let orders = (FIRST_ORDER_ID..).zip(send_times.into_iter().zip(&clients));
         orders
             .map(|(id, (sent_at, client))| Order {
                 sent_at,
-                answers: client.take_timed_replies(),
+                replies: client.take_timed_replies(),
                 received: count(id),
             })
             .collect()
@@ -106,45 +107,45 @@
 }
 
 #[test]
-fn orders_around_the_stop_are_served_or_closed_unread_and_never_fail() {
+fn orders_around_the_shutdown_are_served_or_closed_unread_and_never_fail() {
     let mut outcomes = BTreeMap::new();
     for seed in 0..200 {
         let service_time = (10 + Rng::stream(seed, "each", 0).below(280)) * MS;
         for (id, order) in (FIRST_ORDER_ID..).zip((Scenario { seed, service_time, signal: true }).run()) {
             let value = format_id(id);
-            let how = match order.texts()[..] {
+            let outcome = match order.texts()[..] {
                 [text, CLOSED] if text == value => "served",
-                // The client sends it again elsewhere, since it cannot have run.
+                // The client may retry elsewhere, since the order cannot have been executed.
                 [CLOSED | CONNECTION_ERROR] => "closed unread",
                 _ => panic!("seed {seed}: {order:?}"),
             };
-            assert_eq!(order.received, usize::from(how == "served"), "seed {seed}: {order:?}");
+            assert_eq!(order.received, usize::from(outcome == "served"), "seed {seed}: {order:?}");
             let late = order.sent_at > SIGTERM_AT + STILL_ACCEPTING - 5 * MS;
-            assert!(how == "served" || late, "seed {seed}: {order:?}");
-            *outcomes.entry(how).or_insert(0) += 1;
+            assert!(outcome == "served" || late, "seed {seed}: {order:?}");
+            *outcomes.entry(outcome).or_insert(0) += 1;
         }
     }
     assert!(outcomes["served"] > 900 && outcomes["closed unread"] > 900, "{outcomes:?}");
 }
 
-/// Where a stop was seen to fail orders, hosts took longer than what was left of the orders' time: an attempt
-/// was given up that may have run. The stop has no part in it.
+/// Orders were seen to fail during a shutdown because hosts took longer than the remaining deadline: the gateway gave up
+/// an attempt that may have been executed. The shutdown does not cause this.
 #[test]
-fn orders_fail_by_hosts_that_take_too_long_with_a_stop_and_without() {
+fn orders_fail_at_slow_hosts_with_and_without_a_shutdown() {
     let mut failed = 0;
     for seed in 0..20 {
         let [stopped, served] =
             [true, false].map(|signal| Scenario { seed, service_time: 400 * MS, signal }.run());
-        for (order, without) in stopped.iter().zip(&served) {
+        for (order, order_without_shutdown) in stopped.iter().zip(&served) {
             if order.sent_at < SIGTERM_AT + STILL_ACCEPTING - 5 * MS {
-                assert_eq!(order.answer(), without.answer(), "seed {seed}: {order:?}");
+                assert_eq!(order.answer(), order_without_shutdown.answer(), "seed {seed}: {order:?}");
             }
             if order.answer() == Some("-ERR failed") {
                 failed += 1;
                 assert_eq!(order.received, 1, "seed {seed}: {order:?}");
-                let took = order.answers[0].0 - order.sent_at;
+                let latency = order.replies[0].0 - order.sent_at;
                 assert!(
-                    (LATENCY_OBJECTIVE..LATENCY_OBJECTIVE + 5 * MS).contains(&took),
+                    (LATENCY_OBJECTIVE..LATENCY_OBJECTIVE + 5 * MS).contains(&latency),
                     "seed {seed}: {order:?}"
                 );
             }
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn a_client_that_writes_on_gets_its_last_answer_whole_and_no_reset() {
+fn a_client_that_keeps_writing_during_shutdown_gets_its_last_reply_complete_and_no_reset() {
     let network = SimulatedNetwork::start(Setup::default());
     let (trace, client) = (network.trace_packets(), network.client());
     client.get(1);
@@ -163,7 +164,7 @@
     network.run_until(500 * MS);
     let value = "x".repeat(60_000);
     network.hosts[0].send(0, value_reply(&value));
-    // It sends a command each 50 us, up to a while after the gateway has ended its sending.
+    // The client sends a command every 50 us, also for a while after the gateway has closed its side.
     let mut replies = Vec::new();
     while !replies.contains(&CLOSED.to_owned()) {
         client.send(command(&["PING"]));
@@ -180,13 +181,13 @@
     network.run_for(SECOND);
     assert_eq!(replies[0], value);
     assert!(replies[1..replies.len() - 1].iter().all(|text| text == "-ERR stopping"), "{:?}", &replies[1..]);
-    // A reset would make its system throw away what it has not read.
+    // A reset would make the client's kernel discard replies that it has not read.
     assert_eq!(trace.arrivals("gateway", "clients", &What::Reset).len(), 0);
     assert_eq!((before, network.ended_at()), (None, Some(closed + CLIENT_DELAY)));
 }
 
 #[test]
-fn a_client_that_stays_holds_up_the_stop_for_half_a_second() {
+fn a_client_that_does_not_close_delays_the_shutdown_by_half_a_second() {
     let network = SimulatedNetwork::start(Setup::default());
     let client = network.client();
     network.run_until(10 * MS);
@@ -198,17 +199,17 @@
 }
 
 #[test]
-fn a_gateway_that_is_told_to_end_before_it_is_ready_never_says_that_it_is() {
-    // It is ready after a second, as no list comes.
+fn a_gateway_that_gets_sigterm_before_it_is_ready_never_reports_ready() {
+    // Without a list from discovery the gateway is ready after a second.
     let around = [SECOND - MS, SECOND - 1, SECOND, SECOND + 1];
     for term in [0, 1, 500 * MS, 560 * MS].into_iter().chain(around) {
         let network = SimulatedNetwork::start(Setup { hosts: 2, ..Setup::default() });
         network.discovery.set_behavior(Behavior::Manual);
         network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 0)));
-        let waits = network.client_with_call(get(1), usize::MAX);
+        let waiting_client = network.client_with_call(get(1), usize::MAX);
         network.run_until(term);
         network.signal(Signal::Terminate);
-        // As long as it accepts, a front may ask.
+        // Load balancers may send health checks as long as the gateway accepts connections.
         let mut pings = Vec::new();
         while network.now() < term + STILL_ACCEPTING - 2 * CLIENT_DELAY {
             pings.push(network.client_with_call(command(&["PING"]), usize::MAX));
@@ -220,9 +221,9 @@
             assert_eq!(ping.take_replies()[0], "-ERR stopping", "{term}");
         }
         assert_eq!(
-            waits.take_replies(),
+            waiting_client.take_replies(),
             [format_id(1), CLOSED.to_owned()],
-            "{term}: what waited for a list is served"
+            "{term}: the call that waited for a list is served"
         );
         network.run_for(2 * SECOND);
         assert!(network.ended_at().is_some(), "{term}");
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn a_reload_and_the_stop_in_one_instant_both_count_in_either_order() {
+fn a_reload_and_a_sigterm_at_the_same_instant_both_take_effect_in_either_order() {
     for signals in [[Signal::Reload, Signal::Terminate], [Signal::Terminate, Signal::Reload]] {
         let network = SimulatedNetwork::start(Setup::default());
         let (agent, client) = (network.start_peer("new agent", 8500), network.client());
@@ -255,7 +256,7 @@
 }
 
 #[test]
-fn a_drain_and_a_reload_after_a_second_word_to_end_still_count() {
+fn a_drain_and_a_reload_take_effect_after_repeated_sigterm() {
     for terms in 1..=3 {
         let network = SimulatedNetwork::start(Setup { hosts: 2, ..Setup::default() });
         network.hosts.iter().for_each(|host| host.set_behavior(Behavior::serve(4, 0)));
@@ -271,21 +272,22 @@
             client.get(id);
             network.run_for(20 * MS);
         }
-        assert_eq!(client.take_replies().len(), 16, "told to end {terms} times");
+        assert_eq!(client.take_replies().len(), 16, "{terms} times SIGTERM");
         assert!(
             network.hosts[0].take_received().iter().all(|received| !received.text.starts_with("CALL")),
-            "{terms} times"
+            "{terms} times SIGTERM"
         );
         network.reload(agent.addr, network.counter.addr);
         network.run_for(10 * MS);
-        assert!(agent.take_single().text.starts_with("GET /registry/instances "), "{terms} times");
+        assert!(agent.take_single().text.starts_with("GET /registry/instances "), "{terms} times SIGTERM");
     }
 }
 
 #[test]
-fn a_malformed_command_and_the_stop_are_one_error_behind_what_is_owed_in_either_order() {
+fn a_malformed_command_that_races_with_the_shutdown_gives_one_error_after_the_pending_replies() {
     let error = "-ERR protocol error: ";
-    // Two calls are owed, or nothing is; the stop, and the moment at which connections begin to close, cross it.
+    // With two pending calls or none, the malformed command races with the SIGTERM, or with the time at which connections
+    // begin to close.
     for (has_pending_calls, at, offset) in [true, false].into_iter().flat_map(|has_pending_calls| {
         [0, STILL_ACCEPTING]
             .into_iter()
@@ -308,19 +310,21 @@
         client.send("*-7\r\n");
         client.send(command(&["PING"]));
         network.run_until(SIGTERM_AT + 100 * MS);
-        // The last first: answers go in the order of the commands.
+        // Hosts respond in reverse order; replies are sent in the order of the commands.
         calls.iter().rev().for_each(|call| {
             network.hosts[0].send(call.connection, value_reply(call.text.split(' ').nth(2).unwrap()))
         });
         network.run_for(SECOND);
-        let (replies, case) = (client.take_replies(), format!("owed {has_pending_calls}, {at}, {offset}"));
-        let Some((answers, rest)) = replies.split_at_checked(if has_pending_calls { 2 } else { 0 }) else {
+        let (replies, case) =
+            (client.take_replies(), format!("pending calls: {has_pending_calls}, {at}, {offset}"));
+        let Some((pending_replies, rest)) = replies.split_at_checked(if has_pending_calls { 2 } else { 0 })
+        else {
             panic!("{case}: {replies:?}")
         };
-        assert_eq!(answers, &[format_id(1), format_id(2)][..answers.len()], "{case}");
+        assert_eq!(pending_replies, &[format_id(1), format_id(2)][..pending_replies.len()], "{case}");
         match rest {
             [text, end] => assert!(text.starts_with(error) && end == CLOSED, "{case}: {replies:?}"),
-            // It came to a connection that was closed between two requests.
+            // The command arrived on a connection that was closed between two requests.
             [end] => assert!(
                 !has_pending_calls
                     && at > 0
@@ -330,7 +334,11 @@
             ),
             _ => panic!("{case}: {replies:?}"),
         }
-        assert_eq!(other.take_replies(), [format_id(3), CLOSED.to_owned()], "{case}: nobody else is touched");
+        assert_eq!(
+            other.take_replies(),
+            [format_id(3), CLOSED.to_owned()],
+            "{case}: other clients are not affected"
+        );
         assert!(
             network.hosts[0].take_received().iter().all(|received| !received.text.starts_with("CALL")),
             "{case}"
@@ -340,39 +348,39 @@
     }
 }
 
-/// SIGTERM comes before the first list does, which is told during the stop or never: then the list known before the
-/// start has to do, a second after it.
+/// SIGTERM arrives before the first list, which arrives during the shutdown or never. In the latter case the gateway uses
+/// its initial list, a second after the start.
 #[test]
-fn a_stop_before_the_gateway_is_ready_answers_what_has_come_and_is_never_ready() {
+fn a_shutdown_before_the_gateway_is_ready_answers_received_calls_and_never_reports_ready() {
     for list_arrives in [true, false] {
         let network = SimulatedNetwork::start(Setup::default());
         network.discovery.set_behavior(Behavior::Manual);
         network.hosts[0].set_behavior(Behavior::serve(1, MS));
-        let (client, asker) = (network.client(), network.client());
+        let (client, health_checker) = (network.client(), network.client());
         client.get(1);
         for at in [50 * MS, 150 * MS, 350 * MS] {
             network.run_until(at);
-            asker.send(command(&["PING"]));
+            health_checker.send(command(&["PING"]));
             if at == 50 * MS {
                 network.run_until(100 * MS);
                 network.signal(Signal::Terminate);
             } else if at == 150 * MS && list_arrives {
-                let asked = network.discovery.take_received().remove(0);
+                let watch_request = network.discovery.take_received().remove(0);
                 let update = chunk(&format!("{}\n", endpoint_list(1, false, &[])));
-                network.discovery.send(asked.connection, format!("{CHUNKED_HEAD}{update}"));
+                network.discovery.send(watch_request.connection, format!("{CHUNKED_HEAD}{update}"));
             }
         }
         network.run_until(3 * SECOND);
-        assert_eq!(client.take_replies(), [&format_id(1), CLOSED], "tells: {list_arrives}");
+        assert_eq!(client.take_replies(), [&format_id(1), CLOSED], "list arrives: {list_arrives}");
         assert_eq!(
-            asker.take_replies(),
+            health_checker.take_replies(),
             ["-ERR starting", "-ERR stopping", "-ERR stopping", CLOSED],
-            "tells: {list_arrives}"
+            "list arrives: {list_arrives}"
         );
         let last = if list_arrives { 100 * MS + STILL_ACCEPTING } else { SECOND } + 10 * MS + 500 * MS;
         assert!(
             network.ended_at().is_some_and(|at| at <= last),
-            "{:?}, tells: {list_arrives}",
+            "{:?}, list arrives: {list_arrives}",
             network.ended_at()
         );
     }
--- a/crates/gateway/tests/simulated_network/stopping.rs
+++ b/crates/gateway/tests/simulated_network/stopping.rs
@@ -1,4 +1,4 @@
-//! Clients that go on as if nothing were while a gateway stops: on connections that they have, and on new ones.
+//! Clients that keep sending during a graceful shutdown, on existing and on new connections.
 
 use crate::support::{
     command, format_id, get, Behavior, Client, Setup, SimulatedNetwork, CLOSED, CONNECTION_ERROR,
@@ -9,12 +9,12 @@
 use std::collections::BTreeSet;
 
 const SIGTERM_AT: Span = 500 * MS;
-/// The process has ended so long after the longest deadline, before SIGKILL may come.
+/// Time after the longest deadline by which the process has to end, before a SIGKILL may arrive.
 const AFTER_DEADLINE: Span = 600 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Hosts {
-    /// So long for each command.
+    /// Each command takes this long.
     Serve(Span),
     Hang,
 }
@@ -23,11 +23,11 @@
 struct Case {
     deadline: Span,
     hosts: Hosts,
-    /// Time from one command, and from one new connection, to the next.
+    /// Interval between commands, and between new connections.
     interval: Span,
 }
 
-/// A client, and the ids of what it has sent.
+/// A client, and the ids of the calls that it has sent.
 struct Sender {
     client: Client,
     ids: Vec<u64>,
@@ -55,7 +55,7 @@
         let (network, mut ids) = (self.start(), 1..);
         let mut senders: Vec<Sender> =
             (0..3).map(|_| Sender { client: network.client(), ids: Vec::new() }).collect();
-        // One never takes an answer.
+        // One client never reads a reply.
         senders.push(Sender { client: network.client_with_read_limit(0), ids: Vec::new() });
         for (after, signal) in [
             (0, Signal::Terminate),
@@ -81,7 +81,7 @@
             network.run_for(self.interval);
         }
         network.run_for(2 * SECOND);
-        let ended = network.ended_at().expect("it goes on");
+        let ended = network.ended_at().expect("the gateway has not ended");
         assert!(ended <= last, "{} ms late: {self:?}", (ended - last) / MS);
         let received: Vec<String> = network
             .hosts
@@ -98,33 +98,34 @@
         }
     }
 
-    /// Each command that went on to a host has its answer, in its place and before an end that is no reset.
+    /// Checks that each command that was forwarded to a host has its reply, in order and before an end of the connection
+    /// that is not a reset.
     fn check(&self, number: usize, sender: &Sender, received: &BTreeSet<u64>) {
         let mut replies = sender.client.take_replies();
-        let end = replies.pop().unwrap_or_else(|| panic!("client {number} hears nothing: {self:?}"));
+        let end = replies.pop().unwrap_or_else(|| panic!("client {number} received nothing: {self:?}"));
         assert!(
             end == CLOSED || replies.is_empty() && end == CONNECTION_ERROR,
             "client {number}: {replies:?} {end} {self:?}"
         );
-        for (id, answer) in sender.ids.iter().zip(&replies) {
-            let is_right =
-                *answer == format_id(*id) || answer.starts_with("-BUSY") || answer == "-ERR failed";
-            assert!(is_right, "client {number}: {answer} for {id}: {self:?}");
+        for (id, reply) in sender.ids.iter().zip(&replies) {
+            let is_expected =
+                *reply == format_id(*id) || reply.starts_with("-BUSY") || reply == "-ERR failed";
+            assert!(is_expected, "client {number}: {reply} for {id}: {self:?}");
             let must_succeed =
                 matches!(self.hosts, Hosts::Serve(service_time) if service_time * 8 < self.deadline);
-            assert!(!must_succeed || answer != "-ERR failed", "client {number}: {id} fails: {self:?}");
+            assert!(!must_succeed || reply != "-ERR failed", "client {number}: {id} fails: {self:?}");
         }
         let unanswered: Vec<&u64> =
             sender.ids.iter().skip(replies.len()).filter(|id| received.contains(id)).collect();
         assert!(
             unanswered.is_empty(),
-            "client {number}: {unanswered:?} were sent on, and have no answer: {self:?}"
+            "client {number}: {unanswered:?} were forwarded, and have no reply: {self:?}"
         );
     }
 }
 
 #[test]
-fn whatever_clients_send_during_a_stop_what_is_sent_on_is_answered_before_its_end() {
+fn every_call_forwarded_during_a_shutdown_is_answered_before_its_connection_closes() {
     for deadline in [100 * MS, 3 * SECOND] {
         for hosts in [Hosts::Serve(5 * MS), Hosts::Serve(deadline / 2), Hosts::Hang] {
             for interval in [7 * MS, 50 * MS] {
@@ -134,11 +135,11 @@
     }
 }
 
-/// Half a command as connections close: its rest is waited for as long as commands are taken; what comes later crosses
-/// the end, and goes nowhere.
+/// When connections close with half a command received, the gateway waits for the rest as long as it accepts commands. A
+/// rest that arrives later crosses the close of the connection, and is not forwarded.
 #[test]
-fn half_a_command_holds_a_connection_until_no_more_are_taken() {
-    for (rest, answer) in [(480 * MS, Some(format_id(1))), (510 * MS, None)] {
+fn half_a_command_keeps_a_connection_open_until_no_more_commands_are_accepted() {
+    for (rest, reply) in [(480 * MS, Some(format_id(1))), (510 * MS, None)] {
         let network = SimulatedNetwork::start(Setup::default());
         network.hosts[0].set_behavior(Behavior::serve(1, MS));
         let (client, call) = (network.client(), get(1));
@@ -148,15 +149,15 @@
         network.run_until(SIGTERM_AT + rest);
         client.send(call.slice(30..));
         network.run_for(SECOND);
-        let expected: Vec<String> = answer.clone().into_iter().chain([CLOSED.to_owned()]).collect();
+        let expected: Vec<String> = reply.clone().into_iter().chain([CLOSED.to_owned()]).collect();
         assert_eq!(client.take_replies(), expected);
         let sent = network.hosts[0]
             .take_received()
             .iter()
             .filter(|received| received.text.starts_with("CALL"))
             .count();
-        assert_eq!(sent, usize::from(answer.is_some()));
-        let end = if answer.is_some() { 480 * MS + 10 * MS } else { 500 * MS };
+        assert_eq!(sent, usize::from(reply.is_some()));
+        let end = if reply.is_some() { 480 * MS + 10 * MS } else { 500 * MS };
         assert!(
             network.ended_at().is_some_and(|at| at <= SIGTERM_AT + end + 500 * MS),
             "{:?}",
--- a/crates/gateway/tests/simulated_network/support.rs
+++ b/crates/gateway/tests/simulated_network/support.rs
@@ -1,5 +1,5 @@
-//! A room with one gateway in it, and peers that do just what a test tells them. A test speaks and lets time
-//! pass in turns; what peers read is noted with its moment.
+//! A simulated network with one gateway, and peers that are scripted by the test. A test alternates between sending
+//! and advancing the simulated time; everything that peers read is recorded with its time.
 
 use bytes::{Bytes, BytesMut};
 use cluster_model::scenario::NetworkSpec;
@@ -18,50 +18,53 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
-/// What the clock shows at first: not 0, so that a moment is not taken for a span.
+/// Clock reading at the start: not 0, so that mistaking a point in time for a duration shows up.
 const START: Time = 1_000_000 * SECOND;
-/// One way between a client and the gateway, the gateway and a host or the counter, and on one machine.
+/// One-way delay between a client and the gateway.
 pub const CLIENT_DELAY: Span = 600_000;
+/// One-way delay between the gateway and a host, or the counter.
 pub const HOST_DELAY: Span = 200_000;
+/// One-way delay between processes on the same machine.
 pub const LOCAL_DELAY: Span = 20_000;
 
-/// Something that a peer has read, or how its connection ended. Moments are spans since the gateway's start.
+/// A message that a peer has read, or how its connection ended. Times count from the gateway's start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
-    /// When it was there whole.
+    /// When the message was complete.
     pub at: Span,
-    /// When the first byte of what it came with was sent.
+    /// When the first byte of the input that contained the message was sent.
     pub sent: Span,
-    /// Number of the connection, in the order of their coming to this peer.
+    /// Number of the connection, in the order in which this peer accepted them.
     pub connection: usize,
-    /// The words of a command, a value, an error with its `-`, the head of a question; or [`END`], [`BROKEN`].
+    /// The words of a command, a value, an error with its `-`, or the first line of an HTTP request; else
+    /// [`CLOSED`] or [`CONNECTION_ERROR`].
     pub text: String,
 }
 
-/// The other side has ended the connection, with all that it had to say.
-pub const CLOSED: &str = "(end)";
-/// The connection is broken.
-pub const CONNECTION_ERROR: &str = "(broken)";
+/// The other side has closed the connection after sending everything (FIN).
+pub const CLOSED: &str = "(closed)";
+/// The connection has failed, or could not be opened.
+pub const CONNECTION_ERROR: &str = "(connection error)";
 
-/// What a peer says to a question, from how long after it and in parts: spans since the question.
+/// A peer's response to a request: actions, each with its delay after the request.
 pub type TimedActions = Vec<(Span, Action)>;
 
 type Script = Box<dyn FnMut(Span, &str) -> TimedActions + Send>;
 
-/// What a peer does by itself with the commands that come to it.
+/// How a peer responds to the requests that it receives.
 pub enum Behavior {
-    /// Nothing: the test answers.
+    /// Not at all: the test sends the responses.
     Manual,
-    /// Serves each with its id, one after the other on so many cores, each for so long.
+    /// Answers each request with its id; a fixed number of cores each serve one request at a time.
     Serve {
-        /// Since when each core is free.
+        /// Time at which each core becomes free.
         core_free_at: Vec<Time>,
-        /// Time for each.
+        /// Service time of one request.
         service_time: Span,
     },
-    /// Adds, and answers with the total at once.
+    /// Acts as the counter: adds, and answers with the total at once. Holds the totals by key.
     Counter(BTreeMap<String, f64>),
-    /// Whatever the test says to this question, which came so long after the start.
+    /// Asks the test's function, which gets the time of the request since the start, and its text.
     Script(Script),
 }
 
@@ -78,8 +81,8 @@
         Behavior::Script(Box::new(respond))
     }
 
-    /// The answer to a command, and when it is given.
-    fn answer(&mut self, now: Time, words: &str) -> TimedActions {
+    /// Returns the response to a request, given its words.
+    fn respond(&mut self, now: Time, words: &str) -> TimedActions {
         let word = |n: usize| words.split(' ').nth(n).unwrap_or_default();
         match self {
             Behavior::Manual => Vec::new(),
@@ -98,7 +101,7 @@
     }
 }
 
-/// What a connection of a peer is told to do.
+/// An action of a peer or client on one of its connections.
 pub enum Action {
     Write(Bytes),
     Read(usize),
@@ -106,13 +109,13 @@
     Reset,
 }
 
-/// What all connections of a peer share.
+/// State shared by all connections of a peer.
 struct Shared {
     env: SimEnv,
     received: Mutex<Vec<Received>>,
     connections: Mutex<Vec<UnboundedSender<Action>>>,
     behavior: Mutex<Behavior>,
-    /// Bytes that each connection reads before it is told to read more.
+    /// Number of bytes that each new connection reads until [`Action::Read`] allows more.
     read_limit: Mutex<usize>,
 }
 
@@ -135,7 +138,7 @@
     }
 
     fn queue(&self, connection: usize, action: Action) {
-        // One that has ended takes none.
+        // Ignores actions on a connection that has ended.
         let _ = self.connections.lock().unwrap()[connection].send(action);
     }
 
@@ -150,7 +153,7 @@
     shared: Arc<Shared>,
     connection: usize,
     input: BytesMut,
-    /// When the first byte of what lies in the input was sent.
+    /// When the first byte in `input` was sent.
     input_sent_at: Time,
     read_limit: usize,
 }
@@ -176,7 +179,8 @@
         }
     }
 
-    /// Reads what there is, notes it, and does what the peer does with it.
+    /// Reads available bytes, records complete messages, and responds to them as the peer's behavior says. Returns
+    /// the number of bytes read; 0 at the end of the connection.
     async fn read(&mut self, reader: &mut SimReader) -> usize {
         let was_empty = self.input.is_empty();
         let read = (&mut *reader).take(self.read_limit as u64).read_buf(&mut self.input).await;
@@ -190,7 +194,7 @@
             Ok(count) => {
                 self.read_limit -= if self.read_limit == usize::MAX { 0 } else { count };
                 while let Some(text) = take_message(&mut self.input) {
-                    self.answer(&text);
+                    self.respond(&text);
                     self.shared.record(self.connection, self.input_sent_at, text);
                 }
                 return count;
@@ -199,23 +203,24 @@
         0
     }
 
-    fn answer(&self, text: &str) {
+    fn respond(&self, text: &str) {
         let env = self.shared.env.clone();
-        let (answer, asked) = (self.shared.behavior.lock().unwrap().answer(env.now(), text), env.now());
+        let (response, received_at) =
+            (self.shared.behavior.lock().unwrap().respond(env.now(), text), env.now());
         let (shared, connection) = (self.shared.clone(), self.connection);
         env.clone().spawn(async move {
-            for (after, action) in answer {
-                env.sleep_until(asked + after).await;
+            for (after, action) in response {
+                env.sleep_until(received_at + after).await;
                 shared.queue(connection, action);
             }
         });
     }
 }
 
-/// The first whole thing in the input: RESP, or the head of an HTTP question.
+/// Takes the first complete message from the input: a RESP value, or the head of an HTTP request.
 fn take_message(input: &mut BytesMut) -> Option<String> {
     if input.starts_with(b"GET ") {
-        let end = input.windows(4).position(|four| four == b"\r\n\r\n")?;
+        let end = input.windows(4).position(|window| window == b"\r\n\r\n")?;
         let head = input.split_to(end + 4);
         return Some(String::from_utf8_lossy(&head).lines().next()?.to_owned());
     }
@@ -234,7 +239,7 @@
     }
 }
 
-/// A host, the counter or discovery: a listener, and the connections that have come to it.
+/// A host, the counter or discovery: a listener, and the connections that it has accepted.
 pub struct Peer {
     pub machine: Machine,
     pub addr: SocketAddr,
@@ -269,34 +274,35 @@
         self.shared.env.process_id()
     }
 
-    /// What it does by itself from now on.
+    /// Sets how the peer responds from now on.
     pub fn set_behavior(&self, behavior: Behavior) {
         *self.shared.behavior.lock().unwrap() = behavior;
     }
 
-    /// Its connections read so many bytes, and no more until they are told to.
+    /// Sets how many bytes each new connection reads until [`Peer::read_all`].
     pub fn set_read_limit(&self, read_limit: usize) {
         *self.shared.read_limit.lock().unwrap() = read_limit;
     }
 
-    /// All connections that there are read whatever comes.
+    /// Removes the read limit of existing and new connections.
     pub fn read_all(&self) {
         self.set_read_limit(usize::MAX);
         (0..self.connection_count())
             .for_each(|connection| self.shared.queue(connection, Action::Read(usize::MAX)));
     }
 
-    /// Connections that have come so far.
+    /// Returns the number of connections accepted so far.
     pub fn connection_count(&self) -> usize {
         self.shared.connections.lock().unwrap().len()
     }
 
-    /// What has been read since this was last asked.
+    /// Returns what has been received since the last call.
     pub fn take_received(&self) -> Vec<Received> {
         std::mem::take(&mut self.shared.received.lock().unwrap())
     }
 
-    /// The one command, or the one end, that has come since this was last asked.
+    /// Returns the only message, or end of a connection, received since the last call; panics unless there is exactly
+    /// one.
     pub fn take_single(&self) -> Received {
         let mut received = self.take_received();
         assert_eq!(received.len(), 1, "{received:?}");
@@ -307,35 +313,35 @@
         self.shared.queue(connection, Action::Write(bytes.into()));
     }
 
-    /// Closes a connection: with bytes unread that is a reset.
+    /// Closes a connection; if received bytes are unread, this resets it.
     pub fn close(&self, connection: usize) {
         self.shared.queue(connection, Action::Close);
     }
 
-    /// Begins the answer to a watch.
+    /// Sends the head of the response to a watch request.
     pub fn start_watch_response(&self, connection: usize) {
         self.send(connection, CHUNKED_HEAD);
     }
 
-    /// The empty line that comes every two seconds.
+    /// Sends the empty line that an agent writes to a watch every two seconds.
     pub fn send_keep_alive(&self, connection: usize) {
         self.send(connection, chunk("\n"));
     }
 
-    /// A line of a watch.
+    /// Sends a list as one line of a watch.
     pub fn send_list(&self, connection: usize, list: &Value) {
         self.send(connection, chunk(&format!("{list}\n")));
     }
 }
 
-/// The head of an answer in chunks.
+/// The head of an HTTP response with chunked transfer encoding.
 pub const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A client's connection. It closes when it is dropped.
+/// A client with one connection, which is closed on drop.
 pub struct Client {
     shared: Arc<Shared>,
 }
@@ -345,28 +351,28 @@
         self.shared.queue(0, Action::Write(bytes.into()));
     }
 
-    /// A call that may be repeated.
+    /// Sends a safe call.
     pub fn get(&self, id: u64) {
         self.send(get(id));
     }
 
-    /// A call that may not.
+    /// Sends an unsafe call, of customer 1 and for one unit.
     pub fn post(&self, id: u64) {
         self.send(post(id, 1, 1.0));
     }
 
-    /// What has come since this was last asked: when, and what.
+    /// Returns the replies received since the last call, each with its time.
     pub fn take_timed_replies(&self) -> Vec<(Span, String)> {
         let received = std::mem::take(&mut *self.shared.received.lock().unwrap());
         received.into_iter().map(|received| (received.at, received.text)).collect()
     }
 
-    /// What has come since this was last asked.
+    /// Returns the replies received since the last call.
     pub fn take_replies(&self) -> Vec<String> {
         self.take_timed_replies().into_iter().map(|(_, text)| text).collect()
     }
 
-    /// Reads so many more bytes.
+    /// Allows the connection to read `more` bytes.
     pub fn read(&self, more: usize) {
         self.shared.queue(0, Action::Read(more));
     }
@@ -380,7 +386,7 @@
     }
 }
 
-/// What a room is like before it starts.
+/// How a simulated network is set up.
 pub struct Setup {
     pub seed: u64,
     pub network: NetworkSpec,
@@ -388,14 +394,15 @@
     pub sockets: usize,
     pub memory_mb: usize,
     pub settings: Value,
-    /// The list known before the start: its version, and the states of hosts that are not in service.
+    /// The endpoint list that the gateway starts with: its generation, and the lifecycle states of the first hosts;
+    /// the others are in service.
     pub initial_list: (u64, Vec<&'static str>),
-    /// The operators' file.
+    /// Text of the operators' configuration file.
     pub operators: String,
 }
 
 impl Default for Setup {
-    /// Without jitter. No quota, no counter; attempts may not be withdrawn.
+    /// Without network jitter, quotas and counter; the gateway may not cancel attempts.
     fn default() -> Setup {
         Setup {
             seed: 1,
@@ -433,28 +440,29 @@
     })
 }
 
-/// The plan of all customers: units a second, and what the store holds; zeros for no quota.
+/// Returns the plan of all customers: the token bucket's refill in units per second and its burst in units; zeros for
+/// no quota.
 pub fn customer_plan(refill: f64, burst: f64) -> Value {
     json!({"name": "team", "worth-factor": 1.0, "refill": refill, "burst": burst, "concurrency": 0,
         "extra-worth": 0.0, "overrun-cost": 0.0, "ceiling-rate": 0.0, "never-over-depth": 0.0,
         "cap-slack": 0.0})
 }
 
-/// The gateway's process.
+/// The gateway's process, and what it reads and reports.
 struct Gateway {
     signals: UnboundedSender<Signal>,
-    /// As it is on the disk, if there is one.
+    /// The configuration document on disk, if it exists.
     document: Arc<Mutex<Option<Value>>>,
     operators: Arc<Mutex<String>>,
-    /// When it ended, on the clock.
+    /// Clock time at which the process ended.
     ended: Arc<Mutex<Option<Time>>>,
 }
 
-/// A room with a gateway that has just started, and knows these hosts from before.
+/// A simulated network with a gateway that has just started with a list of these hosts.
 pub struct SimulatedNetwork {
     pub sim: Sim,
     pub hosts: Vec<Peer>,
-    /// Listens on the gateway's own machine.
+    /// Runs on the gateway's machine.
     pub discovery: Peer,
     pub counter: Peer,
     gateway: Gateway,
@@ -473,7 +481,7 @@
         let hosts: Vec<Peer> = (0..setup.hosts).map(host).collect();
         let discovery = Peer::start(gateway_machine.clone(), "discovery", 8500);
         let counter = Peer::start(machine("counter"), "counter", 7000);
-        // Its first question is answered at once: nothing has changed. The others are left to the test.
+        // The first request is answered at once with an empty change. The test answers all further ones.
         let mut update = Some(chunk(&format!("{}\n", endpoint_list(1, false, &[]))));
         discovery.set_behavior(Behavior::script(move |_, _| {
             update
@@ -488,41 +496,41 @@
         SimulatedNetwork { sim, hosts, discovery, counter, gateway, gateway_machine, clients }
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time by a duration.
     pub fn run_for(&self, span: Span) {
         self.run_until(self.now() + span);
     }
 
-    /// Lets time pass up to so long after the start.
+    /// Advances the simulated time to a time since the start.
     pub fn run_until(&self, at: Span) {
         self.sim.run_until(START + at).unwrap();
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Span {
         self.sim.now() - START
     }
 
-    /// Does something so long after the start.
+    /// Schedules an action for a time since the start.
     pub fn schedule(&self, at: Span, action: impl FnOnce(&Sim) + Send + 'static) {
         self.sim.at(START + at, action);
     }
 
-    /// A client that asks for a connection now.
+    /// Starts a client, which connects now.
     pub fn client(&self) -> Client {
         self.client_with_read_limit(usize::MAX)
     }
 
-    /// One that reads so many bytes and no more until it is told to.
+    /// Starts a client that reads `read_limit` bytes, and more only after [`Client::read`].
     pub fn client_with_read_limit(&self, read_limit: usize) -> Client {
         let (env, shared) = (self.clients.clone(), Shared::new(self.clients.clone()));
         let (connection, actions) = shared.add_connection();
-        let (addr, own) = (SocketAddr::new(self.gateway_machine.ip(), GATEWAY_PORT), shared.clone());
+        let (addr, own_shared) = (SocketAddr::new(self.gateway_machine.ip(), GATEWAY_PORT), shared.clone());
         env.clone().spawn(async move {
             match env.connect(addr).await {
                 Ok(stream) => {
                     let connection_task = PeerConnection {
-                        shared: own,
+                        shared: own_shared,
                         connection,
                         input: BytesMut::new(),
                         input_sent_at: 0,
@@ -530,13 +538,13 @@
                     };
                     connection_task.run(stream, actions).await;
                 }
-                Err(_) => own.record(connection, env.now(), CONNECTION_ERROR.into()),
+                Err(_) => own_shared.record(connection, env.now(), CONNECTION_ERROR.into()),
             }
         });
         Client { shared }
     }
 
-    /// One that makes this call at once, and reads so many bytes.
+    /// Starts a client that sends this call at once, and reads `read_limit` bytes.
     pub fn client_with_call(&self, call: Bytes, read_limit: usize) -> Client {
         let client = self.client_with_read_limit(read_limit);
         client.send(call);
@@ -544,31 +552,31 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        // One that has ended takes none.
+        // Ignored by a gateway that has ended.
         let _ = self.gateway.signals.send(signal);
     }
 
-    /// Where signals to the gateway go, for what is set for later.
+    /// Returns the sender of signals to the gateway, for scheduled actions.
     pub fn signal_sender(&self) -> UnboundedSender<Signal> {
         self.gateway.signals.clone()
     }
 
-    /// Another counter or agent, in a process of its own.
+    /// Starts another counter or discovery agent on a new machine.
     pub fn start_peer(&self, name: &str, port: u16) -> Peer {
         self.listen(&self.add_machine(name), name, port)
     }
 
-    /// A machine on which nobody listens yet.
+    /// Adds a machine without a listener.
     pub fn add_machine(&self, name: &str) -> Machine {
         self.sim.machine(name, Place::Building(0))
     }
 
-    /// Somebody listens there from now on.
+    /// Starts a peer that listens on this machine.
     pub fn listen(&self, machine: &Machine, name: &str, port: u16) -> Peer {
         Peer::start(machine.clone(), name, port)
     }
 
-    /// Changes the configuration as it is on the disk.
+    /// Changes the configuration document on disk.
     pub fn write_document(&self, change: impl FnOnce(&mut Value)) {
         if let Some(document) = self.gateway.document.lock().unwrap().as_mut() {
             change(document);
@@ -584,33 +592,32 @@
         self.signal(Signal::Reload);
     }
 
-    /// Writes the operators' file.
+    /// Writes the operators' configuration file.
     pub fn write_operators(&self, text: &str) {
         *self.gateway.operators.lock().unwrap() = text.to_owned();
     }
 
-    /// Writes the operators' file and sends SIGHUP.
+    /// Writes the operators' configuration file and sends SIGHUP.
     pub fn reload_operators(&self, text: &str) {
         self.write_operators(text);
         self.signal(Signal::Reload);
     }
 
-    /// The configuration is gone.
+    /// Removes the configuration document from disk.
     pub fn remove_configuration(&self) {
         *self.gateway.document.lock().unwrap() = None;
     }
 
-    /// When the gateway's process ended.
+    /// Returns the time since the start at which the gateway's process ended.
     pub fn ended_at(&self) -> Option<Span> {
         self.gateway.ended.lock().unwrap().map(|at| at - START)
     }
 
-    /// The gateway's machine.
     pub fn gateway_machine_id(&self) -> MachineId {
         self.gateway_machine.id()
     }
 
-    /// What arrives from now on: when, from and to which machine, and what.
+    /// Records each packet that arrives from now on.
     pub fn trace_packets(&self) -> PacketTrace {
         let trace = PacketTrace::default();
         let received = trace.0.clone();
@@ -625,23 +632,23 @@
         let config = read(&document, &operators).unwrap();
         let (signals, inbox) = unbounded_channel();
         let (document, ended) = (Arc::new(Mutex::new(Some(document))), Arc::new(Mutex::new(None)));
-        let (own, end) = (env.clone(), ended.clone());
+        let (process, end) = (env.clone(), ended.clone());
         let operators = Arc::new(Mutex::new(operators));
-        let (disk, file) = (document.clone(), operators.clone());
-        let reload = move || match &*disk.lock().unwrap() {
-            Some(document) => read(document, &file.lock().unwrap()),
+        let (document_on_disk, operators_file) = (document.clone(), operators.clone());
+        let reload = move || match &*document_on_disk.lock().unwrap() {
+            Some(document) => read(document, &operators_file.lock().unwrap()),
             None => anyhow::bail!("no configuration"),
         };
         env.spawn(async move {
-            serve(own.clone(), config, reload, inbox).await.unwrap();
-            *end.lock().unwrap() = Some(own.now());
-            own.exit();
+            serve(process.clone(), config, reload, inbox).await.unwrap();
+            *end.lock().unwrap() = Some(process.now());
+            process.exit();
         });
         Gateway { signals, document, operators, ended }
     }
 }
 
-/// The configuration and the operators' file, read as the program does.
+/// Loads the configuration and the operators' configuration file as the program does.
 fn read(document: &Value, operators: &str) -> anyhow::Result<Config> {
     let config = Config::parse(document.to_string().as_bytes())?;
     let loaded = load("site.fb".as_ref(), &Memory::default().with("site.fb", operators), None);
@@ -671,12 +678,12 @@
     })
 }
 
-/// What has passed on the wires.
+/// The packets that have arrived.
 #[derive(Clone, Default)]
 pub struct PacketTrace(Arc<Mutex<Vec<Packet>>>);
 
 impl PacketTrace {
-    /// When this arrived from one machine at another.
+    /// Returns the arrival times of packets of this kind from one machine at another.
     pub fn arrivals(&self, from: &str, to: &str, kind: &What) -> Vec<Span> {
         let packets = self.0.lock().unwrap();
         let matches = |packet: &&Packet| {
@@ -685,14 +692,14 @@
         packets.iter().filter(matches).map(|packet| packet.at - START).collect()
     }
 
-    /// How often this has arrived from a machine.
+    /// Returns how many packets of this kind have arrived from a machine.
     pub fn count(&self, from: &str, kind: &What) -> usize {
         let packets = self.0.lock().unwrap();
         packets.iter().filter(|packet| &*packet.from.machine == from && packet.what == *kind).count()
     }
 }
 
-/// Discovery's entry of a host, which has run for long.
+/// Returns discovery's entry of a host that started long ago.
 pub fn host_entry(hosts: &[Peer], number: usize, lifecycle: &str) -> Value {
     json!({"instanceId": format!("s-{number}"), "hostPort": hosts[number].addr.to_string(), "zone": "a",
         "machineType": "m", "cell": 1, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
@@ -702,7 +709,7 @@
     json!({"generation": generation, "reset": reset, "instances": entries})
 }
 
-/// A command.
+/// Encodes a command.
 pub fn command(words: &[&str]) -> Bytes {
     let mut bytes = BytesMut::new();
     encode_array_header(&mut bytes, words.len());
@@ -710,17 +717,17 @@
     bytes.freeze()
 }
 
-/// An id as it stands in commands, and comes back as a value from a host that serves by itself.
+/// Formats an id as in commands; a host with [`Behavior::Serve`] answers with it as the value.
 pub fn format_id(id: u64) -> String {
     format!("{id:016x}")
 }
 
-/// A call that may be repeated.
+/// Encodes a safe call of customer 1 for one unit.
 pub fn get(id: u64) -> Bytes {
     command(&["CALL.GET", &format_id(1), &format_id(id), "c=read,t=team,d=8500,units=1,spread=1,first=0"])
 }
 
-/// A call that may not, of a customer, for so many units.
+/// Encodes an unsafe call of a customer for a number of units.
 pub fn post(id: u64, customer: u64, units: f64) -> Bytes {
     let list = format!("c=order,t=team,d=8500,units={units},spread=1,first=0");
     command(&["CALL.POST", &format_id(customer), &format_id(id), &list, "body"])
@@ -730,7 +737,7 @@
     format!("${}\r\n{value}\r\n", value.len()).into()
 }
 
-/// A host's answer with a value.
+/// Encodes a host's response with a value.
 pub fn value_reply(value: &str) -> Bytes {
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()).into()
 }
--- a/crates/gateway/tests/simulated_network/units.rs
+++ b/crates/gateway/tests/simulated_network/units.rs
@@ -1,5 +1,6 @@
-//! Requests that wait for units, and what may cross the counter's answer: a client that leaves, a drain, the time-out,
-//! a reload, the end of the connection, the end of the gateway. Each crossing is played in either order and at once.
+//! Requests that wait for units while another event races with the counter's response: a client that disconnects, a
+//! drain, the timeout, a reload, the end of the connection, the shutdown of the gateway. Each race runs in either order
+//! and with both events at the same instant.
 
 use crate::support::{
     bulk, customer_plan, endpoint_list, format_id, host_entry, post, Behavior, Client, Peer, Received, Setup,
@@ -13,13 +14,14 @@
 use simulated_runtime::{Cut, What};
 use std::collections::BTreeMap;
 
-/// How long a call to the counter may take.
+/// Timeout of a counter call.
 const COUNTER_TIMEOUT: Span = 100 * MS;
-/// After what the crossing event comes: just before, in the same instant, just after, and well after.
+/// Offset of the racing event, in nanoseconds: well before the other one, just before, at the same instant, just after,
+/// and well after.
 const OFFSETS: [i64; 5] = [-(MS as i64), -1, 0, 1, MS as i64];
 
-/// A gateway whose customers have ten units and next to nothing more, in an epoch in which calls to the counter prove
-/// what they added; a client, and a watch.
+/// Starts a gateway with a client and an open watch, in an epoch in which the total after a counter call proves what the
+/// call added. Customers have a burst of ten units and almost no refill.
 fn start(hosts: usize) -> (SimulatedNetwork, Client) {
     let mut setup = Setup { hosts, ..Setup::default() };
     setup.settings["domain"]["shared-counter"] = true.into();
@@ -38,7 +40,7 @@
     (network, client)
 }
 
-/// A call that the client has made for two units waits for this answer.
+/// Sends a call for two units, and returns the counter call whose response it waits for.
 fn wait_for_counter_call(network: &SimulatedNetwork, client: &Client, id: u64) -> Received {
     client.send(post(id, 1, 2.0));
     network.run_for(5 * MS);
@@ -49,19 +51,19 @@
     moment.checked_add_signed(offset).unwrap()
 }
 
-/// From now on the counter adds by itself, and has added this call.
+/// Lets the counter respond by itself from now on, with this call already added.
 fn count_from(counter: &Peer, call: &Received) {
     let words: Vec<&str> = call.text.split(' ').collect();
     let total = BTreeMap::from([(words[1].to_owned(), words[2].parse().unwrap())]);
     counter.set_behavior(Behavior::Counter(total));
 }
 
-/// The total after this call alone.
+/// Encodes the total after this call alone.
 fn total(call: &Received) -> bytes::Bytes {
     bulk(call.text.split(' ').nth(2).unwrap())
 }
 
-/// Calls that came to a host, by id.
+/// Returns the ids of the calls that a host has received since the last call of this function.
 fn calls(host: &Peer) -> Vec<String> {
     let received = host.take_received().into_iter();
     received
@@ -71,17 +73,18 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_units_come_takes_nothing_of_its_customer_s_quota() {
+fn a_client_that_disconnects_while_its_units_arrive_uses_up_no_quota() {
     for offset in OFFSETS {
         let (network, client) = start(1);
         let call = wait_for_counter_call(&network, &client, 1);
-        let crossing = network.now() + 10 * MS;
-        let (leaves, answers) = (offset_time(crossing - CLIENT_DELAY, offset), crossing - HOST_DELAY);
-        let mut steps = [(leaves, true), (answers, false)];
+        let race_at = network.now() + 10 * MS;
+        let (disconnects_at, responds_at) =
+            (offset_time(race_at - CLIENT_DELAY, offset), race_at - HOST_DELAY);
+        let mut steps = [(disconnects_at, true), (responds_at, false)];
         steps.sort();
-        for (when, is_leave) in steps {
+        for (when, is_disconnect) in steps {
             network.run_until(when);
-            if is_leave {
+            if is_disconnect {
                 client.close();
             } else {
                 network.counter.send(call.connection, total(&call));
@@ -90,8 +93,8 @@
         }
         network.run_for(200 * MS);
         let sent = calls(&network.hosts[0]);
-        assert!(sent.len() <= usize::from(offset >= 0), "{offset}: sent for nobody");
-        // What was bought serves others of the customer: ten units are five requests of two.
+        assert!(sent.len() <= usize::from(offset >= 0), "{offset}: forwarded without a client");
+        // The granted units serve other requests of the customer: ten units admit five requests of two.
         let (other, left) = (network.client(), 5 - sent.len() as u64);
         for id in 2..2 + left {
             other.send(post(id, 1, 2.0));
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn a_counter_that_is_back_after_the_client_left_buys_for_the_next_one() {
+fn units_that_arrive_after_the_client_has_disconnected_are_used_by_the_next_request() {
     let (network, client) = start(1);
     let call = wait_for_counter_call(&network, &client, 1);
     client.close();
@@ -113,7 +116,7 @@
     network.counter.send(call.connection, total(&call));
     count_from(&network.counter, &call);
     network.run_for(10 * MS);
-    assert_eq!(calls(&network.hosts[0]), [""; 0], "nobody waits for it");
+    assert_eq!(calls(&network.hosts[0]), [""; 0], "no request waits for the units");
     let other = network.client();
     for id in 2..=6 {
         other.send(post(id, 1, 2.0));
@@ -123,12 +126,12 @@
 }
 
 #[test]
-fn a_host_that_drains_while_a_request_waits_for_units_does_not_get_it() {
+fn a_request_that_waits_for_units_is_not_forwarded_to_a_host_that_has_drained() {
     for (hosts, offset) in [1, 2].into_iter().flat_map(|hosts| OFFSETS.map(|offset| (hosts, offset))) {
         let (network, client) = start(hosts);
         let call = wait_for_counter_call(&network, &client, 1);
-        let crossing = network.now() + 10 * MS;
-        let mut steps = [(offset_time(crossing - LOCAL_DELAY, offset), true), (crossing - HOST_DELAY, false)];
+        let race_at = network.now() + 10 * MS;
+        let mut steps = [(offset_time(race_at - LOCAL_DELAY, offset), true), (race_at - HOST_DELAY, false)];
         steps.sort();
         for (when, is_drain) in steps {
             network.run_until(when);
@@ -140,9 +143,9 @@
                 network.counter.send(call.connection, total(&call));
             }
         }
-        // Without a host it waits for one, as long as that may help.
+        // Without a host the request waits for one until its deadline.
         network.run_for(9 * SECOND);
-        let notified_at = offset_time(crossing, offset);
+        let notified_at = offset_time(race_at, offset);
         let late = network.hosts[0]
             .take_received()
             .into_iter()
@@ -159,7 +162,7 @@
 }
 
 #[test]
-fn an_answer_and_its_time_out_at_once_are_one_end_and_lose_no_units() {
+fn a_response_that_races_with_its_timeout_gives_one_reply_and_loses_no_units() {
     for offset in OFFSETS {
         let (network, client) = start(1);
         let call = wait_for_counter_call(&network, &client, 1);
@@ -178,14 +181,14 @@
 }
 
 #[test]
-fn a_reload_while_a_call_is_out_gives_one_answer_in_either_order() {
+fn a_reload_that_races_with_a_counter_response_gives_one_reply() {
     for offset in OFFSETS {
         let (network, client) = start(1);
         let new = network.start_peer("new counter", 7000);
         new.set_behavior(Behavior::counter());
         let call = wait_for_counter_call(&network, &client, 1);
-        let crossing = network.now() + 10 * MS;
-        let mut steps = [(offset_time(crossing, offset), true), (crossing - HOST_DELAY, false)];
+        let race_at = network.now() + 10 * MS;
+        let mut steps = [(offset_time(race_at, offset), true), (race_at - HOST_DELAY, false)];
         steps.sort();
         for (when, is_reload) in steps {
             network.run_until(when);
@@ -197,7 +200,7 @@
         }
         network.run_for(SECOND);
         assert_eq!(client.take_replies(), [format_id(1)], "{offset}");
-        // Whoever is asked for from now on is the new one.
+        // From now on the new counter is asked.
         client.send(post(2, 2, 2.0));
         network.run_for(SECOND);
         assert_eq!(client.take_replies(), [format_id(2)], "{offset}");
@@ -210,17 +213,17 @@
 }
 
 #[test]
-fn totals_of_a_counter_and_of_the_one_that_it_moved_from_let_in_no_more_than_the_quota() {
-    // A call is out at the old one when it moves; its answer comes before, at or after the move, or after the time of
-    // the call, when the new one has answered as well.
+fn totals_of_the_old_and_the_new_counter_together_admit_no_more_than_the_quota() {
+    // A call is in flight at the old counter when the address changes. Its response arrives before, at or after the
+    // change, or after the call's timeout, when the new counter has responded as well.
     for offset in OFFSETS.into_iter().chain([3 * COUNTER_TIMEOUT as i64]) {
         let (network, client) = start(1);
         let new = network.start_peer("new counter", 7000);
         new.set_behavior(Behavior::counter());
         let call = wait_for_counter_call(&network, &client, 1);
-        let crossing = network.now() + 10 * MS;
+        let race_at = network.now() + 10 * MS;
         client.send(post(2, 1, 2.0));
-        let mut steps = [(crossing, true), (offset_time(crossing - HOST_DELAY, offset), false)];
+        let mut steps = [(race_at, true), (offset_time(race_at - HOST_DELAY, offset), false)];
         steps.sort();
         for (when, is_reload) in steps {
             network.run_until(when);
@@ -237,7 +240,7 @@
         }
         network.run_for(9 * SECOND);
         let replies = client.take_replies();
-        assert_eq!(replies.len(), 12, "{offset}: one answer each: {replies:?}");
+        assert_eq!(replies.len(), 12, "{offset}: one reply each: {replies:?}");
         let served = replies.iter().filter(|text| !text.starts_with('-')).count();
         assert_eq!(served, 5, "{offset}: {replies:?}");
         assert_eq!(calls(&network.hosts[0]).len(), served, "{offset}");
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn a_counter_moved_to_where_nothing_answers_and_back_answers_each_request_once() {
+fn a_counter_address_that_changes_to_an_unreachable_one_and_back_gives_each_request_one_reply() {
     let (network, client) = start(1);
     let unreachable = network.start_peer("cut counter", 7000);
     network.sim.cut(vec![unreachable.machine.id()], vec![network.gateway_machine_id()], Cut::Silent);
@@ -256,9 +259,9 @@
     network.reload(network.discovery.addr, network.counter.addr);
     client.send(post(3, 3, 2.0));
     network.run_for(10 * MS);
-    // The call to the address between hangs until its time is over, and holds up neither of the others.
-    let third = network.counter.take_single();
-    for call in [&third, &call] {
+    // The call to the address in between hangs until its timeout, and delays neither of the others.
+    let third_call = network.counter.take_single();
+    for call in [&third_call, &call] {
         network.counter.send(call.connection, total(call));
     }
     network.run_for(10 * MS);
@@ -270,9 +273,9 @@
 }
 
 #[test]
-fn a_connection_that_dies_with_a_call_half_written_added_nothing_and_units_come_by_another() {
+fn a_counter_call_that_its_connection_lost_half_written_adds_nothing_and_is_made_at_the_new_address() {
     let mut setup = Setup::default();
-    // A call takes over 60 bytes: half of it is on its way when the counter dies.
+    // A call takes over 60 bytes: half of it is in transit when the counter is killed.
     setup.network.window = 32;
     setup.settings["domain"]["shared-counter"] = true.into();
     setup.settings["tariffs"] = json!([customer_plan(0.001, 10.0)]);
@@ -300,25 +303,25 @@
     network.run_for(SECOND);
     assert!(
         client.take_replies()[0].starts_with("-BUSY"),
-        "nothing was added where it died, and nothing is lost or doubled"
+        "nothing was added at the killed counter, and no units are lost or counted twice"
     );
 }
 
 #[test]
-fn a_stop_answers_requests_that_wait_for_units_whether_the_counter_does_or_not() {
-    for answers in [true, false] {
+fn a_shutdown_answers_requests_that_wait_for_units_with_and_without_a_counter_response() {
+    for counter_responds in [true, false] {
         let (network, client) = start(1);
         network.signal(Signal::Terminate);
-        // When it accepts no more, 450 ms later, the call is out.
+        // The call is in flight when the gateway stops accepting, 450 ms later.
         network.run_for(440 * MS);
         let call = wait_for_counter_call(&network, &client, 1);
         network.run_for(40 * MS);
         assert_eq!(client.take_replies(), [""; 0]);
-        if answers {
+        if counter_responds {
             network.counter.send(call.connection, total(&call));
         }
         network.run_for(2 * SECOND);
-        assert_eq!(client.take_replies()[0], format_id(1), "{answers}");
+        assert_eq!(client.take_replies()[0], format_id(1), "{counter_responds}");
         assert!(network.ended_at().is_some());
     }
 }
