--- a/crates/gateway/tests/simulated_network/attempt_ends.rs
+++ b/crates/gateway/tests/simulated_network/attempt_ends.rs
@@ -2,7 +2,7 @@
 //! follows for safe requests, for keyed ones, whose duplicates hosts drop within a window, and for unsafe ones.
 
 use crate::connections::{connection_numbers, lose_connection_requests, reset_connections};
-use crate::host_crossings::calls;
+use crate::host_races::calls;
 use crate::support::{
     endpoint_list, format_id, get, host_entry, post, value_reply, Action, Behavior, Client, Received, Setup,
     SimulatedNetwork, TimedActions, CLIENT_DELAY, CLOSED, HOST_DELAY, LOCAL_DELAY,
--- a/crates/gateway/tests/simulated_network/connections.rs
+++ b/crates/gateway/tests/simulated_network/connections.rs
@@ -1,7 +1,7 @@
 //! Connections to hosts and events that race on them: a half-written request, a host that is removed or changes its
 //! address, the close of a connection, part of a response, an unsolicited response.
 
-use crate::host_crossings::{call_at, calls, forwarded_call_len, start_with_window};
+use crate::host_races::{call_at, calls, forwarded_call_len, start_with_window};
 use crate::support::{
     endpoint_list, format_id, get, host_entry, post, value_reply, Behavior, Client, Peer, Received, Setup,
     SimulatedNetwork, CLIENT_DELAY, CLOSED, HOST_DELAY, LOCAL_DELAY,
--- a/crates/gateway/tests/simulated_network/main.rs
+++ b/crates/gateway/tests/simulated_network/main.rs
@@ -2,18 +2,18 @@
 //! clocks of real sockets hide are reproduced exactly, to the nanosecond, in every run.
 
 mod attempt_ends;
+mod client_disconnect;
 mod clients;
 mod connections;
 mod counter;
+mod determinism;
 mod discovery;
 mod drain;
-mod host_crossings;
+mod endpoint_lists;
+mod host_races;
 mod hosts;
-mod leaving;
-mod lists;
-mod repeat;
 mod routes;
-mod stop;
-mod stopping;
+mod shutdown;
+mod shutdown_traffic;
 mod support;
-mod units;
+mod unit_races;
