--- a/crates/cluster-emulator/src/director/faults.rs
+++ b/crates/cluster-emulator/src/director/faults.rs
@@ -3,10 +3,10 @@
 use super::{choose, Director, Step, LOOK};
 use crate::stage::{Post, Signal, Stage};
 use anyhow::Result;
-use cluster_model::agent::Notice;
+use cluster_model::agent::Detection;
+use cluster_model::observation::ObservationKind;
 use cluster_model::rng::Rng;
-use cluster_model::scenario::{Event, LinkEnd, LinkFault, LinkWay, Side, Which};
-use cluster_model::seen::What;
+use cluster_model::scenario::{Event, LinkDirection, LinkEnd, LinkFault, PartitionSide, Selector};
 use cluster_model::MS;
 use runtime::{Span, Time};
 
@@ -27,12 +27,14 @@
 }
 
 impl Gap {
-    fn what(self, open: bool, blind: bool) -> What {
+    fn what(self, open: bool, blind: bool) -> ObservationKind {
         match self {
-            Gap::Clients(gateway) => What::ClientsCut { gateway, cut: open },
-            Gap::Still(gateway) => What::GatewayStopped { gateway, stopped: open },
-            Gap::News(gateway) => What::NewsCut { gateway, cut: open },
-            Gap::Calls(gateway, host) => What::CallsLate { gateway, host, late: open, blind },
+            Gap::Clients(gateway) => ObservationKind::ClientLinksCut { gateway, cut: open },
+            Gap::Still(gateway) => ObservationKind::GatewaySuspended { gateway, suspended: open },
+            Gap::News(gateway) => ObservationKind::DiscoveryLinkFault { gateway, active: open },
+            Gap::Calls(gateway, host) => {
+                ObservationKind::HostTrafficDelayed { gateway, host, delayed: open, send_time_unknown: blind }
+            }
         }
     }
 }
@@ -49,16 +51,16 @@
     /// Something fails between machines or in processes of gateways.
     pub(super) fn fault(&mut self, now: Time, event: Event, rng: &mut Rng) -> Result<()> {
         match event {
-            Event::Cut(a, b, span, reset) => {
+            Event::Partition(a, b, span, reset) => {
                 let (a, b) = (self.posts(&a), self.posts(&b));
                 self.cut(now, &a, &b, span, reset)?;
             }
-            Event::CutOff(building, span) => self.cut_off(now, building, span)?,
-            Event::LoseBuilding(building, span) => self.lose(now, building, span)?,
+            Event::IsolateBuilding(building, span) => self.cut_off(now, building, span)?,
+            Event::PowerLoss(building, span) => self.lose(now, building, span)?,
             Event::Links(gateways, end, fault, span) => {
                 self.links(now, (&gateways, &end), &fault, span, rng)?;
             }
-            Event::StopGateways(which, span) => {
+            Event::SuspendGateways(which, span) => {
                 for gateway in self.gateways(&which, rng) {
                     self.stop(now, gateway, span);
                 }
@@ -68,13 +70,13 @@
                     self.freeze(now, gateway, span);
                 }
             }
-            Event::StopHosts(which, span) => {
+            Event::SuspendHosts(which, span) => {
                 for host in self.hosts(&which, rng) {
                     self.stop_host_for(now, host, span)?;
                 }
             }
-            Event::StopCounter(span) => self.stand(now, Post::Counter, span, Vec::new())?,
-            Event::Clock(which, ahead) => {
+            Event::SuspendCounter(span) => self.stand(now, Post::Counter, span, Vec::new())?,
+            Event::ClockOffset(which, ahead) => {
                 let all: Vec<u32> = (0..self.site.gateways.len() as u32).collect();
                 for gateway in choose(&which, all.len() as u32, all, |gateway| self.building(gateway), rng) {
                     self.site.stage.set_clock(gateway, ahead)?;
@@ -142,7 +144,7 @@
     }
 
     fn cut_off(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
-        let (inside, outside) = (self.posts(&Side::Building(building)), self.outside(building));
+        let (inside, outside) = (self.posts(&PartitionSide::Building(building)), self.outside(building));
         self.cut(now, &inside, &outside, span, false)
     }
 
@@ -150,7 +152,7 @@
     fn lose(&mut self, now: Time, building: u32, span: Span) -> Result<()> {
         self.cut_off(now, building, span)?;
         self.plan(now + span, Step::Drop(building));
-        for post in self.posts(&Side::Building(building)) {
+        for post in self.posts(&PartitionSide::Building(building)) {
             match post {
                 Post::Gateway(gateway) => {
                     self.site.gateways[gateway as usize].again = false;
@@ -159,7 +161,7 @@
                 }
                 Post::Host(place) => {
                     for host in self.in_service_at(place) {
-                        self.stop_host(host, Notice::Missed);
+                        self.stop_host(host, Detection::TimedOut);
                         self.plan(now + span, Step::HostBack(host));
                     }
                 }
@@ -196,7 +198,7 @@
     /// The front has given up its connections to the machines of a building that was lost. Without that it would
     /// write requests to processes that are no more, and nobody could tell what became of them.
     pub(super) fn drop_connections(&mut self, building: u32) -> Result<()> {
-        let posts = self.posts(&Side::Building(building)).into_iter();
+        let posts = self.posts(&PartitionSide::Building(building)).into_iter();
         let gateways = posts.filter(|post| matches!(post, Post::Gateway(_)));
         let pairs: Vec<(Post, Post)> = gateways.map(|gateway| (Post::Clients, gateway)).collect();
         Ok(self.site.stage.reset_links(&pairs)?)
@@ -210,7 +212,7 @@
     /// All that is not in a building.
     fn outside(&self, building: u32) -> Vec<Post> {
         let others = (1..=self.site.scenario.site.buildings).filter(|other| *other != building);
-        others.flat_map(|other| self.posts(&Side::Building(other))).chain([Post::Clients]).collect()
+        others.flat_map(|other| self.posts(&PartitionSide::Building(other))).chain([Post::Clients]).collect()
     }
 
     // ---- Links
@@ -218,7 +220,7 @@
     fn links(
         &mut self,
         now: Time,
-        (gateways, end): (&Which, &LinkEnd),
+        (gateways, end): (&Selector, &LinkEnd),
         fault: &LinkFault,
         span: Span,
         rng: &mut Rng,
@@ -237,7 +239,7 @@
             lasting => self.site.stage.fail_links(&pairs, lasting, span)?,
         }
         // What is on its way when a delay ends keeps its time.
-        let underway = if let LinkFault::Slow(_, most) = fault { *most } else { 0 };
+        let underway = if let LinkFault::Delay(_, most) = fault { *most } else { 0 };
         self.plan(now + span + underway + self.site.stage.late_by(), Step::Whole(gaps));
         Ok(())
     }
@@ -268,7 +270,7 @@
             return Ok(());
         }
         let span = flapping.every.min(flapping.until - now);
-        self.site.stage.fail_links(&flapping.pairs, &LinkFault::Cut(LinkWay::Both), span)?;
+        self.site.stage.fail_links(&flapping.pairs, &LinkFault::Blackhole(LinkDirection::Both), span)?;
         self.plan(now.saturating_add(flapping.every.saturating_mul(2)), Step::Flap(flapping));
         Ok(())
     }
--- a/crates/cluster-model/src/settings.rs
+++ b/crates/cluster-model/src/settings.rs
@@ -1,23 +1,24 @@
-//! What the platform tells a gateway of this site at its start: the settings, and the configuration document
-//! around them. Times are whole nanoseconds, work and worth as in the scenario.
+//! The configuration that the platform passes to a gateway of this site at its start: the settings, and the
+//! configuration document that contains them. Durations are integers in nanoseconds; work and weights are as in the
+//! scenario.
 
-use crate::scenario::{ClassSpec, Effect, PlanSpec, Scenario};
+use crate::scenario::{ClassSpec, Idempotency, PlanSpec, Scenario};
 use crate::{Span, MS, SECOND};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A connection that is not up by then counts as failed.
+/// A connection attempt that takes longer counts as failed.
 pub const DIAL_TIMEOUT: Span = 250 * MS;
-/// Requests that a connection to a host carries at once.
-pub const STREAMS: u32 = 1;
+/// Concurrent requests on a connection to a host.
+pub const STREAMS_PER_CONNECTION: u32 = 1;
 
 /// The settings of a gateway, numbered from 0.
 ///
-/// Probes, load reports and messages between gateways are off: the model's hosts give none. What a scenario
-/// does not speak of (prices, weights of the result, CPU) is as at `iasi-park`.
+/// Health checks, load reports and messages between gateways are off, because the model does not support them.
+/// Values that scenarios do not contain (prices, weights of the result, CPU) are those of `iasi-park`.
 pub fn settings(scenario: &Scenario, gateway: u32) -> Value {
     let (site, traffic) = (&scenario.site, &scenario.traffic);
-    let buildings: Vec<String> = (0..site.buildings).map(building).collect();
+    let buildings: Vec<String> = (0..site.buildings).map(zone_name).collect();
     let classes: Vec<Value> = site.classes.iter().map(class).collect();
     let plans: Vec<Value> = site.plans.iter().map(plan).collect();
     json!({
@@ -30,9 +31,9 @@
             "counter-timeout": site.counter.timeout,
             "metering": 0,
             "peer-intake": 0.0,
-            "post-paid": traffic.guess_cv > 0.0,
-            "shared-counter": site.counter.on,
-            "units-top": traffic.most_units,
+            "post-paid": traffic.estimate_cv > 0.0,
+            "shared-counter": site.counter.enabled,
+            "units-top": traffic.max_units,
         },
         "family": "gate",
         "feedback": {"fields": [], "how": "none"},
@@ -42,12 +43,12 @@
         "me": gateway,
         "prices": prices(),
         "rules": {
-            "answer-slack": site.rules.answer_slack,
-            "cold": site.host.cold,
-            "cold-share": site.host.cold_share,
+            "answer-slack": site.rules.deadline_slack,
+            "cold": site.host.warmup,
+            "cold-share": site.host.warmup_share,
             "drain-grace": site.rules.drain_grace,
-            "fall": site.rules.fall,
-            "fall-multiple": site.rules.fall_multiple,
+            "fall": site.rules.overload_span,
+            "fall-multiple": site.rules.overload_factor,
             "must-ask-in": 10 * SECOND,
         },
         "services": classes,
@@ -60,13 +61,13 @@
     })
 }
 
-/// The kind of machine that all hosts are, as discovery and the settings name it.
+/// Machine type of all hosts, as in discovery and in the settings.
 pub fn machine_type(scenario: &Scenario) -> String {
     format!("std-{}core", scenario.site.host.cores)
 }
 
-/// The name of a building, numbered from 0, as discovery and the settings give it.
-pub fn building(number: u32) -> String {
+/// Zone name of a building, numbered from 0, as in discovery and in the settings.
+pub fn zone_name(number: u32) -> String {
     format!("building-{}", number + 1)
 }
 
@@ -74,15 +75,15 @@
     let site = &scenario.site;
     json!({
         "cancel": true,
-        "conn-idle": site.host.idle,
+        "conn-idle": site.host.idle_timeout,
         "cpu-us-per-request": 0.0,
         "cpu-us-per-s": 400_000,
         "dial-timeout": DIAL_TIMEOUT,
         "max-attempts": site.max_attempts,
         "max-open": 20_000,
         "max-retry-after": site.retry_after.unwrap_or(0),
-        "max-streams": STREAMS,
-        "may-duplicate": site.second_copies,
+        "max-streams": STREAMS_PER_CONNECTION,
+        "may-duplicate": site.hedging,
         "peer-messages": false,
         "probes": false,
         "retry-after": site.retry_after.is_some(),
@@ -97,21 +98,21 @@
 }
 
 fn class(class: &ClassSpec) -> Value {
-    let (semantics, key_ttl) = match class.effect {
-        Effect::Safe => ("safe", 0),
-        Effect::Keyed(window) => ("keyed", window),
-        Effect::Unsafe => ("unsafe", 0),
+    let (semantics, key_ttl) = match class.idempotency {
+        Idempotency::Idempotent => ("safe", 0),
+        Idempotency::Keyed(window) => ("keyed", window),
+        Idempotency::NonIdempotent => ("unsafe", 0),
     };
     json!({
-        "aim": class.aim,
+        "aim": class.latency_objective,
         "dedup-scope": "all",
         "hard-limit": class.deadline,
         "key-ttl": key_ttl,
-        "late-worth": class.late_worth,
+        "late-worth": class.late_weight_share,
         "name": class.name,
         "semantics": semantics,
         "stream": false,
-        "worth": class.worth,
+        "worth": class.priority_weight,
     })
 }
 
@@ -120,46 +121,46 @@
         "burst": plan.burst,
         "cap-slack": plan.ceiling_slack,
         "ceiling-rate": plan.ceiling_rate,
-        "concurrency": plan.open,
-        "extra-worth": plan.extra_worth,
+        "concurrency": plan.max_in_flight,
+        "extra-worth": plan.over_quota_weight_share,
         "name": plan.name,
         "never-over-depth": plan.ceiling_burst,
-        "overrun-cost": plan.overrun_cost,
+        "overrun-cost": plan.over_quota_cost,
         "refill": plan.rate,
-        "worth-factor": plan.price,
+        "worth-factor": plan.weight_factor,
     })
 }
 
-/// What is a gateway's own at one start of its process.
+/// Parameters of one start of a gateway process.
 #[derive(Clone, Debug)]
-pub struct Start {
-    /// Its name, the same after a restart.
+pub struct GatewayStart {
+    /// Name of the gateway, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address that the gateway listens on for clients.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The counter; told only where the site has one.
+    /// Address of the counter; omitted from the document if the site has none.
     pub counter: SocketAddr,
-    /// For random numbers, new with each start.
+    /// Seed for random numbers, different at each start.
     pub seed: u64,
-    /// The list of hosts as it last had it, in discovery's form.
-    pub known: Value,
+    /// The endpoint list that the gateway last had, in discovery's format.
+    pub known_endpoints: Value,
 }
 
 /// The configuration document of a gateway, numbered from 0.
-pub fn document(scenario: &Scenario, gateway: u32, start: &Start) -> Value {
+pub fn config_document(scenario: &Scenario, gateway: u32, start: &GatewayStart) -> Value {
     let site = &scenario.site;
     let mut document = json!({
         "name": start.name,
         "listen": start.listen.to_string(),
         "discovery": start.discovery.to_string(),
         "seed": format!("{:016x}", start.seed),
-        "limits": {"cores": 1.0, "memory_mb": site.memory_mb, "sockets": site.sockets},
-        "known": start.known,
+        "limits": {"cores": 1.0, "memory_mb": site.memory_mb, "sockets": site.file_descriptors},
+        "known": start.known_endpoints,
         "settings": settings(scenario, gateway),
     });
-    if site.counter.on {
+    if site.counter.enabled {
         document["counter"] = start.counter.to_string().into();
     }
     document
--- a/crates/gateway/tests/simulated_network/support.rs
+++ b/crates/gateway/tests/simulated_network/support.rs
@@ -407,7 +407,7 @@
         Setup {
             seed: 1,
             network: NetworkSpec {
-                same: HOST_DELAY,
+                intra_building: HOST_DELAY,
                 client: CLIENT_DELAY,
                 jitter: 0.0,
                 ..NetworkSpec::default()
