--- a/crates/gateway/tests/simulated_network/client_disconnect.rs
+++ b/crates/gateway/tests/simulated_network/client_disconnect.rs
@@ -216,18 +216,18 @@
 fn a_request_with_the_id_of_an_attempt_in_flight_is_not_forwarded() {
     let network = SimulatedNetwork::start(Setup::default());
     network.run_until(10 * MS);
-    let (gone, again) = (network.client(), network.client());
-    gone.post(1);
+    let (disconnecting, other) = (network.client(), network.client());
+    disconnecting.post(1);
     network.run_for(10 * MS);
     let in_flight = commands(&network);
-    gone.close();
+    disconnecting.close();
     network.run_for(10 * MS);
-    again.post(1);
+    other.post(1);
     network.run_for(10 * MS);
-    assert_eq!((again.take_replies(), commands(&network)), (vec!["-ERR failed".to_owned()], Vec::new()));
+    assert_eq!((other.take_replies(), commands(&network)), (vec!["-ERR failed".to_owned()], Vec::new()));
     serve(&network, &in_flight, 1);
     network.run_for(10 * MS);
-    again.post(1);
+    other.post(1);
     network.run_for(10 * MS);
     assert_eq!(commands(&network).len(), 1, "the id is not released");
 }
