--- a/crates/policy/src/quota/account.rs
+++ b/crates/policy/src/quota/account.rs
@@ -248,10 +248,10 @@
         let is_reset_suspected = health.was_reset_since(self.bucket.last_total_at());
         let reply = self.adder.complete_call(epoch.number, total, is_reset_suspected);
         // Units lost by the counter are added again by reconciliation, independently of new leases.
-        self.add_pending(reply.forgotten_units);
+        self.add_pending(reply.lost_units);
         self.bucket.record_total(now, health, epoch, &reply, self.adder.mark_scheme());
         self.next_call_at = now;
-        reply.forgotten_units > 0.0 && !is_reset_suspected
+        reply.lost_units > 0.0 && !is_reset_suspected
     }
 
     /// After a counter reset, starts a call that checks for lost units if this account has added any in this
--- a/crates/quota/src/compact_state.rs
+++ b/crates/quota/src/compact_state.rs
@@ -1,6 +1,6 @@
-//! The compact state of a customer's quota: what is kept of a customer that comes seldom, in about eighty bytes instead
-//! of six hundred. A customer that asks again continues where it was, except that it is no longer known which gateways
-//! it came through.
+//! The compact state of a customer's quota, for a customer that rarely makes requests: about eighty bytes instead of
+//! six hundred. The quota continues from it at the customer's next request; it only does not record which gateways the
+//! customer's traffic came through.
 
 use crate::idempotent_add::{CompactAdder, IdempotentAdder};
 use crate::token_bucket::{CompactBucket, TokenBucket};
@@ -27,7 +27,7 @@
     admission: CompactAdmission,
 }
 
-/// The compact state of what admits a customer's requests.
+/// The compact state of a customer's admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CompactAdmission {
     Leased(CompactBucket),
@@ -35,8 +35,8 @@
 }
 
 impl CompactState {
-    /// Returns the compact state of these parts of a quota; `None` if one of them is in doubt or in use. `limiter`: `None` for a
-    /// customer that leases units.
+    /// Returns the compact state of these parts of a quota; `None` if one of them is in doubt or in use. `limiter`:
+    /// `None` for a customer that leases units.
     pub fn of(
         bucket: &TokenBucket,
         adder: &IdempotentAdder,
@@ -54,14 +54,13 @@
         matches!(self.admission, CompactAdmission::Windowed(_))
     }
 
-    /// Returns whether units of the customer are known to be added in this epoch, to a number that units are leased
-    /// from.
+    /// Returns whether the customer leases units and some are known to have been added to its number in this epoch.
     pub fn has_added_in(&self, epoch: u64) -> bool {
         !self.is_windowed() && self.adder.has_added_in(epoch)
     }
 
-    /// Returns the complete state. `fresh`: the state of the same customer as if it were met now, whose configuration
-    /// applies. The bucket of a customer that is admitted by windows holds nothing to restore.
+    /// Returns the complete state. `fresh`: the state of the same customer as at its first request; its configuration
+    /// applies. Of a customer that is admitted by windows, no bucket is restored.
     #[must_use]
     pub fn restore(&self, fresh: QuotaState) -> QuotaState {
         let adder = fresh.adder.restored(self.adder);
--- a/crates/quota/src/compact_state/tests.rs
+++ b/crates/quota/src/compact_state/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_restored_quota_continues_where_it_was() {
+fn a_restored_quota_equals_one_that_was_kept() {
     for (units, span) in [(1.0, 0), (7.5, S / 2), (19.0, S), (20.0, 40 * S)] {
         let [mut restored, mut kept] = [Quota::new(false), Quota::new(false)];
         for quota in [&mut restored, &mut kept] {
@@ -74,18 +74,19 @@
         restored.restore(state);
         let [one, other] = [&mut restored, &mut kept].map(|quota| quota.units_after(span));
         assert!((one.0 - other.0).abs() < 1e-5 && (one.1 - other.1).abs() < 1e-5, "{one:?} {other:?}");
-        // Its units on the counter are still its own: the next total takes only the new ones from it.
+        // The units that it added to the counter still count as its own: the next total takes only the new ones from
+        // it.
         for quota in [&mut restored, &mut kept] {
             quota.use_up(2.0);
         }
         let [one, other] = [&mut restored, &mut kept].map(|quota| quota.units_after(0).0);
         assert!((one - other).abs() < 1e-5, "{one} {other}");
-        assert_eq!(restored.total, kept.total, "marks continue from the counter that was left");
+        assert_eq!(restored.total, kept.total, "marks continue from the member's latest counter");
     }
 }
 
 #[test]
-fn restoring_without_a_counter_adds_no_units() {
+fn restoring_a_quota_without_a_counter_leaves_its_spendable_units_unchanged() {
     let mut quota = Quota::new(true);
     quota.bucket.set_counter_unreachable(EPOCH, &quota.health);
     quota.bucket.spend(20.0, &mut quota.health);
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_quota_in_doubt_has_no_compact_state() {
+fn a_quota_with_an_unsettled_call_or_an_outage_has_no_compact_state() {
     let has_call_in_flight = |quota: &mut Quota| {
         quota.adder.start_call(1, 3.0, false);
     };
@@ -108,7 +109,7 @@
         quota.adder.fail_call(true);
     };
     let is_in_outage = |quota: &mut Quota| quota.bucket.set_counter_unreachable(quota.now, &quota.health);
-    for (name, make) in [
+    for (state, enter_state) in [
         ("has a call in flight", &has_call_in_flight as &dyn Fn(&mut Quota)),
         ("has an add in doubt", &has_add_in_doubt),
         ("is in an outage", &is_in_outage),
@@ -116,8 +117,8 @@
         let mut quota = Quota::new(false);
         quota.use_up(1.0);
         assert!(quota.compact().is_some());
-        make(&mut quota);
-        assert!(quota.compact().is_none(), "a quota that {name}");
+        enter_state(&mut quota);
+        assert!(quota.compact().is_none(), "a quota that {state}");
     }
 }
 
--- a/crates/quota/src/counter_health.rs
+++ b/crates/quota/src/counter_health.rs
@@ -1,5 +1,5 @@
 //! The health of the counter as this gateway observes it, over all customers: whether the counter answers, when to
-//! retry one that does not, how much to ask of one that has just recovered, and how often it was reset.
+//! retry one that does not, how many calls to make to one that has just recovered, and how often it was reset.
 
 mod call_budget;
 mod report;
@@ -13,18 +13,19 @@
 #[cfg(test)]
 mod tests;
 
-/// A counter that does not answer is asked again after this backoff, in nanoseconds.
+/// Backoff before the next call to a counter that does not answer, in nanoseconds.
 pub const RETRY_INTERVAL: Span = 500 * MILLISECOND;
 /// Spacing of the calls of all gateways together to a counter that does not answer, in nanoseconds: at most a hundred
 /// calls per second.
 const UNREACHABLE_CALL_SPACING: Span = 10 * MILLISECOND;
-/// Consecutive calls without an answer, whoever made them, after which the counter counts as unreachable.
+/// Consecutive calls without an answer, for any customers, after which the counter is considered unreachable.
 const FAILURES_UNTIL_UNREACHABLE: u32 = 3;
-/// For this long after its recovery the counter is protected by the call budget, in nanoseconds.
+/// Time after its recovery for which the counter is protected by the call budget, in nanoseconds.
 const RECOVERY_TIME: Span = 3_000 * MILLISECOND;
-/// For this long after the recovery other gateways may not have noticed it and still grant units locally, in nanoseconds.
+/// Time after the recovery within which other gateways notice it; until then they may still grant units locally. In
+/// nanoseconds.
 const PEERS_NOTICE_RECOVERY_WITHIN: Span = RETRY_INTERVAL + 50 * MILLISECOND;
-/// Signs of a reset within this time are signs of the same reset, in nanoseconds.
+/// Signs of a reset within this time, in nanoseconds, count as signs of the same reset.
 const SAME_RESET_WITHIN: Span = 1_000 * MILLISECOND;
 
 /// Whether the counter answers.
@@ -34,7 +35,7 @@
     Unreachable,
 }
 
-/// What one gateway knows of the counter, over all customers.
+/// The state of the counter as observed by one gateway, over all customers.
 #[derive(Clone, Debug)]
 pub struct CounterHealth {
     failure_detector: FailureDetector,
@@ -99,24 +100,24 @@
         self.retry_at = self.retry_at.max(now + RETRY_INTERVAL);
     }
 
-    /// Returns whether the counter is unreachable and the backoff until the next call is not over.
+    /// Returns whether the counter is unreachable and the backoff until the next call has not passed.
     pub fn is_backing_off(&self, now: Time) -> bool {
         self.connectivity == Connectivity::Unreachable && now < self.retry_at
     }
 
-    /// Returns whether the counter has recovered so lately that other gateways may still grant units locally.
+    /// Returns whether the counter has recovered so recently that other gateways may still grant units locally.
     pub(crate) fn is_just_recovered(&self, now: Time) -> bool {
         self.recovered_at.is_some_and(|recovered_at| now < recovered_at + PEERS_NOTICE_RECOVERY_WITHIN)
     }
 
-    /// Returns whether a call that can wait has to: the counter has recovered lately, and this gateway has used its
-    /// part of the calls.
+    /// Returns whether a call that can wait must be deferred: the counter has recovered recently, and this gateway has
+    /// used up its call budget.
     pub fn must_defer_calls(&self, now: Time) -> bool {
         let is_recovering = self.recovered_at.is_some_and(|recovered_at| now < recovered_at + RECOVERY_TIME);
         is_recovering && self.call_budget.available(now) < 1.0
     }
 
-    /// Returns the number of calls that may be made now in the background.
+    /// Returns the number of background calls that may be made now.
     pub fn background_calls(&self, now: Time) -> usize {
         self.call_budget.available(now).max(0.0) as usize
     }
@@ -132,8 +133,8 @@
     }
 
     /// Returns the delay of the first heartbeat, in nanoseconds. It is zero in a small fleet. In a large one, whose
-    /// heartbeats are slower, it is drawn with `random`, which returns a number from 0 to 1, so that gateways that start
-    /// together do not send their heartbeats together.
+    /// heartbeats are slower, it is drawn with `random`, which returns a number from 0 to 1, so that gateways that
+    /// start together do not send their heartbeats together.
     pub fn first_heartbeat_delay(&self, random: impl FnOnce() -> f64) -> Span {
         let slowdown = self.heartbeat_interval() - HEARTBEAT_INTERVAL;
         if slowdown > 0 {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Records a lease for a customer of this set, whose gateways are watched from now on.
+    /// Records a lease for a customer of this gateway set, whose gateways are watched for a while from now on.
     pub fn record_lease(&mut self, now: Time, set: &GatewaySet) {
         self.failure_detector.watch_gateways(now, set);
     }
@@ -164,12 +165,12 @@
         is_new
     }
 
-    /// Returns whether the counter is known to have been reset since this moment, or just before it.
-    pub fn was_reset_since(&self, moment: Time) -> bool {
-        self.last_reset_at.is_some_and(|last_reset_at| last_reset_at + SAME_RESET_WITHIN > moment)
+    /// Returns whether the counter is known to have been reset since this time, or just before it.
+    pub fn was_reset_since(&self, since: Time) -> bool {
+        self.last_reset_at.is_some_and(|last_reset_at| last_reset_at + SAME_RESET_WITHIN > since)
     }
 
-    /// Returns the moment at which the latest reset was noticed.
+    /// Returns the time at which the latest reset was noticed.
     pub(crate) fn last_reset_at(&self) -> Option<Time> {
         self.last_reset_at
     }
@@ -179,7 +180,7 @@
         self.local_grants.record(grant);
     }
 
-    /// Counts local grants from zero again.
+    /// Resets the local grants to zero.
     pub fn clear_local_grants(&mut self) {
         self.local_grants = LocalGrants::default();
     }
--- a/crates/quota/src/counter_health/call_budget.rs
+++ b/crates/quota/src/counter_health/call_budget.rs
@@ -2,12 +2,12 @@
 
 use crate::time::{seconds_between, Time};
 
-/// Calls per second of all gateways together.
+/// Maximum calls per second of all gateways together.
 const CALLS_PER_SECOND: f64 = 300.0;
-/// Most calls that one gateway may save up: as many as all gateways make in a twentieth of a second.
+/// Maximum number of calls that one gateway may save up: those of all gateways in a twentieth of a second.
 const MAX_SAVED_CALLS: f64 = CALLS_PER_SECOND / 20.0;
 
-/// A token bucket of calls, which fills with this gateway's part of the calls of all.
+/// A token bucket of calls, refilled at this gateway's part of the calls of all gateways.
 #[derive(Clone, Debug)]
 pub(super) struct CallBudget {
     calls: f64,
@@ -21,7 +21,7 @@
         CallBudget { calls: 0.0, updated_at: 0, calls_per_second: CALLS_PER_SECOND / f64::from(gateways) }
     }
 
-    /// Returns the number of calls that may be made at this moment; below zero if too many were made.
+    /// Returns the number of calls that may be made now; below zero if too many were made.
     pub(super) fn available(&self, now: Time) -> f64 {
         let refill = self.calls_per_second * seconds_between(self.updated_at, now);
         (self.calls + refill).min(MAX_SAVED_CALLS)
--- a/crates/quota/src/counter_health/report.rs
+++ b/crates/quota/src/counter_health/report.rs
@@ -12,7 +12,7 @@
     Complete,
     /// The counter answers, and only some of the watched gateways reach it.
     Partitioned {
-        /// Watched gateways that reach the counter, with this one.
+        /// Watched gateways that reach the counter, including this one.
         alive: u32,
         /// All watched gateways.
         gateways: u32,
@@ -22,13 +22,13 @@
 }
 
 impl CounterState {
-    /// Returns whether quotas rest on less than a counter that all gateways share.
+    /// Returns whether quotas are enforced without a counter that all gateways share.
     pub fn is_degraded(&self) -> bool {
         matches!(self, CounterState::Partitioned { .. } | CounterState::Unreachable)
     }
 }
 
-/// Writes the state as the log shows it.
+/// Writes the state in the form used in the log.
 impl fmt::Display for CounterState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -44,15 +44,16 @@
 
 /// The units that this gateway has granted without the counter since the counter was last complete.
 ///
-/// Each gateway estimates its own. The overshoot of all gateways together is at most the sum of their estimates, apart
-/// from what a partition grants before it is detected and what a gateway that died had leased.
+/// Each gateway estimates its own overshoot. The overshoot of all gateways together is at most the sum of their
+/// estimates, apart from the units that a partition grants before it is detected and those that a gateway had leased
+/// when it died.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LocalGrants {
     /// Units granted without the counter.
     pub units: f64,
-    /// Of those, units beyond this gateway's fractions of the quotas, over all customers.
+    /// Of these, units beyond this gateway's fractions of the quotas, over all customers.
     pub overshoot_units: f64,
-    /// Units beyond the fraction of the customer of which it is most.
+    /// Units beyond this gateway's fraction of the quota, for the customer with the most of them.
     pub max_customer_overshoot: f64,
 }
 
@@ -74,10 +75,10 @@
     }
 }
 
-/// All that a gateway reports of the counter.
+/// A gateway's report on the counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CounterReport {
-    /// The present state of the counter.
+    /// The current state of the counter.
     pub state: CounterState,
     /// Resets of the counter that were noticed since this gateway started.
     pub counter_resets: u32,
--- a/crates/quota/src/counter_health/tests.rs
+++ b/crates/quota/src/counter_health/tests.rs
@@ -4,7 +4,7 @@
 const S: Time = 1_000_000_000;
 const START: Time = 40 * HEARTBEAT_EPOCH;
 
-/// Returns the health of a counter that was unreachable and answers first at `START`.
+/// Returns the health of a counter that was unreachable and answers again from `START` on.
 fn recovered() -> CounterHealth {
     let mut health = CounterHealth::new(0, 3);
     (0..3).for_each(|n| health.record_failure(START - 2 * S + n * 100 * MILLISECOND));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn fewer_failures_are_no_outage_to_recover_from() {
+fn fewer_than_three_failures_start_no_recovery() {
     let mut health = CounterHealth::new(0, 3);
     (0..2).for_each(|_| health.record_failure(START));
     health.record_answer(START);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn calls_to_a_recovered_counter_keep_to_this_gateway_s_part_of_the_budget() {
+fn calls_to_a_recovered_counter_stay_within_this_gateway_s_part_of_the_budget() {
     let mut health = recovered();
     let mut calls = 0;
     for tick in 0..150 {
@@ -53,13 +53,13 @@
             calls += 1;
         }
     }
-    // 100 calls per second for 3 s, and a few saved up.
+    // 100 calls per second for 3 s, and the saved-up calls.
     assert!((285..=320).contains(&calls), "{calls}");
     assert!(!health.must_defer_calls(START + 3 * S));
 }
 
 #[test]
-fn a_reset_is_noticed_by_the_own_heartbeat_and_counted_once() {
+fn a_reset_is_detected_by_this_gateway_s_heartbeat_and_counted_once() {
     let mut health = CounterHealth::new(0, 3);
     let mut total = 0.0;
     let mut heartbeat = |health: &mut CounterHealth, n: u64, is_reset: bool| {
@@ -76,13 +76,13 @@
     assert!((7..12).all(|n| !heartbeat(&mut health, n, false)));
     let reset_at = START + 6 * HEARTBEAT_INTERVAL;
     assert_eq!((health.last_reset_at(), health.report(reset_at).counter_resets), (Some(reset_at), 1));
-    // Totals read before the reset, and for a while after it, are in doubt; later ones are not.
+    // A total read before the reset, or for a while after it, may predate the reset; a later one does not.
     assert!(health.was_reset_since(reset_at) && health.was_reset_since(reset_at + SAME_RESET_WITHIN - 1));
     assert!(!health.was_reset_since(reset_at + SAME_RESET_WITHIN));
 }
 
 #[test]
-fn signs_of_the_same_reset_are_counted_once() {
+fn signs_of_a_reset_in_quick_succession_are_counted_once() {
     let mut health = CounterHealth::new(0, 3);
     assert!(health.record_reset(START));
     assert!(!health.record_reset(START + SAME_RESET_WITHIN));
--- a/crates/quota/src/idempotent_add/adder.rs
+++ b/crates/quota/src/idempotent_add/adder.rs
@@ -6,10 +6,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Consecutive answers with the expected own counter after which an unexpected one proves a reset. Gateways of an
-/// older version add without marks and change the counters at random.
+/// Consecutive answers with the expected own counter that are required before an unexpected one proves a reset:
+/// gateways of an older version add without marks and change the counters at random.
 const CONSISTENT_ANSWERS_REQUIRED: u8 = 3;
-/// Units by which a total may fall short of the own adds through rounding.
+/// Units by which a total may be below the sum of the own adds because of rounding.
 const ROUNDING_UNITS: f64 = 0.5;
 
 /// An add that is in flight or in doubt.
@@ -21,7 +21,7 @@
 }
 
 impl Add {
-    /// A call that adds nothing and only asks for the total.
+    /// A call that adds nothing and only reads the total.
     const READ: Add = Add { units: 0.0, mark: None };
 
     /// Returns whether a total shows this add; `own_counter` is the member's counter in it.
@@ -35,12 +35,12 @@
 pub struct AddOutcome {
     /// Units that all members have added.
     pub(crate) total_units: f64,
-    /// Own units that are known to be added only now: those of this call, and of an earlier call that was in doubt.
+    /// Own units that are newly known to be added: those of this call, and of an earlier call that was in doubt.
     pub confirmed_units: f64,
     /// Counters of all members; `None` if the total shows none.
     pub(crate) member_counters: Option<MemberCounters>,
-    /// Own units that the number held before and holds no more, because the counter was reset.
-    pub forgotten_units: f64,
+    /// Own units that the number contained before the counter was reset and lost in the reset.
+    pub lost_units: f64,
 }
 
 /// Adds units to one number of the counter on behalf of one member, at most one call at a time.
@@ -53,18 +53,18 @@
     scheme: Option<MarkScheme>,
     member: u32,
     epoch: u64,
-    /// Own counter as found in the latest total; zero where an epoch begins. `None` in an epoch that began before this
-    /// member started: an earlier process may have left any value, so adds before the first answer carry no mark, as
-    /// one on a full counter would carry into the next member's.
+    /// Own counter as found in the latest total; zero when an epoch begins. `None` in an epoch that began before this
+    /// member started: an earlier process may have left any value. Adds before the first answer carry no mark then,
+    /// since a mark on a full counter would overflow into the next member's counter.
     own_counter: Option<u8>,
     /// Own units that are known to be added in this epoch.
     added_units: f64,
     in_flight: Option<Add>,
     in_doubt: Option<Add>,
-    /// Adds of this epoch that no total had proven when their doubt ended: each may have been carried out later.
+    /// Adds of this epoch that the total which settled them did not prove: each may still have been carried out later.
     unproven_adds: u8,
-    /// Consecutive answers with the expected own counter. `None` after a reset in this epoch: a counter that goes back
-    /// to zero then changes the counters of other members.
+    /// Consecutive answers with the expected own counter. `None` after a reset in this epoch, from which on a counter
+    /// that wraps to zero changes the counters of other members.
     consistent_answers: Option<u8>,
 }
 
@@ -108,7 +108,7 @@
         self.in_flight.is_some()
     }
 
-    /// Returns whether the next add, if it gets no answer, is settled by a later total.
+    /// Returns whether a later total will settle the next add if that gets no answer.
     pub(crate) fn can_prove_next_add(&self) -> bool {
         self.scheme.is_none() || self.own_counter.is_some()
     }
@@ -128,11 +128,11 @@
         epoch == self.epoch && self.added_units > 0.0
     }
 
-    /// Starts a call that adds these units, rounded up to whole ones, and returns the amount to send.
+    /// Starts a call that adds these units, rounded up to an integer, and returns the amount to send.
     ///
-    /// The call only reads while an earlier add is in doubt. It only reads as well where the counter is suspected to
-    /// have been reset and the own counter is full: going back to zero on a number that does not hold the counter would
-    /// change the counter of another member.
+    /// The call only reads while an earlier add is in doubt. It also only reads if a reset of the counter is suspected
+    /// and the own counter is full: wrapping to zero on a number that no longer contains the own counter would change
+    /// the counter of another member.
     pub fn start_call(&mut self, epoch: u64, units: f64, reset_suspected: bool) -> f64 {
         self.enter_epoch(epoch);
         let add = self.next_add(units, reset_suspected);
@@ -159,7 +159,7 @@
         self.own_counter.is_some_and(|counter| u32::from(counter) + 1 >= scheme.base())
     }
 
-    /// Begins with a new number if the epoch is another one. Whether an add in doubt was carried out is never known.
+    /// Switches to a new number if the epoch has changed. Whether an add in doubt was carried out remains unknown.
     fn enter_epoch(&mut self, epoch: u64) {
         if epoch == self.epoch {
             return;
@@ -182,38 +182,38 @@
         let answered_units = answered.map_or(0.0, |add| add.units);
         if epoch != self.epoch {
             let confirmed_units = answered_units;
-            return AddOutcome { total_units, confirmed_units, member_counters, forgotten_units: 0.0 };
+            return AddOutcome { total_units, confirmed_units, member_counters, lost_units: 0.0 };
         }
         let found_counter = member_counters.map(|counters| counters.get(self.member));
-        let proven = self.settle_doubt(found_counter);
+        let proven = self.settle_add_in_doubt(found_counter);
         let confirmed_units = answered_units + proven.map_or(0.0, |add| add.units);
         let latest_mark = proven.or(answered).and_then(|add| add.mark);
         let expected_counter = latest_mark.map(|mark| mark.counter).or(self.own_counter);
-        // A total below the own adds proves a reset; where others have added enough since, the own counter does.
+        // A total below the sum of the own adds proves a reset; if others have added enough since, the own counter
+        // does.
         let was_reset = total_units + ROUNDING_UNITS < self.added_units + confirmed_units
-            || self.is_reset_shown(expected_counter, found_counter, reset_suspected);
+            || self.detect_reset(expected_counter, found_counter, reset_suspected);
         if was_reset {
             self.consistent_answers = None;
         }
-        let forgotten_units =
-            if was_reset { self.added_units + confirmed_units - answered_units } else { 0.0 };
-        self.added_units += confirmed_units - forgotten_units;
+        let lost_units = if was_reset { self.added_units + confirmed_units - answered_units } else { 0.0 };
+        self.added_units += confirmed_units - lost_units;
         self.own_counter = found_counter.or(expected_counter);
-        AddOutcome { total_units, confirmed_units, member_counters, forgotten_units }
+        AddOutcome { total_units, confirmed_units, member_counters, lost_units }
     }
 
-    /// Ends the doubt about an add, and returns the add if the own counter in a total proves it.
-    fn settle_doubt(&mut self, found_counter: Option<u8>) -> Option<Add> {
-        let doubted = self.in_doubt.take()?;
-        if doubted.is_proven_by(found_counter) {
-            return Some(doubted);
+    /// Settles the add in doubt, and returns it if the own counter in a total proves that it was carried out.
+    fn settle_add_in_doubt(&mut self, found_counter: Option<u8>) -> Option<Add> {
+        let add = self.in_doubt.take()?;
+        if add.is_proven_by(found_counter) {
+            return Some(add);
         }
         self.unproven_adds = self.unproven_adds.saturating_add(1);
         None
     }
 
     /// Returns whether the own counter in a total is impossible on a number that was not reset.
-    fn is_reset_shown(&mut self, expected: Option<u8>, found: Option<u8>, reset_suspected: bool) -> bool {
+    fn detect_reset(&mut self, expected: Option<u8>, found: Option<u8>, reset_suspected: bool) -> bool {
         let (Some(expected), Some(found), Some(scheme)) = (expected, found, self.scheme) else {
             return false;
         };
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Returns the compact state; `None` while a call is in flight or in doubt, or if the added units do not fit into
-    /// 32 bits exactly. They are whole numbers of few digits, so they do as a rule.
+    /// Returns the compact state; `None` while a call is in flight or in doubt, or if 32 bits cannot hold the added
+    /// units exactly. They usually can, since added units are integers with few digits.
     pub(crate) fn compact(&self) -> Option<CompactAdder> {
         let epoch = u32::try_from(self.epoch).ok()?;
         let added_units = self.added_units as f32;
--- a/crates/quota/src/idempotent_add/adder/tests.rs
+++ b/crates/quota/src/idempotent_add/adder/tests.rs
@@ -27,18 +27,18 @@
 }
 
 #[test]
-fn a_total_below_the_own_adds_shows_a_reset() {
+fn a_total_below_the_own_adds_proves_a_reset() {
     let mut adder = IdempotentAdder::new(1, 3, 900.0, 0);
     let first = adder.start_call(1, 40.0, false);
-    assert_eq!(adder.complete_call(1, as_written(first), false).forgotten_units, 0.0);
+    assert_eq!(adder.complete_call(1, as_written(first), false).lost_units, 0.0);
     let second = adder.start_call(1, 5.0, false);
     let outcome = adder.complete_call(1, as_written(second), false);
-    assert_eq!((outcome.confirmed_units, outcome.forgotten_units), (5.0, 40.0));
+    assert_eq!((outcome.confirmed_units, outcome.lost_units), (5.0, 40.0));
     assert_eq!(adder.added_units, 5.0);
 }
 
 #[test]
-fn a_reset_number_that_others_filled_beyond_the_own_adds_is_shown_by_the_own_counter() {
+fn the_own_counter_proves_a_reset_after_which_others_added_more_than_the_own_adds() {
     let mut adder = IdempotentAdder::new(1, 3, 900.0, 0);
     let mut total = 0.0;
     for _ in 0..4 {
@@ -52,12 +52,12 @@
             + adder.start_call(1, 5.0, false);
         adder.complete_call(1, as_written(reset_total), false)
     };
-    assert_eq!((outcome.confirmed_units, outcome.forgotten_units), (5.0, 60.0));
+    assert_eq!((outcome.confirmed_units, outcome.lost_units), (5.0, 60.0));
     assert_eq!(adder.added_units, 5.0);
 }
 
 #[test]
-fn a_member_whose_counter_wraps_after_a_reset_shows_no_second_reset() {
+fn a_member_s_counter_that_wraps_after_a_reset_is_not_taken_for_a_second_reset() {
     let (mut full, mut other) =
         (IdempotentAdder::new(0, 3, 3000.0, 0), IdempotentAdder::new(1, 3, 3000.0, 0));
     let mut total = 0.0;
@@ -68,33 +68,33 @@
     }
     // The counter was reset. The full member wraps, which changes the counter of the other one.
     let mut total = 0.0;
-    let mut forgotten = 0.0;
+    let mut lost_units = 0.0;
     for step in 0..12 {
         total += other.start_call(1, 5.0, false);
-        forgotten += other.complete_call(1, as_written(total), false).forgotten_units;
+        lost_units += other.complete_call(1, as_written(total), false).lost_units;
         if step == 6 {
             total += full.start_call(1, 5.0, false);
             full.complete_call(1, as_written(total), false);
         }
     }
-    assert_eq!(forgotten, 30.0, "reported once");
+    assert_eq!(lost_units, 30.0, "the reset is reported once");
 }
 
 #[test]
-fn adds_without_marks_show_no_reset() {
+fn adds_without_marks_are_not_taken_for_a_reset() {
     let mut adder = IdempotentAdder::new(0, 3, 900.0, 0);
     let mut total = 0.0;
     for step in 0..60 {
         total += adder.start_call(1, 2.0, false);
         let outcome = adder.complete_call(1, as_written(total), false);
-        assert_eq!(outcome.forgotten_units, 0.0, "step {step}");
+        assert_eq!(outcome.lost_units, 0.0, "step {step}");
         // A gateway of an older version leases fractions of units.
         total += 1.237_4 + 0.311 * f64::from(step % 7);
     }
 }
 
 #[test]
-fn an_add_carried_out_after_its_doubt_ended_shows_no_reset() {
+fn an_add_carried_out_after_it_was_settled_is_not_taken_for_a_reset() {
     let mut adder = IdempotentAdder::new(0, 3, 900.0, 0);
     let mut first = 0.0;
     for _ in 0..4 {
@@ -107,11 +107,11 @@
     assert_eq!(adder.complete_call(1, as_written(first), false).confirmed_units, 0.0, "not carried out yet");
     let next = adder.start_call(1, 4.0, false);
     let outcome = adder.complete_call(1, as_written(first + delayed + next), false);
-    assert_eq!((outcome.confirmed_units, outcome.forgotten_units), (4.0, 0.0));
+    assert_eq!((outcome.confirmed_units, outcome.lost_units), (4.0, 0.0));
 }
 
 #[test]
-fn a_member_that_starts_within_an_epoch_continues_from_the_counter_that_it_finds() {
+fn a_member_that_starts_within_an_epoch_continues_from_the_counter_in_the_first_total() {
     let mut adder = IdempotentAdder::new(0, 2, 900.0, 3);
     let first = adder.start_call(3, 4.0, false);
     assert_eq!(first, 4.0, "without a mark, as the own counter is not known");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_member_that_restarts_on_a_full_counter_leaves_the_next_member_s_counter() {
+fn a_member_that_restarts_with_a_full_counter_does_not_change_the_next_member_s_counter() {
     let (mut first, mut other) =
         (IdempotentAdder::new(0, 3, 3000.0, 0), IdempotentAdder::new(1, 3, 3000.0, 0));
     let mut total = other.start_call(1, 1.0, false);
@@ -145,34 +145,34 @@
 }
 
 #[test]
-fn a_counter_that_wraps_after_a_reset_does_not_lower_the_units() {
+fn a_member_s_counter_that_wraps_after_a_reset_does_not_lower_the_units() {
     let mut adder = IdempotentAdder::new(0, 3, 3000.0, 0);
     let mut total = 0.0;
     for _ in 0..6 {
         total += adder.start_call(1, 5.0, false);
         adder.complete_call(1, as_written(total), false);
     }
-    // The counter was reset: a counter that wraps lowers the total below its units.
+    // The counter service was reset: a member's counter that wraps lowers the total below its units.
     let mut reset_total = adder.start_call(1, 5.0, false);
     let outcome = adder.complete_call(1, as_written(reset_total), false);
-    assert_eq!((outcome.total_units, outcome.confirmed_units, outcome.forgotten_units), (5.0, 5.0, 30.0));
+    assert_eq!((outcome.total_units, outcome.confirmed_units, outcome.lost_units), (5.0, 5.0, 30.0));
     reset_total += adder.start_call(1, 5.0, false);
     let outcome = adder.complete_call(1, as_written(reset_total), false);
-    assert_eq!((outcome.total_units, outcome.confirmed_units, outcome.forgotten_units), (10.0, 5.0, 0.0));
+    assert_eq!((outcome.total_units, outcome.confirmed_units, outcome.lost_units), (10.0, 5.0, 0.0));
 }
 
 #[test]
-fn a_suspected_reset_is_shown_by_the_first_unexpected_counter() {
-    let forgotten = |reset_suspected| {
+fn the_first_unexpected_counter_proves_a_suspected_reset() {
+    let lost_units = |reset_suspected| {
         let mut adder = IdempotentAdder::new(1, 3, 900.0, 0);
         let first = adder.start_call(1, 15.0, false);
         adder.complete_call(1, as_written(first), false);
         // The counter was reset; another member has leased 80 units before this one adds.
         let second = adder.start_call(1, 5.0, false);
-        adder.complete_call(1, as_written(80.0 + second), reset_suspected).forgotten_units
+        adder.complete_call(1, as_written(80.0 + second), reset_suspected).lost_units
     };
     assert_eq!(
-        [forgotten(false), forgotten(true)],
+        [lost_units(false), lost_units(true)],
         [0.0, 15.0],
         "one consistent answer is not enough without a suspicion"
     );
@@ -186,11 +186,11 @@
         total += adder.start_call(1, 5.0, false);
         adder.complete_call(1, as_written(total), false);
     }
-    // The own counter is full. Another member has added to the reset number.
+    // The own counter is full. Another member has added to the number after the reset.
     let mut total = MarkScheme::new(3, 3000.0).unwrap().next_mark(1, 0).fraction + 7.0;
     assert_eq!(adder.start_call(1, 5.0, true), 0.0, "the call reads first");
     let outcome = adder.complete_call(1, as_written(total), true);
-    assert_eq!((outcome.confirmed_units, outcome.forgotten_units), (0.0, 30.0));
+    assert_eq!((outcome.confirmed_units, outcome.lost_units), (0.0, 30.0));
     total += adder.start_call(1, 5.0, true);
     let outcome = adder.complete_call(1, as_written(total), true);
     assert_eq!((outcome.total_units, outcome.confirmed_units), (12.0, 5.0));
@@ -202,7 +202,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum CallFate {
+enum CallOutcome {
     Answered,
     AddedWithoutAnswer,
     Lost,
@@ -214,28 +214,28 @@
     #[test]
     fn confirmed_units_equal_the_units_that_the_counter_added(
         steps in prop::collection::vec(
-            (0_u32..3, 1_u32..20, prop_oneof![Just(CallFate::Answered), Just(CallFate::AddedWithoutAnswer), Just(CallFate::Lost)]),
+            (0_u32..3, 1_u32..20, prop_oneof![Just(CallOutcome::Answered), Just(CallOutcome::AddedWithoutAnswer), Just(CallOutcome::Lost)]),
             1..80,
         ),
     ) {
         let mut adders: Vec<IdempotentAdder> = (0..3).map(|member| IdempotentAdder::new(member, 3, 3000.0, 0)).collect();
         let mut total = 0.0;
         let mut added_units = [0.0; 3];
-        for (member, units, fate) in steps {
+        for (member, units, call_outcome) in steps {
             let adder = &mut adders[member as usize];
             let amount = adder.start_call(1, f64::from(units), false);
-            if !matches!(fate, CallFate::Lost) {
+            if !matches!(call_outcome, CallOutcome::Lost) {
                 total += amount;
                 added_units[member as usize] += if amount == 0.0 { 0.0 } else { f64::from(units) };
             }
-            match fate {
-                CallFate::Answered => {
+            match call_outcome {
+                CallOutcome::Answered => {
                     let outcome = adder.complete_call(1, as_written(total), false);
-                    prop_assert_eq!(outcome.forgotten_units, 0.0);
+                    prop_assert_eq!(outcome.lost_units, 0.0);
                     prop_assert_eq!(adder.added_units, added_units[member as usize]);
                     prop_assert_eq!(outcome.total_units, added_units.iter().sum::<f64>());
                 }
-                CallFate::AddedWithoutAnswer | CallFate::Lost => adder.fail_call(true),
+                CallOutcome::AddedWithoutAnswer | CallOutcome::Lost => adder.fail_call(true),
             }
         }
     }
--- a/crates/quota/src/idempotent_add/contribution_marks.rs
+++ b/crates/quota/src/idempotent_add/contribution_marks.rs
@@ -1,34 +1,34 @@
 //! Contribution marks: a total of the counter shows which members have added to it, and how often.
 //!
-//! The counter adds an amount to a named number and returns the total. Units are whole numbers, so the decimals of a
-//! total are free. They hold one small counter for each gateway that may add to the number (a *member*), as the digits
-//! of one integer whose base is the number of values of a counter. With each add a member raises its own counter by
-//! one, and from the highest value it goes back to zero, so that no carry reaches the counter of the next member.
+//! The counter adds an amount to a named number and returns the total. Units are integers, so the decimals of a total
+//! are unused. They hold one small counter for each gateway that may add to the number (a *member*), as the digits of
+//! one integer whose base is the number of values of a counter. With each add a member increments its own counter,
+//! which wraps from the highest value to zero, so that no carry reaches the counter of the next member.
 //!
 //! The counter keeps seven significant digits of a total. The digits that the units do not need hold the marks.
 
 #[cfg(test)]
 mod tests;
 
-/// Most members of one number. Seven digits have room for eight counters of two values each.
+/// Maximum number of members of one number. Seven digits have room for eight counters of two values each.
 pub(crate) const MAX_MEMBERS: u32 = 8;
 /// Steps of a total that seven significant digits distinguish: half of ten million, so that each step is at least two
 /// units of the last digit.
 const EXACT_STEPS: f64 = 5e6;
-/// Fewest values of a member's counter that show a change.
+/// Minimum number of values of a member's counter: fewer could not show a change.
 const MIN_BASE: u32 = 2;
-/// Most values of a member's counter; one has to fit into a byte.
+/// Maximum number of values of a member's counter, which has to fit into a byte.
 const MAX_BASE: u32 = 200;
-/// Totals of this many steps or more are beyond what any number is marked for.
+/// Totals of at least this many steps exceed those of every scheme and are not decoded.
 const UNREADABLE_STEPS: f64 = 1e15;
 
-/// Describes how the adds of one number's members are told apart.
+/// The encoding of contribution marks in the totals of one number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MarkScheme {
-    /// Values of one member's counter.
+    /// Number of values of one member's counter.
     base: u32,
     members: u32,
-    /// Steps in one unit.
+    /// Number of steps in one unit.
     scale: f64,
 }
 
@@ -41,14 +41,14 @@
 pub(crate) struct MarkedTotal {
     /// Units that all members have added.
     pub(crate) units: f64,
-    /// The members' counters; `None` if the decimals of the total are no marks.
+    /// The members' counters; `None` if the decimals of the total are not valid marks.
     pub(crate) counters: Option<MemberCounters>,
 }
 
 /// The mark of one add.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ContributionMark {
-    /// The decimals that are added to the amount; negative where the member's counter goes back to zero.
+    /// The decimals that are added to the amount; negative where the member's counter wraps to zero.
     pub(crate) fraction: f64,
     /// The member's counter after the add.
     pub(crate) counter: u8,
@@ -72,7 +72,7 @@
         Some(MarkScheme { base, members, scale })
     }
 
-    /// Returns the scheme of a heartbeat number, which holds marks and no units: each step is a whole unit, and a
+    /// Returns the scheme of a heartbeat number, which holds marks and no units: each step is one unit, and a
     /// member's counter has `base` values.
     pub(crate) fn heartbeat(members: u32, base: u32) -> MarkScheme {
         MarkScheme { base, members: members.min(MAX_MEMBERS), scale: 1.0 }
@@ -83,12 +83,12 @@
         self.base
     }
 
-    /// Returns the amount by which a member's counter grows by one.
+    /// Returns the amount that increments a member's counter.
     fn step(&self, member: u32) -> f64 {
         u64::from(self.base).saturating_pow(member) as f64 / self.scale
     }
 
-    /// Returns the mark of a member's next add, given the present value of its counter.
+    /// Returns the mark of a member's next add, given the current value of its counter.
     pub(crate) fn next_mark(&self, member: u32, counter: u8) -> ContributionMark {
         let highest = (self.base - 1) as u8;
         if counter >= highest {
@@ -109,16 +109,17 @@
         let units = if is_heartbeat { 0 } else { steps / steps_per_unit };
         let marks = if is_heartbeat { steps } else { steps % steps_per_unit };
         let (counters, remainder) = self.split_counters(marks);
-        // Above the totals that the scheme was made for, the last digits are not exact.
+        // Above the largest total of the scheme, the last digits are not exact.
         let is_exact = is_heartbeat || (units * steps_per_unit) as f64 <= EXACT_STEPS;
         if remainder == 0 && is_exact {
             return MarkedTotal { units: units as f64, counters: Some(counters) };
         }
-        // A counter that went back to zero on a number that was reset leaves the total a little below its units.
+        // A counter that wrapped to zero on a number that was reset leaves the total slightly below its units.
         MarkedTotal { units: total.round(), counters: None }
     }
 
-    /// Splits the marks of a total into the members' counters, and returns what no member's counter accounts for.
+    /// Splits the marks of a total into the members' counters, and returns the remainder that no member's counter
+    /// accounts for.
     fn split_counters(&self, marks: u64) -> (MemberCounters, u64) {
         let base = u64::from(self.base);
         let mut counters = MemberCounters::default();
@@ -130,13 +131,9 @@
         (counters, remainder)
     }
 
-    /// Returns how often a member has added between two totals; a full turn of its counter is not seen.
-    pub(crate) fn additions_between(
-        &self,
-        member: u32,
-        before: MemberCounters,
-        after: MemberCounters,
-    ) -> u32 {
+    /// Returns how often a member has added between two totals, modulo the base: a counter that wraps completely shows
+    /// no add.
+    pub(crate) fn adds_between(&self, member: u32, before: MemberCounters, after: MemberCounters) -> u32 {
         let before = u32::from(before.get(member));
         let after = u32::from(after.get(member));
         (after + self.base - before) % self.base
--- a/crates/quota/src/idempotent_add/contribution_marks/tests.rs
+++ b/crates/quota/src/idempotent_add/contribution_marks/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_full_counter_wraps_without_changing_the_next_member_s() {
+fn a_full_counter_wraps_without_changing_the_next_member_s_counter() {
     let scheme = MarkScheme::new(3, 3000.0).unwrap();
     let mut total = 0.0;
     let mut counter = 0;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn decimals_that_are_no_marks_are_not_decoded() {
+fn decimals_that_are_not_valid_marks_are_not_decoded() {
     let scheme = MarkScheme::new(3, 3000.0).unwrap();
     assert_eq!(scheme.decode(12.9).counters, None);
     assert_eq!(scheme.decode(-3.0).counters, None);
--- a/crates/quota/src/membership.rs
+++ b/crates/quota/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which gateways reach the counter that this gateway reaches, and what fraction of a customer's quota is theirs.
+//! Determines which gateways reach the same counter as this gateway, and their fraction of a customer's quota.
 
 mod failure_detector;
 mod gateway_set;
@@ -10,5 +10,5 @@
 pub use gateway_set::GatewaySet;
 pub use heartbeat_timing::{detection_time, ALIVE_TIMEOUT, HEARTBEAT_EPOCH, HEARTBEAT_INTERVAL};
 pub(crate) use partition_view::{
-    Additions, CounterReachability, FractionPolicy, PartitionView, QuietMembers, Usage, ViewUpdate,
+    CounterReachability, FractionPolicy, MemberAdds, PartitionView, QuietMembers, Usage, ViewUpdate,
 };
--- a/crates/quota/src/membership/failure_detector.rs
+++ b/crates/quota/src/membership/failure_detector.rs
@@ -1,9 +1,10 @@
-//! A failure detector by heartbeats through the counter: which gateways reach the counter that this gateway reaches.
+//! A failure detector that uses heartbeats through the counter to find the gateways that reach the same counter as this
+//! one.
 //!
-//! Four gateways form a group and share one heartbeat number, which holds nothing but contribution marks: each gateway
-//! adds to it once an interval, and its total shows which of them have done so lately. A gateway without a heartbeat
-//! for a while is either dead or on the other side of a partition. Nothing tells the two apart, so a partition is
-//! assumed, which is the safe reading.
+//! Four gateways form a group and share one heartbeat number, which contains only contribution marks: each gateway
+//! adds to it once per interval, and its total shows which of them have done so recently. A gateway without a heartbeat
+//! for a while is either dead or on the other side of a partition. The two cannot be distinguished, so a partition is
+//! assumed, which is the safe assumption.
 //!
 //! In a small fleet each gateway watches all others. In a larger one it watches only the groups of the gateways with
 //! which it shares a leased customer, and sends heartbeats only while there are any, so that the calls of all gateways
@@ -19,11 +20,11 @@
 #[cfg(test)]
 mod tests;
 
-/// A group is watched for this long after the latest lease for a customer of one of its gateways, in nanoseconds.
+/// Time for which a group is watched after the latest lease for a customer of one of its gateways, in nanoseconds.
 const WATCH_TIME: Span = 60_000_000_000;
-/// Values of one gateway's counter in a heartbeat number. The heartbeats of a whole epoch fit, so that no counter wraps
-/// and a counter service that was reset can be read like any other. Four such digits stay below ten million, which is
-/// exact.
+/// Values of one gateway's counter in a heartbeat number. All heartbeats of an epoch fit, so that no counter wraps and
+/// a total can be decoded after a reset of the counter service as well. Four such digits stay below ten million, up to
+/// which totals are exact.
 const HEARTBEAT_BASE: u32 = 56;
 
 /// A call to the heartbeat number of a group.
@@ -37,7 +38,7 @@
     pub amount: f64,
 }
 
-/// How many of the watched gateways are alive.
+/// The numbers of watched gateways and of those that are alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AliveCount {
     /// Watched gateways that are alive.
@@ -54,14 +55,14 @@
     counters: MemberCounters,
 }
 
-/// A group that is read in turn, apart from the own one.
+/// A group other than the own one whose number is read in rotation.
 #[derive(Clone, Copy, Debug)]
 struct WatchedGroup {
     group: u32,
     until: Time,
 }
 
-/// What is known of this gateway's own counter in its group's heartbeat number.
+/// The known state of this gateway's own counter in its group's heartbeat number.
 #[derive(Clone, Copy, Debug)]
 enum OwnCounter {
     /// Not read yet since this gateway started: nothing may be added.
@@ -76,7 +77,7 @@
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     gateway_index: u32,
-    /// The latest proven heartbeat of each gateway.
+    /// Time of the latest proven heartbeat of each gateway.
     last_heartbeats: Vec<Time>,
     /// The latest total of each group; `None` before the first.
     group_totals: Vec<Option<GroupTotal>>,
@@ -86,7 +87,7 @@
     /// Groups other than the own one, in ascending order.
     watched_groups: Vec<WatchedGroup>,
     next_watched_group: usize,
-    /// The moment after which this gateway sends no heartbeats.
+    /// Time from which on this gateway sends no heartbeats.
     active_until: Time,
     interval: Span,
 }
@@ -130,7 +131,7 @@
         self.interval
     }
 
-    /// Watches the gateways of this set for a while from now on, since units are leased for a customer of theirs.
+    /// Watches the gateways of this set for [`WATCH_TIME`], since units are leased for a customer that they serve.
     pub(crate) fn watch_gateways(&mut self, now: Time, set: &GatewaySet) {
         let is_small_fleet = self.group_totals.len() <= MAX_GROUPS_OF_SMALL_FLEET;
         if is_small_fleet || set.set_size < 2 {
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Returns the calls of this interval: one to the own group's number, and one that reads another watched group in
-    /// turn; none while no gateway is watched.
+    /// Returns the calls of this interval: one to the own group's number, and one that reads the next other
+    /// watched group; none while no gateway is watched.
     pub(crate) fn heartbeat_calls(&mut self, now: Time) -> Vec<HeartbeatCall> {
         let epoch = now / HEARTBEAT_EPOCH;
         self.watched_groups.retain(|watched| now < watched.until);
@@ -175,7 +176,7 @@
         calls
     }
 
-    /// Begins with a new heartbeat number if the epoch is another one; a new number holds no mark of this gateway.
+    /// Switches to a new heartbeat number if the epoch has changed; a new number contains no mark of this gateway.
     fn enter_epoch(&mut self, epoch: u64) {
         if self.epoch == Some(epoch) {
             return;
@@ -204,26 +205,26 @@
     }
 
     /// Records a total of a group's heartbeat number. Returns whether it shows that the counter was reset: a member's
-    /// counter went back, which none does while the counter keeps its numbers.
+    /// counter decreased, which cannot happen unless the counter loses its numbers.
     pub(crate) fn record_total(&mut self, now: Time, group: u32, epoch: u64, total: f64) -> bool {
         let Some(counters) = Self::mark_scheme().decode(total).counters else { return false };
         let Some(latest) = self.group_totals.get_mut(group as usize) else { return false };
         let previous = latest.replace(GroupTotal { at: now, epoch, counters });
         let previous = previous.filter(|previous| previous.epoch == epoch);
-        let went_back = previous.is_some_and(|previous| {
+        let has_decreased = previous.is_some_and(|previous| {
             (0..GROUP_SIZE).any(|member| counters.get(member) < previous.counters.get(member))
         });
-        // What the first total of an epoch shows has been added since the epoch began.
+        // All marks in the first total of an epoch have been added since the epoch began.
         let epoch_start =
             GroupTotal { at: epoch * HEARTBEAT_EPOCH, epoch, counters: MemberCounters::default() };
         self.record_heartbeats(group, previous.unwrap_or(epoch_start), counters);
         let is_own_number = group == self.own_group() && self.epoch == Some(epoch);
         let own_heartbeat_lost = is_own_number && self.record_own_counter(counters);
-        went_back || own_heartbeat_lost
+        has_decreased || own_heartbeat_lost
     }
 
-    /// Records the heartbeats between two totals of a group. Each came some time after the earlier total, whose moment
-    /// is what is certain.
+    /// Records the heartbeats between two totals of a group. Each is recorded at the time of the earlier total: only
+    /// that it came later is certain.
     fn record_heartbeats(&mut self, group: u32, previous: GroupTotal, counters: MemberCounters) {
         for member in 0..GROUP_SIZE {
             let gateway = group * GROUP_SIZE + member;
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Records the own counter in a total. Returns whether a heartbeat that was answered is missing.
+    /// Records the own counter in a total. Returns whether a heartbeat is missing from it that was answered.
     fn record_own_counter(&mut self, counters: MemberCounters) -> bool {
         let found = counters.get(self.own_member());
         let is_lost = match self.own_counter {
@@ -248,7 +249,7 @@
         is_lost
     }
 
-    /// Returns whether a gateway is alive at this moment; this gateway always is.
+    /// Returns whether a gateway is alive at `now`; this gateway always is.
     pub(crate) fn is_alive(&self, gateway: u32, now: Time) -> bool {
         if gateway == self.gateway_index {
             return true;
@@ -272,7 +273,7 @@
         count
     }
 
-    /// Returns the moment of a gateway's latest proven heartbeat; zero if there was none.
+    /// Returns the time of a gateway's latest proven heartbeat; zero if there was none.
     pub(crate) fn last_heartbeat_at(&self, gateway: u32) -> Time {
         self.last_heartbeats.get(gateway as usize).copied().unwrap_or(0)
     }
--- a/crates/quota/src/membership/failure_detector/tests.rs
+++ b/crates/quota/src/membership/failure_detector/tests.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Lets one interval pass, in which each active gateway sends a heartbeat, at moments that drift.
+    /// Advances by one interval, in which each active gateway sends a heartbeat, at times that drift.
     fn pass_interval(&mut self, is_active: impl Fn(usize) -> bool) {
         let count = self.detectors.len() as u64;
         for (index, detector) in self.detectors.iter_mut().enumerate().filter(|(index, _)| is_active(*index))
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn all_gateways_are_alive_three_intervals_after_the_start_and_stay_so() {
+fn all_gateways_are_alive_from_three_intervals_after_the_start_on() {
     let mut site = Site::new(3);
     assert_eq!(site.alive_counts(), [1, 1, 1]);
     (0..3).for_each(|_| site.pass_interval(|_| true));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_gateway_that_restarts_continues_from_the_counter_that_it_finds() {
+fn a_gateway_that_restarts_continues_from_its_counter_in_the_first_total() {
     let mut site = Site::new(2);
     (0..8).for_each(|_| site.pass_interval(|_| true));
     site.detectors[1] = FailureDetector::new(1, 2);
@@ -118,7 +118,7 @@
     let mut site = Site::new(16);
     (0..16).for_each(|_| site.pass_interval(|_| true));
     assert!(site.alive_counts().iter().all(|count| *count == 16), "{:?}", site.alive_counts());
-    // A lease does not end the watch: a small fleet watches itself for good.
+    // A lease sets no end to the watching: in a small fleet all gateways are watched permanently.
     let set = GatewaySet { first_gateway: 0, set_size: 16, gateway_index: 0, gateways: 16 };
     site.detectors[0].watch_gateways(site.now, &set);
     assert_eq!(site.detectors[0].heartbeat_calls(site.now + 2 * WATCH_TIME).len(), 2);
@@ -155,7 +155,7 @@
     let max_calls = (0..12).map(|_| heartbeat_calls(&mut site, true)).max();
     assert!(
         max_calls <= Some(600) && site.detectors[0].heartbeat_interval() >= 5 * S,
-        "100 a second: {max_calls:?}"
+        "at most about 100 calls per second: {max_calls:?}"
     );
     for gateway_index in 0..300_u32 {
         let detector = &site.detectors[gateway_index as usize];
@@ -168,5 +168,5 @@
         assert!(count.alive == count.gateways && count.gateways <= 8, "{gateway_index}: {count:?}");
     }
     site.now += 2 * WATCH_TIME;
-    assert_eq!(heartbeat_calls(&mut site, false), 0, "no customer has been leased for lately");
+    assert_eq!(heartbeat_calls(&mut site, false), 0, "no units have been leased recently");
 }
--- a/crates/quota/src/membership/gateway_set.rs
+++ b/crates/quota/src/membership/gateway_set.rs
@@ -48,8 +48,7 @@
         (self.first_gateway + member) % self.gateways.max(1)
     }
 
-    /// Returns a duration in nanoseconds that is the same at all gateways of the set and differs from that of most
-    /// other sets.
+    /// Returns an offset in nanoseconds that is the same at all gateways of the set and differs between most sets.
     pub fn phase(&self) -> Span {
         let set = u64::from(self.first_gateway) << 32 | u64::from(self.set_size);
         set.wrapping_mul(PHASE_MULTIPLIER) >> PHASE_SHIFT
--- a/crates/quota/src/membership/heartbeat_timing.rs
+++ b/crates/quota/src/membership/heartbeat_timing.rs
@@ -1,7 +1,7 @@
 //! Intervals and timeouts of heartbeats, by the size of the fleet.
 //!
-//! A heartbeat costs a gateway two calls to the counter. In a large fleet gateways send heartbeats more slowly, so that
-//! the calls of all of them leave the counter to the quotas.
+//! A heartbeat costs a gateway two calls to the counter. In a large fleet gateways send heartbeats less often, so that
+//! most of the counter's capacity remains for quotas.
 
 use crate::time::Span;
 
@@ -10,19 +10,19 @@
 
 /// Interval between two heartbeats of one gateway in a small fleet, in nanoseconds.
 pub const HEARTBEAT_INTERVAL: Span = 750_000_000;
-/// A gateway counts as alive for this long after its latest proven heartbeat in a small fleet, in nanoseconds. Two totals
-/// prove that a heartbeat came between them; a heartbeat may just miss the first, and the next interval may hold two:
-/// three intervals and some margin.
+/// Time for which a gateway counts as alive after its latest proven heartbeat in a small fleet, in nanoseconds. Two
+/// totals prove that a heartbeat came between them; a heartbeat may just miss the first, and the next interval may
+/// contain two: three intervals and some margin.
 pub const ALIVE_TIMEOUT: Span = 2_500_000_000;
-/// Heartbeat numbers start at zero this often, in nanoseconds.
+/// Duration of an epoch, in nanoseconds: each starts with new heartbeat numbers at zero.
 pub const HEARTBEAT_EPOCH: Span = 25_000_000_000;
-/// Gateways that share one heartbeat number (a *group*).
+/// Number of gateways that share one heartbeat number (a *group*).
 pub(super) const GROUP_SIZE: u32 = 4;
-/// In a fleet of at most this many groups each gateway watches all others.
+/// Maximum number of groups of a fleet in which each gateway watches all others.
 pub(super) const MAX_GROUPS_OF_SMALL_FLEET: usize = 4;
-/// Fleets of more gateways than this send heartbeats at longer intervals.
+/// Maximum number of gateways of a fleet that sends heartbeats at the shortest interval.
 const MAX_GATEWAYS_AT_FULL_RATE: u32 = 16;
-/// Longest interval between two heartbeats, in nanoseconds: an epoch still holds four of them.
+/// Longest interval between two heartbeats, in nanoseconds: an epoch still contains four of them.
 const MAX_HEARTBEAT_INTERVAL: Span = 6_000_000_000;
 
 /// Returns the interval between two heartbeats of one gateway in a fleet of this size, in nanoseconds.
@@ -31,8 +31,8 @@
     ((HEARTBEAT_INTERVAL as f64 * slowdown) as Span).min(MAX_HEARTBEAT_INTERVAL)
 }
 
-/// Returns for how long a gateway counts as alive after its latest proven heartbeat, in nanoseconds, where this many
-/// other groups are read in turn.
+/// Returns the time for which a gateway counts as alive after its latest proven heartbeat, in nanoseconds, where this
+/// many other groups are read in rotation.
 pub(super) fn alive_timeout(interval: Span, other_groups: Span) -> Span {
     let timeout = ALIVE_TIMEOUT as f64 / HEARTBEAT_INTERVAL as f64 * interval as f64;
     timeout as Span + 2 * interval * other_groups
--- a/crates/quota/src/membership/partition_view.rs
+++ b/crates/quota/src/membership/partition_view.rs
@@ -1,5 +1,5 @@
-//! The view of a partition: which gateways of a customer's set reach the same counter as this one, and what fraction of
-//! the customer's quota they hold together.
+//! The view of a partition: the gateways of a customer's set that reach the same counter as this one, and the fraction
+//! of the customer's quota that they hold together.
 
 use super::failure_detector::FailureDetector;
 use super::gateway_set::GatewaySet;
@@ -10,13 +10,13 @@
 #[cfg(test)]
 mod tests;
 
-/// A member that has not added for this long may be partitioned off, in nanoseconds, where all members of the set ask
-/// for units all the time.
+/// Time without an add after which a member may be partitioned off, in nanoseconds, if the customer asks all members of
+/// the set for units all the time.
 const QUIET_TIME: Span = 900_000_000;
-/// A gateway through which a customer comes reads the customer's total more often than this, in nanoseconds.
+/// Upper bound of the usual interval, in nanoseconds, at which a gateway that serves a customer reads its total.
 const USUAL_TOTAL_INTERVAL: Span = 3_000_000_000;
 
-/// Whether the counter can be asked at this moment.
+/// Whether the counter can be called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CounterReachability {
     /// The counter answers.
@@ -29,7 +29,7 @@
     NoCounter,
 }
 
-/// How a quota is split while not all members are together.
+/// How a quota is split while not all members are in one partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FractionPolicy {
     /// By the traffic that came through each member.
@@ -38,17 +38,17 @@
     Even,
 }
 
-/// What is assumed of a member that has not added for a while.
+/// The assumption about a member that has not added for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuietMembers {
-    /// The member is alive as long as its heartbeats are.
+    /// The member is alive as long as its heartbeats are recent.
     Alive,
     /// The member is partitioned off until a later heartbeat proves otherwise: the customer asks for more than its
     /// quota, so that each member has reason to add.
     Partitioned,
 }
 
-/// The facts by which a view is updated.
+/// The input of an update of a view.
 pub(crate) struct ViewUpdate<'a> {
     pub(crate) now: Time,
     pub(crate) detector: &'a FailureDetector,
@@ -59,16 +59,16 @@
 
 /// The members' adds between two totals of a customer's number.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Additions {
+pub(crate) struct MemberAdds {
     pub(crate) scheme: MarkScheme,
     pub(crate) before: MemberCounters,
     pub(crate) after: MemberCounters,
 }
 
-impl Additions {
+impl MemberAdds {
     /// Returns how often a member has added.
     fn by(&self, member: u32) -> f64 {
-        f64::from(self.scheme.additions_between(member, self.before, self.after))
+        f64::from(self.scheme.adds_between(member, self.before, self.after))
     }
 }
 
@@ -81,23 +81,23 @@
     /// Units used through the other gateways of the set.
     pub(crate) other_units: f64,
     /// `None` if the totals show no marks.
-    pub(crate) additions: Option<Additions>,
+    pub(crate) adds: Option<MemberAdds>,
 }
 
 impl Usage<'_> {
-    fn additions_by(&self, member: u32) -> f64 {
-        self.additions.map_or(0.0, |additions| additions.by(member))
+    fn adds_by(&self, member: u32) -> f64 {
+        self.adds.map_or(0.0, |adds| adds.by(member))
     }
 }
 
-/// What is remembered of a customer whose total was read more than once.
+/// State kept for a customer whose total was read more than once.
 #[derive(Clone, Copy, Debug)]
 struct History {
-    /// The fractions as of late, and before that: one of them was learned while all members were surely together.
+    /// Recent and earlier fractions: one of them was learned while all members were known to be in one partition.
     recent: TrafficFractions,
     earlier: TrafficFractions,
-    /// The latest moment before which each member is known to have added.
-    last_additions: [Time; MAX_MEMBERS as usize],
+    /// The latest time after which each member is known to have added.
+    last_adds: [Time; MAX_MEMBERS as usize],
 }
 
 /// The members of the set that reach the counter, and their fraction of the quota.
@@ -111,22 +111,22 @@
 pub(crate) struct PartitionView {
     set: GatewaySet,
     fractions: TrafficFractions,
-    /// Boxed, since few of many customers have one.
+    /// Boxed, since only few customers have one.
     history: Option<Box<History>>,
     /// Members of the set that are alive; zero while the counter is unreachable.
     alive_members: u32,
     fraction: f64,
-    /// For how long, beyond the usual interval, this gateway had read no total when the view was last complete.
+    /// Time, beyond the usual interval, for which this gateway had read no total when the view was last complete.
     unobserved: Span,
-    /// Whether a total was read.
+    /// Whether a total has been read.
     has_total: bool,
-    /// The latest moment at which the view is known to have been complete.
+    /// The latest time at which the view is known to have been complete.
     complete_at: Time,
     last_total_at: Time,
 }
 
 impl PartitionView {
-    /// Returns the complete view of a customer with this rate, in units per second, that is met now.
+    /// Returns the complete view of a customer with this rate, in units per second, at its first request.
     pub(crate) fn new(now: Time, set: GatewaySet, rate: f64) -> PartitionView {
         PartitionView {
             set,
@@ -141,13 +141,14 @@
         }
     }
 
-    /// Returns the fraction of the quota that this partition holds: 1 while all members are together.
+    /// Returns the fraction of the quota that this partition holds: 1 while it contains all members.
     pub(crate) fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// Returns the fraction of the burst that this partition holds. For a customer of which nothing was learned it is
-    /// an even one at least, whatever the others hold: the customer may be new, and its larger requests need as much.
+    /// Returns the fraction of the burst that this partition holds. For a customer whose traffic is not known it is at
+    /// least an even one, regardless of the other partitions: the customer may be new, and its larger requests need
+    /// that much.
     pub(crate) fn burst_fraction(&self) -> f64 {
         let even = 1.0 / f64::from(self.set.set_size.max(1));
         if self.fraction == 0.0 {
@@ -188,7 +189,7 @@
             FractionPolicy::Learned if self.has_total => {
                 learned.fraction_of(member, self.unobserved, elapsed)
             }
-            FractionPolicy::Learned => learned.fraction_of_unseen(elapsed),
+            FractionPolicy::Learned => learned.fraction_of_new_customer(elapsed),
         };
         match update.reachability {
             CounterReachability::NoCounter => Members { alive: 0, fraction: even },
@@ -219,13 +220,13 @@
     /// Returns whether a member has not added for a while, and has sent no heartbeat since.
     fn is_quiet(&self, now: Time, member: u32, last_heartbeat: Time) -> bool {
         let Some(history) = &self.history else { return false };
-        let last_addition = history.last_additions.get(member as usize).copied().unwrap_or(Time::MAX);
+        let last_add = history.last_adds.get(member as usize).copied().unwrap_or(Time::MAX);
         member != self.set.member_index()
-            && now > last_addition.saturating_add(QUIET_TIME)
-            && last_heartbeat <= last_addition
+            && now > last_add.saturating_add(QUIET_TIME)
+            && last_heartbeat <= last_add
     }
 
-    /// Returns the moment up to which all members are known to have reached one counter.
+    /// Returns the time up to which all members are known to have reached one counter.
     fn complete_until(&self, detector: &FailureDetector) -> Time {
         let own_member = self.set.member_index();
         let others = (0..self.set.set_size).filter(|member| *member != own_member);
@@ -233,16 +234,16 @@
         last_heartbeats.min().unwrap_or(0)
     }
 
-    /// Returns the latest fractions that were surely learned while all members were together: from a partition on, each
-    /// side observes only itself.
+    /// Returns the latest fractions that are known to have been learned while all members were in one partition: after
+    /// a split each partition observes only its own traffic.
     fn last_complete_fractions(&self, complete_until: Time) -> TrafficFractions {
         let Some(history) = &self.history else { return self.fractions.learned_by(complete_until) };
         let candidates = [self.fractions, history.recent];
-        let learned_in_time = |fractions: &TrafficFractions| fractions.updated_at() <= complete_until;
-        candidates.into_iter().find(learned_in_time).unwrap_or(history.earlier)
+        let was_learned_in_time = |fractions: &TrafficFractions| fractions.updated_at() <= complete_until;
+        candidates.into_iter().find(was_learned_in_time).unwrap_or(history.earlier)
     }
 
-    /// Treats all members as together again, with this fraction, since the counter answers again.
+    /// Treats all members as in one partition again, with this fraction, since the counter answers again.
     pub(crate) fn assume_complete(&mut self, fraction: f64) {
         self.alive_members = self.set.set_size;
         self.fraction = fraction;
@@ -253,9 +254,9 @@
         let previous_total_at = self.last_total_at;
         self.last_total_at = usage.now;
         self.has_total = true;
-        // The first total has none before it: nothing is kept of a customer that comes once.
-        if usage.additions.is_some() {
-            self.record_additions(usage, previous_total_at);
+        // The first total has no previous one to compare with: no history is kept for a customer with a single request.
+        if usage.adds.is_some() {
+            self.record_adds(usage, previous_total_at);
         }
         if self.is_complete() {
             self.learn_fractions(usage);
@@ -263,18 +264,14 @@
     }
 
     /// Records which members have added since the previous total.
-    fn record_additions(&mut self, usage: &Usage, previous_total_at: Time) {
+    fn record_adds(&mut self, usage: &Usage, previous_total_at: Time) {
         let unlearned = self.fractions.unlearned();
         let history = self.history.get_or_insert_with(|| {
-            Box::new(History {
-                recent: unlearned,
-                earlier: unlearned,
-                last_additions: [0; MAX_MEMBERS as usize],
-            })
+            Box::new(History { recent: unlearned, earlier: unlearned, last_adds: [0; MAX_MEMBERS as usize] })
         });
-        for (member, last_addition) in (0..).zip(&mut history.last_additions) {
-            if usage.additions_by(member) > 0.0 {
-                *last_addition = previous_total_at;
+        for (member, last_add) in (0..).zip(&mut history.last_adds) {
+            if usage.adds_by(member) > 0.0 {
+                *last_add = previous_total_at;
             }
         }
     }
@@ -285,13 +282,13 @@
         let own_member = self.set.member_index();
         let members = self.set.set_size.min(MAX_MEMBERS);
         let others = (0..members).filter(|member| *member != own_member);
-        let other_additions: f64 = others.map(|member| usage.additions_by(member)).sum();
+        let other_adds: f64 = others.map(|member| usage.adds_by(member)).sum();
         let even = 1.0 / f64::from(members.max(2) - 1);
         let units_of = |member| {
             if member == own_member {
                 usage.own_units
-            } else if other_additions > 0.0 {
-                usage.other_units * usage.additions_by(member) / other_additions
+            } else if other_adds > 0.0 {
+                usage.other_units * usage.adds_by(member) / other_adds
             } else {
                 usage.other_units * even
             }
--- a/crates/quota/src/membership/partition_view/tests.rs
+++ b/crates/quota/src/membership/partition_view/tests.rs
@@ -10,7 +10,7 @@
     GatewaySet { first_gateway: 1, set_size: 2, gateway_index, gateways: 3 }.normalized()
 }
 
-/// A detector that sees heartbeats of some other gateways, from the beginning of an epoch on.
+/// A detector that reads heartbeats of some other gateways, from the beginning of an epoch on.
 struct Heartbeats {
     detector: FailureDetector,
     total: f64,
@@ -22,7 +22,7 @@
         Heartbeats { detector: FailureDetector::new(gateway_index, 3), total: 0.0, intervals: 0 }
     }
 
-    /// Lets this many intervals pass, all of them with heartbeats of these others; returns the moment.
+    /// Advances by this many intervals, each with heartbeats of these other gateways; returns the time.
     fn pass_intervals(&mut self, intervals: u64, others: &[u32]) -> Time {
         for _ in 0..intervals {
             self.intervals += 1;
@@ -59,11 +59,11 @@
     })
 }
 
-/// Returns the adds between totals in which no member has added.
-fn no_additions() -> Option<Additions> {
+/// Returns the members' adds between two totals between which no member has added.
+fn no_adds() -> Option<MemberAdds> {
     let scheme = MarkScheme::new(2, 900.0).unwrap();
     let counters = scheme.decode(0.0).counters.unwrap();
-    Some(Additions { scheme, before: counters, after: counters })
+    Some(MemberAdds { scheme, before: counters, after: counters })
 }
 
 /// Returns a complete view that has observed these units in each interval, through its own gateway and the other one.
@@ -78,7 +78,7 @@
     for _ in 0..intervals {
         let now = heartbeats.pass_intervals(1, &[3 - gateway_index]);
         let detector = &heartbeats.detector;
-        view.record_usage(&Usage { now, detector, own_units, other_units, additions: no_additions() });
+        view.record_usage(&Usage { now, detector, own_units, other_units, adds: no_adds() });
     }
     (view, heartbeats)
 }
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_fraction_stays_while_other_gateways_may_still_grant_locally() {
+fn the_fraction_is_unchanged_while_other_gateways_may_still_grant_locally() {
     let (mut view, heartbeats) = learned(1, 20, 6.0, 2.0);
     let detector = &heartbeats.detector;
     let now = HEARTBEAT_EPOCH + 20 * HEARTBEAT_INTERVAL;
@@ -120,9 +120,9 @@
 }
 
 #[test]
-fn a_gateway_that_observed_no_total_for_long_keeps_little_of_a_busy_customer() {
-    // The customer used all of its quota through both gateways alike. Then all of its traffic came through the other
-    // one, and this gateway observed none of it.
+fn a_gateway_without_a_recent_total_keeps_a_small_fraction_of_a_busy_customer() {
+    // The customer used all of its quota, evenly through both gateways. Then all of its traffic came through the other
+    // gateway, and this one observed none of it.
     let fraction_after = |unobserved_intervals: u64| {
         let (mut view, mut heartbeats) = learned(1, 14, 3.75, 3.75);
         let now = heartbeats.pass_intervals(unobserved_intervals, &[2]);
@@ -132,7 +132,7 @@
     };
     assert!(fraction_after(0) > 0.45, "{}", fraction_after(0));
     assert!(fraction_after(18) < 0.8 * fraction_after(0), "{} of {}", fraction_after(18), fraction_after(0));
-    // A customer that used a third of its quota leaves enough for both.
+    // A customer that used only a third of its quota leaves enough for both gateways.
     let (mut view, mut heartbeats) = learned(1, 14, 1.25, 1.25);
     let now = heartbeats.pass_intervals(18, &[2]);
     update(&mut view, now, &heartbeats.detector, Reachable);
@@ -146,7 +146,7 @@
     let counters = |total: f64| scheme.decode(total).counters.unwrap();
     // The other member, gateway 2, has added between two totals.
     let after = counters(scheme.next_mark(1, 0).fraction);
-    let other_added = Some(Additions { scheme, before: counters(0.0), after });
+    let other_added = Some(MemberAdds { scheme, before: counters(0.0), after });
     let start = HEARTBEAT_EPOCH + 3 * HEARTBEAT_INTERVAL;
     let detector = &detector(1, &[2]);
     let mut view = PartitionView::new(start, set(1), 10.0);
@@ -161,28 +161,28 @@
         view.is_complete()
     };
     let now = start + HEARTBEAT_INTERVAL / 4;
-    view.record_usage(&Usage { now, detector, own_units: 1.0, other_units: 1.0, additions: other_added });
+    view.record_usage(&Usage { now, detector, own_units: 1.0, other_units: 1.0, adds: other_added });
     assert!(is_complete(&mut view, HEARTBEAT_INTERVAL, QuietMembers::Partitioned));
     let quiet_for = HEARTBEAT_INTERVAL * 3 / 2;
     let now = start + quiet_for;
-    view.record_usage(&Usage { now, detector, own_units: 1.0, other_units: 0.0, additions: no_additions() });
+    view.record_usage(&Usage { now, detector, own_units: 1.0, other_units: 0.0, adds: no_adds() });
     let is_complete_with_suspicion = is_complete(&mut view, quiet_for, QuietMembers::Partitioned);
-    assert!(!is_complete_with_suspicion, "quiet, and without a later heartbeat");
+    assert!(!is_complete_with_suspicion, "the member is quiet and has sent no later heartbeat");
     let is_complete_without = is_complete(&mut view, quiet_for, QuietMembers::Alive);
-    assert!(is_complete_without, "a customer within its limit may well be quiet");
+    assert!(is_complete_without, "a member of a customer within its limit may be quiet");
 }
 
 #[test]
-fn what_a_partition_learns_before_it_is_detected_does_not_raise_its_fraction() {
+fn usage_learned_in_a_partition_before_its_detection_does_not_raise_the_sum_of_the_fractions() {
     let mut fractions = Vec::new();
     for gateway_index in [1, 2] {
         let (mut view, mut heartbeats) = learned(gateway_index, 20, 4.0, 4.0);
-        // Partitioned, and not detected yet: each gateway observes only its own traffic.
+        // The partition is not detected yet: each gateway observes only its own traffic.
         for _ in 0..4 {
             let now = heartbeats.pass_intervals(1, &[]);
             let detector = &heartbeats.detector;
-            let additions = no_additions();
-            view.record_usage(&Usage { now, detector, own_units: 4.0, other_units: 0.0, additions });
+            let adds = no_adds();
+            view.record_usage(&Usage { now, detector, own_units: 4.0, other_units: 0.0, adds });
         }
         let now = heartbeats.pass_intervals(1, &[]);
         update(&mut view, now, &heartbeats.detector, Reachable);
@@ -192,14 +192,14 @@
 }
 
 #[test]
-fn a_partitioned_gateway_learns_nothing_about_the_others() {
+fn a_partitioned_gateway_keeps_an_even_fraction_whatever_it_observes() {
     // No other gateway was ever alive: the fractions are even.
     let detector = &FailureDetector::new(1, 3);
     let mut view = PartitionView::new(100 * HEARTBEAT_INTERVAL, set(1), 10.0);
     update(&mut view, 110 * HEARTBEAT_INTERVAL, detector, Reachable);
     for interval in 111..140 {
         let now = interval * HEARTBEAT_INTERVAL;
-        view.record_usage(&Usage { now, detector, own_units: 9.0, other_units: 0.0, additions: None });
+        view.record_usage(&Usage { now, detector, own_units: 9.0, other_units: 0.0, adds: None });
     }
     update(&mut view, 140 * HEARTBEAT_INTERVAL, detector, Reachable);
     assert!((view.fraction() - 0.5).abs() < 0.02, "{}", view.fraction());
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_customer_met_while_the_counter_is_unreachable_gets_less_than_an_even_fraction_but_an_even_burst() {
+fn a_new_customer_during_an_outage_gets_less_than_an_even_fraction_but_an_even_burst() {
     let mut heartbeats = Heartbeats::new(1);
     let start = heartbeats.pass_intervals(20, &[2]);
     let mut view = PartitionView::new(start, set(1), 10.0);
--- a/crates/quota/src/membership/traffic_fractions.rs
+++ b/crates/quota/src/membership/traffic_fractions.rs
@@ -1,5 +1,5 @@
-//! The fractions of a customer's traffic that came through each gateway of its set, remembered for the time in which
-//! the counter cannot be asked. All gateways see the same totals, so their fractions of one customer add up to one.
+//! The fractions of a customer's traffic that came through each gateway of its set, kept for the time in which the
+//! counter cannot be called. All gateways read the same totals, so their fractions of one customer add up to one.
 
 use crate::bound::FRACTION_DECAY_S;
 use crate::idempotent_add::MAX_MEMBERS;
@@ -10,17 +10,18 @@
 
 /// Time constant of the moving average of each member's traffic, in seconds.
 const AVERAGING_TIME_S: f64 = 8.0;
-/// Seconds of observation after which the fractions count in full: at first each gateway has seen different totals.
+/// Seconds of observation after which the fractions have their full weight: at first each gateway has read different
+/// totals.
 const LEARNING_TIME_S: f64 = 3.0;
-/// Fraction of the customer's rate that all members are taken to use evenly, whatever was observed.
+/// Fraction of the customer's rate that all members are assumed to use evenly, regardless of the observed traffic.
 const EVEN_RATE_FRACTION: f64 = 0.3;
 /// Time constant, in seconds without an observation, of the decay of this gateway's fraction of a customer that uses
-/// all of its quota: the other gateways have seen by then that no traffic comes through this one.
+/// all of its quota: by then the other gateways have observed that no traffic comes through this one.
 const UNOBSERVED_DECAY_S: f64 = 10.0;
-/// Fraction of an even share for a customer that is met for the first time while the other gateways are unreachable: it
-/// may be new, or have come through them.
-const UNSEEN_SHARE: f64 = 0.45;
-/// Exponent that lets the used part of the quota count little until most of the quota is used.
+/// Part of an even fraction that a gateway gives a customer whose first request it gets while the other gateways are
+/// unreachable: the customer may be new, or have used the other gateways so far.
+const NEW_CUSTOMER_PART: f64 = 0.45;
+/// Exponent that gives the used part of the quota little weight until most of the quota is used.
 const BUSY_EXPONENT: f64 = 4.0;
 
 /// The traffic of one customer through each member of its gateway set, as this gateway last observed it.
@@ -37,7 +38,7 @@
 }
 
 impl TrafficFractions {
-    /// Returns the fractions of a customer with this rate, in units per second, before anything was observed.
+    /// Returns the fractions of a customer with this rate, in units per second, before any observation.
     pub(crate) fn new(now: Time, members: u32, rate: f64) -> TrafficFractions {
         TrafficFractions {
             members: members.max(1),
@@ -58,12 +59,12 @@
         1.0 / f64::from(self.members)
     }
 
-    /// Returns how far the observations count, from 0 to 1.
+    /// Returns the weight of the observations, from 0 to 1.
     pub(crate) fn confidence(&self) -> f64 {
         f64::from(self.observed_s) / LEARNING_TIME_S
     }
 
-    /// Returns the moment of the latest observation.
+    /// Returns the time of the latest observation.
     pub(crate) fn updated_at(&self) -> Time {
         self.updated_at
     }
@@ -73,16 +74,16 @@
         TrafficFractions { used_rates: [0.0; MAX_MEMBERS as usize], observed_s: 0.0, ..*self }
     }
 
-    /// Returns these fractions if they were learned by this moment; otherwise those without any observation.
-    pub(crate) fn learned_by(&self, moment: Time) -> TrafficFractions {
-        if self.updated_at <= moment {
+    /// Returns these fractions if they were learned by this time; otherwise those without any observation.
+    pub(crate) fn learned_by(&self, time: Time) -> TrafficFractions {
+        if self.updated_at <= time {
             *self
         } else {
             self.unlearned()
         }
     }
 
-    /// Records the units that came through members since the latest observation, as pairs of member and units.
+    /// Records the units used through members since the latest observation, as pairs of member and units.
     pub(crate) fn record_usage(&mut self, now: Time, usage: impl Iterator<Item = (u32, f64)>) {
         let elapsed_s = seconds_between(self.updated_at, now);
         let decay = libm::exp(-elapsed_s / AVERAGING_TIME_S) as f32;
@@ -98,10 +99,10 @@
         self.updated_at = now;
     }
 
-    /// Returns a member's fraction, from 0 to 1; the less is known, the more even.
+    /// Returns a member's fraction, from 0 to 1; the fewer observations there are, the more even it is.
     ///
-    /// `unobserved`: for how long this gateway had not observed the customer when it lost the others. `elapsed`: how
-    /// long ago that was.
+    /// `unobserved`: time for which this gateway had not observed the customer when it lost contact with the other
+    /// gateways. `elapsed`: time since then.
     pub(crate) fn fraction_of(&self, member: u32, unobserved: Span, elapsed: Span) -> f64 {
         let even = self.even();
         if !self.are_tracked() || member >= self.members {
@@ -109,8 +110,8 @@
         }
         let confidence = self.confidence();
         let known = even + (self.observed_fraction(member) - even) * confidence;
-        // The other gateways of a busy customer take over the fraction that they saw unused; that of a customer with
-        // units to spare only ages. One that is little known may be either.
+        // The other gateways of a busy customer take over a fraction that they observed to be unused; the fraction of a
+        // customer with spare units only decays with age. A customer with few observations may be either.
         let busy = libm::pow(self.used_quota(), BUSY_EXPONENT).max(1.0 - confidence);
         let unobserved_s = unobserved as f64 / NANOS_PER_SECOND;
         let retained = libm::exp(-unobserved_s * busy / UNOBSERVED_DECAY_S);
@@ -118,7 +119,7 @@
         self.decayed(known * retained, elapsed_s + unobserved_s * (1.0 - busy))
     }
 
-    /// Returns a member's fraction of the observed traffic, to which each member adds an even minimum.
+    /// Returns a member's fraction of the observed traffic, with an even minimum added for each member.
     fn observed_fraction(&self, member: u32) -> f64 {
         let minimum = EVEN_RATE_FRACTION * f64::from(self.rate) / f64::from(self.members);
         let rate_of = |member: usize| f64::from(self.used_rates[member]) + minimum;
@@ -130,26 +131,25 @@
         }
     }
 
-    /// Returns the part of its quota that the customer uses, up to 1.
+    /// Returns the fraction of its quota that the customer uses, up to 1.
     fn used_quota(&self) -> f64 {
         let used: f64 = self.used_rates.iter().map(|used_rate| f64::from(*used_rate)).sum();
         (used / f64::from(self.rate)).min(1.0)
     }
 
-    /// Returns the fraction of a member that has never observed the customer, where other members may have: with
-    /// theirs it exceeds one by no more than
-    /// [`FRACTION_SUM_EXCESS`](crate::bound::FRACTION_SUM_EXCESS).
-    pub(crate) fn fraction_of_unseen(&self, elapsed: Span) -> f64 {
-        self.decayed(UNSEEN_SHARE / f64::from(self.members), elapsed as f64 / NANOS_PER_SECOND)
+    /// Returns the fraction of a member that has never observed the customer, while other members may have: the sum of
+    /// all fractions exceeds one by at most [`FRACTION_SUM_EXCESS`](crate::bound::FRACTION_SUM_EXCESS).
+    pub(crate) fn fraction_of_new_customer(&self, elapsed: Span) -> f64 {
+        self.decayed(NEW_CUSTOMER_PART / f64::from(self.members), elapsed as f64 / NANOS_PER_SECOND)
     }
 
-    /// Returns what a fraction has become at this age, in seconds: it decays towards an even one.
+    /// Returns a fraction decayed towards an even one for this age, in seconds.
     fn decayed(&self, fraction: f64, age_s: f64) -> f64 {
         let even = self.even();
         even + (fraction - even) * libm::exp(-age_s / FRACTION_DECAY_S)
     }
 
-    /// Returns the units per second through all members but this one.
+    /// Returns the units per second through all members except this one.
     pub(crate) fn usage_by_others(&self, own_member: u32) -> f64 {
         let rates = self.used_rates.iter().enumerate();
         rates.filter(|(member, _)| *member != own_member as usize).map(|(_, rate)| f64::from(*rate)).sum()
--- a/crates/quota/src/membership/traffic_fractions/tests.rs
+++ b/crates/quota/src/membership/traffic_fractions/tests.rs
@@ -41,13 +41,13 @@
     };
     let values: Vec<f64> = [3.0, 10.0, 20.0, 30.0].map(retained).to_vec();
     assert!(
-        values.windows(2).all(|two| two[0] > two[1]) && values[0] > 0.99 && values[3] < 0.2,
+        values.windows(2).all(|pair| pair[0] > pair[1]) && values[0] > 0.99 && values[3] < 0.2,
         "{values:?}"
     );
 }
 
 #[test]
-fn more_members_than_are_tracked_have_even_fractions() {
+fn members_beyond_the_tracked_number_have_even_fractions() {
     let mut fractions = TrafficFractions::new(0, 20, 30.0);
     fractions.record_usage(S, [(0, 30.0)].into_iter());
     assert!((fractions.fraction_of(0, 0, 0) - 0.05).abs() < 1e-9);
--- a/crates/quota/src/reconciliation.rs
+++ b/crates/quota/src/reconciliation.rs
@@ -1,6 +1,5 @@
 //! Reconciliation after a counter outage: units of one customer that the counter has yet to count, because they were
-//! granted while it was unreachable or because a reset has forgotten them. They are added once, to a number of their
-//! own.
+//! granted while it was unreachable or because they were lost in a reset. They are added once, to a separate number.
 
 use crate::counter_health::CounterHealth;
 use crate::idempotent_add::IdempotentAdder;
@@ -9,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Fewer pending units than this are not worth a call.
+/// Minimum number of pending units for which a call is made.
 const MIN_PENDING_UNITS: f64 = 0.5;
 
 /// The units of one customer that the counter has yet to count, and the number to which they are added.
@@ -17,7 +16,7 @@
 pub struct Reconciliation {
     adder: IdempotentAdder,
     pending_units: f64,
-    /// Whether the number's total was read since this gateway started.
+    /// Whether the number's total has been read since this gateway started.
     has_total: bool,
     /// Whether the total has to be read again, because the counter was reset.
     needs_recheck: bool,
@@ -25,12 +24,12 @@
 }
 
 impl Reconciliation {
-    /// Returns a reconciliation without pending units, to the number that this adder adds to.
+    /// Returns a reconciliation without pending units, for the number that this adder adds to.
     pub fn new(adder: IdempotentAdder) -> Reconciliation {
         Reconciliation { adder, ..Reconciliation::default() }
     }
 
-    /// Adds units to the pending ones; a negative number takes units back.
+    /// Adds units to the pending ones; a negative number removes units from them.
     pub fn add_pending(&mut self, units: f64) {
         self.pending_units += units;
     }
@@ -43,8 +42,8 @@
         has_reason && !self.adder.is_call_in_flight()
     }
 
-    /// Starts a call and returns its amount. The first call only reads, unless an add without an answer could be
-    /// proven, so that no units are added twice.
+    /// Starts a call and returns its amount. The first call only reads, unless a later total could prove an add
+    /// without an answer, so that no units are added twice.
     pub fn start_call(&mut self, health: &CounterHealth, epoch: u64) -> f64 {
         let may_add = self.has_total || self.adder.can_prove_next_add();
         let has_enough = self.pending_units >= MIN_PENDING_UNITS;
@@ -60,7 +59,7 @@
         self.last_total_at = now;
         self.has_total = true;
         let outcome = self.adder.complete_call(epoch, total, reset_suspected);
-        self.pending_units += outcome.forgotten_units - outcome.confirmed_units;
+        self.pending_units += outcome.lost_units - outcome.confirmed_units;
     }
 
     /// Ends the call without an answer. `may_have_counted`: the add may have been carried out.
--- a/crates/quota/src/reconciliation/tests.rs
+++ b/crates/quota/src/reconciliation/tests.rs
@@ -6,7 +6,7 @@
     Reconciliation::new(IdempotentAdder::new(0, 3, 900.0, 0))
 }
 
-/// Makes calls until none is needed, and returns the total of the number then.
+/// Makes calls until none is needed, and returns the resulting total of the number.
 fn reconcile(reconciliation: &mut Reconciliation, mut total: f64) -> f64 {
     let health = CounterHealth::new(0, 3);
     while reconciliation.needs_call() {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn units_that_a_reset_forgot_are_added_again_even_without_pending_units() {
+fn units_that_were_lost_in_a_reset_are_added_again_after_a_recheck() {
     let mut reconciliation = reconciliation();
     reconciliation.add_pending(9.0);
     reconcile(&mut reconciliation, 0.0);
@@ -52,5 +52,5 @@
     reconciliation.request_recheck(1);
     assert_eq!(reconcile(&mut reconciliation, 0.0).floor(), 9.0);
     reconciliation.request_recheck(2);
-    assert!(!reconciliation.needs_call(), "no units were added in the other epoch");
+    assert!(!reconciliation.needs_call(), "no units were added in the new epoch");
 }
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -1,9 +1,9 @@
-//! The token bucket of one customer's quota, as far as one gateway can know it: how much of the quota is available to
-//! this gateway's partition. The totals of the counter show it while they come; between them and without them the
-//! bucket fills with the partition's fraction of the rate.
+//! The token bucket of one customer's quota as estimated by one gateway: the units available to this gateway's
+//! partition. The estimate follows the totals of the counter; between them, and while there are none, the bucket is
+//! refilled at the partition's fraction of the rate.
 //!
-//! No request is decided here. The decision module asks what is available and spendable, and reports what was leased
-//! and spent.
+//! No request is admitted or rejected here. The decision module reads the available and the spendable units, and
+//! reports leased and spent ones.
 
 mod compact;
 mod config;
@@ -19,19 +19,19 @@
 pub(crate) use compact::CompactBucket;
 pub use config::{BucketConfig, CounterEpoch};
 
-/// Time constant of the average of what a customer asks for, in seconds.
+/// Time constant of the moving average of a customer's demand, in seconds.
 const DEMAND_AVERAGING_S: f64 = 8.0;
-/// A customer that asks for more than this multiple of its rate is over its limit.
+/// Demand, as a multiple of the rate, above which a customer exceeds its limit.
 const OVER_LIMIT_RATIO: f64 = 1.15;
-/// A customer gets credit once its credit history is this long, in nanoseconds.
+/// Length of the credit history from which on a customer gets credit, in nanoseconds.
 const MIN_CREDIT_HISTORY: Span = 10_000_000_000;
-/// A customer gets no credit for this long after it was over its limit, in nanoseconds.
+/// Time without credit after a customer exceeded its limit, in nanoseconds.
 const NO_CREDIT_FOR: Span = 60_000_000_000;
-/// Lowest age of a customer by which its demand is averaged, in seconds.
+/// Minimum age of a customer in the computation of its average demand, in seconds.
 const MIN_DEMAND_AGE_S: f64 = 1.0;
-/// Lowest fraction that is divided by.
+/// Minimum divisor where a value is divided by a fraction.
 const MIN_DIVISOR: f64 = 1e-3;
-/// Units by which a full bucket may fall short through rounding.
+/// Units by which the level of a full bucket may be too low because of rounding.
 const ROUNDING_UNITS: f64 = 1e-6;
 
 /// The latest total of the customer's number.
@@ -46,14 +46,15 @@
 /// The bucket at the beginning of a counter outage.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
-    /// The level with what did not fit into the bucket: the next total may show that others had taken it.
+    /// The level including units that did not fit into the bucket: the next total may show that others had taken them.
     refilled_level: f64,
     fraction: f64,
-    /// The moment for which `refilled_level` holds.
+    /// The time for which `refilled_level` is valid.
     refilled_at: Time,
-    /// Units granted without the counter since.
+    /// Units granted without the counter since the beginning.
     granted_units: f64,
-    /// Whether the counter had only just recovered, so that the level was this gateway's own fraction before.
+    /// Whether the counter had just recovered from an earlier outage, so that the level was still that of this
+    /// gateway's own fraction.
     is_own_fraction: bool,
 }
 
@@ -61,41 +62,42 @@
 #[derive(Clone, Debug, Default)]
 pub struct TokenBucket {
     config: BucketConfig,
-    /// Units leased here and not spent yet; negative for units admitted before the counter counted them.
+    /// Units leased here and not spent yet; negative for units that were admitted before the counter counted them.
     unspent_lease: f64,
-    /// Units that this partition may still take; negative when ahead of the refill.
+    /// Units that this partition may still take; negative if it took units before they were refilled.
     level: f64,
     refilled_at: Time,
     view: PartitionView,
     /// The level at the latest total.
     base_level: f64,
-    /// Units that were refilled since the latest total.
+    /// Units refilled since the latest total.
     refilled_units: f64,
-    /// The level of a complete view, at `complete_level_at`.
+    /// The level for a complete view, at `complete_level_at`.
     complete_level: f64,
     complete_level_at: Time,
-    /// Whether the view was complete since the customer was met.
+    /// Whether the view has ever been complete.
     was_complete: bool,
     latest_total: Option<LatestTotal>,
     /// `None` while the counter answers.
     outage: Option<Outage>,
-    /// Whether a partition has healed since the latest total: what the others took meanwhile was their own fraction.
+    /// Whether a partition has healed since the latest total: the units that the others took in the meantime were their
+    /// own fraction.
     has_rejoined: bool,
-    /// Whether the counter has only just recovered, so that other gateways may still grant units locally.
+    /// Whether the counter has just recovered, so that other gateways may still grant units locally.
     is_just_recovered: bool,
-    /// Units below zero to which the level went since the view was complete.
+    /// Greatest number of units below zero that the level reached since the view was last complete.
     max_overdraft: f64,
     /// Units asked for here, as a decaying sum.
     requested_units: f64,
-    met_at: Time,
+    first_request_at: Time,
     is_over_limit: bool,
     no_credit_until: Time,
-    /// Since when the totals of a complete view have shown what the customer uses.
+    /// Time of the first total of a complete view, from which on the customer's usage is known.
     credit_history_since: Option<Time>,
 }
 
 impl TokenBucket {
-    /// Returns the full bucket of a customer that is met now.
+    /// Returns the full bucket of a customer at its first request.
     pub fn new(now: Time, config: BucketConfig) -> TokenBucket {
         let config = BucketConfig { gateway_set: config.gateway_set.normalized(), ..config };
         TokenBucket {
@@ -105,7 +107,7 @@
             base_level: config.burst,
             complete_level: config.burst,
             complete_level_at: now,
-            met_at: now,
+            first_request_at: now,
             config,
             ..TokenBucket::default()
         }
@@ -116,7 +118,8 @@
         &self.config
     }
 
-    /// Returns the units leased here and not spent yet; negative for units admitted before the counter counted them.
+    /// Returns the units leased here and not spent yet; negative for units that were admitted before the counter
+    /// counted them.
     pub fn unspent_lease(&self) -> f64 {
         self.unspent_lease
     }
@@ -131,17 +134,17 @@
         self.view.fraction()
     }
 
-    /// Returns the moment of the latest total; zero before the first.
+    /// Returns the time of the latest total; zero before the first.
     pub fn last_total_at(&self) -> Time {
         self.latest_total.map_or(0, |total| total.at)
     }
 
-    /// Returns the units available to lease or to grant locally, with the overdraft.
+    /// Returns the units available to lease or to grant locally, including the overdraft.
     pub fn available(&self) -> f64 {
         self.level + self.overdraft_limit()
     }
 
-    /// Returns the units that may be spent now: leased ones, less those by which the bucket is ahead of its refill.
+    /// Returns the units that may be spent now: leased ones, less those that were taken before they were refilled.
     pub fn spendable(&self) -> f64 {
         match self.outage {
             Some(_) => self.unspent_lease.max(0.0) + self.available(),
@@ -149,18 +152,18 @@
         }
     }
 
-    /// Returns whether the bucket will be full at this moment if no units are taken. An even fraction counts at the
-    /// least, since a customer that is met anew holds no more.
-    pub fn is_full_by(&self, moment: Time) -> bool {
+    /// Returns whether the bucket will be full at this time if no units are spent until then. The full level is at
+    /// least that of an even fraction, which a customer has at its first request.
+    pub fn is_full_by(&self, time: Time) -> bool {
         let even = 1.0 / f64::from(self.config.gateway_set.set_size);
         let fraction = self.view.fraction().max(even);
-        let refill = self.config.rate * fraction * seconds_between(self.refilled_at, moment);
+        let refill = self.config.rate * fraction * seconds_between(self.refilled_at, time);
         let full_level = self.config.burst * fraction - self.unspent_lease.max(0.0);
         self.level + refill >= full_level - ROUNDING_UNITS
     }
 
-    /// Changes the rate, in units per second, and the burst, in units, from now on. The available units stay, as far as
-    /// the bucket holds them.
+    /// Changes the rate, in units per second, and the burst, in units, from now on. The available units are kept,
+    /// up to the capacity of the bucket.
     pub fn set_quota(&mut self, now: Time, health: &CounterHealth, rate: f64, burst: f64) {
         self.refill(now, health);
         self.complete_level = self.complete_level_now();
@@ -173,7 +176,7 @@
         self.config.burst = burst;
     }
 
-    /// Refills the bucket up to this moment, and updates the fraction by which it is refilled from then on.
+    /// Refills the bucket up to `now`, and updates the fraction at which it is refilled from then on.
     pub fn refill(&mut self, now: Time, health: &CounterHealth) {
         let elapsed_s = seconds_between(self.refilled_at, now);
         self.refilled_at = now;
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Returns the level of the full bucket. Units that are leased and not spent are still the customer's.
+    /// Returns the level of the full bucket. Units that are leased and not spent count as part of it.
     fn capacity(&self) -> f64 {
         let saved_fraction =
             if self.has_credit() { SAVED_BURST_FRACTION * (1.0 - self.view.fraction()) } else { 0.0 };
@@ -226,7 +229,7 @@
         let fraction = self.view.fraction();
         let mut overflowed_units = 0.0;
         if fraction < previous_fraction {
-            // What was refilled and did not fit may have been taken by others before.
+            // Others may have taken the units that were refilled and did not fit before those were refilled here.
             overflowed_units = (self.base_level + self.refilled_units - self.level).max(0.0);
             self.shrink(previous_fraction);
         } else if fraction > previous_fraction {
@@ -237,7 +240,7 @@
         self.refilled_units = 0.0;
     }
 
-    /// Leaves this partition its fraction of the level.
+    /// Reduces the level to this partition's fraction of it.
     fn shrink(&mut self, previous_fraction: f64) {
         if self.level > 0.0 {
             self.level *= self.view.burst_fraction() / previous_fraction;
@@ -246,9 +249,9 @@
             self.credit_history_since.filter(|since| self.refilled_at >= since + MIN_CREDIT_HISTORY);
     }
 
-    /// Joins this partition's level with that of the members that have come back, which is taken to be as full. What
-    /// they took meanwhile from a customer with credit was their own fraction; that of other customers counts, as far as
-    /// the totals show it.
+    /// Joins this partition's level with that of the members that have rejoined, whose buckets are assumed to be
+    /// equally full. For a customer with credit, the units that they took in the meantime are their own fraction; for
+    /// other customers these units count, to the extent that totals show them.
     fn grow(&mut self, previous_fraction: f64) {
         self.has_rejoined = self.has_credit();
         let growth =
@@ -259,12 +262,12 @@
         } else if self.was_complete {
             joined_level.min(self.complete_level_now())
         } else {
-            // A gateway that has just started, and now sees the others' heartbeats: there was no partition.
+            // A gateway that has just started and now reads the heartbeats of the others: there was no partition.
             self.complete_level_now()
         };
     }
 
-    /// Returns the level of a complete view at the latest refill.
+    /// Returns the level for a complete view at the latest refill.
     fn complete_level_now(&self) -> f64 {
         let elapsed_s = seconds_between(self.complete_level_at, self.refilled_at);
         let refilled_level = self.complete_level + self.config.rate * elapsed_s;
@@ -272,7 +275,7 @@
     }
 
     /// Returns whether the customer is known to keep within its quota, so that it gets credit while its partition's
-    /// fraction falls short of its traffic.
+    /// fraction is smaller than its traffic needs.
     fn has_credit(&self) -> bool {
         let has_history =
             self.credit_history_since.is_some_and(|since| self.refilled_at >= since + MIN_CREDIT_HISTORY);
@@ -280,8 +283,8 @@
         has_history && self.refilled_at >= self.no_credit_until && may_have_credit
     }
 
-    /// Returns the factor of the refill. The fractions of all partitions never add up to exactly one, and those of a
-    /// customer with credit may add up to more.
+    /// Returns the factor of the refill. The fractions of all partitions never add up to exactly one; for a customer
+    /// with credit they may add up to more.
     fn refill_margin(&self) -> f64 {
         if self.view.is_complete() || !self.has_credit() {
             1.0
@@ -290,7 +293,7 @@
         }
     }
 
-    /// Returns the units below zero to which the level may go.
+    /// Returns the number of units by which the level may fall below zero.
     fn overdraft_limit(&self) -> f64 {
         if self.view.is_complete() || !self.has_credit() {
             0.0
@@ -302,14 +305,15 @@
     /// Records that the customer asks for these units, whether or not they are granted.
     pub fn record_demand(&mut self, units: f64) {
         self.requested_units += units;
-        let age_s = seconds_between(self.met_at, self.refilled_at).max(MIN_DEMAND_AGE_S);
+        let age_s = seconds_between(self.first_request_at, self.refilled_at).max(MIN_DEMAND_AGE_S);
         let averaging_s = DEMAND_AVERAGING_S * (1.0 - exp(-age_s / DEMAND_AVERAGING_S));
         let own_demand = self.requested_units / averaging_s;
         let limit = OVER_LIMIT_RATIO * self.config.rate;
         self.is_over_limit = if self.view.is_complete() {
             own_demand + self.view.usage_by_others() > limit
         } else {
-            // What was observed of the others counts no more in a partition, and a customer over its limit stays so.
+            // In a partition the observed usage through other gateways no longer counts, and a customer over its limit
+            // remains over its limit.
             self.is_over_limit || own_demand > limit
         };
         if self.is_over_limit {
@@ -317,7 +321,8 @@
         }
     }
 
-    /// Spends units. Returns those that the counter has yet to count, as they were granted during an outage.
+    /// Spends units. Returns the number of those that the counter has yet to count because they were granted in an
+    /// outage.
     pub fn spend(&mut self, units: f64, health: &mut CounterHealth) -> f64 {
         let granted_units = self.take_units(units);
         if self.is_counter_unreachable() || !self.view.is_complete() {
@@ -329,7 +334,7 @@
         granted_units
     }
 
-    /// Takes units out of the lease, and during an outage the rest out of the level. Returns that rest.
+    /// Takes units from the lease, and in an outage the remainder from the level. Returns that remainder.
     fn take_units(&mut self, units: f64) -> f64 {
         let Some(outage) = &mut self.outage else {
             self.unspent_lease -= units;
@@ -343,8 +348,8 @@
         granted_units
     }
 
-    /// Refunds units that were not spent after all; a negative number takes more. Returns the units that the counter
-    /// need no longer count.
+    /// Refunds units that were not used; a negative number takes additional ones. Returns the number of units that the
+    /// counter no longer has to count.
     pub fn refund(&mut self, units: f64) -> f64 {
         let Some(outage) = &mut self.outage else {
             self.unspent_lease += units;
@@ -386,7 +391,7 @@
 }
 
 impl Outage {
-    /// Returns the units refilled up to this moment at this rate, in units per second.
+    /// Returns the units refilled up to `now` at this rate, in units per second.
     fn refill_until(&self, now: Time, rate: f64) -> f64 {
         rate * self.fraction * seconds_between(self.refilled_at, now)
     }
--- a/crates/quota/src/token_bucket/compact.rs
+++ b/crates/quota/src/token_bucket/compact.rs
@@ -4,14 +4,14 @@
 use crate::idempotent_add::MemberCounters;
 use crate::time::{Time, MILLISECOND};
 
-/// What is remembered of a token bucket in its compact state. Units are kept with seven significant digits.
+/// The compact state of a token bucket. Units are stored with seven significant digits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CompactBucket {
     refilled_at: Time,
-    /// Milliseconds since the customer was met, up to the largest number.
+    /// Milliseconds since the customer's first request, saturating.
     age_ms: u32,
     unspent_lease: f32,
-    /// The level for a fraction of one, also where this gateway holds less because there is no counter.
+    /// The level scaled to a fraction of one, also if this gateway's fraction is smaller because there is no counter.
     level: f32,
     complete_level: f32,
     requested_units: f32,
@@ -22,15 +22,15 @@
     has_total: bool,
     has_credit_history: bool,
     is_over_limit: bool,
-    /// Milliseconds for which the customer gets no credit yet.
+    /// Milliseconds until the customer may get credit.
     no_credit_ms: u16,
 }
 
 impl TokenBucket {
     /// Returns the compact state; `None` during an outage or partition, for a ceiling, or if a number does not fit.
     ///
-    /// It does not remember which gateways the customer came through, as of a customer that is met anew: in an outage
-    /// that means a smaller fraction.
+    /// It does not record which gateways the customer's traffic came through: as at a first request, that means a
+    /// smaller fraction in an outage.
     pub(crate) fn compact(&self) -> Option<CompactBucket> {
         let has_no_counter = self.config.has_no_counter;
         let is_partitioned = !self.view.is_complete() && !has_no_counter;
@@ -39,7 +39,7 @@
             return None;
         }
         let no_credit_ms = self.no_credit_until.saturating_sub(self.refilled_at).div_ceil(MILLISECOND);
-        let age_ms = self.refilled_at.saturating_sub(self.met_at) / MILLISECOND;
+        let age_ms = self.refilled_at.saturating_sub(self.first_request_at) / MILLISECOND;
         let total_epoch = self.latest_total.map_or(0, |total| total.epoch);
         let member_counters = self.latest_total.and_then(|total| total.member_counters);
         Some(CompactBucket {
@@ -60,13 +60,13 @@
         })
     }
 
-    /// Returns the bucket with this configuration, continued from the compact state of an earlier one. It has yet to be
-    /// refilled since then, and to find its fraction.
+    /// Returns the bucket with this configuration, continued from the compact state of an earlier one. The caller
+    /// refills it afterwards, which also updates its fraction.
     pub(crate) fn restored(state: CompactBucket, config: BucketConfig) -> TokenBucket {
         let fresh = TokenBucket::new(state.refilled_at, config);
         let burst = fresh.config.burst;
         let level = f64::from(state.level).min(burst);
-        let met_at = state.refilled_at.saturating_sub(u64::from(state.age_ms) * MILLISECOND);
+        let first_request_at = state.refilled_at.saturating_sub(u64::from(state.age_ms) * MILLISECOND);
         let latest_total = LatestTotal {
             epoch: state.total_epoch.into(),
             units: state.total_units.into(),
@@ -84,8 +84,8 @@
             requested_units: state.requested_units.into(),
             is_over_limit: state.is_over_limit,
             no_credit_until: state.refilled_at + u64::from(state.no_credit_ms) * MILLISECOND,
-            credit_history_since: state.has_credit_history.then_some(met_at),
-            met_at,
+            credit_history_since: state.has_credit_history.then_some(first_request_at),
+            first_request_at,
             ..fresh
         }
     }
--- a/crates/quota/src/token_bucket/config.rs
+++ b/crates/quota/src/token_bucket/config.rs
@@ -3,7 +3,7 @@
 use crate::membership::GatewaySet;
 use crate::time::Time;
 
-/// The limit that a token bucket enforces, and where.
+/// The limit that a token bucket enforces, and the gateways that enforce it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BucketConfig {
     /// Units per second.
@@ -23,6 +23,6 @@
 pub struct CounterEpoch {
     /// Index of the epoch, counted from time zero.
     pub number: u64,
-    /// The moment at which the epoch begins.
+    /// The time at which the epoch begins.
     pub start: Time,
 }
--- a/crates/quota/src/windowed_limiter.rs
+++ b/crates/quota/src/windowed_limiter.rs
@@ -1,11 +1,11 @@
-//! Windowed admission for a customer whose burst is too small to lease blocks of it to all its gateways.
+//! Windowed admission for a customer whose burst is too small to lease parts of it to all its gateways.
 //!
-//! Time is cut into *windows*, each about as long as the burst lasts at the customer's rate. Each window has a number
-//! of its own on the counter. Some requests add to it what they ask for, on behalf of several like them, so that one
-//! total shows what all gateways together were asked for lately, also to a gateway that meets the customer once a minute
-//! and remembers nothing of it. Requests that the window's part of the quota covers are admitted, those of the highest
-//! priority first. A request that did not ask the counter is decided by a recent total, or else by how often the
-//! customer comes to this gateway.
+//! Time is divided into *windows*, each about as long as the burst lasts at the customer's rate. Each window has its
+//! own number on the counter. A sample of the requests adds the requested units to it, each on behalf of several
+//! similar requests. One total thus shows the units recently requested from all gateways, also to a gateway that gets a
+//! request of the customer once a minute and keeps no state of it. Requests that the window's part of the quota covers
+//! are admitted, those of the highest priority first. A request for which the counter is not called is decided by a
+//! recent total, or else by the rate of the customer's requests at this gateway.
 
 use crate::time::{seconds_between, Span, Time, NANOS_PER_SECOND};
 
@@ -16,24 +16,25 @@
 const MIN_WINDOW_S: f64 = 1.0;
 /// Longest length of a window, in seconds.
 const MAX_WINDOW_S: f64 = 5.0;
-/// What was known before a window counts as much as this part of the window's quota, beside what the window shows.
+/// Weight of the previous estimate beside the usage observed in the window, as a part of the window's quota.
 const PRIOR_WEIGHT: f64 = 0.25;
-/// Part of its quota that a customer over its limit gets, apart from requests of the highest priority: what is admitted
-/// without asking the counter comes on top.
+/// Part of its quota that a customer over its limit gets, apart from requests of the highest priority: requests
+/// admitted without a call to the counter add to it.
 const TARGET_UTILIZATION: f64 = 0.9;
-/// A total older than this says nothing any more, in nanoseconds.
+/// Age at which a total is no longer used, in nanoseconds.
 const TOTAL_EXPIRES_AFTER: Span = 30_000_000_000;
-/// A total younger than this need hardly be asked for again, and precedes this gateway's own estimate, in nanoseconds.
+/// Age up to which a total rarely has to be read again and takes precedence over this gateway's own estimate, in
+/// nanoseconds.
 const TOTAL_IS_RECENT_FOR: Span = 4_000_000_000;
-/// Seconds that this gateway's own estimate looks back, where it gets enough requests of a customer.
+/// Lookback of this gateway's own estimate, in seconds, if it gets enough requests of a customer.
 const ESTIMATE_LOOKBACK_S: f64 = 10.0;
-/// Part of a window's quota for which one call may add; what it adds beyond that may be sampling error.
+/// Part of a window's quota that one call may add; units beyond that may be sampling error.
 const MAX_SAMPLE: f64 = 0.15;
-/// Requests for which credit is saved up at most.
+/// Maximum number of requests for which credit is saved up.
 const MAX_SAVED_REQUESTS: f64 = 2.0;
-/// Lowest rate that is computed with, in units per second.
+/// Minimum rate in computations, in units per second.
 const MIN_RATE: f64 = 1e-9;
-/// Units by which the credit may fall short through rounding.
+/// Units by which the credit may be too low because of rounding.
 const CREDIT_ROUNDING: f64 = 1e-9;
 
 /// The latest total of a window.
@@ -41,7 +42,7 @@
 struct WindowTotal {
     window: u64,
     at: Time,
-    /// Units that all gateways together were asked for in the window up to then.
+    /// Units requested from all gateways in the window up to this time.
     requested_units: f64,
     /// Demand of the customer as a multiple of its quota.
     demand_ratio: f64,
@@ -49,7 +50,7 @@
     sampling_error: f64,
 }
 
-/// This gateway's own estimate of the demand, which begins with the usual or the last observed one. Each request raises
+/// This gateway's own estimate of the demand. It starts at the usual or the last observed demand; each request raises
 /// it, and time without a request lowers it.
 #[derive(Clone, Copy, Debug, Default)]
 struct DemandEstimate {
@@ -65,11 +66,11 @@
 pub struct WindowedLimiter {
     rate: f64,
     burst: f64,
-    /// Offset of the windows, so that those of different customers do not begin together.
+    /// Offset of the windows, so that those of different customers do not begin at the same time.
     phase: Span,
     /// Units per second that the quota covers at one gateway if the traffic is even.
     gateway_rate: f64,
-    /// Units admitted by probability and not used yet.
+    /// Units credited by the admission probability and not used yet.
     credit: f64,
     latest_total: Option<WindowTotal>,
     estimate: DemandEstimate,
@@ -90,7 +91,7 @@
 }
 
 impl WindowedLimiter {
-    /// Returns the limiter of a customer with this rate, in units per second, and burst, in units, that comes through
+    /// Returns the limiter of a customer with this rate, in units per second, and burst, in units, that is served by
     /// `set_size` gateways. `phase`: offset of its windows, in nanoseconds.
     pub fn new(rate: f64, burst: f64, phase: Span, set_size: u32) -> WindowedLimiter {
         let rate = rate.max(MIN_RATE);
@@ -154,13 +155,13 @@
         (burst_duration_s.clamp(MIN_WINDOW_S, MAX_WINDOW_S) * NANOS_PER_SECOND) as Span
     }
 
-    /// Returns the number of the window at this moment, which is the same at all gateways whose clocks agree.
+    /// Returns the number of the current window, which is the same at all gateways whose clocks agree.
     pub fn window_at(&self, now: Time) -> u64 {
         let length = self.window_length();
         (now + self.phase % length) / length
     }
 
-    /// Returns the moment at which a window begins.
+    /// Returns the time at which a window begins.
     pub fn window_start(&self, window: u64) -> Time {
         let length = self.window_length();
         (window * length).saturating_sub(self.phase % length)
@@ -171,19 +172,21 @@
         units_at_rate(self.rate, self.window_length())
     }
 
-    /// Sets the units admitted in advance, between none and one request, so that gateways do not all begin alike.
+    /// Sets the initial credit, in units, from zero to one request: different values keep gateways from all admitting
+    /// their first requests alike.
     pub fn set_initial_credit(&mut self, units: f64) {
         self.credit = units;
     }
 
-    /// Returns the weight of the estimate beside a request of this many units, in units: as much as one such request,
-    /// or what the quota covers here in the time that the estimate looks back.
+    /// Returns the weight of the estimate beside a request of this many units, in units: that of one such request, or
+    /// the units that the quota covers at this gateway in the lookback if those are more.
     fn estimate_weight(&self, units: f64) -> f64 {
         units.max(ESTIMATE_LOOKBACK_S * self.gateway_rate)
     }
 
-    /// Records that the customer asks this gateway for these units. `usual_ratio`: usual demand, as a multiple of the
-    /// quota, of a customer of which only this is known, that it has made no request here since `absent_since`.
+    /// Records that the customer requests these units from this gateway. If this is the customer's first request here,
+    /// the estimate starts at `usual_ratio`, the usual demand as a multiple of the quota, at `absent_since`, from which
+    /// on it has made no request here.
     pub fn record_request(&mut self, now: Time, units: f64, usual_ratio: f64, absent_since: Time) {
         if self.estimate.updated_at == 0 {
             let updated_at = absent_since.max(now.saturating_sub(TOTAL_EXPIRES_AFTER));
@@ -196,8 +199,8 @@
         self.estimate = DemandEstimate { ratio, updated_at: now, latest_units: units };
     }
 
-    /// Records a total of a window's number, of which the call itself added `added_units` on behalf of the request that
-    /// made it and several like it.
+    /// Records a total of a window's number, to which the call itself added `added_units`, on behalf of its request and
+    /// of several similar ones.
     pub fn record_total(&mut self, now: Time, window: u64, total: f64, added_units: f64) {
         let window_quota = self.window_quota();
         let requested_units = total - added_units;
@@ -219,14 +222,14 @@
         valid_total.map(|total| total.demand_ratio)
     }
 
-    /// Returns whether a total was read so lately that it need hardly be asked for again.
+    /// Returns whether a total was read so recently that it rarely has to be read again.
     pub fn has_recent_total(&self, now: Time) -> bool {
         self.latest_total.is_some_and(|total| now < total.at + TOTAL_IS_RECENT_FOR)
     }
 
     /// Returns the probability at which to admit a request: zero or one in a window whose total was read, otherwise the
-    /// part of the demand that the quota covers. `top_priority_fraction`: the part of the demand that is of the highest
-    /// priority, which precedes the rest as far as the quota reaches.
+    /// fraction of the demand that the quota covers. `top_priority_fraction`: the fraction of the demand that is of the
+    /// highest priority, which is admitted before the remaining demand.
     pub fn admission_probability(&self, now: Time, is_top_priority: bool, top_priority_fraction: f64) -> f64 {
         let window = self.window_at(now);
         let usable_total =
@@ -247,8 +250,8 @@
         }
     }
 
-    /// Admits or rejects a request of this many units at this probability, spread evenly, and returns whether it is
-    /// admitted.
+    /// Returns whether a request of this many units is admitted at this probability; admissions are spread evenly over
+    /// the requests.
     #[must_use]
     pub fn admit(&mut self, units: f64, probability: f64) -> bool {
         let credit = self.credit + units * probability.clamp(0.0, 1.0);
@@ -266,7 +269,7 @@
     rate * duration as f64 / NANOS_PER_SECOND
 }
 
-/// Returns the part of the demand of a request's priority that the quota covers, from 0 to 1.
+/// Returns the fraction of the demand of a request's priority that the quota covers, from 0 to 1.
 fn covered_fraction(demand_ratio: f64, is_top_priority: bool, top_priority_fraction: f64) -> f64 {
     if is_top_priority {
         return (1.0 / (top_priority_fraction * demand_ratio)).min(1.0);
@@ -274,6 +277,6 @@
     if demand_ratio <= TARGET_UTILIZATION {
         return 1.0;
     }
-    let left_by_top_priority = TARGET_UTILIZATION - top_priority_fraction * demand_ratio;
-    (left_by_top_priority / (demand_ratio * (1.0 - top_priority_fraction))).clamp(0.0, 1.0)
+    let remaining_quota = TARGET_UTILIZATION - top_priority_fraction * demand_ratio;
+    (remaining_quota / (demand_ratio * (1.0 - top_priority_fraction))).clamp(0.0, 1.0)
 }
--- a/crates/quota/src/windowed_limiter/tests.rs
+++ b/crates/quota/src/windowed_limiter/tests.rs
@@ -2,12 +2,12 @@
 
 const S: Time = 1_000_000_000;
 
-/// Windows of two seconds that begin at even seconds.
+/// Returns a limiter with windows of two seconds that begin at even seconds.
 fn new_limiter() -> WindowedLimiter {
     WindowedLimiter::new(10.0, 20.0, 0, 100)
 }
 
-/// Returns a limiter that read, a second into a window, that all gateways were asked for this many units.
+/// Returns a limiter that read a total one second into a window: this many units were requested from all gateways.
 fn with_total(requested_units: f64) -> WindowedLimiter {
     let mut limiter = new_limiter();
     let window = limiter.window_at(101 * S);
@@ -21,7 +21,7 @@
     let ratio = |requested_units| with_total(requested_units).demand_ratio(101 * S).unwrap();
     assert!(
         (ratio(40.0) - 45.0 / 15.0).abs() < 1e-9,
-        "40 units, and 5 as expected before, where 15 are covered"
+        "40 requested and 5 previously estimated units, where the quota covers 15"
     );
     assert!(ratio(3.0) < 1.0 && ratio(10.0) == 1.0);
 }
@@ -39,19 +39,20 @@
         );
     }
     let single_priority = with_total(19.0).admission_probability(101 * S, true, 0.99);
-    assert_eq!(single_priority, 1.0, "with a single priority no other one is preceded");
+    assert_eq!(single_priority, 1.0, "a single priority has no precedence");
     assert_eq!(with_total(60.0).admission_probability(101 * S, true, 0.99), 0.0);
 }
 
 #[test]
-fn a_total_decides_beyond_its_window_until_the_own_estimate_takes_over() {
+fn a_recent_total_is_used_beyond_its_window_until_the_own_estimate_replaces_it() {
     let mut limiter = with_total(60.0);
     let ratio = limiter.demand_ratio(101 * S).unwrap();
     let probability = |limiter: &WindowedLimiter, at: u64| limiter.admission_probability(at * S, false, 0.0);
     assert_eq!(probability(&limiter, 102), TARGET_UTILIZATION / ratio);
     assert!(limiter.has_recent_total(104 * S) && !limiter.has_recent_total(106 * S));
     assert!(limiter.demand_ratio(130 * S).is_some() && limiter.demand_ratio(132 * S).is_none());
-    // The quota covers 0.1 units per second here: ten seconds without a request weigh half a request of two units.
+    // The quota covers 0.1 units per second at this gateway: ten seconds without a request weigh half a request of two
+    // units.
     limiter.record_request(111 * S, 2.0, 1.0, 0);
     assert!((probability(&limiter, 111) - TARGET_UTILIZATION / (ratio / 1.5)).abs() < 1e-9);
     limiter.record_request(112 * S, 2.0, 1.0, 0);
@@ -62,9 +63,9 @@
 }
 
 #[test]
-fn without_a_total_a_customer_is_admitted_by_how_often_it_comes_here() {
-    // The quota covers 0.1 units per second here, and the customer asks for two units at this interval in seconds:
-    // in ten minutes it gets 60 units, and a request or two in advance.
+fn without_a_total_admission_follows_the_rate_of_requests_at_this_gateway() {
+    // The quota covers 0.1 units per second at this gateway, and the customer requests two units at this interval in
+    // seconds: in ten minutes 60 units are admitted, and one or two requests in advance.
     for (interval_s, min_units, max_units) in
         [(60, 18.0, 20.0), (20, 50.0, 60.0), (5, 50.0, 62.0), (1, 50.0, 64.0)]
     {
@@ -88,16 +89,16 @@
 }
 
 #[test]
-fn a_call_on_behalf_of_many_requests_rejects_none_by_sampling_error() {
+fn sampling_error_of_a_call_on_behalf_of_many_requests_rejects_no_request() {
     let mut limiter = new_limiter();
-    // A customer with little demand makes one call on behalf of twenty requests.
+    // One call is made on behalf of twenty requests of a customer with little demand.
     limiter.record_total(101 * S, limiter.window_at(101 * S), 60.0, 40.0);
     assert_eq!(limiter.admission_probability(101 * S, false, 0.0), 1.0);
     limiter.record_total(101 * S, limiter.window_at(101 * S), 120.0, 40.0);
     assert_eq!(
         limiter.admission_probability(101 * S, false, 0.0),
         0.0,
-        "three such calls are no sampling error"
+        "the units of three such calls exceed the sampling error"
     );
 }
 
@@ -112,7 +113,7 @@
         limiter.window_start(window) % limiter.window_length(),
         new_limiter().window_start(window) % new_limiter().window_length()
     );
-    assert_eq!(WindowedLimiter::new(10.0, 2.0, 0, 100).window_length(), S, "a second at least");
+    assert_eq!(WindowedLimiter::new(10.0, 2.0, 0, 100).window_length(), S, "the minimum is one second");
     assert_eq!(WindowedLimiter::new(1.0, 60.0, 0, 100).window_length(), 5 * S);
 }
 
