--- a/crates/platform-settings/src/classes.rs
+++ b/crates/platform-settings/src/classes.rs
@@ -1,4 +1,4 @@
-//! An entry of `services`: a class of requests.
+//! Reads an entry of `services`: a class of requests.
 
 use crate::reader::{Reader, Result};
 use policy::api::{Class, DedupScope, Idempotency};
@@ -9,8 +9,9 @@
     let latency_objective = service.positive_span("aim")?;
     let deadline = service.positive_span("hard-limit")?;
     if latency_objective > deadline {
-        let reason =
-            format!("is {latency_objective}, beyond `hard-limit` {deadline}: no answer could come in time");
+        let reason = format!(
+            "is {latency_objective}, which exceeds `hard-limit` {deadline}, the deadline of requests"
+        );
         return Err(service.invalid("aim", reason));
     }
     Ok(Class {
@@ -24,7 +25,7 @@
     })
 }
 
-/// The platform calls idempotent requests `safe`, and those with an idempotency key `keyed`.
+/// Reads the idempotency of a class: `safe` stands for idempotent, `keyed` for an idempotency key.
 fn idempotency(service: &Reader) -> Result<Idempotency> {
     Ok(match service.one_of("semantics", &["safe", "keyed", "unsafe"])? {
         0 => Idempotency::Idempotent,
--- a/crates/platform-settings/src/document.rs
+++ b/crates/platform-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The document as a whole.
+//! Reads the settings document.
 
 use crate::classes::class;
 use crate::keys;
@@ -7,7 +7,7 @@
 use policy::api::{Class, Plan, Settings, Span};
 use serde_json::Value;
 
-/// The platform's settings: those of the decision module, and what the program around it needs.
+/// The platform's settings: those of the decision module, and those of the program that hosts it.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformSettings {
     /// Settings of the decision module.
@@ -26,11 +26,11 @@
     pub zone_names: Vec<String>,
     /// Names of the machine types, by index (`machine-types`).
     pub machine_types: Vec<String>,
-    /// Time after which a connection that is not established counts as failed (`allowed.dial-timeout`).
+    /// Time after which the attempt to open a connection fails (`allowed.dial-timeout`).
     pub connect_timeout: Span,
     /// Time after which hosts close an idle connection (`allowed.conn-idle`).
     pub idle_timeout: Span,
-    /// Full names of the keys that this version does not know and skips.
+    /// Full names of the unknown keys, which are ignored.
     pub unknown_keys: Vec<String>,
 }
 
@@ -38,7 +38,8 @@
     /// Reads the document.
     ///
     /// # Errors
-    /// The first key that is missing, misspelt, of another type, or has a value by which no gateway can serve.
+    /// Reports the first key that is missing, misspelt, or has a value of the wrong type or one with which no gateway
+    /// could serve requests.
     pub fn parse(json: &Value) -> Result<PlatformSettings> {
         let mut unknown_keys = Vec::new();
         let document = Reader::new(json, "", keys::DOCUMENT, &mut unknown_keys)?;
@@ -69,7 +70,7 @@
     }
 }
 
-/// The objects that hold the settings of the gateway as a whole.
+/// The objects of the document that contain gateway-wide settings.
 struct Sections<'a> {
     document: &'a Reader<'a>,
     allowed: &'a Reader<'a>,
@@ -83,15 +84,16 @@
         let gateways = document.count("balancers")?;
         let gateway_index = document.count("me")?;
         if gateway_index >= gateways {
-            let reason = format!("is {gateway_index}, but `balancers` is {gateways}: they count from 0");
+            let reason =
+                format!("is {gateway_index}, but `balancers` is {gateways}: gateways are numbered from 0");
             return Err(document.invalid("me", reason));
         }
         let max_attempts = allowed.count("max-attempts")?;
         if max_attempts == 0 {
-            return Err(allowed.invalid("max-attempts", "is 0: no request would ever be sent"));
+            return Err(allowed.invalid("max-attempts", "is 0: no request could be forwarded"));
         }
         let has_counter = domain.boolean("shared-counter")?;
-        let may_advise = allowed.boolean("retry-after")?;
+        let may_send_retry_after = allowed.boolean("retry-after")?;
         Ok(Settings {
             gateways,
             gateway_index,
@@ -100,7 +102,7 @@
             plans,
             may_cancel: allowed.boolean("cancel")?,
             may_hedge: allowed.boolean("may-duplicate")?,
-            max_retry_after: if may_advise { Some(allowed.span("max-retry-after")?) } else { None },
+            max_retry_after: if may_send_retry_after { Some(allowed.span("max-retry-after")?) } else { None },
             max_attempts,
             has_counter,
             counter_timeout: if has_counter { domain.positive_span("counter-timeout")? } else { 0 },
@@ -116,13 +118,13 @@
 fn zone(document: &Reader, zones: usize) -> Result<u32> {
     let zone = document.count("zone")?;
     if zones > 0 && zone as usize >= zones {
-        let reason = format!("is {zone}, but `localities` names {zones} from 0");
+        let reason = format!("is {zone}, but `localities` names {zones} zones, numbered from 0");
         return Err(document.invalid("zone", reason));
     }
     Ok(zone)
 }
 
-/// Reads a list of at least one entry, each with a name of its own.
+/// Reads a list of at least one entry, each with a unique name.
 fn named_entries<'a>(
     document: &Reader<'a>,
     key: &'static str,
@@ -135,7 +137,7 @@
         entries.push(Reader::new(value, path, accepted, unknown_keys)?);
     }
     if entries.is_empty() {
-        return Err(document.invalid(key, "names none: nobody could be served"));
+        return Err(document.invalid(key, "is empty: no request could be served"));
     }
     let mut names = Vec::new();
     for entry in &entries {
@@ -144,7 +146,7 @@
             return Err(entry.invalid("name", "is empty"));
         }
         if names.contains(&name) {
-            return Err(entry.invalid("name", format!("is `{name}`, like that of an entry before it")));
+            return Err(entry.invalid("name", format!("is `{name}`, the name of an earlier entry")));
         }
         names.push(name);
     }
--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -1,6 +1,6 @@
-//! Why a settings document is rejected.
+//! Errors of a settings document.
 
-/// Why a settings document is rejected. Keys are full names such as `services[0].aim`.
+/// The reason why a settings document is rejected. Keys are full names such as `services[0].aim`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
@@ -10,7 +10,7 @@
     /// The document itself is not a JSON object.
     #[error("the settings are {found}, not an object")]
     NotAnObject {
-        /// The value, shortened.
+        /// The value, abbreviated.
         found: String,
     },
     /// A required key is missing.
@@ -19,30 +19,30 @@
         /// The key.
         key: String,
     },
-    /// A key is unknown and looks like a known one that is missing.
+    /// A key is unknown and similar to a known one that is missing.
     #[error("`{key}` is unknown: is `{suggestion}` meant?")]
     Unknown {
         /// The key.
         key: String,
-        /// The known key that it looks like.
+        /// The similar known key.
         suggestion: &'static str,
     },
-    /// A value has another type than its key expects.
+    /// A value has a different type than its key requires.
     #[error("`{key}` is {found}, not {expected}")]
     WrongType {
         /// The key.
         key: String,
-        /// The value, shortened.
+        /// The value, abbreviated.
         found: String,
-        /// What the key expects.
+        /// The expected type.
         expected: &'static str,
     },
-    /// A value has the right type, and no gateway can serve by it.
+    /// A value has the right type, but no gateway could serve requests with it.
     #[error("`{key}` {reason}")]
     Invalid {
         /// The key.
         key: String,
-        /// What is wrong with the value.
+        /// The defect of the value.
         reason: String,
     },
 }
--- a/crates/platform-settings/src/keys.rs
+++ b/crates/platform-settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! All keys that the platform's wire page names, by object: those that are read here and those that are not.
+//! All keys of the platform's wire protocol, by object: those that this crate reads and those that it ignores.
 
 /// Keys of the document itself.
 pub(crate) const DOCUMENT: &[&str] = &[
@@ -23,7 +23,7 @@
     "weights",
     "zone",
 ];
-/// Keys of `allowed`: what the platform allows a gateway to do.
+/// Keys of `allowed`: actions and limits that the platform allows a gateway.
 pub(crate) const ALLOWED: &[&str] = &[
     "cancel",
     "conn-idle",
@@ -42,7 +42,7 @@
 /// Keys of `domain`: quotas and the shared counter.
 pub(crate) const DOMAIN: &[&str] =
     &["count-fee", "counter-timeout", "metering", "peer-intake", "post-paid", "shared-counter", "units-top"];
-/// Keys of `rules`: the rules that a gateway is held to.
+/// Keys of `rules`: the rules that a gateway must follow.
 pub(crate) const RULES: &[&str] =
     &["answer-slack", "cold", "cold-share", "drain-grace", "fall", "fall-multiple", "must-ask-in"];
 /// Keys of `feedback`: the load reports of hosts.
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's settings document, checked and read into the decision module's terms.
+//! Checks the platform's settings document and converts it into settings of the decision module.
 //!
-//! [`PlatformSettings::parse`] reads the JSON document. A document that could serve no request, or that would lift a
-//! limit by a slip of the pen, is rejected with a [`SettingsError`] that names the key in full. Keys that this version
-//! does not know are skipped and listed, unless they look like a misspelt known key that is missing.
+//! [`PlatformSettings::parse`] reads the JSON document. A document with which no request could be served, or in which a
+//! typing error would remove a limit, is rejected with a [`SettingsError`] that contains the full name of the key. Keys
+//! that this version does not know are ignored and listed, unless they are similar to a known key that is missing.
 //!
 //! ```
 //! use platform_settings::{PlatformSettings, SettingsError};
@@ -12,8 +12,8 @@
 //! assert_eq!(error.to_string(), "`allowed` is missing");
 //! ```
 //!
-//! `document` reads the document as a whole, `classes` and `plans` its two lists, `reader` one JSON object key by key;
-//! `keys` lists the keys of the platform, and `error` says what can be wrong.
+//! `document` reads the document, `classes` and `plans` the entries of its two lists, and `reader` the keys of one JSON
+//! object; `keys` lists the keys of the platform, and `error` contains the error type.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
 
@@ -30,11 +30,11 @@
 use reader::Reader;
 use serde_json::Value;
 
-/// Returns the keys of an object that are not among the known ones, by their full names.
+/// Returns the full names of the keys of an object that are not among the known ones.
 ///
 /// # Errors
-/// [`SettingsError::Unknown`] for a key that looks like a known one that is missing: it is misspelt, and what it should
-/// have set would silently be left out. [`SettingsError::WrongType`] if the value is no object.
+/// [`SettingsError::Unknown`] for a key that is similar to a known one that is missing: it is probably misspelt, and
+/// the setting would silently be ignored. [`SettingsError::NotAnObject`] if the value is not an object.
 pub fn unknown_keys(object: &Value, accepted: &'static [&'static str]) -> Result<Vec<String>, SettingsError> {
     let mut unknown = Vec::new();
     Reader::new(object, "", accepted, &mut unknown)?;
--- a/crates/platform-settings/src/plans.rs
+++ b/crates/platform-settings/src/plans.rs
@@ -1,4 +1,4 @@
-//! An entry of `tariffs`: a customer's plan.
+//! Reads an entry of `tariffs`: a customer's plan.
 
 use crate::reader::{Reader, Result};
 use policy::api::Plan;
@@ -9,8 +9,8 @@
     let burst = tariff.number("burst")?;
     let ceiling_rate = tariff.number("ceiling-rate")?;
     let ceiling_burst = tariff.number("never-over-depth")?;
-    check_depth(tariff, "burst", rate, burst)?;
-    check_depth(tariff, "never-over-depth", ceiling_rate, ceiling_burst)?;
+    check_burst(tariff, "burst", rate, burst)?;
+    check_burst(tariff, "never-over-depth", ceiling_rate, ceiling_burst)?;
     Ok(Plan {
         rate,
         burst,
@@ -24,10 +24,11 @@
     })
 }
 
-/// A token bucket that refills has to hold something.
-fn check_depth(tariff: &Reader, key: &'static str, rate: f64, depth: f64) -> Result<()> {
-    if rate > 0.0 && depth == 0.0 {
-        return Err(tariff.invalid(key, "is 0 beside a rate: a store of no depth lets nothing through"));
+/// Checks that a token bucket with a rate has a capacity.
+fn check_burst(tariff: &Reader, key: &'static str, rate: f64, burst: f64) -> Result<()> {
+    if rate > 0.0 && burst == 0.0 {
+        return Err(tariff
+            .invalid(key, "is 0 although the rate is not: a token bucket without capacity admits nothing"));
     }
     Ok(())
 }
--- a/crates/platform-settings/src/reader.rs
+++ b/crates/platform-settings/src/reader.rs
@@ -1,17 +1,18 @@
-//! Reads one JSON object key by key. What is missing, misspelt or of another type is an error that names the key in full.
+//! Reads the keys of one JSON object. A key that is missing or misspelt, or has a value of the wrong type, is an error
+//! that contains its full name.
 
 use crate::SettingsError;
 use policy::api::Span;
 use serde_json::{Map, Value};
 
-/// Shortest span that is not zero, in nanoseconds: a shorter one means that another unit was meant.
+/// Shortest span other than zero, in nanoseconds: a shorter one is probably in another unit.
 const MIN_SPAN: Span = 1_000_000;
 /// Spans at or above this do not fit into 64 bits, in nanoseconds.
 const SPAN_LIMIT: f64 = 1.8e19;
-/// Keys that differ by at most this many letters are taken for one of them misspelt.
-const MAX_TYPOS: usize = 2;
-/// Longest text that an error message shows, in characters.
-const MAX_SHOWN: usize = 40;
+/// Maximum edit distance at which an unknown key is considered a misspelt known one.
+const MAX_EDIT_DISTANCE: usize = 2;
+/// Maximum length of a string in an error message, in characters.
+const MAX_STRING_IN_MESSAGE: usize = 40;
 
 pub(crate) type Result<T> = std::result::Result<T, SettingsError>;
 
@@ -23,8 +24,9 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Opens the object at a path (empty for the document itself). A key that is not known is rejected if it looks like
-    /// a known one that is missing, and else added to `unknown_keys`: the platform may come to send more than is read.
+    /// Opens the object at a path (empty for the document itself). An unknown key is rejected if it is similar
+    /// to a known one that is missing, and otherwise added to `unknown_keys`: later versions of the platform may send
+    /// additional keys.
     pub fn new(
         value: &'a Value,
         path: impl Into<String>,
@@ -43,12 +45,12 @@
         Ok(reader)
     }
 
-    /// The known key that a key is probably meant to be, if that one is missing.
+    /// Returns the most similar of the known keys that are missing, if one is similar enough.
     fn similar_missing_key(&self, key: &str) -> Option<&'static str> {
         let missing = self.accepted.iter().filter(|accepted| !self.object.contains_key(**accepted));
         let by_distance = missing.map(|accepted| (strsim::osa_distance(key, accepted), *accepted));
         let similar =
-            by_distance.filter(|(distance, accepted)| *distance <= MAX_TYPOS.min(accepted.len() / 2));
+            by_distance.filter(|(distance, accepted)| *distance <= MAX_EDIT_DISTANCE.min(accepted.len() / 2));
         similar.min().map(|(_, accepted)| accepted)
     }
 
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The error of a key whose value no gateway can serve by.
+    /// Returns the error for a key with a value with which no gateway could serve requests.
     pub fn invalid(&self, key: &str, reason: impl Into<String>) -> SettingsError {
         SettingsError::Invalid { key: self.full_name(key), reason: reason.into() }
     }
@@ -83,7 +85,7 @@
     /// Returns a number that is not negative.
     pub fn number(&self, key: &str) -> Result<f64> {
         let number = |value: &Value| value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
-        self.read(key, "a number from 0 up", number)
+        self.read(key, "a number of at least 0", number)
     }
 
     /// Returns a number that is not negative, or 0 if the key is absent.
@@ -94,7 +96,7 @@
     /// Returns a number from 0 to 1.
     pub fn fraction(&self, key: &str) -> Result<f64> {
         let fraction = |value: &Value| value.as_f64().filter(|number| (0.0..=1.0).contains(number));
-        self.read(key, "a share from 0 to 1", fraction)
+        self.read(key, "a fraction from 0 to 1", fraction)
     }
 
     /// Returns a number without a fractional part.
@@ -104,17 +106,17 @@
             let number = integer(value).filter(|number| *number <= f64::from(u32::MAX))?;
             Some(number as u32)
         };
-        self.read(key, "a whole number", count)
+        self.read(key, "an integer from 0 to 4294967295", count)
     }
 
-    /// Returns a span, in nanoseconds: zero, or one that a figure in another unit would not reach.
+    /// Returns a span, in nanoseconds: zero, or at least [`MIN_SPAN`], which a number in another unit would not reach.
     pub fn span(&self, key: &str) -> Result<Span> {
         let nanoseconds = |value: &Value| {
             value.as_f64().filter(|number| number.fract() == 0.0 && (0.0..SPAN_LIMIT).contains(number))
         };
-        let span = self.read(key, "whole nanoseconds", nanoseconds)? as Span;
+        let span = self.read(key, "an integer number of nanoseconds", nanoseconds)? as Span;
         if span > 0 && span < MIN_SPAN {
-            let reason = format!("is {span}: times are nanoseconds, and none is under {MIN_SPAN}");
+            let reason = format!("is {span}: times are in nanoseconds, and the shortest is {MIN_SPAN}");
             return Err(self.invalid(key, reason));
         }
         Ok(span)
@@ -123,22 +125,20 @@
     /// Returns a span above zero, in nanoseconds.
     pub fn positive_span(&self, key: &str) -> Result<Span> {
         match self.span(key)? {
-            0 => Err(self.invalid(key, "is 0, which leaves no time at all")),
+            0 => Err(self.invalid(key, "is 0, but has to be above 0")),
             span => Ok(span),
         }
     }
 
-    /// Returns true or false.
     pub fn boolean(&self, key: &str) -> Result<bool> {
         self.read(key, "true or false", Value::as_bool)
     }
 
-    /// Returns a text of any length.
     pub fn text(&self, key: &str) -> Result<&'a str> {
-        self.read(key, "a text", Value::as_str)
+        self.read(key, "a string", Value::as_str)
     }
 
-    /// Returns the index of a text among the allowed ones.
+    /// Returns the index of a string among the allowed ones.
     pub fn one_of(&self, key: &str, allowed: &[&str]) -> Result<usize> {
         let text = self.text(key)?;
         let index = allowed.iter().position(|candidate| *candidate == text);
@@ -147,21 +147,21 @@
         })
     }
 
-    /// Returns the entries of a list with their paths; none if the key is absent.
+    /// Returns the entries of an array with their paths; none if the key is absent.
     pub fn list(&self, key: &str) -> Result<Vec<(String, &'a Value)>> {
         if self.optional(key).is_none() {
             return Ok(Vec::new());
         }
-        let list = self.read(key, "a list", Value::as_array)?;
+        let list = self.read(key, "an array", Value::as_array)?;
         let path = |index: usize| format!("{}[{index}]", self.full_name(key));
         Ok(list.iter().enumerate().map(|(index, value)| (path(index), value)).collect())
     }
 
-    /// Returns the entries of a list of texts.
+    /// Returns the entries of an array of strings.
     pub fn texts(&self, key: &str) -> Result<Vec<String>> {
         let text = |(path, value): (String, &Value)| match value.as_str() {
             Some(text) => Ok(text.to_owned()),
-            None => Err(wrong_type(path, value, "a text")),
+            None => Err(wrong_type(path, value, "a string")),
         };
         self.list(key)?.into_iter().map(text).collect()
     }
@@ -179,22 +179,22 @@
 
 fn not_an_object(path: String, value: &Value) -> SettingsError {
     if path.is_empty() {
-        SettingsError::NotAnObject { found: shown(value) }
+        SettingsError::NotAnObject { found: abbreviated(value) }
     } else {
         wrong_type(path, value, "an object")
     }
 }
 
 fn wrong_type(key: String, value: &Value, expected: &'static str) -> SettingsError {
-    SettingsError::WrongType { key, found: shown(value), expected }
+    SettingsError::WrongType { key, found: abbreviated(value), expected }
 }
 
-/// A value as an error message shows it, shortened.
-fn shown(value: &Value) -> String {
+/// Returns a value in the form that an error message shows, abbreviated.
+fn abbreviated(value: &Value) -> String {
     match value {
         Value::Object(_) => "an object".into(),
-        Value::Array(_) => "a list".into(),
-        Value::String(text) if text.chars().count() > MAX_SHOWN => "a long text".into(),
+        Value::Array(_) => "an array".into(),
+        Value::String(text) if text.chars().count() > MAX_STRING_IN_MESSAGE => "a long string".into(),
         other => other.to_string(),
     }
 }
--- a/crates/platform-settings/tests/invalid_settings.rs
+++ b/crates/platform-settings/tests/invalid_settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used: each is rejected with one message that names the key.
+//! Invalid settings are rejected with a one-line message that names the key.
 
 use platform_settings::PlatformSettings;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
     serde_json::from_str::<Value>(document).unwrap()["settings"].take()
 }
 
-/// The example with the value at a pointer replaced, or taken away.
+/// Returns the example with the value at a JSON pointer replaced or removed.
 fn with(pointer: &str, value: Option<Value>) -> Value {
     let mut settings = example();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
@@ -17,7 +17,7 @@
     match (parent, value) {
         (Value::Object(object), Some(value)) => drop(object.insert(key.into(), value)),
         (Value::Object(object), None) => {
-            assert!(object.remove(key).is_some(), "no {pointer} to take away");
+            assert!(object.remove(key).is_some(), "no {pointer} to remove");
         }
         (Value::Array(list), Some(value)) => list[key.parse::<usize>().unwrap()] = value,
         (other, _) => panic!("{pointer} is in {other}"),
@@ -27,18 +27,18 @@
 
 fn rejection(settings: &Value) -> String {
     match PlatformSettings::parse(settings) {
-        Ok(_) => panic!("taken: {settings}"),
+        Ok(_) => panic!("accepted: {settings}"),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn the_example_is_accepted_without_unknown_keys() {
+fn accepts_the_example_without_unknown_keys() {
     assert_eq!(PlatformSettings::parse(&example()).unwrap().unknown_keys, Vec::<String>::new());
 }
 
 #[test]
-fn a_missing_key_is_named() {
+fn rejects_a_missing_key_by_its_full_name() {
     for (pointer, named) in [
         ("/allowed", "`allowed`"),
         ("/domain", "`domain`"),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_wrong_value_is_named_with_the_reason() {
+fn rejects_an_invalid_value_with_the_key_and_the_reason() {
     let keyed = json!({"name": "hold", "semantics": "keyed", "dedup-scope": "house", "key-ttl": 5_000_000_000u64,
         "aim": 500_000_000, "hard-limit": 900_000_000, "worth": 1.0, "late-worth": 0.0, "stream": false});
     let without_ttl = {
@@ -102,55 +102,55 @@
         class
     };
     for (pointer, value, message) in [
-        ("/balancers", json!(0), "`me` is 0, but `balancers` is 0: they count from 0"),
-        ("/balancers", json!(1.5), "`balancers` is 1.5, not a whole number"),
-        ("/balancers", json!(1e12), "`balancers` is 1000000000000.0, not a whole number"),
-        ("/me", json!(3), "`me` is 3, but `balancers` is 3: they count from 0"),
-        ("/zone", json!(3), "`zone` is 3, but `localities` names 3 from 0"),
-        ("/zone", json!(-1), "`zone` is -1, not a whole number"),
-        ("/localities", json!("a"), "`localities` is \"a\", not a list"),
-        ("/localities/1", json!(2), "`localities[1]` is 2, not a text"),
+        ("/balancers", json!(0), "`me` is 0, but `balancers` is 0: gateways are numbered from 0"),
+        ("/balancers", json!(1.5), "`balancers` is 1.5, not an integer from 0 to 4294967295"),
+        ("/balancers", json!(1e12), "`balancers` is 1000000000000.0, not an integer from 0 to 4294967295"),
+        ("/me", json!(3), "`me` is 3, but `balancers` is 3: gateways are numbered from 0"),
+        ("/zone", json!(3), "`zone` is 3, but `localities` names 3 zones, numbered from 0"),
+        ("/zone", json!(-1), "`zone` is -1, not an integer from 0 to 4294967295"),
+        ("/localities", json!("a"), "`localities` is \"a\", not an array"),
+        ("/localities/1", json!(2), "`localities[1]` is 2, not a string"),
         (
             "/discovery",
             json!("automatc"),
             "`discovery` is `automatc`, which is none of `automatic`, `subscribe`",
         ),
-        ("/allowed", json!([]), "`allowed` is a list, not an object"),
-        ("/allowed/max-attempts", json!(0), "`allowed.max-attempts` is 0: no request would ever be sent"),
-        ("/allowed/dial-timeout", json!(0), "`allowed.dial-timeout` is 0, which leaves no time at all"),
+        ("/allowed", json!([]), "`allowed` is an array, not an object"),
+        ("/allowed/max-attempts", json!(0), "`allowed.max-attempts` is 0: no request could be forwarded"),
+        ("/allowed/dial-timeout", json!(0), "`allowed.dial-timeout` is 0, but has to be above 0"),
         (
             "/allowed/dial-timeout",
             json!(250),
-            "`allowed.dial-timeout` is 250: times are nanoseconds, and none is under 1000000",
+            "`allowed.dial-timeout` is 250: times are in nanoseconds, and the shortest is 1000000",
         ),
-        ("/allowed/conn-idle", json!("12 s"), "`allowed.conn-idle` is \"12 s\", not whole nanoseconds"),
+        ("/allowed/conn-idle", json!("12 s"), "`allowed.conn-idle` is \"12 s\", not an integer number of nanoseconds"),
         (
             "/allowed/conn-idle",
             json!(12_000_000.5),
-            "`allowed.conn-idle` is 12000000.5, not whole nanoseconds",
+            "`allowed.conn-idle` is 12000000.5, not an integer number of nanoseconds",
         ),
         (
             "/allowed/conn-idle",
             json!(u64::MAX),
-            "`allowed.conn-idle` is 18446744073709551615, not whole nanoseconds",
+            "`allowed.conn-idle` is 18446744073709551615, not an integer number of nanoseconds",
         ),
         ("/allowed/retry-after", json!(1), "`allowed.retry-after` is 1, not true or false"),
-        ("/domain/counter-timeout", json!(0), "`domain.counter-timeout` is 0, which leaves no time at all"),
+        ("/domain/counter-timeout", json!(0), "`domain.counter-timeout` is 0, but has to be above 0"),
         (
             "/domain/counter-timeout",
             json!(50),
-            "`domain.counter-timeout` is 50: times are nanoseconds, and none is under 1000000",
+            "`domain.counter-timeout` is 50: times are in nanoseconds, and the shortest is 1000000",
         ),
-        ("/domain/units-top", json!(-6.0), "`domain.units-top` is -6.0, not a number from 0 up"),
-        ("/rules/cold-share", json!(1.5), "`rules.cold-share` is 1.5, not a share from 0 to 1"),
-        ("/services", json!([]), "`services` names none: nobody could be served"),
-        ("/services", json!({}), "`services` is an object, not a list"),
+        ("/domain/units-top", json!(-6.0), "`domain.units-top` is -6.0, not a number of at least 0"),
+        ("/rules/cold-share", json!(1.5), "`rules.cold-share` is 1.5, not a fraction from 0 to 1"),
+        ("/services", json!([]), "`services` is empty: no request could be served"),
+        ("/services", json!({}), "`services` is an object, not an array"),
         ("/services/0", json!(3), "`services[0]` is 3, not an object"),
         ("/services/0/name", json!(""), "`services[0].name` is empty"),
         (
             "/services/1/name",
             json!("price-read"),
-            "`services[1].name` is `price-read`, like that of an entry before it",
+            "`services[1].name` is `price-read`, the name of an earlier entry",
         ),
         (
             "/services/0/semantics",
@@ -162,42 +162,42 @@
             keyed,
             "`services[0].dedup-scope` is `house`, which is none of `all`, `zone`, `cell`",
         ),
-        ("/services/0", without_ttl, "`services[0].key-ttl` is 0, which leaves no time at all"),
-        ("/services/0/aim", json!(0), "`services[0].aim` is 0, which leaves no time at all"),
+        ("/services/0", without_ttl, "`services[0].key-ttl` is 0, but has to be above 0"),
+        ("/services/0/aim", json!(0), "`services[0].aim` is 0, but has to be above 0"),
         (
             "/services/0/aim",
             json!(500),
-            "`services[0].aim` is 500: times are nanoseconds, and none is under 1000000",
+            "`services[0].aim` is 500: times are in nanoseconds, and the shortest is 1000000",
         ),
         (
             "/services/0/hard-limit",
             json!(400_000_000),
-            "`services[0].aim` is 500000000, beyond `hard-limit` 400000000: no answer could come in time",
+            "`services[0].aim` is 500000000, which exceeds `hard-limit` 400000000, the deadline of requests",
         ),
-        ("/services/0/late-worth", json!(20), "`services[0].late-worth` is 20, not a share from 0 to 1"),
-        ("/services/0/worth", json!("2"), "`services[0].worth` is \"2\", not a number from 0 up"),
-        ("/tariffs", json!([]), "`tariffs` names none: nobody could be served"),
-        ("/tariffs/1/refill", json!("30/s"), "`tariffs[1].refill` is \"30/s\", not a number from 0 up"),
-        ("/tariffs/1/refill", json!(-30.0), "`tariffs[1].refill` is -30.0, not a number from 0 up"),
+        ("/services/0/late-worth", json!(20), "`services[0].late-worth` is 20, not a fraction from 0 to 1"),
+        ("/services/0/worth", json!("2"), "`services[0].worth` is \"2\", not a number of at least 0"),
+        ("/tariffs", json!([]), "`tariffs` is empty: no request could be served"),
+        ("/tariffs/1/refill", json!("30/s"), "`tariffs[1].refill` is \"30/s\", not a number of at least 0"),
+        ("/tariffs/1/refill", json!(-30.0), "`tariffs[1].refill` is -30.0, not a number of at least 0"),
         (
             "/tariffs/1/burst",
             json!(0.0),
-            "`tariffs[1].burst` is 0 beside a rate: a store of no depth lets nothing through",
+            "`tariffs[1].burst` is 0 although the rate is not: a token bucket without capacity admits nothing",
         ),
         (
             "/tariffs/1/ceiling-rate",
             json!(40.0),
-            "`tariffs[1].never-over-depth` is 0 beside a rate: a store of no depth lets nothing through",
+            "`tariffs[1].never-over-depth` is 0 although the rate is not: a token bucket without capacity admits nothing",
         ),
-        ("/tariffs/0/concurrency", json!(2.5), "`tariffs[0].concurrency` is 2.5, not a whole number"),
-        ("/feedback/fields", json!([1]), "`feedback.fields[0]` is 1, not a text"),
+        ("/tariffs/0/concurrency", json!(2.5), "`tariffs[0].concurrency` is 2.5, not an integer from 0 to 4294967295"),
+        ("/feedback/fields", json!([1]), "`feedback.fields[0]` is 1, not a string"),
     ] {
         assert_eq!(rejection(&with(pointer, Some(value.clone()))), message, "{pointer} = {value}");
     }
 }
 
 #[test]
-fn a_misspelt_key_is_rejected_and_an_unknown_one_listed() {
+fn rejects_a_misspelt_key_and_lists_an_unknown_one() {
     for (pointer, misspelt, message) in [
         ("/balancers", "balancer", "`balancer` is unknown: is `balancers` meant?"),
         (
@@ -220,14 +220,14 @@
 }
 
 #[test]
-fn without_a_counter_its_timeout_is_not_required() {
+fn does_not_require_the_counter_timeout_without_a_counter() {
     let mut settings = with("/domain/shared-counter", Some(json!(false)));
     settings["domain"].as_object_mut().unwrap().remove("counter-timeout");
     assert_eq!(PlatformSettings::parse(&settings).unwrap().settings.counter_timeout, 0);
 }
 
-/// Any value, some levels deep.
-fn anything() -> impl Strategy<Value = Value> {
+/// Returns a strategy for arbitrary JSON values, nested up to three levels.
+fn arbitrary_value() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -244,29 +244,29 @@
     })
 }
 
-/// Every place in a document, as pointers.
-fn places(value: &Value, at: &str, into: &mut Vec<String>) {
-    let inner: Vec<(String, &Value)> = match value {
+/// Collects the JSON pointers to all values of a document.
+fn collect_pointers(value: &Value, parent: &str, pointers: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
         Value::Object(object) => object.iter().map(|(key, value)| (key.clone(), value)).collect(),
         Value::Array(list) => list.iter().enumerate().map(|(i, value)| (i.to_string(), value)).collect(),
         _ => Vec::new(),
     };
-    for (key, value) in inner {
-        let here = format!("{at}/{key}");
-        places(value, &here, into);
-        into.push(here);
+    for (key, value) in children {
+        let pointer = format!("{parent}/{key}");
+        collect_pointers(value, &pointer, pointers);
+        pointers.push(pointer);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever stands anywhere is taken or refused in one short line that names a key.
+    /// An arbitrary value at an arbitrary position is accepted, or rejected with one short line that names a key.
     #[test]
-    fn nothing_written_anywhere_is_a_panic(place in any::<prop::sample::Index>(), value in anything()) {
-        let mut all = Vec::new();
-        places(&example(), "", &mut all);
-        let settings = with(&all[place.index(all.len())], Some(value));
+    fn an_arbitrary_value_is_accepted_or_rejected_without_a_panic(position in any::<prop::sample::Index>(), value in arbitrary_value()) {
+        let mut pointers = Vec::new();
+        collect_pointers(&example(), "", &mut pointers);
+        let settings = with(&pointers[position.index(pointers.len())], Some(value));
         if let Err(error) = PlatformSettings::parse(&settings) {
             let message = error.to_string();
             prop_assert!(message.starts_with('`') && message.len() < 300, "{}", message);
