--- a/crates/resp/src/decode.rs
+++ b/crates/resp/src/decode.rs
@@ -1,4 +1,4 @@
-//! Reads bytes from a peer and takes complete frames off the buffer.
+//! Reads bytes from a peer and removes complete frames from the buffer.
 
 use crate::{Frame, RespError, MAX_FRAME, MAX_VALUE};
 use bytes::{Buf, Bytes, BytesMut};
@@ -10,17 +10,18 @@
 const MAX_ITEMS: usize = 16;
 /// Bytes of free capacity to read into.
 const READ_CAPACITY: usize = 4 * 1024;
-/// Frames below this length, in bytes, are copied: a slice would keep the complete read buffer alive.
+/// Minimum length, in bytes, of a frame that is a slice of the read buffer. Shorter frames are copied, since a slice
+/// would keep the complete buffer alive.
 const MIN_SHARED: usize = 1024;
-/// An empty read buffer beyond this capacity is released.
+/// Maximum capacity, in bytes, that an empty read buffer keeps.
 const MAX_IDLE_CAPACITY: usize = 4 * READ_CAPACITY;
-/// The length of a missing value or array.
+/// The length in the header of a null value or array.
 const NULL_LENGTH: i64 = -1;
 
-/// Reads the available bytes of a peer into the buffer, waiting for the first of them.
+/// Reads the available bytes of a peer into the buffer; waits until there is at least one.
 ///
 /// # Errors
-/// [`RespError::Closed`] at the end of the stream, [`RespError::Io`] where reading fails.
+/// [`RespError::Closed`] at the end of the stream, [`RespError::Io`] if reading fails.
 pub async fn fill<R: AsyncRead + Unpin>(from: &mut R, buffer: &mut BytesMut) -> Result<(), RespError> {
     buffer.reserve(READ_CAPACITY);
     match from.read_buf(buffer).await? {
@@ -29,10 +30,10 @@
     }
 }
 
-/// Takes the first complete frame off the buffer; `None` if more bytes are needed.
+/// Removes the first complete frame from the buffer and returns it; `None` if more bytes are needed.
 ///
 /// # Errors
-/// [`RespError::Malformed`] or [`RespError::TooLong`]; the stream cannot be followed any further then.
+/// [`RespError::Malformed`] or [`RespError::TooLong`]; the rest of the stream cannot be decoded after either.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, RespError> {
     let mut scanner = Scanner { buffer, position: 0 };
     let Some(parsed) = scanner.frame()? else { return Ok(None) };
@@ -41,7 +42,7 @@
     Ok(Some(parsed.into_frame(&bytes)))
 }
 
-/// Takes the first bytes off the buffer.
+/// Removes the first bytes from the buffer and returns them.
 fn take(buffer: &mut BytesMut, count: usize) -> Bytes {
     if count >= MIN_SHARED {
         return buffer.split_to(count).freeze();
@@ -54,7 +55,7 @@
     bytes
 }
 
-/// A decoded frame whose contents still lie in the buffer.
+/// A parsed frame whose contents are still in the buffer.
 enum ParsedFrame {
     Item(Item),
     Array(Vec<Item>),
@@ -82,7 +83,7 @@
     Null,
 }
 
-/// An item by the place of its content in the buffer.
+/// An item, with the position of its content in the buffer.
 struct Item {
     kind: ItemKind,
     start: usize,
@@ -102,13 +103,13 @@
     }
 }
 
-/// The place of a line in the buffer, without its end.
+/// The position of a line in the buffer, without its terminator.
 struct Line {
     start: usize,
     end: usize,
 }
 
-/// Goes through the buffer without changing it. Each method returns `None` if more bytes are needed.
+/// Parses the buffer without modifying it. Each method returns `None` if more bytes are needed.
 struct Scanner<'a> {
     buffer: &'a [u8],
     position: usize,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// The bulk string that a header line announces.
+    /// Parses the bulk string that follows this header line.
     fn bulk(&mut self, header: &Line) -> Result<Option<Item>, RespError> {
         let length = match self.length_in(header)? {
             NULL_LENGTH => {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// The next line, with the byte of its frame type.
+    /// Parses the next line; it includes the byte of its frame type.
     fn line(&mut self) -> Result<Option<Line>, RespError> {
         let rest = &self.buffer[self.position..];
         let Some(length) = rest.iter().take(MAX_LINE).position(|byte| *byte == b'\r') else {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The length in a header line, behind the byte of its frame type.
+    /// Returns the length in a header line, which follows the byte of its frame type.
     fn length_in(&self, header: &Line) -> Result<i64, RespError> {
         let digits = &self.buffer[header.start + 1..header.end];
         let text = std::str::from_utf8(digits).ok().filter(|text| !text.starts_with('+'));
--- a/crates/resp/src/encode.rs
+++ b/crates/resp/src/encode.rs
@@ -2,12 +2,12 @@
 
 use bytes::{BufMut, BytesMut};
 
-/// Appends the line before the items of an array.
+/// Appends the header line of an array of `count` items.
 pub fn encode_array_header(out: &mut BytesMut, count: usize) {
     encode_header(out, b'*', count);
 }
 
-/// Appends the line before the bytes of a bulk string.
+/// Appends the header line of a bulk string of `length` bytes.
 pub fn encode_bulk_header(out: &mut BytesMut, length: usize) {
     encode_header(out, b'$', length);
 }
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -1,8 +1,8 @@
-//! What can go wrong with the bytes of a peer.
+//! Errors of reading frames from a peer.
 
 use std::io;
 
-/// Why no frame could be read from a peer.
+/// The reason why no frame could be read from a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum RespError {
     /// Reading or writing failed.
@@ -14,7 +14,7 @@
     /// The named part of a frame cannot be decoded.
     #[error("malformed {0}")]
     Malformed(&'static str),
-    /// The named part of a frame exceeds its bound.
+    /// The named part of a frame exceeds its maximum length.
     #[error("too long a {0}")]
     TooLong(&'static str),
 }
--- a/crates/resp/src/frame.rs
+++ b/crates/resp/src/frame.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-/// One frame. An array holds no arrays.
+/// One frame. The items of an array are not arrays.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
     /// `+`: a status line.
@@ -11,9 +11,9 @@
     Error(Bytes),
     /// `:`: the digits of a number as the peer wrote them.
     Integer(Bytes),
-    /// `$`: a value of any bytes.
+    /// `$`: a value of arbitrary bytes.
     Bulk(Bytes),
-    /// `$-1` or `*-1`: a missing value or array.
+    /// `$-1` or `*-1`: a null value or array.
     Null,
     /// `*`: several frames of the other kinds.
     Array(Vec<Frame>),
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,10 +1,11 @@
 //! A bounded reader and writer of RESP2, the protocol of clients, hosts and the counter service.
 //!
-//! Only flat frames are decoded: an array holds no arrays. So neither nesting nor the counts and lengths that a peer
-//! claims can cost more memory or stack than the bytes it has sent. (The usual crate recurses into nested arrays without
-//! a bound; a few kilobytes of `*1` overflow its stack.) Long values are slices of the read buffer, not copies.
+//! Only flat frames are decoded: the items of an array are not arrays. Neither nesting nor the counts and lengths that
+//! a peer declares can therefore cost more memory or stack than the bytes it has sent. (The usual crate recurses into
+//! nested arrays without a limit; a few kilobytes of `*1` overflow its stack.) Long values are slices of the read
+//! buffer, not copies.
 //!
-//! [`fill`] reads into a buffer, [`decode`] takes complete frames off it, and the `encode` functions append to one:
+//! [`fill`] reads into a buffer, [`decode`] removes complete frames from it, and the `encode` functions append to one:
 //!
 //! ```
 //! use bytes::BytesMut;
@@ -18,7 +19,7 @@
 //! assert_eq!(decode(&mut buffer).expect("no error"), None, "more bytes are needed");
 //! ```
 //!
-//! `error` and `frame` hold the types, `decode` and `encode` the two directions.
+//! `error` and `frame` define the types, `decode` and `encode` read and write frames.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
 
@@ -36,5 +37,5 @@
 
 /// Maximum length of a value, in bytes.
 pub const MAX_VALUE: usize = 64 * 1024;
-/// Maximum length of a frame, in bytes: a value, and space for the other items.
+/// Maximum length of a frame, in bytes: one value of the maximum length, and space for the other items.
 pub const MAX_FRAME: usize = MAX_VALUE + 4 * 1024;
--- a/crates/resp/src/tests.rs
+++ b/crates/resp/src/tests.rs
@@ -10,11 +10,11 @@
 
 #[test]
 fn frames_of_every_kind_are_decoded() {
-    let mut buf = BytesMut::from(
+    let mut buffer = BytesMut::from(
         &b"+OK\r\n-BUSY 5\r\n:7\r\n$2\r\nhi\r\n$-1\r\n*2\r\n$0\r\n\r\n$-1\r\n*-1\r\n*0\r\n"[..],
     );
     let text = Bytes::from_static;
-    for wanted in [
+    for expected in [
         Frame::Simple(text(b"OK")),
         Frame::Error(text(b"BUSY 5")),
         Frame::Integer(text(b"7")),
@@ -24,13 +24,13 @@
         Frame::Null,
         Frame::Array(vec![]),
     ] {
-        assert_eq!(decode(&mut buf).unwrap(), Some(wanted));
+        assert_eq!(decode(&mut buffer).unwrap(), Some(expected));
     }
-    assert!(buf.is_empty());
+    assert!(buffer.is_empty());
 }
 
 #[test]
-fn lengths_and_counts_beyond_the_bounds_are_rejected() {
+fn lengths_and_counts_that_are_malformed_or_exceed_their_maximum_are_rejected() {
     let long = format!("+{}", "x".repeat(MAX_LINE));
     let nested = "*1\r\n".repeat(20_000);
     let many_values = format!("*2\r\n$65536\r\n{}\r\n$65536\r\n", "x".repeat(MAX_VALUE));
@@ -43,24 +43,24 @@
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn a_command_decodes_alike_however_it_is_fragmented(
+    fn a_command_in_two_fragments_is_decoded_when_the_second_arrives(
         words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..6),
-        cut in 0usize..2000,
+        split_at in 0usize..2000,
     ) {
         let mut text = BytesMut::new();
         encode_array_header(&mut text, words.len());
         words.iter().for_each(|word| encode_bulk(&mut text, word));
-        let cut = cut.min(text.len() - 1);
-        let mut buf = BytesMut::from(&text[..cut]);
-        prop_assert_eq!(decode(&mut buf).unwrap(), None);
-        buf.extend_from_slice(&text[cut..]);
-        let wanted = Frame::Array(words.iter().map(|word| bulk(word)).collect());
-        prop_assert_eq!(decode(&mut buf).unwrap(), Some(wanted));
+        let split_at = split_at.min(text.len() - 1);
+        let mut buffer = BytesMut::from(&text[..split_at]);
+        prop_assert_eq!(decode(&mut buffer).unwrap(), None);
+        buffer.extend_from_slice(&text[split_at..]);
+        let expected = Frame::Array(words.iter().map(|word| bulk(word)).collect());
+        prop_assert_eq!(decode(&mut buffer).unwrap(), Some(expected));
     }
 
     #[test]
     fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut buf = BytesMut::from(&bytes[..]);
-        while let Ok(Some(_)) = decode(&mut buf) {}
+        let mut buffer = BytesMut::from(&bytes[..]);
+        while let Ok(Some(_)) = decode(&mut buffer) {}
     }
 }
