--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,8 +1,8 @@
-//! Clock, timers, tasks and streams as traits, and the operating system's behind them.
+//! Traits for clock, timers, tasks and streams, and their implementation on the operating system.
 //!
-//! All code that talks to peers is generic over [`Env`], so that the same code serves on sockets ([`SystemEnv`]) and on a
-//! simulated network in virtual time. Dispatch is static and costs nothing on sockets. The environment is the only source
-//! of time; random seeds come with the configuration.
+//! All code that talks to peers is generic over [`Env`], so that the same code runs on sockets ([`SystemEnv`]) and on a
+//! simulated network in virtual time. Dispatch is static and has no cost on sockets. The environment is the only source
+//! of time; random seeds are part of the configuration.
 //!
 //! ```
 //! use runtime::{Elapsed, Env, SystemEnv};
@@ -15,7 +15,7 @@
 //! # });
 //! ```
 //!
-//! This file holds the traits, `system` their implementation on tokio's sockets and timers.
+//! This file defines the traits, `system` implements them on tokio's sockets and timers.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
 
@@ -41,7 +41,7 @@
 
 impl std::fmt::Display for Elapsed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("time is over")
+        f.write_str("timed out")
     }
 }
 
@@ -67,13 +67,13 @@
     /// Returns the current time.
     fn now(&self) -> Time;
 
-    /// Returns a timer that expires at `at`, or at once if that has passed.
+    /// Returns a timer that expires at `at`, or immediately if that time has passed.
     fn sleep_until(&self, at: Time) -> Self::Sleep;
 
-    /// Spawns a task, which continues when the handle is dropped.
+    /// Spawns a task, which keeps running when the handle is dropped.
     fn spawn<F: Future<Output = ()> + Send + 'static>(&self, task: F) -> Self::Task;
 
-    /// Opens a connection, without a timeout of its own.
+    /// Opens a connection. The caller limits the time for it.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 
     /// Listens on this address only; port 0 selects a free port.
@@ -93,7 +93,7 @@
         within(self.sleep(span), future)
     }
 
-    /// Awaits a future until `at` at the latest.
+    /// Awaits a future no later than `at`.
     fn timeout_at<F: Future + Send>(
         &self,
         at: Time,
@@ -122,15 +122,15 @@
 
 /// A handle to a spawned task.
 pub trait Task: Send + Sync + 'static {
-    /// Cancels the task at its next await point: its state is dropped and its connections close.
+    /// Cancels the task at its next await point: its state is dropped, which closes its connections.
     fn abort(&self);
 }
 
-/// A connection in both directions.
+/// A bidirectional connection.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static {
     /// The receiving half.
     type Reader: Reader;
-    /// The sending half; dropping it ends the sending direction.
+    /// The sending half; dropping it closes the sending direction.
     type Writer: Writer;
 
     /// Splits the connection into its halves.
@@ -149,11 +149,11 @@
 
 /// The sending half of a connection.
 pub trait Writer: AsyncWrite + Unpin + Send + 'static {
-    /// Returns whether neither bytes nor the end of the connection wait to be read. Asks the operating system, which may
-    /// know of input that the runtime has not been notified of.
+    /// Returns whether neither bytes nor the end of the stream are waiting to be read. Queries the operating system,
+    /// which may have received input that the runtime has not been notified of.
     fn has_no_unread_input(&self) -> bool;
 
-    /// Resets the connection at once; data in flight may be lost.
+    /// Resets the connection immediately; data in flight may be lost.
     fn reset(self);
 }
 
--- a/crates/runtime/src/system.rs
+++ b/crates/runtime/src/system.rs
@@ -13,11 +13,11 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::Instant;
 
-/// Size of the send buffer, in bytes: for a peer that does not read, the system would buffer megabytes otherwise.
+/// Size of the send buffer, in bytes; by default the system buffers megabytes for a peer that does not read.
 const SEND_BUFFER: u32 = 128 * 1024;
 
-/// The operating system's environment. Its clock starts at Unix time, so that times of other machines compare with it,
-/// and advances with the monotonic clock.
+/// The operating system's environment. Its clock starts at Unix time, so that it is comparable with the times of other
+/// machines, and advances with the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemEnv {
     base: Time,
@@ -72,15 +72,15 @@
     fn listen(&self, on: SocketAddr, backlog: u32) -> io::Result<SystemListener> {
         let socket = if on.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
-        // Connections have it from their listener.
+        // Accepted connections inherit the size from the listener.
         socket.set_send_buffer_size(SEND_BUFFER)?;
         socket.bind(on)?;
         Ok(SystemListener(socket.listen(backlog)?))
     }
 
     fn sleep(&self, span: Span) -> SystemSleep {
-        let far = Duration::from_nanos(span);
-        SystemSleep { env: *self, sleep: tokio::time::sleep_until(Instant::now() + far) }
+        let duration = Duration::from_nanos(span);
+        SystemSleep { env: *self, sleep: tokio::time::sleep_until(Instant::now() + duration) }
     }
 }
 
@@ -128,7 +128,7 @@
     type Stream = TcpStream;
     async fn accept(&mut self) -> io::Result<(TcpStream, SocketAddr)> {
         let (stream, from) = self.0.accept().await?;
-        // A connection that is gone already says so when it is read.
+        // If the connection has failed already, reading from it returns the error.
         let _ = stream.set_nodelay(true);
         Ok((stream, from))
     }
@@ -157,8 +157,8 @@
 
 impl Writer for OwnedWriteHalf {
     fn has_no_unread_input(&self) -> bool {
-        let found = SockRef::from(self.as_ref()).peek(&mut [MaybeUninit::uninit()]);
-        found.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        let peeked = SockRef::from(self.as_ref()).peek(&mut [MaybeUninit::uninit()]);
+        peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     fn reset(self) {
--- a/crates/runtime/src/system/tests.rs
+++ b/crates/runtime/src/system/tests.rs
@@ -1,30 +1,30 @@
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-async fn pair(env: SystemEnv) -> (TcpStream, TcpStream) {
+async fn connected_pair(env: SystemEnv) -> (TcpStream, TcpStream) {
     let mut listener = env.listen("127.0.0.1:0".parse().unwrap(), 8).unwrap();
-    let near = env.connect(listener.local_addr().unwrap()).await.unwrap();
-    (near, listener.accept().await.unwrap().0)
+    let client = env.connect(listener.local_addr().unwrap()).await.unwrap();
+    (client, listener.accept().await.unwrap().0)
 }
 
 #[tokio::test]
-async fn a_reset_is_reported_to_the_peer() {
-    let (near, far) = pair(SystemEnv::start()).await;
-    let (reader, writer) = Stream::into_split(far);
+async fn the_peer_of_a_connection_that_is_reset_reads_an_error() {
+    let (client, server) = connected_pair(SystemEnv::start()).await;
+    let (reader, writer) = Stream::into_split(server);
     writer.reset();
     drop(reader);
-    let (mut reader, _writer) = Stream::into_split(near);
+    let (mut reader, _writer) = Stream::into_split(client);
     let error = reader.read_u8().await.unwrap_err();
     assert_eq!(error.kind(), io::ErrorKind::ConnectionReset);
 }
 
 #[tokio::test]
-async fn bytes_and_the_end_of_a_stream_both_count_as_unread_input() {
-    let (near, mut far) = pair(SystemEnv::start()).await;
-    let (mut reader, writer) = Stream::into_split(near);
+async fn bytes_and_the_end_of_a_stream_are_reported_as_unread_input() {
+    let (client, mut server) = connected_pair(SystemEnv::start()).await;
+    let (mut reader, writer) = Stream::into_split(client);
     assert!(writer.has_no_unread_input());
-    far.write_all(b"x").await.unwrap();
-    far.shutdown().await.unwrap();
+    server.write_all(b"x").await.unwrap();
+    server.shutdown().await.unwrap();
     while writer.has_no_unread_input() {
         tokio::task::yield_now().await;
     }
@@ -36,14 +36,14 @@
 }
 
 #[tokio::test]
-async fn a_timeout_ends_a_future_that_takes_too_long_and_no_other() {
+async fn only_a_future_that_exceeds_its_timeout_is_ended() {
     let env = SystemEnv::start();
     assert_eq!(env.timeout(1_000_000, std::future::pending::<()>()).await, Err(crate::Elapsed));
     assert_eq!(env.timeout(Span::MAX / 2, async { 7 }).await, Ok(7));
 }
 
 #[tokio::test]
-async fn small_writes_are_sent_at_once_on_both_sides() {
-    let (near, far) = pair(SystemEnv::start()).await;
-    assert!(near.nodelay().unwrap() && far.nodelay().unwrap());
+async fn connecting_and_accepting_set_nodelay() {
+    let (client, server) = connected_pair(SystemEnv::start()).await;
+    assert!(client.nodelay().unwrap() && server.nodelay().unwrap());
 }
