--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Goes through a frame: starts and ends instances, and reports events to them.
+//! Processes a frame: starts and stops instances, and reports events to them.
 
 use crate::codes::event as codes;
 use crate::error::WireError;
@@ -17,7 +17,7 @@
 /// Length of an event record, in bytes.
 const EVENT_BYTES: usize = 56;
 
-/// One hosted decision module.
+/// One decision module that this process hosts.
 struct Instance {
     policy: Policy,
     load_report_fields: Vec<String>,
@@ -28,7 +28,7 @@
 pub struct Adapter {
     instances: BTreeMap<u32, Instance>,
     host_lists: BTreeMap<u8, Vec<HostEntry>>,
-    /// The actions of the current event; kept so that their memory is used again.
+    /// The actions of the current event; kept between events to reuse the allocation.
     actions: Vec<Action>,
 }
 
@@ -36,7 +36,7 @@
     /// Reports the events of a frame to their instances and returns the reply frame with the actions.
     ///
     /// # Errors
-    /// What is wrong with the frame, and at which byte.
+    /// Returns the defect of the frame with its position, or the reason why the settings of an instance are invalid.
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let header = Record::new(frame, 0);
         let now = header.u64(0)?;
@@ -52,12 +52,12 @@
         let mut reply = Reply::default();
         for index in 0..count {
             let record = Record::with_tail(frame, HEADER_BYTES + index * EVENT_BYTES, tail);
-            self.take_record(now, &record, &mut reply)?;
+            self.process_record(now, &record, &mut reply)?;
         }
         Ok(reply.into_frame())
     }
 
-    fn take_record(&mut self, now: Time, record: &Record, reply: &mut Reply) -> Result<(), WireError> {
+    fn process_record(&mut self, now: Time, record: &Record, reply: &mut Reply) -> Result<(), WireError> {
         let code = record.u16(0)?;
         if code == codes::SNAPSHOT_ROWS {
             self.host_lists.insert(record.u8(2)?, host_entries(record)?);
@@ -66,20 +66,20 @@
         let number = record.u32(2)?;
         match code {
             codes::ATTACH => {
-                self.instances.insert(number, start(record)?);
+                self.instances.insert(number, start_instance(record)?);
             }
             codes::HALT => {
                 self.instances.remove(&number);
             }
             codes::ATTEMPT_END..=codes::FIRST | codes::RECKONED..=codes::INCOMING | codes::RING => {
-                self.report(now, number, record, code, reply)?;
+                self.report_event(now, number, record, code, reply)?;
             }
             other => return Err(record.invalid("event code", 0, other.into())),
         }
         Ok(())
     }
 
-    fn report(
+    fn report_event(
         &mut self,
         now: Time,
         number: u32,
@@ -107,15 +107,15 @@
 }
 
 impl Instance {
-    /// Lets the module decide. The error is the message of a panic.
+    /// Reports an event to the decision module. The error is the message of a panic.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) -> Result<(), String> {
-        let decided = catch_unwind(AssertUnwindSafe(|| self.policy.handle(now, event, actions)));
-        decided.map_err(|panic| panic_message(panic.as_ref()))
+        let result = catch_unwind(AssertUnwindSafe(|| self.policy.handle(now, event, actions)));
+        result.map_err(|panic| panic_message(panic.as_ref()))
     }
 }
 
-/// Starts the instance of a record of [`codes::ATTACH`].
-fn start(record: &Record) -> Result<Instance, WireError> {
+/// Starts the instance of a [`codes::ATTACH`] record.
+fn start_instance(record: &Record) -> Result<Instance, WireError> {
     let json = serde_json::from_slice(record.variable_part(14, 1)?);
     let json = json.map_err(|error| SettingsError::NotJson(error.to_string()))?;
     let platform = PlatformSettings::parse(&json)?;
@@ -129,6 +129,6 @@
     } else if let Some(text) = panic.downcast_ref::<&str>() {
         (*text).to_string()
     } else {
-        "panic without a text".to_string()
+        "panic without a message".to_string()
     }
 }
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,4 +1,4 @@
-//! Codes of the records on the simulator's wire, by the names that its page gives them.
+//! Codes of the records of the simulator's protocol, with the names that its specification uses.
 
 /// Codes of events.
 pub(crate) mod event {
@@ -12,9 +12,9 @@
     pub const FLEET: u16 = 4;
     /// `First`: a streamed response has begun.
     pub const FIRST: u16 = 5;
-    /// `SnapshotRows`: the entries of an endpoint list that later `Fleet` events refer to.
+    /// `SnapshotRows`: the entries of an endpoint list to which later `Fleet` events refer.
     pub const SNAPSHOT_ROWS: u16 = 6;
-    /// `Halt`: an instance ends.
+    /// `Halt`: an instance stops.
     pub const HALT: u16 = 7;
     /// `Reckoned`: a call to the counter has ended.
     pub const RECKONED: u16 = 8;
@@ -34,11 +34,11 @@
     pub const PLACE: u16 = 1;
     /// `Fatal`: the instance has panicked.
     pub const FATAL: u16 = 5;
-    /// `ReportFailure`: answer that a request has failed.
+    /// `ReportFailure`: respond that a request has failed.
     pub const REPORT_FAILURE: u16 = 6;
     /// `Defer`: set a timer.
     pub const DEFER: u16 = 7;
-    /// `OverloadReply`: answer that a request is rejected.
+    /// `OverloadReply`: respond that a request is rejected.
     pub const OVERLOAD_REPLY: u16 = 8;
     /// `Tally`: add to a number of the counter.
     pub const TALLY: u16 = 9;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,23 +1,23 @@
-//! What can be wrong with the simulator's frames.
+//! Errors in frames of the simulator.
 
 use platform_settings::SettingsError;
 
-/// Why a frame cannot be answered.
+/// The reason why a frame cannot be processed.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// Reading or writing failed.
     #[error("input or output failed: {0}")]
     Io(#[from] std::io::Error),
-    /// A frame ends early.
-    #[error("{part} is cut short at byte {at}")]
+    /// A frame is shorter than its contents.
+    #[error("{part} is truncated at byte {at}")]
     Truncated {
-        /// The part of the frame.
+        /// The part of the frame that is incomplete.
         part: &'static str,
-        /// Where the frame ends, in bytes.
+        /// Position of the missing bytes, or of the field that contains them, in bytes.
         at: usize,
     },
-    /// A field holds a value that it may not have.
-    #[error("{field} at byte {at} cannot be {value}")]
+    /// A field has an invalid value.
+    #[error("{field} at byte {at} has invalid value {value}")]
     Invalid {
         /// The field.
         field: &'static str,
@@ -26,7 +26,7 @@
         /// The value.
         value: u64,
     },
-    /// An instance gets an event before its start.
+    /// An event is addressed to an instance that has not been started.
     #[error("event {code} at byte {at} is for instance {instance}, which has not been started")]
     UnknownInstance {
         /// Code of the event.
@@ -36,7 +36,7 @@
         /// Number of the instance.
         instance: u32,
     },
-    /// The settings of an instance cannot be used.
+    /// The settings of an instance are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -11,14 +11,14 @@
 
 /// Length of an entry of an endpoint list, in bytes.
 const HOST_ENTRY_BYTES: usize = 24;
-/// Position of the request in all records that concern one.
+/// Position of the request identifier in all records that refer to a request.
 const REQUEST_ID: usize = 6;
 /// Maximum number of values in a load report.
 const MAX_REPORT_VALUES: usize = 4;
-/// Bit of the flags of a request that retries an earlier one.
+/// Flag of a request that is a retry.
 const RETRY_FLAG: u8 = 2;
 
-/// What the translation of events depends on.
+/// The state on which the translation of events depends.
 pub(crate) struct EventContext<'a> {
     /// Names of the values in a load report, in order.
     pub load_report_fields: &'a [String],
@@ -27,7 +27,7 @@
 }
 
 impl EventContext<'_> {
-    /// Translates a record into an event; `None` if its code is that of no event for an instance.
+    /// Translates a record into an event; `None` if its code is not that of an event for an instance.
     pub fn event(&self, record: &Record, code: u16) -> Result<Option<Event>, WireError> {
         let id = || record.u64(REQUEST_ID).map(RequestId);
         Ok(Some(match code {
@@ -40,7 +40,7 @@
             codes::PEER_DATA => {
                 Event::PeerMessage { from: record.u32(6)?, bytes: record.variable_part(10, 1)?.to_vec() }
             }
-            codes::FLEET => self.host_list(record)?,
+            codes::FLEET => self.host_list_event(record)?,
             codes::FIRST => Event::ResponseStarted { id: id()?, attempt: record.u16(14)?.into() },
             codes::RECKONED => Event::CounterReplied {
                 key: CounterKey(record.u64(6)?),
@@ -56,7 +56,8 @@
     }
 
     fn attempt_ended(&self, record: &Record) -> Result<AttemptEnded, WireError> {
-        // Both are sent plus one and as whole numbers, so that zero says that there is none.
+        // The percentage is incremented by one on the wire, so that zero means that there is none; zero units mean that
+        // the number is not known.
         let quota_percent = record.u16(33)?.checked_sub(1);
         let actual_units = Some(record.u16(35)?).filter(|units| *units > 0);
         Ok(AttemptEnded {
@@ -72,7 +73,7 @@
         })
     }
 
-    fn host_list(&self, record: &Record) -> Result<Event, WireError> {
+    fn host_list_event(&self, record: &Record) -> Result<Event, WireError> {
         let kind = match record.u8(7)? {
             0 => HostListKind::Delta,
             1 => HostListKind::Full,
@@ -89,11 +90,11 @@
         Ok(Event::HostList { kind, entries })
     }
 
-    /// Reads a load report: the number of its values, and the values.
+    /// Reads a load report: the number of values, then the values.
     fn load_report(&self, record: &Record, at: usize) -> Result<Option<LoadReport>, WireError> {
         let count = usize::from(record.u8(at)?);
         if count > MAX_REPORT_VALUES {
-            return Err(record.invalid("count of load values", at, count as u64));
+            return Err(record.invalid("number of load values", at, count as u64));
         }
         let mut report = LoadReport::default();
         for (index, field) in self.load_report_fields.iter().take(count).enumerate() {
@@ -119,7 +120,7 @@
     })
 }
 
-/// Reads the entries of an endpoint list from a record of [`codes::SNAPSHOT_ROWS`].
+/// Reads the entries of an endpoint list from a [`codes::SNAPSHOT_ROWS`] record.
 pub(crate) fn host_entries(record: &Record) -> Result<Vec<HostEntry>, WireError> {
     let bytes = record.variable_part(3, HOST_ENTRY_BYTES)?;
     let count = bytes.len() / HOST_ENTRY_BYTES;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decision modules on the wire of the platform's simulator.
+//! Connects decision modules to the platform's simulator.
 //!
 //! The simulator sends frames, each a batch of events at one time; an [`Adapter`] hosts one decision module for each
-//! instance, reports the events to them, and returns their actions as the reply frame. Nothing is decided here.
+//! instance, reports the events to them, and returns their actions as the reply frame. It makes no decisions itself.
 //!
 //! ```
 //! use simulator_adapter::Adapter;
@@ -12,8 +12,8 @@
 //! assert_eq!(reply, [0, 0, 0, 0, 8, 0, 0, 0], "no actions, eight bytes");
 //! ```
 //!
-//! `codes` names the records, `record` reads the fields of one, `events` translates events, `reply` actions, and `adapter`
-//! goes through a frame.
+//! `codes` contains the codes of records, `record` reads the fields of a record, `events` translates events, `reply`
+//! translates actions, and `adapter` processes a frame.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::fn_params_excessive_bools))]
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,13 +1,13 @@
-//! Hosts decision modules on the simulator's wire: frames on standard input, replies on standard output.
+//! Hosts decision modules for the simulator: reads frames from standard input and writes replies to standard output.
 
 use simulator_adapter::{Adapter, WireError, HEADER_BYTES};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
-/// Size of the buffer before standard input, in bytes.
+/// Size of the read buffer of standard input, in bytes.
 const INPUT_BUFFER: usize = 1 << 20;
-/// Position of the frame's length in its header, in bytes.
-const LENGTH: usize = 8;
+/// Position of the frame length in the header of a frame, in bytes.
+const LENGTH_POSITION: usize = 8;
 
 fn serve() -> Result<(), WireError> {
     let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
@@ -28,16 +28,21 @@
         return Ok(None);
     }
     if frame.len() < HEADER_BYTES {
-        return Err(WireError::Truncated { part: "batch header", at: frame.len() });
+        return Err(WireError::Truncated { part: "frame header", at: frame.len() });
     }
-    let length = [frame[LENGTH], frame[LENGTH + 1], frame[LENGTH + 2], frame[LENGTH + 3]];
+    let length = [
+        frame[LENGTH_POSITION],
+        frame[LENGTH_POSITION + 1],
+        frame[LENGTH_POSITION + 2],
+        frame[LENGTH_POSITION + 3],
+    ];
     let size = u32::from_le_bytes(length) as usize;
     if size < HEADER_BYTES {
-        return Err(WireError::Invalid { field: "frame length", at: LENGTH, value: size as u64 });
+        return Err(WireError::Invalid { field: "frame length", at: LENGTH_POSITION, value: size as u64 });
     }
     input.take((size - HEADER_BYTES) as u64).read_to_end(&mut frame)?;
     if frame.len() < size {
-        return Err(WireError::Truncated { part: "batch", at: frame.len() });
+        return Err(WireError::Truncated { part: "frame", at: frame.len() });
     }
     Ok(Some(frame))
 }
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -7,17 +7,17 @@
 pub(crate) struct Record<'a> {
     frame: &'a [u8],
     start: usize,
-    /// Where the variable parts of the frame begin.
+    /// Position in the frame at which the variable parts begin, in bytes.
     tail: usize,
 }
 
 impl<'a> Record<'a> {
-    /// A record without variable parts.
+    /// Creates a record without variable parts.
     pub fn new(frame: &'a [u8], start: usize) -> Record<'a> {
         Record { frame, start, tail: frame.len() }
     }
 
-    /// A record whose variable parts lie in the frame's tail.
+    /// Creates a record whose variable parts are in the frame's tail, which begins at `tail`.
     pub fn with_tail(frame: &'a [u8], start: usize, tail: usize) -> Record<'a> {
         Record { frame, start, tail }
     }
@@ -66,7 +66,7 @@
         Ok(HostId(u64::from_le_bytes([a, b, c, d, e, f, 0, 0])))
     }
 
-    /// Reads how an attempt or a call ended.
+    /// Reads the outcome of an attempt, a health check or a call to the counter.
     pub fn outcome(&self, at: usize) -> Result<Outcome, WireError> {
         Ok(match self.u16(at)? {
             10 => Outcome::Ok,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Reads a variable part: at the position stand its offset in the tail and its length in items.
+    /// Reads a variable part: the field at the position contains its offset in the tail and its length in items.
     pub fn variable_part(&self, at: usize, item_bytes: usize) -> Result<&'a [u8], WireError> {
         let offset = self.u32(at)? as usize;
         let length = (self.u32(at + 4)? as usize).saturating_mul(item_bytes);
@@ -90,7 +90,7 @@
         self.frame.get(start..end).ok_or(WireError::Truncated { part: "tail", at: self.frame.len() })
     }
 
-    /// The error of a field with a value that it may not have.
+    /// Returns the error for a field with an invalid value.
     pub fn invalid(&self, field: &'static str, at: usize, value: u64) -> WireError {
         WireError::Invalid { field, at: self.start + at, value }
     }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -8,7 +8,7 @@
 /// Length of the reply's header, in bytes.
 const REPLY_HEADER_BYTES: usize = 8;
 
-/// A reply that is being written.
+/// A reply frame under construction.
 #[derive(Default)]
 pub(crate) struct Reply {
     count: u32,
@@ -21,7 +21,8 @@
     pub fn push(&mut self, instance: u32, action: Action) {
         let id = |id: RequestId| id.0.to_le_bytes();
         match action {
-            // The wire reads a deadline of zero as "when the client gives up"; one that has passed has to stay in the past.
+            // On the wire a deadline of zero means "when the client gives up". One is sent instead, so that a deadline
+            // that has passed stays in the past.
             Action::Forward { id: request, host, deadline, .. } => {
                 let deadline = deadline.max(1).to_le_bytes();
                 self.record(codes::PLACE, instance, &[&id(request), &address(host), &deadline]);
@@ -68,7 +69,7 @@
         self.count += 1;
     }
 
-    /// Returns the complete frame.
+    /// Returns the complete reply frame.
     pub fn into_frame(self) -> Vec<u8> {
         let size = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(size);
@@ -80,7 +81,7 @@
     }
 }
 
-/// A host as the wire has it: four bytes of address and two of port.
+/// Returns a host in its wire format: four bytes of address and two of port.
 fn address(host: HostId) -> [u8; 6] {
     let [a, b, c, d, e, f, _, _] = host.0.to_le_bytes();
     [a, b, c, d, e, f]
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: frames in and out, and plain messages on malformed input.
+//! The adapter replies to frames, and reports malformed input with a plain message.
 
 use simulator_adapter::Adapter;
 
@@ -29,22 +29,22 @@
 }
 
 #[test]
-fn malformed_frames_are_errors_that_name_the_byte() {
-    let say = |frame: &[u8]| Adapter::default().answer(frame).unwrap_err().to_string();
-    assert!(say(&frame_of(&[], &[])[..12]).contains("cut short"));
-    assert!(say(&frame_of(&[vec![99, 0]], &[])).contains("event code at byte 16 cannot be 99"));
-    assert!(say(&frame_of(&[vec![12, 0, 3]], &[])).contains("has not been started"));
-    assert!(say(&frame_of(&[attach(9)], b"{}")).contains("tail is cut short"));
-    for (text, wanted) in
+fn malformed_frames_are_errors_that_name_their_defect() {
+    let error_of = |frame: &[u8]| Adapter::default().answer(frame).unwrap_err().to_string();
+    assert!(error_of(&frame_of(&[], &[])[..12]).contains("truncated"));
+    assert!(error_of(&frame_of(&[vec![99, 0]], &[])).contains("event code at byte 16 has invalid value 99"));
+    assert!(error_of(&frame_of(&[vec![12, 0, 3]], &[])).contains("has not been started"));
+    assert!(error_of(&frame_of(&[attach(9)], b"{}")).contains("tail is truncated"));
+    for (text, expected) in
         [("{", "settings: "), ("{}", "`allowed` is missing"), ("3", "the settings are 3, not an object")]
     {
-        let message = say(&frame_of(&[attach(text.len())], text.as_bytes()));
-        assert!(message.contains(wanted), "{message}");
+        let message = error_of(&frame_of(&[attach(text.len())], text.as_bytes()));
+        assert!(message.contains(expected), "{message}");
     }
 }
 
 #[test]
-fn unknown_settings_are_skipped() {
+fn unknown_settings_are_ignored() {
     let example = include_str!("../../../deploy/example.json");
     let mut settings = serde_json::from_str::<serde_json::Value>(example).unwrap()["settings"].take();
     settings["new"] = serde_json::json!([1]);
