--- a/.ci/deployment_names.py
+++ b/.ci/deployment_names.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Looks for names of one deployment in what every deployment runs.
+"""Checks that programs and the deploy file contain no names of a particular deployment.
 
     deployment_names.py DEPLOY_FOLDER PACKAGE_FOLDER...
 
-Names of classes, plans, zones and machines stand in DEPLOY_FOLDER/example.json and DEPLOY_FOLDER/sites/*.toml (there
-may be none of these). They come to a program with its settings: none may stand in a text of its sources, comments and
-tests aside, nor anywhere in DEPLOY_FOLDER/balancer.toml.
+DEPLOY_FOLDER/example.json and DEPLOY_FOLDER/sites/*.toml (which may not exist) define names of classes, plans, zones and
+machines. A program gets them from its settings: no string literal of its sources may contain one, except in tests, nor may
+DEPLOY_FOLDER/balancer.toml.
 """
 
 import json
@@ -14,37 +14,37 @@
 import tomllib
 from pathlib import Path
 
-# Comments, characters and lifetimes are told from texts, of which the last two groups are the inside.
+# Matches comments, character literals and string literals; the groups `raw` and `text` are the contents of a string.
 TOKENS = re.compile(
     r"""//[^\n]*|/\*.*?\*/|'(?:\\.|[^'\\])'|\bb?r(?P<hashes>\#*)"(?P<raw>.*?)"(?P=hashes)|"(?P<text>(?:\\.|[^"\\])*)\"""",
     re.S,
 )
-TESTS_INSIDE = re.compile(r"^#\[cfg\(test\)\]\s*mod \w+ \{", re.M)
+TEST_MODULE = re.compile(r"^#\[cfg\(test\)\]\s*mod \w+ \{", re.M)
 
 
-def of_example(document):
+def names_in_example(document):
     settings = document["settings"]
     named = [entry["name"] for key in ("services", "tariffs") for entry in settings[key]]
     return {*named, *settings["localities"], *settings["machine-types"]}
 
 
-def of_site(site):
+def names_in_site(site):
     kinds = [kind for tier in site.get("tier", []) for kind in tier.get("kind", [])]
     named = [entry["name"] for entry in [*site.get("class", []), *site.get("tenant", []), *kinds]]
     return {site["name"], *named, *site.get("net", {}).get("zones", [])}
 
 
-def names(deploy):
-    """All names of deployments that the folder tells of."""
-    found = of_example(json.loads((deploy / "example.json").read_text()))
+def deployment_names(deploy):
+    """Returns all names that the files of the deploy folder define."""
+    names = names_in_example(json.loads((deploy / "example.json").read_text()))
     for path in sorted(deploy.glob("sites/*.toml")):
-        found |= of_site(tomllib.loads(path.read_text()))
-    return found
+        names |= names_in_site(tomllib.loads(path.read_text()))
+    return names
 
 
-def texts(source):
-    """What stands between quotes in a source, with its line; tests at its end aside."""
-    if match := TESTS_INSIDE.search(source):
+def string_literals(source):
+    """Yields the line number and contents of each string literal of a source, up to a test module at its end."""
+    if match := TEST_MODULE.search(source):
         source = source[: match.start()]
     for match in TOKENS.finditer(source):
         text = match["raw"] if match["raw"] is not None else match["text"]
@@ -52,42 +52,42 @@
             yield source.count("\n", 0, match.start()) + 1, text
 
 
-def is_said(name, text):
-    """Whether a text of a program speaks of a name. A plain word (`fill`, `standard`) may mean something else inside
-    a sentence, so it counts only where it is all of the text, or quoted in it."""
+def is_mentioned(name, text):
+    """Returns whether a string of a program mentions a name. A plain word (`fill`, `standard`) may mean something else in a
+    sentence, so it counts only if it is the complete string, or quoted in it."""
     quoted = re.search(rf"""^{re.escape(name)}$|["'`=]{re.escape(name)}(?:["'`,\\]|$)""", text)
-    return bool(quoted) or (not name.isalpha() and is_word(name, text))
+    return bool(quoted) or (not name.isalpha() and contains_word(name, text))
 
 
-def is_word(name, text):
+def contains_word(name, text):
     return bool(re.search(rf"(?<![\w-]){re.escape(name)}(?![\w-])", text))
 
 
-def sources(package):
-    """The sources of a package that are no tests."""
+def source_files(package):
+    """Yields the source files of a package, without tests."""
     for path in sorted((package / "src").rglob("*.rs")):
         if path.name != "tests.rs" and "tests" not in path.relative_to(package).parts:
             yield path
 
 
-def found(deploy, packages):
-    """Each place where a name stands, as a line."""
-    all_names = sorted(names(deploy))
+def occurrences(deploy, packages):
+    """Returns each occurrence of a name as a line of text."""
+    all_names = sorted(deployment_names(deploy))
     lines = []
-    for path in (path for package in packages for path in sources(package)):
-        for number, text in texts(path.read_text()):
-            lines += [f"{path}:{number}: `{name}`" for name in all_names if is_said(name, text)]
+    for path in (path for package in packages for path in source_files(package)):
+        for number, text in string_literals(path.read_text()):
+            lines += [f"{path}:{number}: `{name}`" for name in all_names if is_mentioned(name, text)]
     for number, line in enumerate((deploy / "balancer.toml").read_text().splitlines(), 1):
-        lines += [f"{deploy / 'balancer.toml'}:{number}: `{name}`" for name in all_names if is_word(name, line)]
+        lines += [f"{deploy / 'balancer.toml'}:{number}: `{name}`" for name in all_names if contains_word(name, line)]
     return lines
 
 
-def main(words):
-    lines = found(Path(words[0]), [Path(word) for word in words[1:]])
+def main(arguments):
+    lines = occurrences(Path(arguments[0]), [Path(argument) for argument in arguments[1:]])
     for line in lines:
-        print(f"{line} is a name of one deployment")
-    print(f"names of deployments: {len(lines)} in {len(words) - 1} packages and the deploy file")
-    return 1 if lines or len(words) < 2 else 0
+        print(f"{line} is a name of a particular deployment")
+    print(f"names of deployments: {len(lines)} in {len(arguments) - 1} packages and the deploy file")
+    return 1 if lines or len(arguments) < 2 else 0
 
 
 if __name__ == "__main__":
--- a/.ci/test_decision_module.py
+++ b/.ci/test_decision_module.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""The check of the decision module finds files that the deploy file leaves out, I/O and long lines."""
+"""Tests that the check of the decision module finds files missing from the deploy file, I/O and long lines."""
 
 import tempfile
 import unittest
@@ -8,8 +8,8 @@
 import decision_module
 
 
-def found(files, policy, dependencies=("policy", "libm")):
-    """What is found in a package of these sources (name -> text) and a deploy file that names these paths."""
+def problems(files, policy, dependencies=("policy", "libm")):
+    """Returns the problems of a package with these sources (name -> text) and a deploy file that lists these paths."""
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder)
         for name, text in files.items():
@@ -19,39 +19,39 @@
         deploy = root / "deploy/balancer.toml"
         deploy.parent.mkdir()
         deploy.write_text(f"policy = {policy!r}\n")
-        lines = decision_module.found(deploy, root / "crates/policy", dependencies)
+        lines = decision_module.problems(deploy, root / "crates/policy", dependencies)
         return [line.replace(f"{root}/", "") for line in lines]
 
 
-class Files(unittest.TestCase):
+class ListedFiles(unittest.TestCase):
     FILES = {"lib.rs": "mod hosts;\n", "hosts/mod.rs": "", "hosts/tests.rs": "use std::fs;\n"}
 
-    def test_all_files_named(self):
+    def test_accepts_a_list_of_all_files(self):
         listed = ["crates/policy/src/lib.rs", "crates/policy/src/hosts/mod.rs"]
-        self.assertEqual(found(self.FILES, listed), [])
+        self.assertEqual(problems(self.FILES, listed), [])
 
-    def test_a_folder_stands_for_its_files(self):
-        self.assertEqual(found(self.FILES, ["crates/policy/src"]), [])
+    def test_accepts_a_folder_for_its_files(self):
+        self.assertEqual(problems(self.FILES, ["crates/policy/src"]), [])
 
-    def test_a_file_left_out(self):
-        lines = found(self.FILES, ["crates/policy/src/lib.rs"])
-        self.assertEqual(lines, ["deploy/balancer.toml: `policy` does not name crates/policy/src/hosts/mod.rs"])
+    def test_rejects_a_missing_file(self):
+        lines = problems(self.FILES, ["crates/policy/src/lib.rs"])
+        self.assertEqual(lines, ["deploy/balancer.toml: `policy` does not list crates/policy/src/hosts/mod.rs"])
 
-    def test_a_file_too_many(self):
-        lines = found(self.FILES, ["crates/policy/src", "crates/gateway/src/lib.rs"])
-        expected = "deploy/balancer.toml: `policy` names crates/gateway/src/lib.rs, which is no source of crates/policy"
+    def test_rejects_a_file_of_another_package(self):
+        lines = problems(self.FILES, ["crates/policy/src", "crates/gateway/src/lib.rs"])
+        expected = "deploy/balancer.toml: `policy` lists crates/gateway/src/lib.rs, which is not a source file of crates/policy"
         self.assertEqual(lines, [expected])
 
-    def test_a_file_named_twice(self):
-        lines = found(self.FILES, ["crates/policy/src", "crates/policy/src/lib.rs"])
-        self.assertEqual(lines, ["deploy/balancer.toml: `policy` names crates/policy/src/lib.rs twice"])
+    def test_rejects_a_file_that_is_listed_twice(self):
+        lines = problems(self.FILES, ["crates/policy/src", "crates/policy/src/lib.rs"])
+        self.assertEqual(lines, ["deploy/balancer.toml: `policy` lists crates/policy/src/lib.rs twice"])
 
 
-class Inputs(unittest.TestCase):
-    def uses(self, source):
-        return found({"lib.rs": source}, ["crates/policy/src"])
+class Sources(unittest.TestCase):
+    def problems_of(self, source):
+        return problems({"lib.rs": source}, ["crates/policy/src"])
 
-    def test_io_is_found(self):
+    def test_rejects_io(self):
         for use in [
             "use std::fs::File;",
             "use std::{collections::HashMap, net::TcpStream};",
@@ -60,20 +60,20 @@
             "tokio::spawn(async {});",
         ]:
             with self.subTest(use):
-                lines = self.uses(f"//! Docs.\n{use}\n")
+                lines = self.problems_of(f"//! Docs.\n{use}\n")
                 self.assertEqual(len(lines), 1, lines)
                 self.assertIn("crates/policy/src/lib.rs:2: ", lines[0])
 
-    def test_comments_texts_and_containers_do_no_io(self):
+    def test_accepts_names_of_io_in_comments_and_strings_and_containers_of_std(self):
         source = '//! Uses no std::fs and no tokio::net.\nuse std::collections::BTreeMap;\nlet a = "std::net";\n'
-        self.assertEqual(self.uses(source), [])
+        self.assertEqual(self.problems_of(source), [])
 
-    def test_a_dependency_that_does_io(self):
-        lines = found({"lib.rs": ""}, ["crates/policy/src"], ["policy", "tokio"])
+    def test_rejects_a_dependency_that_does_io(self):
+        lines = problems({"lib.rs": ""}, ["crates/policy/src"], ["policy", "tokio"])
         self.assertEqual(lines, ["crates/policy: depends on tokio, which does I/O"])
 
-    def test_a_long_comment(self):
-        lines = self.uses("//" + "x" * 109 + "\n" + "//" + "x" * 108 + "\n")
+    def test_rejects_a_line_of_more_than_110_characters(self):
+        lines = self.problems_of("//" + "x" * 109 + "\n" + "//" + "x" * 108 + "\n")
         self.assertEqual(lines, ["crates/policy/src/lib.rs:1: 111 characters (at most 110)"])
 
 
--- a/.ci/test_deployment_names.py
+++ b/.ci/test_deployment_names.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Names of one deployment are found where they would bind a program to it, and nowhere else."""
+"""Tests that names of a deployment are found in string literals and the deploy file, and nowhere else."""
 
 import json
 import tempfile
@@ -33,34 +33,34 @@
 """
 
 
-def found(source, balancer="run = 'serve'\n", path="src/lib.rs", site=SITE):
-    """What is found in a package of one file, by name alone."""
+def occurrences(source, balancer="run = 'serve'\n", path="src/lib.rs", site=SITE):
+    """Returns the occurrences in a package of one file as pairs of line number and name."""
     with tempfile.TemporaryDirectory() as folder:
         deploy, package = Path(folder) / "deploy", Path(folder) / "package"
         file = package / path
-        for place in [deploy / "sites", file.parent]:
-            place.mkdir(parents=True)
+        for directory in [deploy / "sites", file.parent]:
+            directory.mkdir(parents=True)
         (deploy / "example.json").write_text(json.dumps(EXAMPLE))
         (deploy / "balancer.toml").write_text(balancer)
         if site:
             (deploy / "sites" / "one.toml").write_text(site)
         file.write_text(source)
-        lines = deployment_names.found(deploy, [package])
+        lines = deployment_names.occurrences(deploy, [package])
     return [(line.rsplit(":", 2)[1], line.split("`")[1]) for line in lines]
 
 
 class Names(unittest.TestCase):
-    def test_all_kinds_of_names_are_found_with_their_line(self):
+    def test_finds_all_kinds_of_names_with_their_line(self):
         names = ["building-1", "fill", "hill-yard", "north", "price-read", "rack-4c", "retail", "standard", "std-2core"]
         for name in names:
-            self.assertEqual(found(f'fn f() {{\n  g("{name}");\n}}\n'), [("2", name)])
-            self.assertEqual(found("", f"build = 'b'\nrun = 'serve {name}'\n"), [("2", name)])
-        self.assertEqual(found('f("slow"); f("tier")'), [], "neither a class, a plan, a zone nor a machine")
+            self.assertEqual(occurrences(f'fn f() {{\n  g("{name}");\n}}\n'), [("2", name)])
+            self.assertEqual(occurrences("", f"build = 'b'\nrun = 'serve {name}'\n"), [("2", name)])
+        self.assertEqual(occurrences('f("slow"); f("tier")'), [], "neither a class, a plan, a zone nor a machine")
 
-    def test_without_the_folder_of_sites_the_example_counts(self):
-        self.assertEqual(found('f("fill"); f("price-read")', site=""), [("1", "price-read")])
+    def test_finds_names_of_the_example_without_site_files(self):
+        self.assertEqual(occurrences('f("fill"); f("price-read")', site=""), [("1", "price-read")])
 
-    def test_texts_are_told_from_what_is_none(self):
+    def test_finds_names_in_string_literals_only(self):
         for source, names in [
             ('r#"c=price-read,t=x"#', ["price-read"]),
             ('b"price-read"', ["price-read"]),
@@ -71,26 +71,26 @@
             ('"http://x"; f("fill")', ["fill"]),
             ('"\\"" ; f("fill")', ["fill"]),
             ('"the aim of price-read, in ms"', ["price-read"]),
-            # A plain word within a sentence, longer names, comments, code.
+            # Not found: a plain word in a sentence, parts of longer names, comments, code.
             ('"standard error, fill it up"', []),
             ('"price-reader pre-price-read"', []),
             ('// "fill"\n/* "fill"\n "price-read" */', []),
             ("let fill = retail;", []),
         ]:
             with self.subTest(source):
-                self.assertEqual([name for _, name in found(source)], names)
+                self.assertEqual([name for _, name in occurrences(source)], names)
 
-    def test_tests_may_name_them(self):
-        inside = 'f("fill");\n#[cfg(test)]\nmod tests {\n  f("price-read");\n}\n'
+    def test_ignores_names_in_tests(self):
+        with_test_module = 'f("fill");\n#[cfg(test)]\nmod tests {\n  f("price-read");\n}\n'
         for source, path, names in [
-            (inside, "src/lib.rs", ["fill"]),
+            (with_test_module, "src/lib.rs", ["fill"]),
             ('"fill"', "src/one/tests.rs", []),
             ('"fill"', "src/tests/one.rs", []),
             ('"fill"', "tests/one.rs", []),
             ('"fill"', "src/one.rs", ["fill"]),
         ]:
             with self.subTest(path):
-                self.assertEqual([name for _, name in found(source, path=path)], names)
+                self.assertEqual([name for _, name in occurrences(source, path=path)], names)
 
 
 if __name__ == "__main__":
--- a/.ci/test_doc_paths.py
+++ b/.ci/test_doc_paths.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""The check of pages finds source files that do not exist."""
+"""Tests that the check of pages finds paths that do not exist."""
 
 import tempfile
 import unittest
@@ -10,20 +10,20 @@
 
 class Paths(unittest.TestCase):
     def missing(self, page):
-        """Returns what is missing of a page, where only `quota/src/bound.rs` exists."""
+        """Returns the missing paths of a page, where only `quota/src/bound.rs` exists."""
         with tempfile.TemporaryDirectory() as folder:
             source = Path(folder) / "crates/quota/src"
             source.mkdir(parents=True)
             (source / "bound.rs").write_text("")
             return doc_paths.missing_paths(Path(folder), page)
 
-    def test_a_path_that_exists(self):
+    def test_accepts_paths_that_exist(self):
         self.assertEqual(self.missing("see `quota/src/bound.rs` and `quota/src`"), [])
 
-    def test_a_path_that_does_not_exist(self):
+    def test_returns_paths_that_do_not_exist(self):
         self.assertEqual(self.missing("`quota/src/bounds.rs`, `policy/src`"), ["quota/src/bounds.rs", "policy/src"])
 
-    def test_words_that_are_no_paths(self):
+    def test_ignores_text_that_is_not_a_path(self):
         self.assertEqual(self.missing("`bound.rs`, `a/b`, quota/src/other.rs"), [])
 
 
