--- a/crates/cluster-emulator/src/play.rs
+++ b/crates/cluster-emulator/src/play.rs
@@ -9,8 +9,8 @@
 use crate::trace::RunTrace;
 use crate::virtual_time::{GatewayMaker, VirtualStage};
 use anyhow::{bail, Result};
-use cluster_model::scenario::{Event, Scenario, Side, Sign};
-use cluster_model::seen::{Got, Seen, What};
+use cluster_model::observation::{ClientOutcome, Observation, ObservationKind};
+use cluster_model::scenario::{Event, PartitionSide, Scenario, Trigger};
 use cluster_model::SECOND;
 use fake_services::Recorder;
 use gateway::Operators;
@@ -183,15 +183,17 @@
     }
 
     /// Judges what has been seen. Whether a rule is broken.
-    fn judge(&mut self, mut told: impl FnMut(&Seen)) -> bool {
+    fn judge(&mut self, mut told: impl FnMut(&Observation)) -> bool {
         for seen in self.recorder.take() {
             // What a process of its own has seen comes a little later than what others have meanwhile.
             self.last = self.last.max(seen.at);
-            let seen = Seen { at: self.last, ..seen };
+            let seen = Observation { at: self.last, ..seen };
             told(&seen);
-            match seen.what {
-                What::Asked { .. } => self.offered += 1,
-                What::Answered { got: Got::Served(true), .. } => self.served += 1,
+            match seen.kind {
+                ObservationKind::RequestSent { .. } => self.offered += 1,
+                ObservationKind::RequestEnded { outcome: ClientOutcome::Served(true), .. } => {
+                    self.served += 1
+                }
                 _ => {}
             }
             self.judge.see(&seen);
@@ -258,7 +260,7 @@
 /// Where the site cannot be put up, or a process panics or spins: the message names it.
 pub fn play_virtual(scenario: &Scenario, seed: u64, mut options: VirtualOptions<'_>) -> Result<Played> {
     for timed in &scenario.events {
-        if let Some(Sign::Log(..)) = timed.sign {
+        if let Some(Trigger::LogLine(..)) = timed.trigger {
             bail!(
                 "line {}: gateways of virtual time have no logs of their own: play it with --real",
                 timed.line
@@ -332,8 +334,8 @@
 /// Whether stand-ins that fall silent cannot do what the event asks for.
 fn needs_links(event: &Event) -> bool {
     match event {
-        Event::Cut(a, b, ..) => [a, b].contains(&&Side::Clients),
-        Event::Links(..) | Event::CutOff(..) | Event::LoseBuilding(..) => true,
+        Event::Partition(a, b, ..) => [a, b].contains(&&PartitionSide::Clients),
+        Event::Links(..) | Event::IsolateBuilding(..) | Event::PowerLoss(..) => true,
         _ => false,
     }
 }
@@ -341,7 +343,7 @@
 async fn real(scenario: &Scenario, seed: u64, mut options: RealOptions<'_>) -> Result<Played> {
     let mut stage = RealStage::new(&scenario.site, seed, &options)?;
     for timed in &scenario.events {
-        if let Some(Sign::Log(gateway, _)) = timed.sign {
+        if let Some(Trigger::LogLine(gateway, _)) = timed.trigger {
             stage.watch_log(gateway - 1);
         }
     }
--- a/crates/fake-services/tests/counter.rs
+++ b/crates/fake-services/tests/counter.rs
@@ -1,7 +1,7 @@
 //! The stand-in counter on loopback sockets.
 
+use cluster_model::observation::{Observation, ObservationKind};
 use cluster_model::scenario::{CounterFault, CounterSpec};
-use cluster_model::seen::{Seen, What};
 use cluster_model::SECOND;
 use fake_services::counter::{CounterConfig, CounterStandIn};
 use fake_services::Recorder;
@@ -22,7 +22,7 @@
 fn site() -> Site {
     let recorder = Recorder::default();
     let config = CounterConfig {
-        spec: CounterSpec { calls_per_s: 1e6, call: 0, ..CounterSpec::default() },
+        spec: CounterSpec { calls_per_s: 1e6, service_time: 0, ..CounterSpec::default() },
         seed: 5,
         listen: vec![SocketAddr::from(([127, 0, 0, 1], 0)); 2],
         recorder: recorder.clone(),
@@ -41,8 +41,8 @@
     /// Whether and how the next call was counted: added, answered.
     async fn counted(&self) -> (bool, bool) {
         loop {
-            let seen = self.recorder.take().into_iter().map(|seen| seen.what).next();
-            if let Some(What::Counted { added, answered, .. }) = seen {
+            let seen = self.recorder.take().into_iter().map(|seen| seen.kind).next();
+            if let Some(ObservationKind::CounterCall { added, answered, .. }) = seen {
                 return (added, answered);
             }
             tokio::task::yield_now().await;
@@ -125,8 +125,15 @@
     let seen = site.recorder.take();
     assert_eq!(seen.len(), 3, "what is no call is not counted");
     assert!(matches!(
-        seen[0].what,
-        What::Counted { gateway: 0, amount: 2.5, added: true, answered: true, turned_away: false, .. }
+        seen[0].kind,
+        ObservationKind::CounterCall {
+            gateway: 0,
+            amount: 2.5,
+            added: true,
+            answered: true,
+            rejected: false,
+            ..
+        }
     ));
 }
 
@@ -181,8 +188,8 @@
     assert!(ask(&mut stream, &["ADDGET", "name", "x", "4000"]).await.starts_with("-ERR"));
     counter.open();
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "1", "4000"]).await, "$1\r\n1\r\n");
-    let call = |seen: Seen| match seen.what {
-        What::Counted { amount, added, answered, turned_away, .. } => {
+    let call = |seen: Observation| match seen.kind {
+        ObservationKind::CounterCall { amount, added, answered, rejected: turned_away, .. } => {
             (amount, [added, answered, turned_away])
         }
         other => panic!("{other:?}"),
@@ -209,7 +216,7 @@
     let site = site();
     let mut stream = site.connect(0).await;
     ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await;
-    site.counter.fail(CounterFault::Lost, LONG);
+    site.counter.fail(CounterFault::Unreachable, LONG);
     assert!(is_reset(&mut stream).await);
     let addr = site.counter.addrs()[0];
     while TcpStream::connect(addr).await.is_ok() {}
@@ -224,7 +231,7 @@
 async fn a_fault_ends_by_itself() {
     let site = site();
     let mut stream = site.greeted(0).await;
-    site.counter.fail(CounterFault::Lost, 5_000_000);
+    site.counter.fail(CounterFault::Unreachable, 5_000_000);
     assert!(is_reset(&mut stream).await);
     site.answered(0).await;
 }
@@ -234,7 +241,7 @@
     let site = site();
     let mut stream = site.connect(0).await;
     ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await;
-    site.counter.fail(CounterFault::Fresh, 0);
+    site.counter.fail(CounterFault::Reset, 0);
     assert!(is_reset(&mut stream).await);
     let mut stream = site.connect(0).await;
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "5", "60000"]).await, "$1\r\n5\r\n");
@@ -242,7 +249,7 @@
 
 #[tokio::test]
 async fn a_silent_counter_takes_calls_in_and_a_mute_one_adds_them() {
-    for (fault, added) in [(CounterFault::Silent, false), (CounterFault::Mute, true)] {
+    for (fault, added) in [(CounterFault::DropCalls, false), (CounterFault::DropReplies, true)] {
         let site = site();
         let mut stream = site.connect(0).await;
         site.counter.fail(fault, LONG);
@@ -263,7 +270,7 @@
 async fn a_full_counter_turns_calls_away() {
     let site = site();
     let mut stream = site.connect(0).await;
-    site.counter.fail(CounterFault::Full, LONG);
+    site.counter.fail(CounterFault::Overloaded, LONG);
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await, "-BUSY\r\n");
     site.counter.heal();
     assert_eq!(ask(&mut stream, &["ADDGET", "name", "1", "60000"]).await, "$1\r\n1\r\n");
@@ -273,7 +280,7 @@
 async fn groups_of_gateways_are_told_apart_by_their_listeners() {
     let site = site();
     let (mut one, mut two) = (site.connect(0).await, site.connect(1).await);
-    site.counter.fail(CounterFault::Split(vec![vec![1], vec![2]]), LONG);
+    site.counter.fail(CounterFault::SplitBrain(vec![vec![1], vec![2]]), LONG);
     assert_eq!(ask(&mut one, &["ADDGET", "name", "1", "60000"]).await, "$1\r\n1\r\n");
     assert_eq!(ask(&mut two, &["ADDGET", "name", "2", "60000"]).await, "$1\r\n2\r\n");
     site.counter.heal();
