--- a/crates/platform-settings/tests/invalid_settings.rs
+++ b/crates/platform-settings/tests/invalid_settings.rs
@@ -4,14 +4,14 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-fn example() -> Value {
+fn example_settings() -> Value {
     let document = include_str!("../../../deploy/example.json");
     serde_json::from_str::<Value>(document).unwrap()["settings"].take()
 }
 
 /// Returns the example with the value at a JSON pointer replaced or removed.
-fn with(pointer: &str, value: Option<Value>) -> Value {
-    let mut settings = example();
+fn example_with(pointer: &str, value: Option<Value>) -> Value {
+    let mut settings = example_settings();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     let parent = settings.pointer_mut(parent).unwrap_or_else(|| panic!("no {pointer}"));
     match (parent, value) {
@@ -25,7 +25,7 @@
     settings
 }
 
-fn rejection(settings: &Value) -> String {
+fn rejection_message(settings: &Value) -> String {
     match PlatformSettings::parse(settings) {
         Ok(_) => panic!("accepted: {settings}"),
         Err(error) => error.to_string(),
@@ -34,7 +34,7 @@
 
 #[test]
 fn accepts_the_example_without_unknown_keys() {
-    assert_eq!(PlatformSettings::parse(&example()).unwrap().unknown_keys, Vec::<String>::new());
+    assert_eq!(PlatformSettings::parse(&example_settings()).unwrap().unknown_keys, Vec::<String>::new());
 }
 
 #[test]
@@ -82,9 +82,13 @@
         ("/tariffs/1/never-over-depth", "`tariffs[1].never-over-depth`"),
         ("/tariffs/1/cap-slack", "`tariffs[1].cap-slack`"),
     ] {
-        assert_eq!(rejection(&with(pointer, None)), format!("{named} is missing"), "{pointer}");
         assert_eq!(
-            rejection(&with(pointer, Some(Value::Null))),
+            rejection_message(&example_with(pointer, None)),
+            format!("{named} is missing"),
+            "{pointer}"
+        );
+        assert_eq!(
+            rejection_message(&example_with(pointer, Some(Value::Null))),
             format!("{named} is missing"),
             "null {pointer}"
         );
@@ -192,7 +196,7 @@
         ("/tariffs/0/concurrency", json!(2.5), "`tariffs[0].concurrency` is 2.5, not an integer from 0 to 4294967295"),
         ("/feedback/fields", json!([1]), "`feedback.fields[0]` is 1, not a string"),
     ] {
-        assert_eq!(rejection(&with(pointer, Some(value.clone()))), message, "{pointer} = {value}");
+        assert_eq!(rejection_message(&example_with(pointer, Some(value.clone()))), message, "{pointer} = {value}");
     }
 }
 
@@ -208,12 +212,12 @@
         ("/tariffs/0/refill", "refil", "`tariffs[0].refil` is unknown: is `refill` meant?"),
         ("/services/1/aim", "aims", "`services[1].aims` is unknown: is `aim` meant?"),
     ] {
-        let mut settings = with(pointer, None);
+        let mut settings = example_with(pointer, None);
         let parent = pointer.rsplit_once('/').unwrap().0;
         settings.pointer_mut(parent).unwrap()[misspelt] = json!(1);
-        assert_eq!(rejection(&settings), message);
+        assert_eq!(rejection_message(&settings), message);
     }
-    let mut newer = example();
+    let mut newer = example_settings();
     newer["observability"] = json!({"traces": true});
     newer["tariffs"][1]["colour"] = json!("green");
     assert_eq!(PlatformSettings::parse(&newer).unwrap().unknown_keys, ["observability", "tariffs[1].colour"]);
@@ -221,7 +225,7 @@
 
 #[test]
 fn does_not_require_the_counter_timeout_without_a_counter() {
-    let mut settings = with("/domain/shared-counter", Some(json!(false)));
+    let mut settings = example_with("/domain/shared-counter", Some(json!(false)));
     settings["domain"].as_object_mut().unwrap().remove("counter-timeout");
     assert_eq!(PlatformSettings::parse(&settings).unwrap().settings.counter_timeout, 0);
 }
@@ -265,8 +269,8 @@
     #[test]
     fn an_arbitrary_value_is_accepted_or_rejected_without_a_panic(position in any::<prop::sample::Index>(), value in arbitrary_value()) {
         let mut pointers = Vec::new();
-        collect_pointers(&example(), "", &mut pointers);
-        let settings = with(&pointers[position.index(pointers.len())], Some(value));
+        collect_pointers(&example_settings(), "", &mut pointers);
+        let settings = example_with(&pointers[position.index(pointers.len())], Some(value));
         if let Err(error) = PlatformSettings::parse(&settings) {
             let message = error.to_string();
             prop_assert!(message.starts_with('`') && message.len() < 300, "{}", message);
--- a/crates/quota/src/bound.rs
+++ b/crates/quota/src/bound.rs
@@ -10,7 +10,7 @@
 //!   [`HEARTBEAT_INTERVAL`];
 //! - `b * (SAVED_BURST_FRACTION * (m - 1) + OVERDRAFT_BURST_FRACTION * m)` for a customer with *credit*, that is, one
 //!   known to keep within its quota: each partition may save up more than its fraction, and lets the customer overdraw
-//!   it a little; a customer that asks for more than its quota gets neither;
+//!   it a little; a customer that requests more than its quota gets neither;
 //! - `b * (m - 1) / m`, since a partition that has no state of the customer starts with an even fraction of a full
 //!   bucket;
 //! - `FRACTION_SUM_EXCESS * r * FRACTION_DECAY_S * (1 - exp(-T / FRACTION_DECAY_S))`, since the fractions are learned
--- a/crates/quota/src/counter_health/tests.rs
+++ b/crates/quota/src/counter_health/tests.rs
@@ -5,7 +5,7 @@
 const START: Time = 40 * HEARTBEAT_EPOCH;
 
 /// Returns the health of a counter that was unreachable and answers again from `START` on.
-fn recovered() -> CounterHealth {
+fn recovered_health() -> CounterHealth {
     let mut health = CounterHealth::new(0, 3);
     (0..3).for_each(|n| health.record_failure(START - 2 * S + n * 100 * MILLISECOND));
     health.record_answer(START);
@@ -44,7 +44,7 @@
 
 #[test]
 fn calls_to_a_recovered_counter_stay_within_this_gateway_s_part_of_the_budget() {
-    let mut health = recovered();
+    let mut health = recovered_health();
     let mut calls = 0;
     for tick in 0..150 {
         let now = START + tick * 20 * MILLISECOND;
--- a/crates/quota/src/idempotent_add/contribution_marks/tests.rs
+++ b/crates/quota/src/idempotent_add/contribution_marks/tests.rs
@@ -3,7 +3,7 @@
 use proptest::test_runner::{Config, RngSeed};
 
 /// Returns a total as the counter writes it: with seven significant digits.
-fn as_written(total: f64) -> f64 {
+fn round_to_seven_digits(total: f64) -> f64 {
     format!("{total:.6e}").parse().unwrap()
 }
 
@@ -28,7 +28,7 @@
         let mark = scheme.next_mark(1, counter);
         total += 5.0 + mark.fraction;
         counter = mark.counter;
-        let marked_total = scheme.decode(as_written(total));
+        let marked_total = scheme.decode(round_to_seven_digits(total));
         assert_eq!(marked_total.units, 5.0 * f64::from(n));
         let counters = marked_total.counters.unwrap();
         assert_eq!([counters.get(0), counters.get(1), counters.get(2)], [0, (n % 7) as u8, 0]);
@@ -66,7 +66,7 @@
             total += f64::from(added) + mark.fraction;
             units += f64::from(added);
             counters[member as usize] = mark.counter;
-            let marked_total = scheme.decode(as_written(total));
+            let marked_total = scheme.decode(round_to_seven_digits(total));
             prop_assert_eq!(marked_total.units, units);
             // The simulator's protocol carries totals as 32-bit floats.
             prop_assert_eq!(scheme.decode(f64::from(total as f32)), marked_total);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! # Purpose
 //!
-//! A customer's quota (a rate and a burst, in units) holds over all gateways together. They share it through a counter
+//! A customer's quota (a rate and a burst, in units) applies to all gateways together. They share it through a counter
 //! service that does one thing: it adds an amount to a named number and returns the total. A gateway *leases* units
 //! ahead of the requests that spend them by adding them to the customer's number. This crate keeps the quota in force
 //! while calls to the counter get no answer, while a partition separates some gateways from others, and after a reset
--- a/crates/quota/src/membership/partition_view.rs
+++ b/crates/quota/src/membership/partition_view.rs
@@ -10,8 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Time without an add after which a member may be partitioned off, in nanoseconds, if the customer asks all members of
-/// the set for units all the time.
+/// Time without an add after which a member may be partitioned off, in nanoseconds, if the customer makes requests
+/// to all members of the set all the time.
 const QUIET_TIME: Span = 900_000_000;
 /// Upper bound of the usual interval, in nanoseconds, at which a gateway that serves a customer reads its total.
 const USUAL_TOTAL_INTERVAL: Span = 3_000_000_000;
@@ -43,7 +43,7 @@
 pub(crate) enum QuietMembers {
     /// The member is alive as long as its heartbeats are recent.
     Alive,
-    /// The member is partitioned off until a later heartbeat proves otherwise: the customer asks for more than its
+    /// The member is partitioned off until a later heartbeat proves otherwise: the customer requests more than its
     /// quota, so that each member has reason to add.
     Partitioned,
 }
--- a/crates/quota/src/membership/traffic_fractions.rs
+++ b/crates/quota/src/membership/traffic_fractions.rs
@@ -111,7 +111,7 @@
         let confidence = self.confidence();
         let known = even + (self.observed_fraction(member) - even) * confidence;
         // The other gateways of a busy customer take over a fraction that they observed to be unused; the fraction of a
-        // customer with spare units only decays with age. A customer with few observations may be either.
+        // customer with spare units only decays with age. A customer with few observations may be of either kind.
         let busy = libm::pow(self.used_quota(), BUSY_EXPONENT).max(1.0 - confidence);
         let unobserved_s = unobserved as f64 / NANOS_PER_SECOND;
         let retained = libm::exp(-unobserved_s * busy / UNOBSERVED_DECAY_S);
--- a/crates/quota/src/reconciliation/tests.rs
+++ b/crates/quota/src/reconciliation/tests.rs
@@ -2,7 +2,7 @@
 
 const S: Time = 1_000_000_000;
 
-fn reconciliation() -> Reconciliation {
+fn new_reconciliation() -> Reconciliation {
     Reconciliation::new(IdempotentAdder::new(0, 3, 900.0, 0))
 }
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn pending_units_are_added_once() {
-    let mut reconciliation = reconciliation();
+    let mut reconciliation = new_reconciliation();
     reconciliation.add_pending(7.0);
     let total = reconcile(&mut reconciliation, 0.0);
     assert_eq!(total.floor(), 7.0);
@@ -30,7 +30,7 @@
 #[test]
 fn units_of_a_call_without_an_answer_are_added_again_only_if_they_were_not_counted() {
     for was_counted in [true, false] {
-        let mut reconciliation = reconciliation();
+        let mut reconciliation = new_reconciliation();
         reconciliation.add_pending(3.0);
         let mut total = reconcile(&mut reconciliation, 0.0);
         reconciliation.add_pending(7.0);
@@ -45,7 +45,7 @@
 
 #[test]
 fn units_that_were_lost_in_a_reset_are_added_again_after_a_recheck() {
-    let mut reconciliation = reconciliation();
+    let mut reconciliation = new_reconciliation();
     reconciliation.add_pending(9.0);
     reconcile(&mut reconciliation, 0.0);
     assert_eq!(reconcile(&mut reconciliation, 0.0), 0.0, "no recheck was requested");
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -87,7 +87,7 @@
     is_just_recovered: bool,
     /// Greatest number of units below zero that the level reached since the view was last complete.
     max_overdraft: f64,
-    /// Units asked for here, as a decaying sum.
+    /// Units requested from this gateway, as a decaying sum.
     requested_units: f64,
     first_request_at: Time,
     is_over_limit: bool,
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Records that the customer asks for these units, whether or not they are granted.
+    /// Records that the customer requests these units, whether or not they are granted.
     pub fn record_demand(&mut self, units: f64) {
         self.requested_units += units;
         let age_s = seconds_between(self.first_request_at, self.refilled_at).max(MIN_DEMAND_AGE_S);
--- a/crates/quota/src/windowed_limiter/tests.rs
+++ b/crates/quota/src/windowed_limiter/tests.rs
@@ -8,7 +8,7 @@
 }
 
 /// Returns a limiter that read a total one second into a window: this many units were requested from all gateways.
-fn with_total(requested_units: f64) -> WindowedLimiter {
+fn limiter_with_total(requested_units: f64) -> WindowedLimiter {
     let mut limiter = new_limiter();
     let window = limiter.window_at(101 * S);
     limiter.record_total(101 * S, window, requested_units + 2.0, 2.0);
@@ -18,7 +18,7 @@
 #[test]
 fn one_total_shows_the_demand_at_all_gateways() {
     assert_eq!(new_limiter().demand_ratio(101 * S), None);
-    let ratio = |requested_units| with_total(requested_units).demand_ratio(101 * S).unwrap();
+    let ratio = |requested_units| limiter_with_total(requested_units).demand_ratio(101 * S).unwrap();
     assert!(
         (ratio(40.0) - 45.0 / 15.0).abs() < 1e-9,
         "40 requested and 5 previously estimated units, where the quota covers 15"
@@ -33,19 +33,19 @@
         [(8.0, false, 1.0), (19.0, true, 1.0), (19.0, false, 0.0), (60.0, false, 0.0), (60.0, true, 1.0)];
     for (requested_units, is_top_priority, probability) in cases {
         assert_eq!(
-            with_total(requested_units).admission_probability(101 * S, is_top_priority, 0.16),
+            limiter_with_total(requested_units).admission_probability(101 * S, is_top_priority, 0.16),
             probability,
             "{requested_units} {is_top_priority}"
         );
     }
-    let single_priority = with_total(19.0).admission_probability(101 * S, true, 0.99);
+    let single_priority = limiter_with_total(19.0).admission_probability(101 * S, true, 0.99);
     assert_eq!(single_priority, 1.0, "a single priority has no precedence");
-    assert_eq!(with_total(60.0).admission_probability(101 * S, true, 0.99), 0.0);
+    assert_eq!(limiter_with_total(60.0).admission_probability(101 * S, true, 0.99), 0.0);
 }
 
 #[test]
 fn a_recent_total_is_used_beyond_its_window_until_the_own_estimate_replaces_it() {
-    let mut limiter = with_total(60.0);
+    let mut limiter = limiter_with_total(60.0);
     let ratio = limiter.demand_ratio(101 * S).unwrap();
     let probability = |limiter: &WindowedLimiter, at: u64| limiter.admission_probability(at * S, false, 0.0);
     assert_eq!(probability(&limiter, 102), TARGET_UTILIZATION / ratio);
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -16,7 +16,7 @@
     frame
 }
 
-fn attach(length: usize) -> Vec<u8> {
+fn attach_record(length: usize) -> Vec<u8> {
     let mut record = vec![11, 0, 3, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
     record.extend((length as u32).to_le_bytes());
     record
@@ -34,11 +34,11 @@
     assert!(error_of(&frame_of(&[], &[])[..12]).contains("truncated"));
     assert!(error_of(&frame_of(&[vec![99, 0]], &[])).contains("event code at byte 16 has invalid value 99"));
     assert!(error_of(&frame_of(&[vec![12, 0, 3]], &[])).contains("has not been started"));
-    assert!(error_of(&frame_of(&[attach(9)], b"{}")).contains("tail is truncated"));
+    assert!(error_of(&frame_of(&[attach_record(9)], b"{}")).contains("tail is truncated"));
     for (text, expected) in
         [("{", "settings: "), ("{}", "`allowed` is missing"), ("3", "the settings are 3, not an object")]
     {
-        let message = error_of(&frame_of(&[attach(text.len())], text.as_bytes()));
+        let message = error_of(&frame_of(&[attach_record(text.len())], text.as_bytes()));
         assert!(message.contains(expected), "{message}");
     }
 }
@@ -50,5 +50,5 @@
     settings["new"] = serde_json::json!([1]);
     settings["services"][0]["something-else"] = serde_json::json!({});
     let text = settings.to_string();
-    assert!(Adapter::default().answer(&frame_of(&[attach(text.len())], text.as_bytes())).is_ok());
+    assert!(Adapter::default().answer(&frame_of(&[attach_record(text.len())], text.as_bytes())).is_ok());
 }
