--- a/crates/cluster-emulator/src/fault_injector.rs
+++ b/crates/cluster-emulator/src/fault_injector.rs
@@ -388,7 +388,7 @@
         self.schedule(at + self.site.start_delay(gateway), Step::StartGateway(gateway));
     }
 
-    /// Waits until a gateway listens. Until then its links accept connections and break them, selector is no error of the
+    /// Waits until a gateway listens. Until then its links accept connections and break them, which is no error of the
     /// gateway.
     fn await_gateway(&mut self, now: Time, gateway: u32) -> Result<()> {
         let is_up = self.site.gateways[gateway as usize].up.is_some();
@@ -410,7 +410,7 @@
         }
         self.site.backend.signal(gateway, signal);
         if signal == Signal::Terminate {
-            // The gateway accepts no more connections. A link would accept and then break them, selector a client sees as
+            // The gateway accepts no more connections. A link would accept and then break them, which a client sees as
             // a lost request.
             self.refuse_connections(MachineRole::Gateway(gateway));
         }
--- a/crates/cluster-emulator/src/run.rs
+++ b/crates/cluster-emulator/src/run.rs
@@ -101,7 +101,7 @@
     pub trace: Option<OnPacket>,
     /// Ends the run at the first violation.
     pub stop_at_violation: bool,
-    /// Is told how far it is.
+    /// Receives the progress.
     pub progress: OnProgress<'a>,
     /// Creates what runs in place of the real gateway, if given.
     pub gateway: Option<GatewayFactory>,
@@ -146,7 +146,7 @@
     pub operators: Option<PathBuf>,
     /// Overrides the first process of one gateway.
     pub gateway_override: Option<GatewayOverride>,
-    /// Is told how far it is.
+    /// Receives the progress.
     pub progress: OnProgress<'a>,
 }
 
