--- a/crates/cluster-emulator/src/fault_injector.rs
+++ b/crates/cluster-emulator/src/fault_injector.rs
@@ -24,7 +24,7 @@
 const KILL_GRACE: Span = 700 * MS;
 /// Time from the end of a gateway in a planned restart to its next start.
 const RESTART_DELAY: Span = 500 * MS;
-/// Time from the end of a host process to the start of another at the same addresses, selector are free by then.
+/// Time from the end of a host process to the start of another at the same addresses, which are free by then.
 const ADDRESS_RELEASE_DELAY: Span = 20 * MS;
 
 /// A scheduled step.
@@ -536,7 +536,7 @@
         }
     }
 
-    /// Reports hosts that crashed under overload to discovery, selector detects them by timeout.
+    /// Reports hosts that crashed under overload to discovery, which detects them by timeout.
     fn report_crashed_hosts(&mut self) {
         for number in 0..self.site.hosts.len() {
             let host = &mut self.site.hosts[number];
--- a/crates/cluster-emulator/src/fault_injector/faults.rs
+++ b/crates/cluster-emulator/src/fault_injector/faults.rs
@@ -10,7 +10,7 @@
 use cluster_model::MS;
 use runtime::{Span, Time};
 
-/// A slowed process is suspended and resumed once within this time, selector is short against each time in the rules.
+/// A slowed process is suspended and resumed once within this time, which is short against each time in the rules.
 const TIME_SLICE: Span = 20 * MS;
 
 /// A fault that the invariant checker must know of, since it delays or hides traffic. Several events may cause it at
