--- a/crates/cluster-emulator/src/real/wires.rs
+++ b/crates/cluster-emulator/src/real/wires.rs
@@ -5,8 +5,8 @@
 use crate::trace::{LinkLine, LinkName, RunTrace};
 use cluster_model::scenario::{LinkDirection, LinkFault, Site};
 use fault_proxy::{
-    Entry, Fault, FaultId, Last, LinkId, LinkSet, LinkSpec, Messages, Moment, Place, Plan, Settings, Way,
-    What, Who,
+    ConnectionSelector, Directions, Entry, EventKind, Fault, FaultId, Framing, LastActivity, LinkId, LinkSet,
+    LinkSpec, Place, Plan, Settings, Trigger,
 };
 use runtime::{Span, Time};
 use std::collections::btree_map::{BTreeMap, Entry as Slot};
@@ -47,7 +47,7 @@
     /// Faults that did not fit among them.
     unheard: usize,
     /// What is to be played again, on each link in order: those of its faults that are still to come.
-    again: BTreeMap<LinkName, VecDeque<(Fault, Last)>>,
+    again: BTreeMap<LinkName, VecDeque<(Fault, LastActivity)>>,
 }
 
 /// A fault that a link was asked for.
@@ -70,16 +70,18 @@
     }
 
     /// When a fault that is asked for now begins: at once, or where it did before.
-    fn moment(&mut self, name: LinkName, fault: &Fault) -> Moment {
+    fn moment(&mut self, name: LinkName, fault: &Fault) -> Trigger {
         let before = self.again.get_mut(&name).and_then(VecDeque::pop_front);
         // Another fault than before has no place of its own.
         let after = before.filter(|(before, _)| before == fault).map(|(_, after)| after);
         let moment = match after {
-            None | Some(Last::Nothing) => return AT_ONCE,
-            Some(Last::Connecting(n)) => Moment::Connection(n),
-            Some(Last::Passed(Place { connection, way, bytes })) => Moment::Bytes { connection, way, bytes },
+            None | Some(LastActivity::Nothing) => return AT_ONCE,
+            Some(LastActivity::Connecting(n)) => Trigger::Connection(n),
+            Some(LastActivity::Passed(Place { connection, way, bytes })) => {
+                Trigger::Bytes { connection, way, bytes }
+            }
         };
-        Moment::Within { moment: Box::new(moment), wait: Duration::from_nanos(WAIT) }
+        Trigger::Within { moment: Box::new(moment), wait: Duration::from_nanos(WAIT) }
     }
 }
 
@@ -105,7 +107,7 @@
             return Ok(*address);
         }
         let name = format!("{:?} to {:?}", pair.0, pair.1);
-        let spec = LinkSpec::to(&name, target).messages(Messages::None);
+        let spec = LinkSpec::to(&name, target).messages(Framing::None);
         let (link, address) = self.set.add(spec).map_err(io::Error::other)?;
         state.links.insert((pair, target), (link, address));
         let name = (pair, target.port());
@@ -138,7 +140,7 @@
             _ => network.client,
         };
         let jitter = Duration::from_nanos((one_way as f64 * network.jitter) as u64);
-        Some(Fault::Delay { way: Way::Both, base: Duration::from_nanos(one_way), jitter })
+        Some(Fault::Delay { way: Directions::Both, base: Duration::from_nanos(one_way), jitter })
     }
 
     fn building(&self, post: Post) -> Option<u32> {
@@ -176,7 +178,11 @@
         for (link, name) in there {
             if gone {
                 if let Slot::Vacant(none) = state.refusing.entry(link) {
-                    none.insert(self.set.begin(link, Who::Every, Fault::Refuse).map_err(io::Error::other)?);
+                    none.insert(
+                        self.set
+                            .begin(link, ConnectionSelector::Every, Fault::Refuse)
+                            .map_err(io::Error::other)?,
+                    );
                     state.note(Asked { link, name, fault: Fault::Refuse, lasts: None, by_scenario: false });
                 }
             } else if let Some(fault) = state.refusing.remove(&link) {
@@ -192,7 +198,7 @@
         let pairs: Vec<Pair> = both.filter(|(a, b)| a != b).collect();
         let span = Some(Duration::from_nanos(span));
         if !reset {
-            self.begin(&pairs, &Fault::Cut { way: Way::Both }, span)?;
+            self.begin(&pairs, &Fault::Cut { way: Directions::Both }, span)?;
             return self.begin(&pairs, &Fault::Unanswered, span);
         }
         self.begin(&pairs, &Fault::Reset, None)?;
@@ -247,7 +253,7 @@
         }
         let mut lines = Vec::new();
         for event in trace.events() {
-            let What::Began { fault, after, .. } = &event.what else { continue };
+            let EventKind::Began { fault, after, .. } = &event.what else { continue };
             let Some(asked) = open.get_mut(&event.link) else { continue };
             // One that waits for its place may begin after a later one.
             let Some(at) = asked.iter().position(|asked| asked.fault == *fault) else { continue };
@@ -270,11 +276,11 @@
 }
 
 /// A time that is over.
-const AT_ONCE: Moment = Moment::At(Duration::ZERO);
+const AT_ONCE: Trigger = Trigger::At(Duration::ZERO);
 
 /// On all connections.
-fn entry(link: LinkId, when: Moment, fault: Fault, lasts: Option<Duration>) -> Entry {
-    Entry { link, when, who: Who::Every, fault: Some(fault), lasts }
+fn entry(link: LinkId, when: Trigger, fault: Fault, lasts: Option<Duration>) -> Entry {
+    Entry { link, when, who: ConnectionSelector::Every, fault: Some(fault), lasts }
 }
 
 /// A fault that the scenario asks for.
@@ -289,11 +295,11 @@
     entry(link, when, fault, lasts)
 }
 
-fn way(way: LinkDirection) -> Way {
+fn way(way: LinkDirection) -> Directions {
     match way {
-        LinkDirection::Both => Way::Both,
-        LinkDirection::FromInitiator => Way::Calls,
-        LinkDirection::ToInitiator => Way::Answers,
+        LinkDirection::Both => Directions::Both,
+        LinkDirection::FromInitiator => Directions::Calls,
+        LinkDirection::ToInitiator => Directions::Answers,
     }
 }
 
@@ -303,11 +309,11 @@
         LinkFault::Hold(held) => Fault::Hold { way: way(*held) },
         LinkFault::Blackhole(cut) => Fault::Cut { way: way(*cut) },
         LinkFault::Delay(from, to) => Fault::Delay {
-            way: Way::Both,
+            way: Directions::Both,
             base: Duration::from_nanos(*from),
             jitter: Duration::from_nanos(to.saturating_sub(*from)),
         },
-        LinkFault::RateLimit(rate) => Fault::Rate { way: Way::Both, bytes_per_s: (rate * KIB) as u64 },
+        LinkFault::RateLimit(rate) => Fault::Rate { way: Directions::Both, bytes_per_s: (rate * KIB) as u64 },
         LinkFault::Reset | LinkFault::Flap(_) => return None,
     })
 }
--- a/crates/cluster-emulator/src/trace.rs
+++ b/crates/cluster-emulator/src/trace.rs
@@ -17,7 +17,7 @@
 use crate::real::{Pair, WAIT};
 use cluster_model::file;
 use cluster_model::scenario::{Event, Scenario};
-use fault_proxy::{Fault, Last};
+use fault_proxy::{Fault, LastActivity};
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::path::Path;
@@ -53,7 +53,7 @@
     pub fault: Fault,
     pub lasts: Option<Duration>,
     /// What the link had done last when it began.
-    pub after: Last,
+    pub after: LastActivity,
 }
 
 /// A link: who opens connections to whom, and the port at which those are led to.
@@ -208,7 +208,7 @@
 mod tests {
     use super::*;
     use crate::stage::Post;
-    use fault_proxy::{Direction, Place, Way};
+    use fault_proxy::{Direction, Directions, Place};
 
     const GATEWAY: Post = Post::Gateway(0);
 
@@ -216,18 +216,18 @@
     fn all() -> RunTrace {
         let span = Duration::from_nanos(1_500_000_001);
         let faults = [
-            Fault::Cut { way: Way::Answers },
-            Fault::Hold { way: Way::Both },
-            Fault::Delay { way: Way::Calls, base: span, jitter: Duration::ZERO },
-            Fault::Rate { way: Way::Both, bytes_per_s: 1024 },
+            Fault::Cut { way: Directions::Answers },
+            Fault::Hold { way: Directions::Both },
+            Fault::Delay { way: Directions::Calls, base: span, jitter: Duration::ZERO },
+            Fault::Rate { way: Directions::Both, bytes_per_s: 1024 },
             Fault::Unanswered,
             Fault::Refuse,
             Fault::Reset,
         ];
         let places = [
-            Last::Nothing,
-            Last::Connecting(3),
-            Last::Passed(Place { connection: 2, way: Direction::Answers, bytes: 4711 }),
+            LastActivity::Nothing,
+            LastActivity::Connecting(3),
+            LastActivity::Passed(Place { connection: 2, way: Direction::Answers, bytes: 4711 }),
         ];
         let ends = [Post::Counter, Post::Host(4), Post::Gateway(0)];
         let line = |(n, fault): (usize, &Fault)| LinkLine {
--- a/crates/cluster-emulator/src/trace/lines.rs
+++ b/crates/cluster-emulator/src/trace/lines.rs
@@ -4,7 +4,7 @@
 use crate::stage::Post;
 use cluster_model::file;
 use cluster_model::scenario::Scenario;
-use fault_proxy::{Direction, Fault, Last, Place, Way};
+use fault_proxy::{Direction, Directions, Fault, LastActivity, Place};
 use std::str::FromStr;
 use std::time::Duration;
 
@@ -42,7 +42,8 @@
     word.chars().take(40).map(|c| if c.is_control() { '?' } else { c }).collect()
 }
 
-const WAYS: [(&str, Way); 3] = [("calls", Way::Calls), ("answers", Way::Answers), ("both", Way::Both)];
+const WAYS: [(&str, Directions); 3] =
+    [("calls", Directions::Calls), ("answers", Directions::Answers), ("both", Directions::Both)];
 const DIRECTIONS: [(&str, Direction); 2] = [("calls", Direction::Calls), ("answers", Direction::Answers)];
 
 fn name_of<T: PartialEq>(is: &T, known: &[(&'static str, T)]) -> &'static str {
@@ -54,9 +55,9 @@
     let ((from, to), port) = line.link;
     let lasts = line.lasts.map_or(String::new(), |lasts| format!(" for {}", lasts.as_nanos()));
     let after = match line.after {
-        Last::Nothing => "first".to_owned(),
-        Last::Connecting(n) => format!("connection {n}"),
-        Last::Passed(Place { connection, way, bytes }) => {
+        LastActivity::Nothing => "first".to_owned(),
+        LastActivity::Connecting(n) => format!("connection {n}"),
+        LastActivity::Passed(Place { connection, way, bytes }) => {
             format!("{} {connection} {bytes}", name_of(&way, &DIRECTIONS))
         }
     };
@@ -65,7 +66,7 @@
 }
 
 fn fault_text(fault: &Fault) -> String {
-    let way = |way: &Way| name_of(way, &WAYS);
+    let way = |way: &Directions| name_of(way, &WAYS);
     match fault {
         Fault::Delay { way: slow, base, jitter } => {
             format!("delay {} {} {}", way(slow), base.as_nanos(), jitter.as_nanos())
@@ -138,16 +139,16 @@
         return Err(format!("expected `at`, found `{}`", short(next)));
     }
     let after = match words.word("a place")? {
-        "first" => Last::Nothing,
-        "connection" => Last::Connecting(words.number("a connection")?),
+        "first" => LastActivity::Nothing,
+        "connection" => LastActivity::Connecting(words.number("a connection")?),
         word => {
             let way = DIRECTIONS.iter().find(|(name, _)| *name == word);
             let way = way.ok_or_else(|| format!("unknown place `{}`", short(word)))?.1;
             let (connection, bytes) = (words.number("a connection")?, words.number("bytes")?);
-            Last::Passed(Place { connection, way, bytes })
+            LastActivity::Passed(Place { connection, way, bytes })
         }
     };
-    if matches!(after, Last::Connecting(0) | Last::Passed(Place { connection: 0, .. })) {
+    if matches!(after, LastActivity::Connecting(0) | LastActivity::Passed(Place { connection: 0, .. })) {
         return Err("connections count from 1".into());
     }
     Ok(LinkLine { at, link: (pair, port), fault, lasts, after })
--- a/crates/fault-proxy/examples/measure.rs
+++ b/crates/fault-proxy/examples/measure.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use fault_proxy::{Fault, LinkSet, LinkSpec, Messages, Settings, Way, Who};
+use fault_proxy::{ConnectionSelector, Directions, Fault, Framing, LinkSet, LinkSpec, Settings};
 
 type Outcome<T> = Result<T, Box<dyn std::error::Error>>;
 
@@ -46,8 +46,8 @@
         (host, end),
         (by_threads(host)?, by_threads(end)?),
         (by_tokio(host)?, by_tokio(end)?),
-        (link("none", Messages::None, host)?, link("none", Messages::None, end)?),
-        (link("resp", Messages::Resp, host)?, link("resp", Messages::Resp, end)?),
+        (link("none", Framing::None, host)?, link("none", Framing::None, end)?),
+        (link("resp", Framing::Resp, host)?, link("resp", Framing::Resp, end)?),
     ];
     for _ in 0..TURNS {
         for (way, (echo, sink)) in addresses.iter().enumerate() {
@@ -115,8 +115,9 @@
     let (link, address) = links.add(LinkSpec::to("late", host))?;
     for micros in [0, 300, 1000, 5000] {
         let base = Duration::from_micros(micros);
-        let fault = Fault::Delay { way: Way::Both, base, jitter: Duration::ZERO };
-        let fault = if micros > 0 { Some(links.begin(link, Who::Every, fault)?) } else { None };
+        let fault = Fault::Delay { way: Directions::Both, base, jitter: Duration::ZERO };
+        let fault =
+            if micros > 0 { Some(links.begin(link, ConnectionSelector::Every, fault)?) } else { None };
         let mut stream = connect(address)?;
         let mut took = Vec::new();
         for _ in 0..400 {
--- a/crates/fault-proxy/src/faults.rs
+++ b/crates/fault-proxy/src/faults.rs
@@ -8,11 +8,11 @@
 use crate::plan::{Direction, Fault, FaultId};
 
 /// Parts of a flapping link's period are no shorter, or it would do nothing else.
-const LEAST_FLAP: Span = MS / 10;
+const MIN_FLAP_PHASE: Span = MS / 10;
 
 /// A fault in force.
 #[derive(Clone, Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveFault {
     pub id: FaultId,
     pub fault: Fault,
     /// The only connection that it concerns.
@@ -20,7 +20,7 @@
     since: Time,
 }
 
-impl Active {
+impl ActiveFault {
     fn concerns(&self, connection: u64) -> bool {
         self.only.is_none_or(|only| only == connection)
     }
@@ -34,15 +34,15 @@
         }
     }
 
-    fn bars(&self, now: Time, direction: Direction) -> bool {
+    fn blocks(&self, now: Time, direction: Direction) -> bool {
         matches!(&self.fault, Fault::Hold { way } if way.covers(direction)) || self.cuts(now, direction)
     }
 }
 
 /// Whether a flapping link is cut when it has flapped for so long, and how long that lasts.
 fn flap(since: Span, down: Duration, up: Duration) -> (bool, Span) {
-    let down = nanos(down).max(LEAST_FLAP);
-    let up = nanos(up).max(LEAST_FLAP);
+    let down = nanos(down).max(MIN_FLAP_PHASE);
+    let up = nanos(up).max(MIN_FLAP_PHASE);
     let period = down.saturating_add(up);
     let at = since % period;
     if at < down {
@@ -61,8 +61,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opening {
     /// It is led to the target.
-    Join,
-    /// It is kept, and hears nothing until [`Deed::Join`](crate::core::Deed::Join).
+    Connect,
+    /// It is kept, and hears nothing until [`Action::Connect`](crate::core::Action::Connect).
     Wait,
     /// It is reset.
     Reset,
@@ -82,7 +82,7 @@
 /// Those of one link.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Faults {
-    list: Vec<Active>,
+    list: Vec<ActiveFault>,
     count: u32,
 }
 
@@ -93,15 +93,15 @@
     }
 
     pub fn add(&mut self, now: Time, id: FaultId, only: Option<u64>, fault: Fault) {
-        self.list.push(Active { id, fault, only, since: now });
+        self.list.push(ActiveFault { id, fault, only, since: now });
     }
 
-    pub fn remove(&mut self, id: FaultId) -> Option<Active> {
+    pub fn remove(&mut self, id: FaultId) -> Option<ActiveFault> {
         let index = self.list.iter().position(|active| active.id == id)?;
         Some(self.list.remove(index))
     }
 
-    pub fn get(&self, id: FaultId) -> Option<&Active> {
+    pub fn get(&self, id: FaultId) -> Option<&ActiveFault> {
         self.list.iter().find(|active| active.id == id)
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Those that concern a connection.
-    pub fn on(&self, connection: u64) -> impl Iterator<Item = &Active> {
+    pub fn on(&self, connection: u64) -> impl Iterator<Item = &ActiveFault> {
         self.list.iter().filter(move |active| active.concerns(connection))
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// Whether nothing passes in a direction of a connection.
-    pub fn bars(&self, now: Time, connection: u64, direction: Direction) -> bool {
-        self.on(connection).any(|active| active.bars(now, direction))
+    pub fn blocks(&self, now: Time, connection: u64, direction: Direction) -> bool {
+        self.on(connection).any(|active| active.blocks(now, direction))
     }
 
     /// The same, and what its sender's end leaves behind is lost.
@@ -164,7 +164,7 @@
         if silent || self.cuts(now, connection, Direction::Calls) {
             Opening::Wait
         } else {
-            Opening::Join
+            Opening::Connect
         }
     }
 
--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -7,17 +7,17 @@
 //! ```
 //! use std::io::{Read, Write};
 //! use std::net::{TcpListener, TcpStream};
-//! use fault_proxy::{Direction, Fault, LinkSet, LinkSpec, Moment, Plan, Settings, Way, Who};
+//! use fault_proxy::{Direction, Fault, LinkSet, LinkSpec, Trigger, Plan, Settings, Directions, ConnectionSelector};
 //!
 //! let host = TcpListener::bind("127.0.0.1:0")?;
 //! let links = LinkSet::start(Settings { seed: 7, ..Settings::default() })?;
 //! let (link, address) = links.add(LinkSpec::to("gateway-1 to host-3", host.local_addr()?))?;
 //!
 //! // The second call arrives, and its answer never does.
-//! let second = Moment::after(Direction::Calls, 2);
-//! links.plan(Plan::new().at(link, second, Fault::Cut { way: Way::Answers }))?;
+//! let second = Trigger::after(Direction::Calls, 2);
+//! links.plan(Plan::new().at(link, second, Fault::Cut { way: Directions::Answers }))?;
 //! // Anything may also begin and end by hand; the call returns when it is in force.
-//! let slow = links.begin(link, Who::Every, Fault::Rate { way: Way::Both, bytes_per_s: 100_000 })?;
+//! let slow = links.begin(link, ConnectionSelector::Every, Fault::Rate { way: Directions::Both, bytes_per_s: 100_000 })?;
 //! links.end(link, slow)?;
 //!
 //! let mut client = TcpStream::connect(address)?;
@@ -30,7 +30,7 @@
 //!
 //! - [`plan`]: what may go wrong, and when: plain data.
 //! - [`core`]: one link without I/O and clock. `queue`, `flow` and `split` are its streams, `faults` what is in
-//!   force, `moments` what is planned.
+//!   force, `planned` what is planned.
 //! - `set` is the handle, `runner` the thread behind it, `socket` what it asks of the system.
 //! - [`trace`]: what was done, and back to a plan.
 //!
@@ -40,8 +40,8 @@
 mod error;
 mod faults;
 mod flow;
-mod moments;
 pub mod plan;
+mod planned;
 mod queue;
 mod runner;
 mod set;
@@ -50,6 +50,8 @@
 pub mod trace;
 
 pub use error::LinkError;
-pub use plan::{Direction, End, Entry, Fault, FaultId, LinkId, Moment, Plan, Way, Who};
-pub use set::{Counts, LinkSet, LinkSpec, Messages, Settings};
-pub use trace::{Event, Last, Lost, Place, Trace, What};
+pub use plan::{
+    ConnectionSelector, Direction, Directions, End, Entry, Fault, FaultId, LinkId, Plan, Trigger,
+};
+pub use set::{Counts, Framing, LinkSet, LinkSpec, Settings};
+pub use trace::{Event, EventKind, IncompleteTrace, LastActivity, Place, Trace};
--- a/crates/fault-proxy/src/plan.rs
+++ b/crates/fault-proxy/src/plan.rs
@@ -38,7 +38,7 @@
 
 /// The directions that a fault concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Directions {
     /// Only from the process that connected.
     Calls,
     /// Only to the process that connected.
@@ -47,22 +47,22 @@
     Both,
 }
 
-impl Way {
+impl Directions {
     /// Whether this direction is among them.
     pub fn covers(self, direction: Direction) -> bool {
         match self {
-            Way::Both => true,
-            Way::Calls => direction == Direction::Calls,
-            Way::Answers => direction == Direction::Answers,
+            Directions::Both => true,
+            Directions::Calls => direction == Direction::Calls,
+            Directions::Answers => direction == Direction::Answers,
         }
     }
 }
 
-impl From<Direction> for Way {
-    fn from(direction: Direction) -> Way {
+impl From<Direction> for Directions {
+    fn from(direction: Direction) -> Directions {
         match direction {
-            Direction::Calls => Way::Calls,
-            Direction::Answers => Way::Answers,
+            Direction::Calls => Directions::Calls,
+            Direction::Answers => Directions::Answers,
         }
     }
 }
@@ -86,7 +86,7 @@
     /// connection. What is on its way when the delay ends keeps its time.
     Delay {
         /// Directions that it concerns.
-        way: Way,
+        way: Directions,
         /// The least delay.
         base: Duration,
         /// What chance adds: evenly from nothing up to this, anew for each piece that is read.
@@ -95,7 +95,7 @@
     /// So many bytes a second at the most pass on each connection, after a burst of 10 ms worth.
     Rate {
         /// Directions that it concerns; each has the rate to itself.
-        way: Way,
+        way: Directions,
         /// Bytes a second; 0 counts as 1.
         bytes_per_s: u64,
     },
@@ -103,19 +103,19 @@
     /// Connections are still made.
     Hold {
         /// Directions that it concerns.
-        way: Way,
+        way: Directions,
     },
     /// Nothing passes: no byte, no end, no reset. When it ends, what waited passes in order, as TCP would
     /// have it; but where the sender broke its connection meanwhile only the reset does. While calls are
     /// cut new connections are accepted and wait for their way to the target.
     Cut {
         /// Directions that it concerns.
-        way: Way,
+        way: Directions,
     },
     /// Cut for `down`, whole for `up`, and so on, beginning with a cut.
     Flap {
         /// Directions that it concerns.
-        way: Way,
+        way: Directions,
         /// How long it is cut each time.
         down: Duration,
         /// How long it is whole each time.
@@ -135,7 +135,7 @@
     /// At once: receivers see an end after what has passed, and all else that senders send is lost.
     HalfClose {
         /// Directions that end.
-        way: Way,
+        way: Directions,
     },
     /// Ends a connection when so many bytes of it have passed in a direction; one that is further ends at once.
     DropAfter {
@@ -161,7 +161,7 @@
 
 /// Which connections of a link a fault concerns. `Refuse`, `ResetNew`, `Unanswered` and `Silent` concern the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Who {
+pub enum ConnectionSelector {
     /// All: those that are open, and, of a fault that lasts, those that come.
     Every,
     /// The n-th that was accepted, from 1.
@@ -172,7 +172,7 @@
 
 /// When something begins. Places in a stream are exact: all bytes before them have passed, none after.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Moment {
+pub enum Trigger {
     /// So long after the set's start; at once where that is over.
     At(Duration),
     /// When the link accepts its n-th connection, from 1: before anything is done with it, or, of `Reset` and
@@ -185,7 +185,7 @@
         way: Direction,
         /// Which message, from 1.
         n: u64,
-        /// Bytes of it that have passed: 0 before its first, [`Moment::WHOLE`] after its last.
+        /// Bytes of it that have passed: 0 before its first, [`Trigger::MESSAGE_END`] after its last.
         after: u64,
     },
     /// When the n-th occurrence, from 1, of these bytes has passed in a direction, on whatever connection.
@@ -206,37 +206,37 @@
         /// Bytes since the connection's first.
         bytes: u64,
     },
-    /// When somebody calls [`LinkSet::fire`](crate::LinkSet::fire) with this name.
+    /// When somebody calls [`LinkSet::send_signal`](crate::LinkSet::send_signal) with this name.
     Signal(String),
     /// When this moment comes, or so long after the plan was made if it has not come by then.
     Within {
         /// The moment, which is none like this.
-        moment: Box<Moment>,
+        moment: Box<Trigger>,
         /// The longest wait.
         wait: Duration,
     },
 }
 
-impl Moment {
-    /// The end of a message, as `after` of [`Moment::Message`].
-    pub const WHOLE: u64 = u64::MAX;
+impl Trigger {
+    /// The end of a message, as `after` of [`Trigger::Message`].
+    pub const MESSAGE_END: u64 = u64::MAX;
 
     /// The moment itself, and the longest wait for it, where there is one.
-    pub(crate) fn parts(&self) -> (&Moment, Option<Duration>) {
+    pub(crate) fn parts(&self) -> (&Trigger, Option<Duration>) {
         match self {
-            Moment::Within { moment, wait } => (moment, Some(*wait)),
+            Trigger::Within { moment, wait } => (moment, Some(*wait)),
             moment => (moment, None),
         }
     }
 
     /// Before the first byte of the n-th message.
-    pub fn before(way: Direction, n: u64) -> Moment {
-        Moment::Message { way, n, after: 0 }
+    pub fn before(way: Direction, n: u64) -> Trigger {
+        Trigger::Message { way, n, after: 0 }
     }
 
     /// After the last byte of the n-th message.
-    pub fn after(way: Direction, n: u64) -> Moment {
-        Moment::Message { way, n, after: Moment::WHOLE }
+    pub fn after(way: Direction, n: u64) -> Trigger {
+        Trigger::Message { way, n, after: Trigger::MESSAGE_END }
     }
 }
 
@@ -246,9 +246,9 @@
     /// On this link.
     pub link: LinkId,
     /// From this moment.
-    pub when: Moment,
+    pub when: Trigger,
     /// On these connections.
-    pub who: Who,
+    pub who: ConnectionSelector,
     /// What goes wrong. `None` heals the link of all that is in force.
     pub fault: Option<Fault>,
     /// For so long; `None` until it is taken back or the link heals.
@@ -257,7 +257,7 @@
 
 impl Entry {
     /// Whether it is done at once, and does not last.
-    pub(crate) fn is_deed(&self) -> bool {
+    pub(crate) fn is_immediate(&self) -> bool {
         matches!(self.fault, Some(Fault::Reset | Fault::HalfClose { .. }))
     }
 }
@@ -276,23 +276,29 @@
     }
 
     /// Adds a fault on all connections of a link, until it is taken back.
-    pub fn at(self, link: LinkId, when: Moment, fault: Fault) -> Plan {
-        self.entry(Entry { link, when, who: Who::Every, fault: Some(fault), lasts: None })
+    pub fn at(self, link: LinkId, when: Trigger, fault: Fault) -> Plan {
+        self.entry(Entry { link, when, who: ConnectionSelector::Every, fault: Some(fault), lasts: None })
     }
 
     /// Adds a fault on the connection at which the moment comes, until it is taken back.
-    pub fn here(self, link: LinkId, when: Moment, fault: Fault) -> Plan {
-        self.entry(Entry { link, when, who: Who::Here, fault: Some(fault), lasts: None })
+    pub fn here(self, link: LinkId, when: Trigger, fault: Fault) -> Plan {
+        self.entry(Entry { link, when, who: ConnectionSelector::Here, fault: Some(fault), lasts: None })
     }
 
     /// Adds a fault on all connections of a link for a span.
-    pub fn during(self, link: LinkId, when: Moment, lasts: Duration, fault: Fault) -> Plan {
-        self.entry(Entry { link, when, who: Who::Every, fault: Some(fault), lasts: Some(lasts) })
+    pub fn during(self, link: LinkId, when: Trigger, lasts: Duration, fault: Fault) -> Plan {
+        self.entry(Entry {
+            link,
+            when,
+            who: ConnectionSelector::Every,
+            fault: Some(fault),
+            lasts: Some(lasts),
+        })
     }
 
     /// Adds that the link heals.
-    pub fn heal(self, link: LinkId, when: Moment) -> Plan {
-        self.entry(Entry { link, when, who: Who::Every, fault: None, lasts: None })
+    pub fn heal(self, link: LinkId, when: Trigger) -> Plan {
+        self.entry(Entry { link, when, who: ConnectionSelector::Every, fault: None, lasts: None })
     }
 
     /// Adds any entry.
--- a/crates/fault-proxy/src/queue.rs
+++ b/crates/fault-proxy/src/queue.rs
@@ -5,9 +5,9 @@
 use cluster_model::Time;
 
 /// Pieces that are told apart; more share the time of the last, so that single bytes cost no more than this.
-const PIECES: usize = 4096;
+const MAX_PIECES: usize = 4096;
 /// An empty queue gives its memory back beyond this.
-const KEEP: usize = 4096;
+const MAX_IDLE_CAPACITY: usize = 4096;
 
 /// A queue of bytes in order. It has no bound of its own: who fills it looks at [`Queue::len`] first.
 #[derive(Clone, Debug, Default)]
@@ -15,9 +15,9 @@
     bytes: VecDeque<u8>,
     /// Ends of pieces that are not due yet, as bytes since the beginning, and when they are.
     pieces: VecDeque<(u64, Time)>,
-    taken: u64,
+    popped: u64,
     /// Bytes since the beginning that are due.
-    due: u64,
+    ready: u64,
 }
 
 impl Queue {
@@ -26,28 +26,28 @@
     }
 
     /// Adds bytes that may pass at a time, or with those before them if that is later.
-    pub fn push(&mut self, bytes: &[u8], due: Time) {
+    pub fn push(&mut self, bytes: &[u8], ready_at: Time) {
         self.bytes.extend(bytes);
-        let end = self.taken + self.bytes.len() as u64;
-        let full = self.pieces.len() >= PIECES;
+        let end = self.popped + self.bytes.len() as u64;
+        let full = self.pieces.len() >= MAX_PIECES;
         match self.pieces.back_mut() {
-            Some(last) if full || last.1 == due => *last = (end, due.max(last.1)),
-            _ => self.pieces.push_back((end, due)),
+            Some(last) if full || last.1 == ready_at => *last = (end, ready_at.max(last.1)),
+            _ => self.pieces.push_back((end, ready_at)),
         }
     }
 
     /// How many bytes may pass now.
     pub fn ready(&mut self, now: Time) -> usize {
-        while let Some((end, _)) = self.pieces.front().filter(|(_, due)| *due <= now) {
-            self.due = *end;
+        while let Some((end, _)) = self.pieces.front().filter(|(_, ready_at)| *ready_at <= now) {
+            self.ready = *end;
             self.pieces.pop_front();
         }
-        self.due.saturating_sub(self.taken) as usize
+        self.ready.saturating_sub(self.popped) as usize
     }
 
     /// When the first piece that is not due will be.
-    pub fn next_due(&self) -> Option<Time> {
-        self.pieces.front().map(|(_, due)| *due)
+    pub fn next_ready_at(&self) -> Option<Time> {
+        self.pieces.front().map(|(_, ready_at)| *ready_at)
     }
 
     /// The first bytes, up to so many, as far as they lie in one piece of memory.
@@ -59,8 +59,8 @@
     /// Takes the first bytes away.
     pub fn pop(&mut self, count: usize) {
         self.bytes.drain(..count);
-        self.taken += count as u64;
-        if self.bytes.is_empty() && self.bytes.capacity() > KEEP {
+        self.popped += count as u64;
+        if self.bytes.is_empty() && self.bytes.capacity() > MAX_IDLE_CAPACITY {
             self.bytes = VecDeque::new();
         }
     }
@@ -68,7 +68,7 @@
     /// Loses all; how much it was.
     pub fn clear(&mut self) -> usize {
         let lost = self.bytes.len();
-        *self = Queue { taken: self.taken, due: self.taken, ..Queue::default() };
+        *self = Queue { popped: self.popped, ready: self.popped, ..Queue::default() };
         lost
     }
 }
@@ -80,12 +80,12 @@
     #[test]
     fn single_bytes_that_are_late_cost_a_bounded_list() {
         let mut queue = Queue::default();
-        for at in 0..10 * PIECES as Time {
+        for at in 0..10 * MAX_PIECES as Time {
             queue.push(b"x", at);
         }
-        assert_eq!((queue.len(), queue.pieces.len()), (10 * PIECES, PIECES));
+        assert_eq!((queue.len(), queue.pieces.len()), (10 * MAX_PIECES, MAX_PIECES));
         assert_eq!(queue.ready(7), 8, "the first are as they were");
-        assert_eq!(queue.ready(10 * PIECES as Time - 2), PIECES - 1, "the others wait for the last");
-        assert_eq!(queue.ready(10 * PIECES as Time - 1), 10 * PIECES);
+        assert_eq!(queue.ready(10 * MAX_PIECES as Time - 2), MAX_PIECES - 1, "the others wait for the last");
+        assert_eq!(queue.ready(10 * MAX_PIECES as Time - 1), 10 * MAX_PIECES);
     }
 }
--- a/crates/fault-proxy/src/runner.rs
+++ b/crates/fault-proxy/src/runner.rs
@@ -11,13 +11,13 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use slab::Slab;
 
-use crate::core::{Deed, Link, Listening, Offer, Opening};
+use crate::core::{Action, Link, Listening, Opening, Output};
 use crate::error::LinkError;
-use crate::moments::never;
-use crate::plan::{Direction, Entry, Fault, FaultId, LinkId, Plan, Who};
+use crate::plan::{ConnectionSelector, Direction, Entry, Fault, FaultId, LinkId, Plan};
+use crate::planned::can_never_fire;
 use crate::set::{Counts, LinkSpec, Settings};
-use crate::socket::{reset, Alarm, Listener};
-use crate::trace::{Event, Trace, What};
+use crate::socket::{reset, Listener, WakeupTimer};
+use crate::trace::{Event, EventKind, Trace};
 
 /// What the handle asks of the thread.
 pub(crate) type Command = Box<dyn FnOnce(&mut Runner) + Send>;
@@ -25,22 +25,22 @@
 type Watcher = (Box<dyn Fn(&Event) -> bool + Send>, Sender<Event>);
 
 const WAKER: Token = Token(0);
-const ALARM: Token = Token(4);
+const WAKEUP_TIMER: Token = Token(4);
 /// The poll, the waker, the alarm, and one that is closed at once: to reset a connection, or to fill a listener.
-const OWN: usize = 4;
+const OWN_DESCRIPTORS: usize = 4;
 /// Bytes that are read at once.
-const PIECE: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Rounds that one connection gets before others have their turn.
-const ROUNDS: usize = 16;
+const MAX_ROUNDS_PER_TURN: usize = 16;
 /// A listener that the system failed is tried again after this.
-const ACCEPT_AGAIN: Time = 10 * MS;
+const ACCEPT_RETRY_DELAY: Time = 10 * MS;
 
 /// Whose a token is: the lowest two bits tell the kind.
 #[derive(Clone, Copy)]
 enum Owner {
     Own,
     Listener(usize),
-    Side(usize, usize),
+    Endpoint(usize, usize),
 }
 
 impl Owner {
@@ -48,7 +48,7 @@
         match self {
             Owner::Own => WAKER,
             Owner::Listener(link) => Token(link << 2 | 1),
-            Owner::Side(wire, side) => Token(wire << 2 | (2 + side)),
+            Owner::Endpoint(relay, endpoint) => Token(relay << 2 | (2 + endpoint)),
         }
     }
 
@@ -56,26 +56,26 @@
         match token.0 & 3 {
             0 => Owner::Own,
             1 => Owner::Listener(token.0 >> 2),
-            kind => Owner::Side(token.0 >> 2, kind - 2),
+            kind => Owner::Endpoint(token.0 >> 2, kind - 2),
         }
     }
 }
 
 /// A link and its listener.
-struct Post {
+struct LinkState {
     link: Link,
     spec: LinkSpec,
     listener: Listener,
     /// Connections by their numbers.
-    wires: BTreeMap<u64, usize>,
+    relays: BTreeMap<u64, usize>,
     /// When it is looked at by itself.
     wake: Option<Time>,
     /// When accepting is tried again.
-    accept_again: Option<Time>,
+    accept_retry_at: Option<Time>,
 }
 
 /// One side's socket.
-struct Side {
+struct Endpoint {
     stream: TcpStream,
     connected: bool,
     readable: bool,
@@ -84,30 +84,30 @@
     ends: bool,
     broken: bool,
     /// It was connected and broken before that was looked at: what it sent can be read, and then an end that is none.
-    was_reset: bool,
+    reset_after_connect: bool,
 }
 
-impl Side {
-    fn new(stream: TcpStream, connected: bool) -> Side {
+impl Endpoint {
+    fn new(stream: TcpStream, connected: bool) -> Endpoint {
         // Without it small messages may wait for the peer; a link that cannot be told so only is slower.
         let _ = stream.set_nodelay(true);
-        Side {
+        Endpoint {
             stream,
             connected,
             readable: connected,
             writable: connected,
             ends: false,
             broken: false,
-            was_reset: false,
+            reset_after_connect: false,
         }
     }
 }
 
 /// A connection's sockets: the client's, and the target's once it was led there.
-struct Wire {
+struct Relay {
     link: usize,
     number: u64,
-    sides: [Option<Side>; 2],
+    endpoints: [Option<Endpoint>; 2],
     /// Whether it is in line to be looked at.
     queued: bool,
 }
@@ -116,43 +116,43 @@
 pub(crate) struct Runner {
     settings: Settings,
     poll: Poll,
-    alarm: Alarm,
+    wakeup_timer: WakeupTimer,
     armed: Option<Time>,
-    inbox: Receiver<Command>,
+    commands_rx: Receiver<Command>,
     start: Instant,
-    posts: Vec<Option<Post>>,
-    wires: Slab<Wire>,
+    link_states: Vec<Option<LinkState>>,
+    relays: Slab<Relay>,
     wakes: BTreeSet<(Time, usize)>,
-    line: VecDeque<usize>,
+    ready_queue: VecDeque<usize>,
     descriptors: usize,
     trace: Trace,
     watchers: Vec<Watcher>,
     stopping: bool,
-    piece: Box<[u8]>,
+    read_buffer: Box<[u8]>,
 }
 
 impl Runner {
-    pub fn new(settings: Settings, inbox: Receiver<Command>) -> Result<(Runner, Waker), LinkError> {
+    pub fn new(settings: Settings, commands_rx: Receiver<Command>) -> Result<(Runner, Waker), LinkError> {
         let system = |what| move |error| LinkError::System { what, error };
         let poll = Poll::new().map_err(system("open a poll"))?;
         let waker = Waker::new(poll.registry(), WAKER).map_err(system("open a waker"))?;
-        let alarm = Alarm::new(poll.registry(), ALARM).map_err(system("open an alarm"))?;
+        let wakeup_timer = WakeupTimer::new(poll.registry(), WAKEUP_TIMER).map_err(system("open an alarm"))?;
         let runner = Runner {
             trace: Trace::new(settings.events),
             settings,
             poll,
-            alarm,
+            wakeup_timer,
             armed: None,
-            inbox,
+            commands_rx,
             start: Instant::now(),
-            posts: Vec::new(),
-            wires: Slab::new(),
+            link_states: Vec::new(),
+            relays: Slab::new(),
             wakes: BTreeSet::new(),
-            line: VecDeque::new(),
-            descriptors: OWN,
+            ready_queue: VecDeque::new(),
+            descriptors: OWN_DESCRIPTORS,
             watchers: Vec::new(),
             stopping: false,
-            piece: vec![0; PIECE].into_boxed_slice(),
+            read_buffer: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
         };
         Ok((runner, waker))
     }
@@ -162,26 +162,26 @@
         let mut events = Events::with_capacity(1024);
         while !self.stopping {
             self.arm();
-            let timeout = if self.line.is_empty() { None } else { Some(Duration::ZERO) };
+            let timeout = if self.ready_queue.is_empty() { None } else { Some(Duration::ZERO) };
             match self.poll.poll(&mut events, timeout) {
                 Err(error) if error.kind() != ErrorKind::Interrupted => break,
                 _ => {}
             }
             // What is due comes before bytes that have come meanwhile.
-            self.due();
+            self.run_expired_timers();
             for event in &events {
                 match Owner::of(event.token()) {
                     Owner::Own => self.commands(),
                     Owner::Listener(link) => self.accept(link),
-                    Owner::Side(wire, side) => self.ready(wire, side, event),
+                    Owner::Endpoint(relay, endpoint) => self.ready(relay, endpoint, event),
                 }
             }
-            for _ in 0..self.line.len() {
-                self.look_at_next();
+            for _ in 0..self.ready_queue.len() {
+                self.process_next();
             }
         }
-        for (_, wire) in &self.wires {
-            wire.sides.iter().flatten().for_each(|side| reset(&side.stream));
+        for (_, relay) in &self.relays {
+            relay.endpoints.iter().flatten().for_each(|endpoint| reset(&endpoint.stream));
         }
     }
 
@@ -194,22 +194,22 @@
         if next != self.armed {
             let after = next.map(|at| Duration::from_nanos(at.saturating_sub(self.now())));
             // The only ways to fail are words that are wrong.
-            if self.alarm.set(after).is_ok() {
+            if self.wakeup_timer.set(after).is_ok() {
                 self.armed = next;
             }
         }
     }
 
-    fn due(&mut self) {
+    fn run_expired_timers(&mut self) {
         let now = self.now();
         while let Some((at, link)) = self.wakes.first().copied().filter(|(at, _)| *at <= now) {
             self.wakes.remove(&(at, link));
             self.armed = None;
-            let Some(post) = &mut self.posts[link] else { continue };
-            post.wake = None;
-            post.link.poll(now);
-            let accept = post.accept_again.take_if(|again| *again <= now).is_some();
-            self.settle(link);
+            let Some(state) = &mut self.link_states[link] else { continue };
+            state.wake = None;
+            state.link.poll(now);
+            let accept = state.accept_retry_at.take_if(|again| *again <= now).is_some();
+            self.run_actions(link);
             if accept {
                 self.accept(link);
             }
@@ -217,15 +217,15 @@
     }
 
     fn commands(&mut self) {
-        while let Ok(command) = self.inbox.try_recv() {
+        while let Ok(command) = self.commands_rx.try_recv() {
             command(self);
         }
     }
 
-    fn ready(&mut self, key: usize, side: usize, event: &mio::event::Event) {
-        let Some(wire) = self.wires.get_mut(key) else { return };
-        let (link, number) = (wire.link, wire.number);
-        let Some(socket) = &mut wire.sides[side] else { return };
+    fn ready(&mut self, key: usize, endpoint: usize, event: &mio::event::Event) {
+        let Some(relay) = self.relays.get_mut(key) else { return };
+        let (link, number) = (relay.link, relay.number);
+        let Some(socket) = &mut relay.endpoints[endpoint] else { return };
         socket.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
         socket.ends |= event.is_read_closed() || event.is_error();
         socket.writable |= event.is_writable();
@@ -233,13 +233,13 @@
             return self.connected(key);
         }
         // Who has ended what he sends, or fills a link that is cut, is read no more; that he broke shows only here.
-        let direction = Direction::BOTH[side];
+        let direction = Direction::BOTH[endpoint];
         let now = self.start.elapsed().as_nanos() as Time;
-        let breaks = |post: &&mut Post| post.link.breaks_at_once(now, number, direction);
+        let breaks = |state: &&mut LinkState| state.link.error_counts_at_once(now, number, direction);
         if event.is_error() && !socket.broken {
-            if let Some(post) = self.posts[link].as_mut().filter(breaks) {
+            if let Some(state) = self.link_states[link].as_mut().filter(breaks) {
                 socket.broken = true;
-                post.link.broke(now, number, direction);
+                state.link.socket_failed(now, number, direction);
             }
         }
         self.queue(key);
@@ -248,113 +248,114 @@
     /// Asks whether a connection to a target has come about.
     fn connected(&mut self, key: usize) {
         let now = self.now();
-        let wire = &mut self.wires[key];
-        let (link, number) = (wire.link, wire.number);
-        let Some(socket) = &mut wire.sides[1] else { return };
-        let Some(post) = &mut self.posts[link] else { return };
+        let relay = &mut self.relays[key];
+        let (link, number) = (relay.link, relay.number);
+        let Some(socket) = &mut relay.endpoints[1] else { return };
+        let Some(state) = &mut self.link_states[link] else { return };
         let refused = match socket.stream.take_error() {
             Ok(None) => false,
             // Only who was connected can be reset; who is not is refused.
             Ok(Some(error)) if matches!(error.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe) => {
-                socket.was_reset = true;
+                socket.reset_after_connect = true;
                 false
             }
             _ => true,
         };
         if refused {
-            post.link.not_joined(now, number);
+            state.link.target_connect_failed(now, number);
             self.close(link, number, true);
-        } else if socket.was_reset || socket.stream.peer_addr().is_ok() {
+        } else if socket.reset_after_connect || socket.stream.peer_addr().is_ok() {
             socket.connected = true;
             socket.writable = true;
-            post.link.joined(now, number);
+            state.link.target_connected(now, number);
         }
-        self.settle(link);
+        self.run_actions(link);
     }
 
     fn queue(&mut self, key: usize) {
-        let wire = &mut self.wires[key];
-        if !std::mem::replace(&mut wire.queued, true) {
-            self.line.push_back(key);
+        let relay = &mut self.relays[key];
+        if !std::mem::replace(&mut relay.queued, true) {
+            self.ready_queue.push_back(key);
         }
     }
 
-    fn look_at_next(&mut self) {
-        let Some(key) = self.line.pop_front() else { return };
+    fn process_next(&mut self) {
+        let Some(key) = self.ready_queue.pop_front() else { return };
         // Keys are used again; a look too many does no harm.
-        let Some(wire) = self.wires.get_mut(key) else { return };
-        wire.queued = false;
-        let (link, number) = (wire.link, wire.number);
-        for _ in 0..ROUNDS {
-            let Some(post) = &mut self.posts[link] else { return };
-            let Some(wire) = self.wires.get_mut(key).filter(|wire| wire.number == number) else { return };
+        let Some(relay) = self.relays.get_mut(key) else { return };
+        relay.queued = false;
+        let (link, number) = (relay.link, relay.number);
+        for _ in 0..MAX_ROUNDS_PER_TURN {
+            let Some(state) = &mut self.link_states[link] else { return };
+            let Some(relay) = self.relays.get_mut(key).filter(|relay| relay.number == number) else { return };
             let mut moved = false;
             for direction in Direction::BOTH {
-                moved |= pull(&mut post.link, wire, direction, self.start, &mut self.piece);
-                moved |= push(&mut post.link, wire, direction, self.start);
+                moved |=
+                    read_from_sender(&mut state.link, relay, direction, self.start, &mut self.read_buffer);
+                moved |= write_to_receiver(&mut state.link, relay, direction, self.start);
             }
-            self.settle(link);
+            self.run_actions(link);
             if !moved {
                 return;
             }
         }
-        if self.wires.get(key).is_some_and(|wire| wire.link == link && wire.number == number) {
+        if self.relays.get(key).is_some_and(|relay| relay.link == link && relay.number == number) {
             self.queue(key);
         }
     }
 
     /// Does what a link wants done, and writes down what it did.
-    fn settle(&mut self, id: usize) {
+    fn run_actions(&mut self, id: usize) {
         loop {
-            let Some(post) = &mut self.posts[id] else { return };
-            let (deeds, notes) = (post.link.deeds(), post.link.notes());
-            for note in notes {
-                self.note(note);
+            let Some(state) = &mut self.link_states[id] else { return };
+            let (actions, events) = (state.link.take_actions(), state.link.take_events());
+            for event in events {
+                self.record(event);
             }
-            if deeds.is_empty() {
+            if actions.is_empty() {
                 break;
             }
-            for deed in deeds {
-                self.carry_out(id, deed);
+            for action in actions {
+                self.execute(id, action);
             }
         }
-        let Some(post) = &mut self.posts[id] else { return };
-        let wake = [post.link.next_wake(), post.accept_again].into_iter().flatten().min();
-        if wake != post.wake {
-            if let Some(old) = post.wake {
+        let Some(state) = &mut self.link_states[id] else { return };
+        let wake = [state.link.next_wake(), state.accept_retry_at].into_iter().flatten().min();
+        if wake != state.wake {
+            if let Some(old) = state.wake {
                 self.wakes.remove(&(old, id));
             }
             self.wakes.extend(wake.map(|at| (at, id)));
-            post.wake = wake;
+            state.wake = wake;
         }
     }
 
-    fn carry_out(&mut self, id: usize, deed: Deed) {
-        let Some(post) = &mut self.posts[id] else { return };
-        match deed {
-            Deed::Join(number) => self.join(id, number),
-            Deed::Reset(number) => self.close(id, number, true),
-            Deed::Close(number) => self.close(id, number, false),
-            Deed::Look(number) => {
-                if let Some(key) = post.wires.get(&number).copied() {
+    fn execute(&mut self, id: usize, action: Action) {
+        let Some(state) = &mut self.link_states[id] else { return };
+        match action {
+            Action::Connect(number) => self.join(id, number),
+            Action::Reset(number) => self.close(id, number, true),
+            Action::Close(number) => self.close(id, number, false),
+            Action::Process(number) => {
+                if let Some(key) = state.relays.get(&number).copied() {
                     self.queue(key);
                 }
             }
-            Deed::LookAtAll => {
-                for key in post.wires.values().copied().collect::<Vec<_>>() {
+            Action::ProcessAll => {
+                for key in state.relays.values().copied().collect::<Vec<_>>() {
                     self.queue(key);
                 }
             }
-            Deed::Listen(listening) => self.listen(id, listening),
+            Action::Listen(listening) => self.listen(id, listening),
         }
     }
 
     fn listen(&mut self, id: usize, listening: Listening) {
         // Who came before is taken; the fault concerns those after it.
         self.accept(id);
-        let Some(post) = &mut self.posts[id] else { return };
-        if let Err(error) = post.listener.set(listening) {
-            self.refused(id, &error);
+        let Some(state) = &mut self.link_states[id] else { return };
+        if let Err(error) = state.listener.set(listening) {
+            self.record_refusal(id, &error);
         }
         self.accept(id);
     }
@@ -362,11 +363,13 @@
     fn accept(&mut self, id: usize) {
         loop {
             let now = self.now();
-            let short = self.descriptors + 2 > self.settings.descriptors;
-            let Some(post) = self.posts[id].as_mut().filter(|post| post.listener.is_open()) else { return };
-            let stream = match post.listener.socket.accept() {
-                Ok((_, peer)) if post.listener.is_plug(peer) => {
-                    post.listener.unplug();
+            let over_limit = self.descriptors + 2 > self.settings.descriptors;
+            let Some(state) = self.link_states[id].as_mut().filter(|state| state.listener.is_open()) else {
+                return;
+            };
+            let stream = match state.listener.socket.accept() {
+                Ok((_, peer)) if state.listener.is_plug(peer) => {
+                    state.listener.clear_plug();
                     continue;
                 }
                 Ok((stream, _)) => stream,
@@ -377,54 +380,55 @@
                     continue;
                 }
                 Err(error) => {
-                    post.accept_again = Some(now + ACCEPT_AGAIN);
-                    self.refused(id, &error);
-                    return self.settle(id);
+                    state.accept_retry_at = Some(now + ACCEPT_RETRY_DELAY);
+                    self.record_refusal(id, &error);
+                    return self.run_actions(id);
                 }
             };
-            if short {
-                post.link.over_bound(now);
+            if over_limit {
+                state.link.reject_over_limit(now);
                 reset(&stream);
                 drop(stream);
             } else {
-                self.take(id, now, stream);
+                self.accept_connection(id, now, stream);
             }
-            self.settle(id);
+            self.run_actions(id);
         }
     }
 
-    fn take(&mut self, id: usize, now: Time, stream: TcpStream) {
-        let Some(post) = &mut self.posts[id] else { return };
-        let (number, opening) = post.link.accept(now);
+    fn accept_connection(&mut self, id: usize, now: Time, stream: TcpStream) {
+        let Some(state) = &mut self.link_states[id] else { return };
+        let (number, opening) = state.link.accept(now);
         if opening == Opening::Reset {
             return reset(&stream);
         }
-        let side = Side::new(stream, true);
-        let key = self.wires.insert(Wire { link: id, number, sides: [Some(side), None], queued: false });
-        post.wires.insert(number, key);
+        let endpoint = Endpoint::new(stream, true);
+        let key =
+            self.relays.insert(Relay { link: id, number, endpoints: [Some(endpoint), None], queued: false });
+        state.relays.insert(number, key);
         self.descriptors += 2;
         let registered = self.register(key, 0);
         if let Err(error) = registered {
-            return self.failed(id, number, &error);
+            return self.connection_failed(id, number, &error);
         }
-        if opening == Opening::Join {
+        if opening == Opening::Connect {
             self.join(id, number);
         }
         self.queue_number(id, number);
     }
 
     fn queue_number(&mut self, id: usize, number: u64) {
-        let key = self.posts[id].as_ref().and_then(|post| post.wires.get(&number).copied());
+        let key = self.link_states[id].as_ref().and_then(|state| state.relays.get(&number).copied());
         if let Some(key) = key {
             self.queue(key);
         }
     }
 
-    fn register(&mut self, key: usize, side: usize) -> io::Result<()> {
-        match &mut self.wires[key].sides[side] {
+    fn register(&mut self, key: usize, endpoint: usize) -> io::Result<()> {
+        match &mut self.relays[key].endpoints[endpoint] {
             Some(socket) => self.poll.registry().register(
                 &mut socket.stream,
-                Owner::Side(key, side).token(),
+                Owner::Endpoint(key, endpoint).token(),
                 Interest::READABLE | Interest::WRITABLE,
             ),
             None => Ok(()),
@@ -432,45 +436,45 @@
     }
 
     fn join(&mut self, id: usize, number: u64) {
-        let Some(post) = &self.posts[id] else { return };
-        let Some(key) = post.wires.get(&number).copied() else { return };
-        let joined = TcpStream::connect(post.spec.target).and_then(|stream| {
-            self.wires[key].sides[1] = Some(Side::new(stream, false));
+        let Some(state) = &self.link_states[id] else { return };
+        let Some(key) = state.relays.get(&number).copied() else { return };
+        let joined = TcpStream::connect(state.spec.target).and_then(|stream| {
+            self.relays[key].endpoints[1] = Some(Endpoint::new(stream, false));
             self.register(key, 1)
         });
         if let Err(error) = joined {
-            self.failed(id, number, &error);
+            self.connection_failed(id, number, &error);
         }
     }
 
     /// The system would not have a connection.
-    fn failed(&mut self, id: usize, number: u64, error: &io::Error) {
+    fn connection_failed(&mut self, id: usize, number: u64, error: &io::Error) {
         let now = self.now();
-        if let Some(post) = &mut self.posts[id] {
-            post.link.not_joined(now, number);
+        if let Some(state) = &mut self.link_states[id] {
+            state.link.target_connect_failed(now, number);
         }
         self.close(id, number, true);
-        self.refused(id, error);
-        self.settle(id);
+        self.record_refusal(id, error);
+        self.run_actions(id);
     }
 
-    fn refused(&mut self, id: usize, error: &io::Error) {
-        let what = What::Refused { error: error.to_string() };
+    fn record_refusal(&mut self, id: usize, error: &io::Error) {
+        let what = EventKind::Refused { error: error.to_string() };
         let at = self.start.elapsed();
-        self.note(Event { at, link: LinkId(id as u32), connection: 0, way: None, what, bytes: 0 });
+        self.record(Event { at, link: LinkId(id as u32), connection: 0, way: None, what, bytes: 0 });
     }
 
     fn close(&mut self, id: usize, number: u64, resets: bool) {
-        let Some(post) = &mut self.posts[id] else { return };
-        let Some(key) = post.wires.remove(&number) else { return };
-        let wire = self.wires.remove(key);
+        let Some(state) = &mut self.link_states[id] else { return };
+        let Some(key) = state.relays.remove(&number) else { return };
+        let relay = self.relays.remove(key);
         if resets {
-            wire.sides.iter().flatten().for_each(|side| reset(&side.stream));
+            relay.endpoints.iter().flatten().for_each(|endpoint| reset(&endpoint.stream));
         }
         self.descriptors -= 2;
     }
 
-    fn note(&mut self, event: Event) {
+    fn record(&mut self, event: Event) {
         self.watchers.retain(|(like, found)| {
             let wanted = like(&event);
             if wanted {
@@ -482,8 +486,8 @@
         self.trace.push(event);
     }
 
-    fn post(&mut self, link: LinkId) -> Result<&mut Post, LinkError> {
-        self.posts.get_mut(link.0 as usize).and_then(Option::as_mut).ok_or(LinkError::NoLink(link))
+    fn state(&mut self, link: LinkId) -> Result<&mut LinkState, LinkError> {
+        self.link_states.get_mut(link.0 as usize).and_then(Option::as_mut).ok_or(LinkError::NoLink(link))
     }
 }
 
@@ -493,7 +497,7 @@
         if self.descriptors + 1 > self.settings.descriptors {
             return Err(LinkError::Descriptors { used: self.descriptors, bound: self.settings.descriptors });
         }
-        let id = self.posts.len();
+        let id = self.link_states.len();
         let mut listener = Listener::open(spec.listen).map_err(|error| match error.kind() {
             ErrorKind::AddrInUse => LinkError::PortTaken { name: spec.name.clone(), address: spec.listen },
             _ => LinkError::System { what: "listen", error },
@@ -507,20 +511,27 @@
         let address = listener.address;
         self.descriptors += 1;
         let core = Link::new(link, self.settings.seed, spec.messages, self.settings.queue);
-        let wires = BTreeMap::new();
-        self.posts.push(Some(Post { link: core, spec, listener, wires, wake: None, accept_again: None }));
+        let relays = BTreeMap::new();
+        self.link_states.push(Some(LinkState {
+            link: core,
+            spec,
+            listener,
+            relays,
+            wake: None,
+            accept_retry_at: None,
+        }));
         Ok((link, address))
     }
 
     pub fn remove(&mut self, link: LinkId) -> Result<(), LinkError> {
         let id = link.0 as usize;
-        let numbers: Vec<u64> = self.post(link)?.wires.keys().copied().collect();
+        let numbers: Vec<u64> = self.state(link)?.relays.keys().copied().collect();
         for number in numbers {
             self.close(id, number, true);
         }
-        if let Some(post) = self.posts[id].take() {
+        if let Some(state) = self.link_states[id].take() {
             self.descriptors -= 1;
-            if let Some(wake) = post.wake {
+            if let Some(wake) = state.wake {
                 self.wakes.remove(&(wake, id));
             }
         }
@@ -528,20 +539,25 @@
     }
 
     pub fn retarget(&mut self, link: LinkId, target: SocketAddr) -> Result<(), LinkError> {
-        self.post(link)?.spec.target = target;
+        self.state(link)?.spec.target = target;
         Ok(())
     }
 
-    pub fn begin(&mut self, link: LinkId, who: Who, fault: Fault) -> Result<FaultId, LinkError> {
+    pub fn begin(
+        &mut self,
+        link: LinkId,
+        who: ConnectionSelector,
+        fault: Fault,
+    ) -> Result<FaultId, LinkError> {
         let only = match who {
-            Who::Nth(number) => Some(number),
-            Who::Every | Who::Here => None,
+            ConnectionSelector::Nth(number) => Some(number),
+            ConnectionSelector::Every | ConnectionSelector::Here => None,
         };
-        self.on(link, |core, now| core.begin(now, only, fault, None))
+        self.with_link(link, |core, now| core.begin(now, only, fault, None))
     }
 
     pub fn end(&mut self, link: LinkId, fault: FaultId) -> Result<(), LinkError> {
-        let ended = self.on(link, |core, now| core.end(now, fault))?;
+        let ended = self.with_link(link, |core, now| core.end(now, fault))?;
         if ended {
             Ok(())
         } else {
@@ -550,29 +566,29 @@
     }
 
     pub fn heal(&mut self, link: LinkId) -> Result<(), LinkError> {
-        self.on(link, |core, now| core.heal(now))
+        self.with_link(link, |core, now| core.heal(now))
     }
 
     pub fn plan(&mut self, plan: Plan) -> Result<(), LinkError> {
         for entry in plan.entries() {
-            self.post(entry.link)?;
-            if never(entry) {
+            self.state(entry.link)?;
+            if can_never_fire(entry) {
                 return Err(LinkError::Never(Box::new(entry.clone())));
             }
         }
         for entry in plan.entries() {
             let entry: Entry = entry.clone();
-            self.on(entry.link, |core, now| core.plan(now, entry))?;
+            self.with_link(entry.link, |core, now| core.plan(now, entry))?;
         }
         Ok(())
     }
 
-    pub fn fire(&mut self, name: &str) {
+    pub fn send_signal(&mut self, name: &str) {
         let now = self.now();
-        for id in 0..self.posts.len() {
-            if let Some(post) = &mut self.posts[id] {
-                post.link.signal(now, name);
-                self.settle(id);
+        for id in 0..self.link_states.len() {
+            if let Some(state) = &mut self.link_states[id] {
+                state.link.signal(now, name);
+                self.run_actions(id);
             }
         }
     }
@@ -582,13 +598,13 @@
     }
 
     pub fn counts(&self) -> Counts {
-        let posts = || self.posts.iter().flatten();
+        let link_states = || self.link_states.iter().flatten();
         Counts {
-            links: posts().count(),
-            connections: self.wires.len(),
+            links: link_states().count(),
+            connections: self.relays.len(),
             descriptors: self.descriptors,
-            waiting: posts().map(|post| post.link.waiting()).sum(),
-            most_waiting: posts().map(|post| post.link.most_waiting()).max().unwrap_or(0),
+            waiting: link_states().map(|state| state.link.waiting()).sum(),
+            most_waiting: link_states().map(|state| state.link.most_waiting()).max().unwrap_or(0),
         }
     }
 
@@ -604,79 +620,89 @@
         self.stopping = true;
     }
 
-    fn on<T>(&mut self, link: LinkId, what: impl FnOnce(&mut Link, Time) -> T) -> Result<T, LinkError> {
+    fn with_link<T>(
+        &mut self,
+        link: LinkId,
+        what: impl FnOnce(&mut Link, Time) -> T,
+    ) -> Result<T, LinkError> {
         let now = self.now();
-        let done = what(&mut self.post(link)?.link, now);
-        self.settle(link.0 as usize);
+        let done = what(&mut self.state(link)?.link, now);
+        self.run_actions(link.0 as usize);
         Ok(done)
     }
 }
 
 /// Reads what the sender of a direction has for it; whether anything came.
-fn pull(link: &mut Link, wire: &mut Wire, direction: Direction, start: Instant, piece: &mut [u8]) -> bool {
-    let Some(side) = &mut wire.sides[direction as usize] else { return false };
-    let room = link.room(wire.number, direction).min(piece.len());
-    if room == 0 || !side.readable || !side.connected || side.broken {
+fn read_from_sender(
+    link: &mut Link,
+    relay: &mut Relay,
+    direction: Direction,
+    start: Instant,
+    read_buffer: &mut [u8],
+) -> bool {
+    let Some(endpoint) = &mut relay.endpoints[direction as usize] else { return false };
+    let room = link.read_capacity(relay.number, direction).min(read_buffer.len());
+    if room == 0 || !endpoint.readable || !endpoint.connected || endpoint.broken {
         return false;
     }
-    let read = side.stream.read(&mut piece[..room]);
+    let read = endpoint.stream.read(&mut read_buffer[..room]);
     let now = start.elapsed().as_nanos() as Time;
     match read {
-        Ok(0) if side.was_reset => {
-            side.broken = true;
-            link.broke(now, wire.number, direction);
+        Ok(0) if endpoint.reset_after_connect => {
+            endpoint.broken = true;
+            link.socket_failed(now, relay.number, direction);
         }
         Ok(0) => {
-            side.readable = false;
-            link.ended(now, wire.number, direction);
+            endpoint.readable = false;
+            link.sender_ended(now, relay.number, direction);
         }
         Ok(count) => {
             // Less than there was room for: the system tells when more comes.
-            side.readable = side.ends || count == room;
-            link.arrived(now, wire.number, direction, &piece[..count]);
+            endpoint.readable = endpoint.ends || count == room;
+            link.bytes_received(now, relay.number, direction, &read_buffer[..count]);
         }
         Err(error) if error.kind() == ErrorKind::WouldBlock => {
-            side.readable = false;
+            endpoint.readable = false;
             return false;
         }
         Err(error) if error.kind() == ErrorKind::Interrupted => {}
         Err(_) => {
-            side.broken = true;
-            link.broke(now, wire.number, direction);
+            endpoint.broken = true;
+            link.socket_failed(now, relay.number, direction);
         }
     }
     true
 }
 
 /// Writes what may pass to the receiver of a direction; whether anything passed.
-fn push(link: &mut Link, wire: &mut Wire, direction: Direction, start: Instant) -> bool {
+fn write_to_receiver(link: &mut Link, relay: &mut Relay, direction: Direction, start: Instant) -> bool {
     let receiver = direction.other();
-    let Some(side) = &mut wire.sides[receiver as usize] else { return false };
+    let Some(endpoint) = &mut relay.endpoints[receiver as usize] else { return false };
     let mut moved = false;
-    while !side.broken {
+    while !endpoint.broken {
         let now = start.elapsed().as_nanos() as Time;
-        let wrote = match link.offer(now, wire.number, direction) {
-            Offer::Nothing => break,
-            Offer::Bytes(_) if !side.writable => break,
-            Offer::Bytes(bytes) => side.stream.write(bytes),
-            Offer::End => {
+        let wrote = match link.next_output(now, relay.number, direction) {
+            Output::Nothing => break,
+            Output::Bytes(_) if !endpoint.writable => break,
+            Output::Bytes(bytes) => endpoint.stream.write(bytes),
+            Output::End => {
                 // It fails only where the peer is gone, which shows at the next read or write.
-                let _ = side.stream.shutdown(Shutdown::Write);
-                link.end_passed(now, wire.number, direction);
+                let _ = endpoint.stream.shutdown(Shutdown::Write);
+                link.end_written(now, relay.number, direction);
                 moved = true;
                 continue;
             }
         };
         match wrote {
             Ok(count) => {
-                link.wrote(now, wire.number, direction, count);
+                link.bytes_written(now, relay.number, direction, count);
                 moved = true;
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => side.writable = false,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => endpoint.writable = false,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => {
-                side.broken = true;
-                link.broke(now, wire.number, receiver);
+                endpoint.broken = true;
+                link.socket_failed(now, relay.number, receiver);
                 moved = true;
             }
         }
--- a/crates/fault-proxy/src/set.rs
+++ b/crates/fault-proxy/src/set.rs
@@ -8,7 +8,7 @@
 use mio::Waker;
 
 use crate::error::LinkError;
-use crate::plan::{Fault, FaultId, LinkId, Plan, Who};
+use crate::plan::{ConnectionSelector, Fault, FaultId, LinkId, Plan};
 use crate::runner::{Command, Runner};
 use crate::trace::{Event, Trace};
 
@@ -33,7 +33,7 @@
 
 /// What a link counts as messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Messages {
+pub enum Framing {
     /// RESP2: an array with all its elements, or a line.
     #[default]
     Resp,
@@ -53,18 +53,18 @@
     /// Where calls are led.
     pub target: SocketAddr,
     /// What counts as a message.
-    pub messages: Messages,
+    pub messages: Framing,
 }
 
 impl LinkSpec {
     /// A link on a port of 127.0.0.1 that the system picks, with RESP2 messages.
     pub fn to(name: &str, target: SocketAddr) -> LinkSpec {
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        LinkSpec { name: name.to_string(), listen, target, messages: Messages::Resp }
+        LinkSpec { name: name.to_string(), listen, target, messages: Framing::Resp }
     }
 
     /// The same with other messages.
-    pub fn messages(mut self, messages: Messages) -> LinkSpec {
+    pub fn messages(mut self, messages: Framing) -> LinkSpec {
         self.messages = messages;
         self
     }
@@ -127,7 +127,7 @@
     }
 
     /// Begins a fault now, and gives the number by which it is taken back.
-    pub fn begin(&self, link: LinkId, who: Who, fault: Fault) -> Result<FaultId, LinkError> {
+    pub fn begin(&self, link: LinkId, who: ConnectionSelector, fault: Fault) -> Result<FaultId, LinkError> {
         self.ask(move |runner| runner.begin(link, who, fault))?
     }
 
@@ -147,9 +147,9 @@
     }
 
     /// Tells all links of a signal.
-    pub fn fire(&self, name: &str) -> Result<(), LinkError> {
+    pub fn send_signal(&self, name: &str) -> Result<(), LinkError> {
         let name = name.to_string();
-        self.ask(move |runner| runner.fire(&name))
+        self.ask(move |runner| runner.send_signal(&name))
     }
 
     /// What was done so far.
--- a/crates/fault-proxy/src/socket.rs
+++ b/crates/fault-proxy/src/socket.rs
@@ -17,7 +17,7 @@
 /// Connections that the system may complete before a link has accepted them.
 const BACKLOG: i32 = 1024;
 /// A connection to ourselves is made within this, by the system alone, also on a loaded machine.
-const PLUG: Duration = Duration::from_millis(50);
+const PLUG_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A listener whose port stays its own while it refuses.
 pub(crate) struct Listener {
@@ -52,7 +52,7 @@
     }
 
     /// Forgets the plug, once it was accepted.
-    pub fn unplug(&mut self) {
+    pub fn clear_plug(&mut self) {
         self.plug = None;
     }
 
@@ -71,7 +71,7 @@
                 // costs no descriptor. It cannot be made only where somebody else's waits there already.
                 SockRef::from(&self.socket).listen(0)?;
                 let plug = Socket::new(Domain::for_address(self.address), Type::STREAM, None)?;
-                match plug.connect_timeout(&self.address.into(), PLUG) {
+                match plug.connect_timeout(&self.address.into(), PLUG_CONNECT_TIMEOUT) {
                     Err(error) if error.kind() != io::ErrorKind::TimedOut => return Err(error),
                     Err(_) => {}
                     Ok(()) => self.plug = Some(local(&plug)?),
@@ -103,14 +103,14 @@
 }
 
 /// Wakes the thread at a time.
-pub(crate) struct Alarm(OwnedFd);
+pub(crate) struct WakeupTimer(OwnedFd);
 
-impl Alarm {
-    pub fn new(registry: &Registry, token: Token) -> io::Result<Alarm> {
+impl WakeupTimer {
+    pub fn new(registry: &Registry, token: Token) -> io::Result<WakeupTimer> {
         let flags = TimerfdFlags::NONBLOCK | TimerfdFlags::CLOEXEC;
-        let alarm = rustix::time::timerfd_create(TimerfdClockId::Monotonic, flags)?;
-        registry.register(&mut SourceFd(&alarm.as_raw_fd()), token, Interest::READABLE)?;
-        Ok(Alarm(alarm))
+        let timer = rustix::time::timerfd_create(TimerfdClockId::Monotonic, flags)?;
+        registry.register(&mut SourceFd(&timer.as_raw_fd()), token, Interest::READABLE)?;
+        Ok(WakeupTimer(timer))
     }
 
     /// Rings once after this, and not at what was set before. It need not be read: being set anew clears it.
--- a/crates/fault-proxy/src/split.rs
+++ b/crates/fault-proxy/src/split.rs
@@ -1,7 +1,7 @@
 //! Where messages begin and end in a stream, for counting only: nothing is kept but a few numbers, whatever
 //! comes. Words that are no RESP2 count as lines.
 
-use crate::set::Messages;
+use crate::set::Framing;
 
 /// A border of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 /// Counts the messages of one direction of a connection.
 #[derive(Clone, Debug)]
 pub struct Splitter {
-    messages: Messages,
+    messages: Framing,
     state: State,
     /// Elements that the message still wants, the one at hand included.
     elements: u64,
@@ -37,18 +37,18 @@
 
 impl Splitter {
     /// At the beginning of a stream.
-    pub fn new(messages: Messages) -> Splitter {
+    pub fn new(messages: Framing) -> Splitter {
         Splitter { messages, state: State::Between, elements: 0 }
     }
 
     /// Takes bytes up to the next border: how many they are, and the border, if there is one among them.
     pub fn next(&mut self, bytes: &[u8]) -> (usize, Option<Edge>) {
-        if self.messages == Messages::None || bytes.is_empty() {
+        if self.messages == Framing::None || bytes.is_empty() {
             return (bytes.len(), None);
         }
         if let State::Between = self.state {
             self.elements = 1;
-            self.state = if self.messages == Messages::Lines { State::Line } else { State::Element };
+            self.state = if self.messages == Framing::Lines { State::Line } else { State::Element };
             return (0, Some(Edge::Start));
         }
         let mut at = 0;
--- a/crates/fault-proxy/src/trace.rs
+++ b/crates/fault-proxy/src/trace.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::plan::{Direction, Entry, Fault, FaultId, LinkId, Moment, Plan, Who};
+use crate::plan::{ConnectionSelector, Direction, Entry, Fault, FaultId, LinkId, Plan, Trigger};
 
 /// A place in a stream: so many bytes of a direction of a connection had passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -19,7 +19,7 @@
 
 /// What a link had done last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Last {
+pub enum LastActivity {
     /// Nothing.
     Nothing,
     /// It was about to accept its n-th connection, from 1.
@@ -30,7 +30,7 @@
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum EventKind {
     /// A connection was accepted and is led to the target.
     Accepted,
     /// A connection was accepted and waits: silence, or calls are cut.
@@ -64,7 +64,7 @@
         /// The only connection that it concerns.
         only: Option<u64>,
         /// What the link had done last.
-        after: Last,
+        after: LastActivity,
     },
     /// A fault ended. The event's bytes are those that waited in the link.
     Ended {
@@ -99,7 +99,7 @@
     /// The direction that it concerns, if one.
     pub way: Option<Direction>,
     /// What happened.
-    pub what: What,
+    pub what: EventKind,
     /// Bytes that have passed there, in both directions where none is named; of `Ended` and `Healed`, bytes that waited.
     pub bytes: u64,
 }
@@ -120,7 +120,7 @@
 /// Some events are gone, so that what is left tells no whole story.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("the trace has lost its first {0} events, and cannot be played again")]
-pub struct Lost(pub u64);
+pub struct IncompleteTrace(pub u64);
 
 /// Events in order, the oldest left out where there were too many.
 #[derive(Clone, Debug)]
@@ -157,22 +157,24 @@
 
     /// The faults of this run as a plan that needs no clock but for how long they last: each begins after the
     /// same byte. Where several connections send at once, what else had passed by then may differ.
-    pub fn to_plan(&self) -> Result<Plan, Lost> {
+    pub fn to_plan(&self) -> Result<Plan, IncompleteTrace> {
         if self.lost > 0 {
-            return Err(Lost(self.lost));
+            return Err(IncompleteTrace(self.lost));
         }
         let mut plan = Plan::new();
         for (index, event) in self.events.iter().enumerate() {
-            let What::Began { id, fault, only, after } = &event.what else { continue };
+            let EventKind::Began { id, fault, only, after } = &event.what else { continue };
             let when = match *after {
-                Last::Nothing => Moment::At(event.at),
-                Last::Connecting(number) => Moment::Connection(number),
-                Last::Passed(Place { connection, way, bytes }) => Moment::Bytes { connection, way, bytes },
+                LastActivity::Nothing => Trigger::At(event.at),
+                LastActivity::Connecting(number) => Trigger::Connection(number),
+                LastActivity::Passed(Place { connection, way, bytes }) => {
+                    Trigger::Bytes { connection, way, bytes }
+                }
             };
             plan = plan.entry(Entry {
                 link: event.link,
                 when,
-                who: only.map_or(Who::Every, Who::Nth),
+                who: only.map_or(ConnectionSelector::Every, ConnectionSelector::Nth),
                 fault: Some(fault.clone()),
                 lasts: self.lasts(index, event, *id),
             });
@@ -182,7 +184,7 @@
 
     fn lasts(&self, index: usize, began: &Event, id: FaultId) -> Option<Duration> {
         let over = |later: &&Event| {
-            later.link == began.link && matches!(later.what, What::Ended { id: ended } if ended == id)
+            later.link == began.link && matches!(later.what, EventKind::Ended { id: ended } if ended == id)
         };
         self.events.range(index..).find(over).map(|ended| ended.at - began.at)
     }
--- a/crates/fault-proxy/tests/core.rs
+++ b/crates/fault-proxy/tests/core.rs
@@ -5,9 +5,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fault_proxy::core::{Deed, Link, Offer, Opening};
-use fault_proxy::plan::{Direction, End, Entry, Fault, LinkId, Moment, Plan, Way, Who};
-use fault_proxy::{Messages, Trace, What};
+use fault_proxy::core::{Action, Link, Opening, Output};
+use fault_proxy::plan::{
+    ConnectionSelector, Direction, Directions, End, Entry, Fault, LinkId, Plan, Trigger,
+};
+use fault_proxy::{EventKind, Framing, Trace};
 use proptest::prelude::*;
 
 const LINK: LinkId = LinkId(0);
@@ -27,7 +29,7 @@
 }
 
 impl World {
-    fn new(plan: &Plan, messages: Messages, bound: usize) -> World {
+    fn new(plan: &Plan, messages: Framing, bound: usize) -> World {
         let link = Link::new(LINK, 7, messages, bound);
         let mut world =
             World { link, now: 0, open: BTreeSet::new(), log: Vec::new(), trace: Trace::new(1000) };
@@ -44,24 +46,24 @@
 
     fn settle(&mut self) {
         loop {
-            let deeds = self.link.deeds();
-            self.link.notes().into_iter().for_each(|note| self.trace.push(note));
-            if deeds.is_empty() {
+            let actions = self.link.take_actions();
+            self.link.take_events().into_iter().for_each(|note| self.trace.push(note));
+            if actions.is_empty() {
                 break;
             }
-            for deed in deeds {
-                match deed {
-                    Deed::Join(number) => {
+            for action in actions {
+                match action {
+                    Action::Connect(number) => {
                         self.say(format!("{number} joins"));
-                        self.link.joined(self.now, number);
+                        self.link.target_connected(self.now, number);
                     }
-                    Deed::Reset(number) | Deed::Close(number) => {
+                    Action::Reset(number) | Action::Close(number) => {
                         self.open.remove(&number);
-                        let how = if deed == Deed::Reset(number) { "reset" } else { "closed" };
+                        let how = if action == Action::Reset(number) { "reset" } else { "closed" };
                         self.say(format!("{number} {how}"));
                     }
-                    Deed::Listen(listening) => self.say(format!("{listening:?}")),
-                    Deed::Look(_) | Deed::LookAtAll => {}
+                    Action::Listen(listening) => self.say(format!("{listening:?}")),
+                    Action::Process(_) | Action::ProcessAll => {}
                 }
             }
             for number in self.open.clone() {
@@ -76,16 +78,16 @@
         let sign = if direction == Calls { '>' } else { '<' };
         let mut passed = String::new();
         loop {
-            match self.link.offer(self.now, number, direction) {
-                Offer::Nothing => break,
-                Offer::Bytes(bytes) => {
+            match self.link.next_output(self.now, number, direction) {
+                Output::Nothing => break,
+                Output::Bytes(bytes) => {
                     let count = bytes.len();
                     passed.push_str(&String::from_utf8_lossy(bytes));
-                    self.link.wrote(self.now, number, direction, count);
+                    self.link.bytes_written(self.now, number, direction, count);
                 }
-                Offer::End => {
+                Output::End => {
                     passed.push('|');
-                    self.link.end_passed(self.now, number, direction);
+                    self.link.end_written(self.now, number, direction);
                 }
             }
         }
@@ -116,8 +118,8 @@
             return self.say(format!("{number} turned away"));
         }
         self.open.insert(number);
-        if opening == Opening::Join {
-            self.link.joined(self.now, number);
+        if opening == Opening::Connect {
+            self.link.target_connected(self.now, number);
         }
         self.settle();
     }
@@ -135,9 +137,9 @@
                 let direction = if *sign == b'>' { Calls } else { Answers };
                 let number = verb[1..].parse().expect("a connection");
                 match what {
-                    "end" => self.link.ended(self.now, number, direction),
-                    "break" => self.link.broke(self.now, number, direction),
-                    bytes => self.link.arrived(self.now, number, direction, bytes.as_bytes()),
+                    "end" => self.link.sender_ended(self.now, number, direction),
+                    "break" => self.link.socket_failed(self.now, number, direction),
+                    bytes => self.link.bytes_received(self.now, number, direction, bytes.as_bytes()),
                 }
             }
         }
@@ -145,31 +147,31 @@
     }
 }
 
-fn play(plan: &Plan, messages: Messages, script: &[&str]) -> World {
+fn play(plan: &Plan, messages: Framing, script: &[&str]) -> World {
     let mut world = World::new(plan, messages, 1 << 16);
     script.iter().for_each(|line| world.line(line));
     world
 }
 
-fn at(when: Moment, fault: Fault) -> Plan {
+fn at(when: Trigger, fault: Fault) -> Plan {
     Plan::new().at(LINK, when, fault)
 }
 
 fn now(fault: Fault) -> Plan {
-    at(Moment::At(ms(0)), fault)
+    at(Trigger::At(ms(0)), fault)
 }
 
 fn during(from: u64, to: u64, fault: Fault) -> Plan {
-    Plan::new().during(LINK, Moment::At(ms(from)), ms(to - from), fault)
+    Plan::new().during(LINK, Trigger::At(ms(from)), ms(to - from), fault)
 }
 
-fn cut(way: Way) -> Fault {
+fn cut(way: Directions) -> Fault {
     Fault::Cut { way }
 }
 
 type Case = (&'static str, Plan, &'static [&'static str], &'static [&'static str]);
 
-fn check(cases: Vec<Case>, messages: Messages) {
+fn check(cases: Vec<Case>, messages: Framing) {
     for (name, plan, script, wanted) in cases {
         assert_eq!(play(&plan, messages, script).log, wanted, "{name}");
     }
@@ -177,7 +179,7 @@
 
 #[test]
 fn faults_that_last() {
-    let both = Way::Both;
+    let both = Directions::Both;
     let delay = |way, base| Fault::Delay { way, base: ms(base), jitter: ms(0) };
     let cases: Vec<Case> = vec![
         (
@@ -188,19 +190,19 @@
         ),
         (
             "delays add up",
-            now(delay(Way::Calls, 5)).at(LINK, Moment::At(ms(0)), delay(both, 2)),
+            now(delay(Directions::Calls, 5)).at(LINK, Trigger::At(ms(0)), delay(both, 2)),
             &["0 open", "1 >1 ab", "1 <1 cd", "1 >1 end", "99"],
             &["3 <1 cd", "8 >1 ab|"],
         ),
         (
             "order is kept where a delay ends",
-            during(0, 2, delay(Way::Calls, 9)),
+            during(0, 2, delay(Directions::Calls, 9)),
             &["0 open", "1 >1 ab", "3 >1 cd", "99"],
             &["10 >1 abcd"],
         ),
         (
             "a rate, after its burst",
-            now(Fault::Rate { way: Way::Calls, bytes_per_s: 200 }),
+            now(Fault::Rate { way: Directions::Calls, bytes_per_s: 200 }),
             &["0 open", "100 >1 abcd", "999"],
             &["100 >1 abc", "105 >1 d"],
         ),
@@ -208,7 +210,7 @@
             "the lowest rate counts",
             now(Fault::Rate { way: both, bytes_per_s: 1 }).at(
                 LINK,
-                Moment::At(ms(0)),
+                Trigger::At(ms(0)),
                 Fault::Rate { way: both, bytes_per_s: 100 },
             ),
             &["0 open", "10 >1 ab", "3000"],
@@ -216,7 +218,7 @@
         ),
         (
             "held for long, and then all at once",
-            during(1, 30_000, Fault::Hold { way: Way::Answers }),
+            during(1, 30_000, Fault::Hold { way: Directions::Answers }),
             &["0 open", "1 >1 ab", "2 <1 cd", "9000 <1 ef", "20000 <1 end", "99999"],
             &["1 >1 ab", "30000 <1 cdef|"],
         ),
@@ -232,7 +234,7 @@
             &["0 open", "2 >1 ab", "3 <1 cd", "4 >1 end", "99"],
             &["9 >1 ab|", "9 <1 cd"],
         ),
-        ("cut one way", now(cut(Way::Answers)), &["0 open", "1 >1 ab", "2 <1 cd", "99"], &["1 >1 ab"]),
+        ("cut one way", now(cut(Directions::Answers)), &["0 open", "1 >1 ab", "2 <1 cd", "99"], &["1 >1 ab"]),
         (
             "a sender that died while cut",
             during(1, 9, cut(both)),
@@ -241,13 +243,13 @@
         ),
         (
             "new ones while calls are cut",
-            during(1, 9, cut(Way::Calls)),
+            during(1, 9, cut(Directions::Calls)),
             &["2 open", "3 >1 ab", "99"],
             &["9 1 joins", "9 >1 ab"],
         ),
         (
             "new ones while answers are cut",
-            during(1, 9, cut(Way::Answers)),
+            during(1, 9, cut(Directions::Answers)),
             &["2 open", "3 >1 ab", "4 <1 cd", "99"],
             &["3 >1 ab", "9 <1 cd"],
         ),
@@ -271,7 +273,7 @@
         ),
         (
             "refuse before not to answer",
-            during(1, 5, Fault::Refuse).during(LINK, Moment::At(ms(2)), ms(7), Fault::Unanswered),
+            during(1, 5, Fault::Refuse).during(LINK, Trigger::At(ms(2)), ms(7), Fault::Unanswered),
             &["99"],
             &["1 Refusing", "5 Unanswering", "9 Open"],
         ),
@@ -285,9 +287,9 @@
             "on one connection",
             Plan::new().entry(Entry {
                 link: LINK,
-                when: Moment::At(ms(0)),
-                who: Who::Nth(2),
-                fault: Some(cut(Way::Calls)),
+                when: Trigger::At(ms(0)),
+                who: ConnectionSelector::Nth(2),
+                fault: Some(cut(Directions::Calls)),
                 lasts: None,
             }),
             &["0 open", "0 open", "1 >1 a", "1 >2 b"],
@@ -295,12 +297,12 @@
         ),
         (
             "heal",
-            now(cut(both)).at(LINK, Moment::At(ms(0)), delay(both, 50)).heal(LINK, Moment::At(ms(9))),
+            now(cut(both)).at(LINK, Trigger::At(ms(0)), delay(both, 50)).heal(LINK, Trigger::At(ms(9))),
             &["0 open", "1 >1 a", "10 >1 b", "99"],
             &["9 1 joins", "51 >1 ab"],
         ),
     ];
-    check(cases, Messages::None);
+    check(cases, Framing::None);
 }
 
 #[test]
@@ -310,19 +312,19 @@
     let cases: Vec<Case> = vec![
         (
             "reset",
-            at(Moment::At(ms(5)), Fault::Reset),
+            at(Trigger::At(ms(5)), Fault::Reset),
             &["0 open", "1 open", "6 open", "7 >3 a"],
             &["5 1 reset", "5 2 reset", "7 >3 a"],
         ),
         (
             "half-close",
-            at(Moment::At(ms(5)), Fault::HalfClose { way: Way::Answers }),
+            at(Trigger::At(ms(5)), Fault::HalfClose { way: Directions::Answers }),
             &["0 open", "6 <1 ab", "7 >1 cd", "8 <1 end", "9 >1 end"],
             &["5 <1 |", "7 >1 cd", "9 >1 |", "9 1 closed"],
         ),
         (
             "a half-closed sender breaks",
-            at(Moment::At(ms(5)), Fault::HalfClose { way: Way::Answers }),
+            at(Trigger::At(ms(5)), Fault::HalfClose { way: Directions::Answers }),
             &["0 open", "6 <1 ab", "8 <1 break"],
             &["5 <1 |", "8 1 reset"],
         ),
@@ -340,13 +342,13 @@
         ),
         (
             "drop in silence, and heal",
-            now(drop(3, End::Silence)).heal(LINK, Moment::At(ms(9))),
+            now(drop(3, End::Silence)).heal(LINK, Trigger::At(ms(9))),
             &["0 open", "1 >1 abcd", "2 <1 x", "9"],
             &["1 >1 abc", "9 >1 d", "9 <1 x"],
         ),
         (
             "drop of one that is further",
-            at(Moment::At(ms(5)), drop(3, End::Reset)),
+            at(Trigger::At(ms(5)), drop(3, End::Reset)),
             &["0 open", "1 >1 abcd", "6"],
             &["1 >1 abcd", "5 1 reset"],
         ),
@@ -364,22 +366,22 @@
         ),
         (
             "the message at hand",
-            at(Moment::At(ms(5)), cut_message(1, 4, End::Reset)),
+            at(Trigger::At(ms(5)), cut_message(1, 4, End::Reset)),
             &["0 open", "1 <1 +a", "6 <1 bcd"],
             &["1 <1 +a", "6 <1 bc", "6 1 reset"],
         ),
         ("both sides break", Plan::new(), &["0 open", "1 >1 break", "2"], &["1 1 reset"]),
     ];
-    check(cases, Messages::Resp);
+    check(cases, Framing::Resp);
 }
 
-fn within(moment: Moment, wait: u64) -> Moment {
-    Moment::Within { moment: Box::new(moment), wait: ms(wait) }
+fn within(moment: Trigger, wait: u64) -> Trigger {
+    Trigger::Within { moment: Box::new(moment), wait: ms(wait) }
 }
 
 #[test]
-fn moments() {
-    let cut = || cut(Way::Both);
+fn planned() {
+    let cut = || cut(Directions::Both);
     let get = "*2\r\n$3\r\nGET\r\n$4\r\na\r\nb\r\n";
     let nested = "*2\r\n*1\r\n:1\r\n$-1\r\n";
     let both: &[&str] = &[
@@ -394,50 +396,50 @@
     };
     let (first, second) = (get.len(), get.len() + 6);
     let places = [
-        (Moment::before(Calls, 1), 0),
-        (Moment::after(Calls, 1), first),
-        (Moment::Message { way: Calls, n: 2, after: 3 }, first + 3),
-        (Moment::Message { way: Calls, n: 2, after: 99 }, second),
-        (Moment::before(Calls, 3), second),
-        (Moment::after(Calls, 3), second + nested.len()),
-        (Moment::Pattern { way: Calls, bytes: b"\r\n$".to_vec(), n: 2 }, 14),
-        (Moment::Pattern { way: Calls, bytes: b"PING".to_vec(), n: 1 }, first + 4),
-        (Moment::Bytes { connection: 1, way: Calls, bytes: 7 }, 7),
+        (Trigger::before(Calls, 1), 0),
+        (Trigger::after(Calls, 1), first),
+        (Trigger::Message { way: Calls, n: 2, after: 3 }, first + 3),
+        (Trigger::Message { way: Calls, n: 2, after: 99 }, second),
+        (Trigger::before(Calls, 3), second),
+        (Trigger::after(Calls, 3), second + nested.len()),
+        (Trigger::Pattern { way: Calls, bytes: b"\r\n$".to_vec(), n: 2 }, 14),
+        (Trigger::Pattern { way: Calls, bytes: b"PING".to_vec(), n: 1 }, first + 4),
+        (Trigger::Bytes { connection: 1, way: Calls, bytes: 7 }, 7),
     ];
     for (moment, place) in places {
         let name = format!("{moment:?}");
-        let world = play(&at(moment, cut()), Messages::Resp, both);
+        let world = play(&at(moment, cut()), Framing::Resp, both);
         let passed: String = world.log.iter().map(|line| line.split_once(">1 ").expect("calls").1).collect();
         assert_eq!(passed, until(place), "{name}");
     }
     let cases: Vec<Case> = vec![
         (
             "the n-th connection, and it alone",
-            Plan::new().here(LINK, Moment::Connection(2), cut()),
+            Plan::new().here(LINK, Trigger::Connection(2), cut()),
             &["0 open", "1 open", "2 >1 a", "3 >2 b"],
             &["2 >1 a"],
         ),
         (
             "messages of all connections count",
-            Plan::new().here(LINK, Moment::after(Calls, 2), Fault::Reset),
+            Plan::new().here(LINK, Trigger::after(Calls, 2), Fault::Reset),
             &["0 open", "0 open", "1 >1 a\n", "2 >2 b\n", "3 >1 c\n"],
             &["1 >1 a\n", "2 >2 b\n", "2 2 reset", "3 >1 c\n"],
         ),
         (
             "a reset of the n-th connection",
-            Plan::new().here(LINK, Moment::Connection(2), Fault::Reset),
+            Plan::new().here(LINK, Trigger::Connection(2), Fault::Reset),
             &["0 open", "1 open", "2 >1 a"],
             &["1 2 turned away", "2 >1 a"],
         ),
         (
             "occurrences may overlap",
-            at(Moment::Pattern { way: Calls, bytes: b"aba".to_vec(), n: 2 }, cut()),
+            at(Trigger::Pattern { way: Calls, bytes: b"aba".to_vec(), n: 2 }, cut()),
             &["0 open", "1 >1 abab", "2 >1 ab"],
             &["1 >1 abab", "2 >1 a"],
         ),
         (
             "a signal, once",
-            at(Moment::Signal("go".into()), Fault::Reset),
+            at(Trigger::Signal("go".into()), Fault::Reset),
             &["0 open", "1 signal stop", "2 signal go", "3 open", "4 signal go"],
             &["2 1 reset"],
         ),
@@ -445,7 +447,7 @@
             "a place that comes in time, and not once more when the time is over",
             Plan::new().here(
                 LINK,
-                within(Moment::Bytes { connection: 1, way: Calls, bytes: 2 }, 5),
+                within(Trigger::Bytes { connection: 1, way: Calls, bytes: 2 }, 5),
                 Fault::Reset,
             ),
             &["0 open", "1 open", "2 >1 abc", "9 >2 d"],
@@ -453,25 +455,25 @@
         ),
         (
             "a place that does not",
-            at(within(Moment::Bytes { connection: 3, way: Calls, bytes: 2 }, 5), Fault::Reset),
+            at(within(Trigger::Bytes { connection: 3, way: Calls, bytes: 2 }, 5), Fault::Reset),
             &["0 open", "2 >1 abc", "9 open", "10 >2 abc"],
             &["2 >1 abc", "5 1 reset", "10 >2 abc"],
         ),
         (
             "a plan for a place that is over",
-            at(Moment::At(ms(5)), Fault::DropAfter { way: Calls, bytes: 0, end: End::Reset }),
+            at(Trigger::At(ms(5)), Fault::DropAfter { way: Calls, bytes: 0, end: End::Reset }),
             &["0 open", "1 >1 ab", "9"],
             &["1 >1 ab", "5 1 reset"],
         ),
     ];
-    check(cases, Messages::Lines);
+    check(cases, Framing::Lines);
 }
 
 #[test]
 fn what_comes_at_the_same_instant_has_an_order() {
-    let hold = || Fault::Hold { way: Way::Both };
-    let reset = |plan: Plan| plan.at(LINK, Moment::At(ms(5)), Fault::Reset);
-    let half = |plan: Plan| plan.at(LINK, Moment::At(ms(5)), Fault::HalfClose { way: Way::Both });
+    let hold = || Fault::Hold { way: Directions::Both };
+    let reset = |plan: Plan| plan.at(LINK, Trigger::At(ms(5)), Fault::Reset);
+    let half = |plan: Plan| plan.at(LINK, Trigger::At(ms(5)), Fault::HalfClose { way: Directions::Both });
     let cases: Vec<Case> = vec![
         (
             "a release and a reset: nothing passes between",
@@ -481,35 +483,35 @@
         ),
         (
             "a release and the next hold",
-            during(1, 5, hold()).at(LINK, Moment::At(ms(5)), hold()),
+            during(1, 5, hold()).at(LINK, Trigger::At(ms(5)), hold()),
             &["0 open", "2 >1 ab", "9"],
             &[],
         ),
         (
             "before bytes that are due",
-            reset(now(Fault::Delay { way: Way::Both, base: ms(4), jitter: ms(0) })),
+            reset(now(Fault::Delay { way: Directions::Both, base: ms(4), jitter: ms(0) })),
             &["0 open", "1 >1 ab", "9"],
             &["5 1 reset"],
         ),
         ("reset, then half-close", half(reset(Plan::new())), &["0 open", "9"], &["5 1 reset"]),
     ];
-    check(cases, Messages::None);
+    check(cases, Framing::None);
     // Ends first, then beginnings in the order of the plan, whatever the order in which timers were set.
-    let plan = half(reset(Plan::new())).during(LINK, Moment::At(ms(1)), ms(4), hold());
+    let plan = half(reset(Plan::new())).during(LINK, Trigger::At(ms(1)), ms(4), hold());
     let order: Vec<String> =
-        play(&plan, Messages::None, &["9"]).trace.events().map(|event| event.to_string()).collect();
+        play(&plan, Framing::None, &["9"]).trace.events().map(|event| event.to_string()).collect();
     let order: Vec<&str> = order.iter().filter_map(|line| line.split(' ').nth(3)).collect();
     assert_eq!(order, ["Began", "Ended", "Began", "Began"], "hold begins and ends, reset, half-close");
 }
 
 #[test]
 fn jitter_is_seeded_and_keeps_order() {
-    let plan = now(Fault::Delay { way: Way::Calls, base: ms(2), jitter: ms(20) });
+    let plan = now(Fault::Delay { way: Directions::Calls, base: ms(2), jitter: ms(20) });
     let script: Vec<String> = ('a'..='z').enumerate().map(|(at, byte)| format!("{at} >1 {byte}")).collect();
     let mut script: Vec<&str> = script.iter().map(String::as_str).collect();
     script.insert(0, "0 open");
     script.push("99");
-    let (one, two) = (play(&plan, Messages::None, &script).log, play(&plan, Messages::None, &script).log);
+    let (one, two) = (play(&plan, Framing::None, &script).log, play(&plan, Framing::None, &script).log);
     assert_eq!(one, two);
     let passed: String = one.iter().map(|line| line.split_once(">1 ").expect("calls").1).collect();
     assert_eq!(passed, ('a'..='z').collect::<String>());
@@ -519,24 +521,24 @@
 #[test]
 fn a_trace_is_played_again_by_places_in_streams() {
     let plan = Plan::new()
-        .here(LINK, Moment::Pattern { way: Calls, bytes: b"buy".to_vec(), n: 1 }, Fault::Reset)
-        .during(LINK, Moment::Connection(1), ms(3), Fault::Hold { way: Way::Calls })
-        .during(LINK, Moment::At(ms(3)), ms(40), cut(Way::Answers))
+        .here(LINK, Trigger::Pattern { way: Calls, bytes: b"buy".to_vec(), n: 1 }, Fault::Reset)
+        .during(LINK, Trigger::Connection(1), ms(3), Fault::Hold { way: Directions::Calls })
+        .during(LINK, Trigger::At(ms(3)), ms(40), cut(Directions::Answers))
         .at(
             LINK,
-            Moment::Connection(2),
+            Trigger::Connection(2),
             Fault::CutMessage { way: Answers, message: 2, bytes: 1, end: End::Reset },
         );
     let script =
         ["0 open", "1 >1 ask\n", "2 <1 one\n", "4 <1 two\n", "50 open", "51 <2 +\nxy\n", "52 >1 buy\n"];
-    let first = play(&plan, Messages::Lines, &script);
+    let first = play(&plan, Framing::Lines, &script);
     assert!(first.log.iter().any(|line| line == "43 <1 two\n"), "{:?}", first.log);
     assert_eq!(first.log[first.log.len() - 2..], ["52 >1 buy", "52 1 reset"]);
     let again = first.trace.to_plan().expect("a whole trace");
     // The same bytes at other times.
     let late: Vec<String> = script.iter().map(|line| format!("7{line}")).collect();
     let late: Vec<&str> = late.iter().map(String::as_str).collect();
-    let second = play(&again, Messages::Lines, &late);
+    let second = play(&again, Framing::Lines, &late);
     let bare = |world: &World| -> Vec<String> {
         world.log.iter().map(|line| line.split_once(' ').expect("a time").1.to_string()).collect()
     };
@@ -550,17 +552,20 @@
 
 #[test]
 fn a_full_direction_is_not_read() {
-    let mut world = World::new(&now(cut(Way::Calls)), Messages::None, 10);
+    let mut world = World::new(&now(cut(Directions::Calls)), Framing::None, 10);
     world.open();
-    assert_eq!(world.link.room(1, Calls), 10);
+    assert_eq!(world.link.read_capacity(1, Calls), 10);
     world.line("1 >1 abcdefg");
-    assert_eq!((world.link.room(1, Calls), world.link.room(1, Answers)), (3, 10));
+    assert_eq!((world.link.read_capacity(1, Calls), world.link.read_capacity(1, Answers)), (3, 10));
     world.line("2 >1 hij");
-    assert_eq!((world.link.room(1, Calls), world.link.most_waiting()), (0, 10));
+    assert_eq!((world.link.read_capacity(1, Calls), world.link.most_waiting()), (0, 10));
     world.link.heal(2 * MS);
     world.settle();
-    assert_eq!(world.link.room(1, Calls), 10);
-    assert!(world.trace.events().any(|event| event.bytes == 10 && matches!(event.what, What::Ended { .. })));
+    assert_eq!(world.link.read_capacity(1, Calls), 10);
+    assert!(world
+        .trace
+        .events()
+        .any(|event| event.bytes == 10 && matches!(event.what, EventKind::Ended { .. })));
 }
 
 proptest! {
@@ -570,42 +575,42 @@
     fn bytes_arrive_unchanged_and_in_order(
         chunks in prop::collection::vec((prop::collection::vec(prop::sample::select(b"*$1\r\nab".to_vec()), 0..40), 0_u64..4), 0..60),
         takes in prop::collection::vec(1_usize..30, 1..20),
-        messages in prop::sample::select(vec![Messages::Resp, Messages::Lines, Messages::None]),
+        messages in prop::sample::select(vec![Framing::Resp, Framing::Lines, Framing::None]),
         delay in 0_u64..5,
         rate in prop::option::of(500_u64..50_000),
         moment in 0_u64..20,
     ) {
         let mut link = Link::new(LINK, 1, messages, 64);
         // Faults that change no byte, and moments that stop the scan without doing anything.
-        let way = Way::Both;
+        let way = Directions::Both;
         link.begin(0, None, Fault::Delay { way, base: ms(delay), jitter: ms(delay) }, None);
         if let Some(bytes_per_s) = rate {
             link.begin(0, None, Fault::Rate { way, bytes_per_s }, None);
         }
-        for when in [Moment::Message { way: Calls, n: moment + 1, after: 3 }, Moment::Pattern { way: Calls, bytes: b"a\r\nb".to_vec(), n: 1 }] {
-            link.plan(0, Entry { link: LINK, when, who: Who::Every, fault: Some(Fault::Rate { way, bytes_per_s: u64::MAX }), lasts: None });
+        for when in [Trigger::Message { way: Calls, n: moment + 1, after: 3 }, Trigger::Pattern { way: Calls, bytes: b"a\r\nb".to_vec(), n: 1 }] {
+            link.plan(0, Entry { link: LINK, when, who: ConnectionSelector::Every, fault: Some(Fault::Rate { way, bytes_per_s: u64::MAX }), lasts: None });
         }
         link.accept(0);
-        link.joined(0, 1);
+        link.target_connected(0, 1);
         let (mut now, mut got, mut turn) = (0, Vec::new(), 0);
         let mut drain = |link: &mut Link, now: u64| {
-            while let Offer::Bytes(bytes) = link.offer(now, 1, Calls) {
+            while let Output::Bytes(bytes) = link.next_output(now, 1, Calls) {
                 let count = bytes.len().min(takes[turn % takes.len()]);
                 turn += 1;
                 got.extend_from_slice(&bytes[..count]);
-                link.wrote(now, 1, Calls, count);
+                link.bytes_written(now, 1, Calls, count);
             }
         };
         for (chunk, wait) in &chunks {
             let mut rest = &chunk[..];
             now += wait * MS;
             while !rest.is_empty() {
-                let room = link.room(1, Calls).min(rest.len());
-                link.arrived(now, 1, Calls, &rest[..room]);
+                let room = link.read_capacity(1, Calls).min(rest.len());
+                link.bytes_received(now, 1, Calls, &rest[..room]);
                 rest = &rest[room..];
                 link.poll(now);
                 drain(&mut link, now);
-                now = link.next_wake().filter(|_| link.room(1, Calls) == 0).unwrap_or(now);
+                now = link.next_wake().filter(|_| link.read_capacity(1, Calls) == 0).unwrap_or(now);
             }
         }
         while link.waiting() > 0 {
--- a/crates/fault-proxy/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use fault_proxy::{
-    Counts, Direction, End, Fault, LinkError, LinkId, LinkSet, LinkSpec, Messages, Moment, Plan, Settings,
-    Way, What, Who,
+    ConnectionSelector, Counts, Direction, Directions, End, EventKind, Fault, Framing, LinkError, LinkId,
+    LinkSet, LinkSpec, Plan, Settings, Trigger,
 };
 use socket2::{Domain, SockRef, Socket, Type};
 
@@ -32,12 +32,12 @@
         let host = TcpListener::bind("127.0.0.1:0").expect("a port");
         let links = LinkSet::start(settings).expect("a thread");
         let spec = LinkSpec::to("to host", host.local_addr().expect("an address"));
-        let (link, address) = links.add(spec.messages(Messages::Lines)).expect("a link");
+        let (link, address) = links.add(spec.messages(Framing::Lines)).expect("a link");
         Bed { links, link, address, host }
     }
 
     fn begin(&self, fault: Fault) -> fault_proxy::FaultId {
-        self.links.begin(self.link, Who::Every, fault).expect("a fault")
+        self.links.begin(self.link, ConnectionSelector::Every, fault).expect("a fault")
     }
 
     fn connect(&self) -> TcpStream {
@@ -54,7 +54,7 @@
         (self.connect(), self.accept())
     }
 
-    fn wait(&self, like: impl Fn(&What) -> bool + Send + 'static) {
+    fn wait(&self, like: impl Fn(&EventKind) -> bool + Send + 'static) {
         let event = self.links.wait(LONG, move |event| like(&event.what)).expect("a thread");
         assert!(event.is_some(), "it never came");
     }
@@ -118,18 +118,18 @@
 #[test]
 fn what_is_stopped_waits_and_then_passes_all_at_once() {
     let long = Duration::from_secs(3600);
-    let flap = Fault::Flap { way: Way::Both, down: long, up: long };
+    let flap = Fault::Flap { way: Directions::Both, down: long, up: long };
     for (fault, stopped) in [
-        (Fault::Hold { way: Way::Both }, Way::Both),
-        (Fault::Hold { way: Way::Answers }, Way::Answers),
-        (Fault::Cut { way: Way::Both }, Way::Both),
-        (Fault::Cut { way: Way::Calls }, Way::Calls),
-        (Fault::Cut { way: Way::Answers }, Way::Answers),
-        (flap, Way::Both),
+        (Fault::Hold { way: Directions::Both }, Directions::Both),
+        (Fault::Hold { way: Directions::Answers }, Directions::Answers),
+        (Fault::Cut { way: Directions::Both }, Directions::Both),
+        (Fault::Cut { way: Directions::Calls }, Directions::Calls),
+        (Fault::Cut { way: Directions::Answers }, Directions::Answers),
+        (flap, Directions::Both),
     ] {
         let bed = Bed::new();
         let (client, served) = bed.pair();
-        bed.wait(|what| *what == What::Joined);
+        bed.wait(|what| *what == EventKind::Joined);
         let id = bed.begin(fault.clone());
         let sides = [(Calls, &client, &served), (Answers, &served, &client)];
         let mut waits = 0;
@@ -158,14 +158,14 @@
     let bed = Bed::new();
     let (client, served) = bed.pair();
     let (base, jitter) = (Duration::from_millis(30), Duration::from_millis(5));
-    let delay = bed.begin(Fault::Delay { way: Way::Calls, base, jitter });
+    let delay = bed.begin(Fault::Delay { way: Directions::Calls, base, jitter });
     let begun = Instant::now();
     write(&client, b"late");
     assert_eq!(read(&served, 4), b"late");
     assert!(begun.elapsed() >= base, "{:?}", begun.elapsed());
     bed.links.end(bed.link, delay).expect("the fault");
 
-    bed.begin(Fault::Rate { way: Way::Answers, bytes_per_s: 1_000_000 });
+    bed.begin(Fault::Rate { way: Directions::Answers, bytes_per_s: 1_000_000 });
     let begun = Instant::now();
     write(&served, &[7; 60_000]);
     assert_eq!(read(&client, 60_000), [7; 60_000]);
@@ -177,7 +177,7 @@
 fn connections_that_are_not_made() {
     let bed = Bed::new();
     for (fault, silent) in
-        [(Fault::Silent, true), (Fault::Cut { way: Way::Calls }, true), (Fault::ResetNew, false)]
+        [(Fault::Silent, true), (Fault::Cut { way: Directions::Calls }, true), (Fault::ResetNew, false)]
     {
         let id = bed.begin(fault.clone());
         let client = bed.connect();
@@ -261,9 +261,9 @@
     let (first, first_served) = bed.pair();
     let (second, second_served) = bed.pair();
     bed.until(|counts| counts.connections == 2);
-    bed.links.begin(bed.link, Who::Nth(1), Fault::Reset).expect("a fault");
+    bed.links.begin(bed.link, ConnectionSelector::Nth(1), Fault::Reset).expect("a fault");
     assert_eq!((read_all(&first), read_all(&first_served)), (reset_after(b""), reset_after(b"")));
-    bed.begin(Fault::HalfClose { way: Way::Answers });
+    bed.begin(Fault::HalfClose { way: Directions::Answers });
     assert_eq!(read_all(&second), (Vec::new(), Ok(())));
     write(&second, b"still heard");
     assert_eq!(read(&second_served, 11), b"still heard");
@@ -289,7 +289,7 @@
     // The same while it is cut, and more was sent than a link takes: only the reset is left.
     let (client, served) = bed.pair();
     bed.until(|counts| counts.connections == 1);
-    bed.begin(Fault::Cut { way: Way::Answers });
+    bed.begin(Fault::Cut { way: Directions::Answers });
     write(&served, b"half an ans");
     bed.until(|counts| counts.waiting == 8);
     abort(served);
@@ -302,17 +302,17 @@
     drop(host);
     assert_eq!(read_all(&ready(TcpStream::connect(address).expect("a link"))), reset_after(b""));
     assert!(links
-        .wait(LONG, move |event| event.link == link && event.what == What::NotJoined)
+        .wait(LONG, move |event| event.link == link && event.what == EventKind::NotJoined)
         .is_ok_and(|event| event.is_some()));
 }
 
 #[test]
 fn calls_arrive_and_answers_do_not_from_a_named_moment() {
     let bed = Bed::new();
-    let cut = Fault::Cut { way: Way::Answers };
+    let cut = Fault::Cut { way: Directions::Answers };
     let plan = Plan::new()
-        .at(bed.link, Moment::after(Calls, 2), cut)
-        .heal(bed.link, Moment::Signal("log says lost".into()));
+        .at(bed.link, Trigger::after(Calls, 2), cut)
+        .heal(bed.link, Trigger::Signal("log says lost".into()));
     bed.links.plan(plan).expect("a plan");
     let (client, served) = bed.pair();
     write(&client, b"one\ntwo\n");
@@ -320,9 +320,9 @@
     write(&served, b"1\n2\n");
     bed.until(|counts| counts.waiting == 4);
     assert!(is_silent(&client));
-    bed.links.fire("log says nothing").expect("a thread");
+    bed.links.send_signal("log says nothing").expect("a thread");
     assert!(is_silent(&client));
-    bed.links.fire("log says lost").expect("a thread");
+    bed.links.send_signal("log says lost").expect("a thread");
     assert_eq!(read(&client, 4), b"1\n2\n");
     let trace = bed.links.trace().expect("a trace");
     let lines = trace.to_string();
@@ -375,7 +375,7 @@
     for address in &addresses[..5] {
         assert_eq!(connect_and_read_all(*address), reset_after(b""));
     }
-    bed.wait(|what| *what == What::OverBound);
+    bed.wait(|what| *what == EventKind::OverBound);
     for (client, served) in &open {
         write(client, b"unharmed\n");
         assert_eq!(read(served, 9), b"unharmed\n");
@@ -407,7 +407,7 @@
     assert_eq!(error.to_string(), format!("link gateway-1 to host-1: {taken} is taken by somebody else"));
     let nobody = LinkId(99);
     assert!(matches!(bed.links.heal(nobody), Err(LinkError::NoLink(link)) if link == nobody));
-    let never = Plan::new().at(bed.link, Moment::Connection(0), Fault::Reset);
+    let never = Plan::new().at(bed.link, Trigger::Connection(0), Fault::Reset);
     assert!(matches!(bed.links.plan(never), Err(LinkError::Never(_))));
     bed.links.remove(bed.link).expect("a link");
     assert!(matches!(bed.links.remove(bed.link), Err(LinkError::NoLink(_))));
