--- a/crates/fault-proxy/src/error.rs
+++ b/crates/fault-proxy/src/error.rs
@@ -1,48 +1,48 @@
-//! What can go wrong with links themselves.
+//! Errors of link operations.
 
 use std::io;
 use std::net::SocketAddr;
 
 use crate::plan::{FaultId, LinkId};
 
-/// Why a call on a [`LinkSet`](crate::LinkSet) failed. None is worth a second try with the same words, but
-/// `PortTaken` once the other process is gone.
+/// Error of a call on a [`LinkSet`](crate::LinkSet). Repeating the same call does not help, except for
+/// `PortTaken` after the other process has released the port.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// Somebody else listens there.
-    #[error("link {name}: {address} is taken by somebody else")]
+    /// Another process listens on the address.
+    #[error("link {name}: {address} is already in use by another process")]
     PortTaken {
-        /// The link that was to listen.
+        /// Name of the link.
         name: String,
-        /// Where.
+        /// The address to listen on.
         address: SocketAddr,
     },
-    /// The system refuses something else.
-    #[error("links: cannot {what}: {error}")]
+    /// Another system call failed.
+    #[error("links: cannot {operation}: {error}")]
     System {
-        /// What was tried.
-        what: &'static str,
-        /// What the system said.
+        /// The operation that failed.
+        operation: &'static str,
+        /// Error of the system.
         error: io::Error,
     },
-    /// The set may not open more descriptors.
+    /// The descriptor limit of the set is reached.
     #[error("links: {used} of {bound} descriptors are in use, and a link needs one")]
     Descriptors {
-        /// In use now.
+        /// Descriptors in use.
         used: usize,
-        /// As stated in the settings.
+        /// Limit from the settings.
         bound: usize,
     },
-    /// There is no such link, or it was removed.
+    /// The link does not exist or was removed.
     #[error("links: there is no link {}", .0 .0)]
     NoLink(LinkId),
-    /// There is no such fault in force.
-    #[error("links: no fault {} is in force on link {}", .1 .0, .0 .0)]
+    /// No such fault is active.
+    #[error("links: no fault {} is active on link {}", .1 .0, .0 .0)]
     NoFault(LinkId, FaultId),
-    /// Something that can never come: an empty pattern, or the 0th of anything.
-    #[error("links: {0:?} can never come")]
+    /// A plan entry that can never fire: an empty pattern, or an ordinal of 0.
+    #[error("links: {0:?} can never fire")]
     Never(Box<crate::plan::Entry>),
-    /// The thread has ended.
+    /// The thread of the set has ended.
     #[error("links: the set has stopped")]
     Stopped,
 }
--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -1,23 +1,26 @@
-//! Links that fail on request: a relay on loopback between any two processes. For rehearsals only.
+//! Fault proxy for tests: links that relay connections on loopback between two processes and fail on request.
 //!
-//! A link listens on an address and leads each connection to a target. Faults begin when they are asked for or
-//! at moments that a [`Plan`] names, several at once; a [`Trace`] tells what was done when. One thread serves all
-//! links of a [`LinkSet`].
+//! A link listens on an address and forwards each connection to a target. Faults start on request or on the
+//! triggers of a [`Plan`], and several can be active at once; a [`Trace`] records each event with its time. One
+//! thread serves all links of a [`LinkSet`].
 //!
 //! ```
 //! use std::io::{Read, Write};
 //! use std::net::{TcpListener, TcpStream};
-//! use fault_proxy::{Direction, Fault, LinkSet, LinkSpec, Trigger, Plan, Settings, Directions, ConnectionSelector};
+//! use fault_proxy::{
+//!     ConnectionSelector, Direction, Directions, Fault, LinkSet, LinkSpec, Plan, Settings, Trigger,
+//! };
 //!
 //! let host = TcpListener::bind("127.0.0.1:0")?;
 //! let links = LinkSet::start(Settings { seed: 7, ..Settings::default() })?;
 //! let (link, address) = links.add(LinkSpec::to("gateway-1 to host-3", host.local_addr()?))?;
 //!
-//! // The second call arrives, and its answer never does.
+//! // The second call arrives, but its answer is never delivered.
 //! let second = Trigger::after(Direction::Calls, 2);
 //! links.plan(Plan::new().at(link, second, Fault::Cut { way: Directions::Answers }))?;
-//! // Anything may also begin and end by hand; the call returns when it is in force.
-//! let slow = links.begin(link, ConnectionSelector::Every, Fault::Rate { way: Directions::Both, bytes_per_s: 100_000 })?;
+//! // Faults can also be started and ended explicitly; the call returns once the fault is in effect.
+//! let slow_link = Fault::Rate { way: Directions::Both, bytes_per_s: 100_000 };
+//! let slow = links.begin(link, ConnectionSelector::Every, slow_link)?;
 //! links.end(link, slow)?;
 //!
 //! let mut client = TcpStream::connect(address)?;
@@ -28,13 +31,13 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! - [`plan`]: what may go wrong, and when: plain data.
-//! - [`core`]: one link without I/O and clock. `queue`, `flow` and `split` are its streams, `faults` what is in
-//!   force, `planned` what is planned.
-//! - `set` is the handle, `runner` the thread behind it, `socket` what it asks of the system.
-//! - [`trace`]: what was done, and back to a plan.
+//! - [`plan`]: faults and their triggers, as plain data.
+//! - [`core`]: one link without I/O and without a clock. `queue`, `flow` and `split` handle its streams, `faults`
+//!   the active faults, `planned` the faults that wait for a trigger.
+//! - `set` is the handle, `runner` the thread that serves it, `socket` wraps the system calls.
+//! - [`trace`]: the record of events, and its conversion to a plan.
 //!
-//! docs/links.md says what each fault means exactly, and what loopback cannot show.
+//! docs/links.md defines the exact meaning of each fault, and the effects that loopback cannot reproduce.
 
 pub mod core;
 mod error;
--- a/crates/fault-proxy/src/plan.rs
+++ b/crates/fault-proxy/src/plan.rs
@@ -1,29 +1,30 @@
-//! What may go wrong on a link, and when: plain data.
+//! Plain data types that describe the faults of a link and the events that trigger them.
 
 use std::time::Duration;
 
-/// A link of a [`LinkSet`](crate::LinkSet), in the order in which links were added, from 0.
+/// Identifies a link of a [`LinkSet`](crate::LinkSet). Links are numbered from 0 in the order in which they
+/// are added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u32);
 
-/// A fault in force on a link, numbered from 1 on each link.
+/// Identifies an active fault. Faults are numbered from 1 on each link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FaultId(pub u32);
 
 /// One direction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Direction {
-    /// From the process that connected to the one that listens: its calls.
+    /// From the connecting process to the listening process: its calls.
     Calls,
-    /// Back again: the answers.
+    /// From the listening process to the connecting process: its answers.
     Answers,
 }
 
 impl Direction {
-    /// Both of them, in the order in which links look at them.
+    /// Both directions, in the order in which a link processes them.
     pub const BOTH: [Direction; 2] = [Direction::Calls, Direction::Answers];
 
-    /// The other one.
+    /// Returns the opposite direction.
     pub fn other(self) -> Direction {
         match self {
             Direction::Calls => Direction::Answers,
@@ -36,19 +37,19 @@
     }
 }
 
-/// The directions that a fault concerns.
+/// The directions that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Directions {
-    /// Only from the process that connected.
+    /// Only from the connecting process.
     Calls,
-    /// Only to the process that connected.
+    /// Only to the connecting process.
     Answers,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
 impl Directions {
-    /// Whether this direction is among them.
+    /// Returns whether this direction is included.
     pub fn covers(self, direction: Direction) -> bool {
         match self {
             Directions::Both => true,
@@ -67,161 +68,172 @@
     }
 }
 
-/// How a connection ends that is dropped.
+/// How a fault terminates a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum End {
-    /// Both sides see a reset, after what has passed. What waits in the link is lost.
+    /// Both sides receive a reset after the bytes that have been forwarded. Queued bytes are discarded.
     Reset,
-    /// Both sides see an ordinary end, after what has passed. What waits in the link is lost.
+    /// Both sides receive an ordinary end of stream after the bytes that have been forwarded. Queued bytes
+    /// are discarded.
     Close,
-    /// Nothing more passes either way, until the fault is taken back or the link heals. No side is told.
+    /// Nothing more is forwarded in either direction until the fault ends or the link is healed. Neither side
+    /// is notified.
     Silence,
 }
 
-/// What is wrong with a link. Several may be in force at once: delays add up, the lowest rate counts, and a
-/// byte passes only where nothing stops it.
+/// A fault of a link. Several faults can be active at once: delays add up, the lowest rate applies, and a
+/// byte is forwarded only if no fault blocks it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Bytes pass `base`, and up to `jitter` more, after they came; order is kept within a direction of a
-    /// connection. What is on its way when the delay ends keeps its time.
+    /// Bytes are forwarded after `base` plus up to `jitter`, counted from their arrival. The order within a
+    /// direction of a connection is kept. Bytes that are queued when the delay ends keep their delivery time.
     Delay {
-        /// Directions that it concerns.
+        /// Affected directions.
         way: Directions,
-        /// The least delay.
+        /// Minimum delay.
         base: Duration,
-        /// What chance adds: evenly from nothing up to this, anew for each piece that is read.
+        /// Maximum random addition, drawn uniformly from zero to this value for each chunk that is read.
         jitter: Duration,
     },
-    /// So many bytes a second at the most pass on each connection, after a burst of 10 ms worth.
+    /// Limits each connection to this rate, after a burst worth 10 ms.
     Rate {
-        /// Directions that it concerns; each has the rate to itself.
+        /// Affected directions; the rate applies to each separately.
         way: Directions,
-        /// Bytes a second; 0 counts as 1.
+        /// Bytes per second; 0 counts as 1.
         bytes_per_s: u64,
     },
-    /// Bytes and ends wait, and pass all at once when it ends; also those of a process that died meanwhile.
-    /// Connections are still made.
+    /// Bytes and ends of stream are queued and forwarded all at once when the fault ends, including those of
+    /// a process that died meanwhile. New connections are still established.
     Hold {
-        /// Directions that it concerns.
+        /// Affected directions.
         way: Directions,
     },
-    /// Nothing passes: no byte, no end, no reset. When it ends, what waited passes in order, as TCP would
-    /// have it; but where the sender broke its connection meanwhile only the reset does. While calls are
-    /// cut new connections are accepted and wait for their way to the target.
+    /// Nothing is forwarded: no byte, no end of stream, no reset. When the fault ends, queued data is
+    /// forwarded in order, as TCP would; if the sender reset its connection meanwhile, only the reset is
+    /// forwarded. While calls are cut, new connections are accepted and wait to be connected to the target.
     Cut {
-        /// Directions that it concerns.
+        /// Affected directions.
         way: Directions,
     },
-    /// Cut for `down`, whole for `up`, and so on, beginning with a cut.
+    /// Alternates between cut for `down` and healthy for `up`, starting with a cut.
     Flap {
-        /// Directions that it concerns.
+        /// Affected directions.
         way: Directions,
-        /// How long it is cut each time.
+        /// Duration of each cut.
         down: Duration,
-        /// How long it is whole each time.
+        /// Duration of each healthy phase.
         up: Duration,
     },
-    /// New connections are accepted and hear nothing; what they send waits. Those are led to the target when
-    /// it ends.
+    /// New connections are accepted but receive nothing; the bytes they send are queued. They are connected
+    /// to the target when the fault ends.
     Silent,
-    /// New connections are refused by the system, as if nobody listened. The port stays ours.
+    /// New connections are refused by the system, as if no process listened. The port stays bound.
     Refuse,
-    /// New connections are accepted and reset at once.
+    /// New connections are accepted and reset immediately.
     ResetNew,
-    /// New connections do not come about: their `connect` hangs, and the system asks again (after 1 s, 3 s, ...).
+    /// New connections are not established: `connect` hangs, and the system retransmits its SYN (after 1 s, 3
+    /// s, ...).
     Unanswered,
-    /// At once: resets connections. What waits in the link is lost.
+    /// Immediate: resets connections. Queued bytes are discarded.
     Reset,
-    /// At once: receivers see an end after what has passed, and all else that senders send is lost.
+    /// Immediate: receivers see an end of stream after the bytes that have been forwarded; all further bytes
+    /// from the senders are discarded.
     HalfClose {
-        /// Directions that end.
+        /// Directions to end.
         way: Directions,
     },
-    /// Ends a connection when so many bytes of it have passed in a direction; one that is further ends at once.
+    /// Terminates a connection once `bytes` have been forwarded in a direction; a connection beyond that
+    /// count is terminated immediately.
     DropAfter {
-        /// The direction in which bytes count.
+        /// The direction in which bytes are counted.
         way: Direction,
-        /// Bytes since the connection's first.
+        /// Bytes since the start of the connection.
         bytes: u64,
-        /// How it ends.
+        /// How the connection is terminated.
         end: End,
     },
-    /// Ends a connection within a message, or at the message's end where it is shorter.
+    /// Terminates a connection within a message, or at the end of the message if it is shorter.
     CutMessage {
-        /// The direction in which messages count.
+        /// The direction in which messages are counted.
         way: Direction,
-        /// Which message of the connection, from 1.
+        /// Number of the message on the connection, from 1.
         message: u64,
-        /// Bytes of it that pass.
+        /// Bytes of the message that are forwarded.
         bytes: u64,
-        /// How it ends.
+        /// How the connection is terminated.
         end: End,
     },
 }
 
-/// Which connections of a link a fault concerns. `Refuse`, `ResetNew`, `Unanswered` and `Silent` concern the link.
+/// The connections of a link that a fault affects. `Refuse`, `ResetNew`, `Unanswered` and `Silent` affect the
+/// whole link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionSelector {
-    /// All: those that are open, and, of a fault that lasts, those that come.
+    /// All open connections and, for a lasting fault, all later ones.
     Every,
-    /// The n-th that was accepted, from 1.
+    /// The n-th accepted connection, from 1.
     Nth(u64),
-    /// The one on which the moment came; all where the moment is none of a connection.
+    /// The connection on which the trigger fired, or all connections if the trigger does not belong to a
+    /// connection.
     Here,
 }
 
-/// When something begins. Places in a stream are exact: all bytes before them have passed, none after.
+/// Event that starts a planned fault. Stream positions are exact: all bytes before the position have been
+/// forwarded, and none after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Trigger {
-    /// So long after the set's start; at once where that is over.
+    /// At this time after the set's start; immediately if that time has passed.
     At(Duration),
-    /// When the link accepts its n-th connection, from 1: before anything is done with it, or, of `Reset` and
-    /// `HalfClose`, at once after that.
+    /// When the link accepts its n-th connection, from 1: before the connection is processed, or, for `Reset`
+    /// and `HalfClose`, immediately after.
     Connection(u64),
-    /// When `after` bytes of the n-th message, from 1, that the link sees in a direction have passed, or all
-    /// of it where it is shorter. Messages of all its connections count, by their first bytes.
+    /// When `after` bytes of the n-th message, from 1, have been forwarded in a direction, or the whole
+    /// message if it is shorter. Messages of all connections of the link are counted, in the order of their
+    /// first bytes.
     Message {
-        /// The direction in which messages count.
+        /// The direction in which messages are counted.
         way: Direction,
-        /// Which message, from 1.
+        /// Number of the message, from 1.
         n: u64,
-        /// Bytes of it that have passed: 0 before its first, [`Trigger::MESSAGE_END`] after its last.
+        /// Bytes of the message that have been forwarded: 0 before its first byte, [`Trigger::MESSAGE_END`]
+        /// after its last.
         after: u64,
     },
-    /// When the n-th occurrence, from 1, of these bytes has passed in a direction, on whatever connection.
+    /// When the n-th occurrence, from 1, of these bytes has been forwarded in a direction, on any connection.
     Pattern {
-        /// The direction in which it is looked for.
+        /// The direction that is searched.
         way: Direction,
-        /// The bytes; at least one.
+        /// Bytes to search for; at least one.
         bytes: Vec<u8>,
-        /// Which occurrence, from 1.
+        /// Number of the occurrence, from 1.
         n: u64,
     },
-    /// When so many bytes have passed in a direction of the n-th connection; at once where it is further.
+    /// When this number of bytes has been forwarded in a direction of the n-th connection; immediately if the
+    /// connection is beyond that count.
     Bytes {
-        /// Which connection, from 1.
+        /// Number of the connection, from 1.
         connection: u64,
-        /// The direction in which bytes count.
+        /// The direction in which bytes are counted.
         way: Direction,
-        /// Bytes since the connection's first.
+        /// Bytes since the start of the connection.
         bytes: u64,
     },
-    /// When somebody calls [`LinkSet::send_signal`](crate::LinkSet::send_signal) with this name.
+    /// When [`LinkSet::send_signal`](crate::LinkSet::send_signal) is called with this name.
     Signal(String),
-    /// When this moment comes, or so long after the plan was made if it has not come by then.
+    /// When the inner trigger fires, or `wait` after the plan was added, whichever comes first.
     Within {
-        /// The moment, which is none like this.
+        /// The inner trigger, which must not be `Within`.
         moment: Box<Trigger>,
-        /// The longest wait.
+        /// Maximum wait for the inner trigger.
         wait: Duration,
     },
 }
 
 impl Trigger {
-    /// The end of a message, as `after` of [`Trigger::Message`].
+    /// End of a message, as a value of `after` in [`Trigger::Message`].
     pub const MESSAGE_END: u64 = u64::MAX;
 
-    /// The moment itself, and the longest wait for it, where there is one.
+    /// Returns the trigger and the maximum wait for it, if there is one.
     pub(crate) fn parts(&self) -> (&Trigger, Option<Duration>) {
         match self {
             Trigger::Within { moment, wait } => (moment, Some(*wait)),
@@ -229,63 +241,64 @@
         }
     }
 
-    /// Before the first byte of the n-th message.
+    /// Returns a trigger that fires before the first byte of the n-th message.
     pub fn before(way: Direction, n: u64) -> Trigger {
         Trigger::Message { way, n, after: 0 }
     }
 
-    /// After the last byte of the n-th message.
+    /// Returns a trigger that fires after the last byte of the n-th message.
     pub fn after(way: Direction, n: u64) -> Trigger {
         Trigger::Message { way, n, after: Trigger::MESSAGE_END }
     }
 }
 
-/// One line of a plan: at this moment, this fault, once.
+/// An entry of a plan: starts a fault when a trigger fires, once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// On this link.
+    /// The affected link.
     pub link: LinkId,
-    /// From this moment.
+    /// The trigger that starts the fault.
     pub when: Trigger,
-    /// On these connections.
+    /// The affected connections.
     pub who: ConnectionSelector,
-    /// What goes wrong. `None` heals the link of all that is in force.
+    /// The fault to start; `None` ends all active faults of the link.
     pub fault: Option<Fault>,
-    /// For so long; `None` until it is taken back or the link heals.
+    /// Duration of the fault; `None` until it is ended explicitly or the link is healed.
     pub lasts: Option<Duration>,
 }
 
 impl Entry {
-    /// Whether it is done at once, and does not last.
+    /// Returns whether the fault takes effect once and does not last.
     pub(crate) fn is_immediate(&self) -> bool {
         matches!(self.fault, Some(Fault::Reset | Fault::HalfClose { .. }))
     }
 }
 
-/// Faults and their moments. Of those that come at the same instant the ends come first, then the beginnings,
-/// each in the order in which they were planned; all of them come before any byte that is due just then.
+/// Faults with their triggers. Among entries that fire at the same instant, ends of faults are processed
+/// first, then starts, each in the order of the plan; all of them are processed before any byte that is ready
+/// at that instant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     entries: Vec<Entry>,
 }
 
 impl Plan {
-    /// An empty one.
+    /// Creates an empty plan.
     pub fn new() -> Plan {
         Plan::default()
     }
 
-    /// Adds a fault on all connections of a link, until it is taken back.
+    /// Adds a fault on all connections of a link that lasts until it is ended.
     pub fn at(self, link: LinkId, when: Trigger, fault: Fault) -> Plan {
         self.entry(Entry { link, when, who: ConnectionSelector::Every, fault: Some(fault), lasts: None })
     }
 
-    /// Adds a fault on the connection at which the moment comes, until it is taken back.
+    /// Adds a fault on the connection on which the trigger fires; the fault lasts until it is ended.
     pub fn here(self, link: LinkId, when: Trigger, fault: Fault) -> Plan {
         self.entry(Entry { link, when, who: ConnectionSelector::Here, fault: Some(fault), lasts: None })
     }
 
-    /// Adds a fault on all connections of a link for a span.
+    /// Adds a fault on all connections of a link for a duration.
     pub fn during(self, link: LinkId, when: Trigger, lasts: Duration, fault: Fault) -> Plan {
         self.entry(Entry {
             link,
@@ -296,7 +309,7 @@
         })
     }
 
-    /// Adds that the link heals.
+    /// Adds an entry that ends all active faults of a link.
     pub fn heal(self, link: LinkId, when: Trigger) -> Plan {
         self.entry(Entry { link, when, who: ConnectionSelector::Every, fault: None, lasts: None })
     }
@@ -307,7 +320,7 @@
         self
     }
 
-    /// Its entries, in the order in which they were added.
+    /// Returns the entries in the order in which they were added.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
--- a/crates/fault-proxy/src/runner.rs
+++ b/crates/fault-proxy/src/runner.rs
@@ -133,10 +133,11 @@
 
 impl Runner {
     pub fn new(settings: Settings, commands_rx: Receiver<Command>) -> Result<(Runner, Waker), LinkError> {
-        let system = |what| move |error| LinkError::System { what, error };
+        let system = |operation| move |error| LinkError::System { operation, error };
         let poll = Poll::new().map_err(system("open a poll"))?;
         let waker = Waker::new(poll.registry(), WAKER).map_err(system("open a waker"))?;
-        let wakeup_timer = WakeupTimer::new(poll.registry(), WAKEUP_TIMER).map_err(system("open an alarm"))?;
+        let wakeup_timer =
+            WakeupTimer::new(poll.registry(), WAKEUP_TIMER).map_err(system("open an alarm"))?;
         let runner = Runner {
             trace: Trace::new(settings.events),
             settings,
@@ -500,13 +501,13 @@
         let id = self.link_states.len();
         let mut listener = Listener::open(spec.listen).map_err(|error| match error.kind() {
             ErrorKind::AddrInUse => LinkError::PortTaken { name: spec.name.clone(), address: spec.listen },
-            _ => LinkError::System { what: "listen", error },
+            _ => LinkError::System { operation: "listen", error },
         })?;
         let token = Owner::Listener(id).token();
         self.poll
             .registry()
             .register(&mut listener.socket, token, Interest::READABLE)
-            .map_err(|error| LinkError::System { what: "watch a listener", error })?;
+            .map_err(|error| LinkError::System { operation: "watch a listener", error })?;
         let link = LinkId(id as u32);
         let address = listener.address;
         self.descriptors += 1;
@@ -623,10 +624,10 @@
     fn with_link<T>(
         &mut self,
         link: LinkId,
-        what: impl FnOnce(&mut Link, Time) -> T,
+        call: impl FnOnce(&mut Link, Time) -> T,
     ) -> Result<T, LinkError> {
         let now = self.now();
-        let done = what(&mut self.state(link)?.link, now);
+        let done = call(&mut self.state(link)?.link, now);
         self.run_actions(link.0 as usize);
         Ok(done)
     }
--- a/crates/fault-proxy/src/set.rs
+++ b/crates/fault-proxy/src/set.rs
@@ -1,4 +1,4 @@
-//! The handle on a thread of links.
+//! Handle of the thread that runs the links.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{self, Sender};
@@ -12,16 +12,17 @@
 use crate::runner::{Command, Runner};
 use crate::trace::{Event, Trace};
 
-/// Bounds and the seed of a set of links.
+/// Limits and the random seed of a set of links.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// All chance comes from it.
+    /// Seed of all random values.
     pub seed: u64,
-    /// Descriptors that the set may hold: four of its own, one a link, two a connection.
+    /// Limit on file descriptors: four for the set itself, one per link, two per connection.
     pub descriptors: usize,
-    /// Bytes that may wait in one direction of a connection; beyond that its sender is not read.
+    /// Maximum bytes queued in one direction of a connection; at the limit, the link stops reading from the
+    /// sender.
     pub queue: usize,
-    /// Events that the trace keeps.
+    /// Maximum number of events kept in the trace.
     pub events: usize,
 }
 
@@ -31,68 +32,68 @@
     }
 }
 
-/// What a link counts as messages.
+/// How a link splits a stream into messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Framing {
     /// RESP2: an array with all its elements, or a line.
     #[default]
     Resp,
-    /// Each line that ends with a line feed, as HTTP's heads have them.
+    /// Each line that ends with a line feed, as in HTTP headers.
     Lines,
-    /// No messages; the cheapest.
+    /// No messages are counted; the cheapest option.
     None,
 }
 
-/// A link that is wanted.
+/// Specification of a link.
 #[derive(Clone, Debug)]
 pub struct LinkSpec {
-    /// For errors and people.
+    /// Name for error messages.
     pub name: String,
-    /// Where to listen; port 0 for one that the system picks.
+    /// Address to listen on; with port 0 the system picks a port.
     pub listen: SocketAddr,
-    /// Where calls are led.
+    /// Address that connections are forwarded to.
     pub target: SocketAddr,
-    /// What counts as a message.
+    /// How the stream is split into messages.
     pub messages: Framing,
 }
 
 impl LinkSpec {
-    /// A link on a port of 127.0.0.1 that the system picks, with RESP2 messages.
+    /// Creates the specification of a link with RESP2 messages on a port of 127.0.0.1 that the system picks.
     pub fn to(name: &str, target: SocketAddr) -> LinkSpec {
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         LinkSpec { name: name.to_string(), listen, target, messages: Framing::Resp }
     }
 
-    /// The same with other messages.
+    /// Sets how the stream is split into messages.
     pub fn messages(mut self, messages: Framing) -> LinkSpec {
         self.messages = messages;
         self
     }
 
-    /// The same on an address of one's own.
+    /// Sets the address to listen on.
     pub fn listen(mut self, listen: SocketAddr) -> LinkSpec {
         self.listen = listen;
         self
     }
 }
 
-/// What a set holds just now.
+/// Current resource usage of a set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Links that listen or refuse.
+    /// Links that listen or refuse connections.
     pub links: usize,
-    /// Connections that are open.
+    /// Open connections.
     pub connections: usize,
     /// Descriptors in use.
     pub descriptors: usize,
-    /// Bytes that wait.
+    /// Queued bytes.
     pub waiting: usize,
-    /// The most that ever waited in one direction of a connection.
+    /// Maximum bytes ever queued in one direction of a connection.
     pub most_waiting: usize,
 }
 
-/// Links between processes, run by one thread. Calls return when what they ask for is in force. Dropping it
-/// closes all listeners and connections and ends the thread.
+/// A set of links between processes, run by one thread. Methods return once the requested change is in
+/// effect. Dropping the set closes all listeners and connections and ends the thread.
 pub struct LinkSet {
     commands: Sender<Command>,
     waker: Waker,
@@ -100,103 +101,104 @@
 }
 
 impl LinkSet {
-    /// Starts the thread, without links.
+    /// Starts the thread without any links.
     pub fn start(settings: Settings) -> Result<LinkSet, LinkError> {
         let (commands, inbox) = mpsc::channel();
         let (runner, waker) = Runner::new(settings, inbox)?;
         let thread = std::thread::Builder::new()
             .name("links".into())
             .spawn(move || runner.run())
-            .map_err(|error| LinkError::System { what: "start a thread", error })?;
+            .map_err(|error| LinkError::System { operation: "start a thread", error })?;
         Ok(LinkSet { commands, waker, thread: Some(thread) })
     }
 
-    /// Adds a link and says where it listens.
+    /// Adds a link and returns its id and listening address.
     pub fn add(&self, spec: LinkSpec) -> Result<(LinkId, SocketAddr), LinkError> {
-        self.ask(move |runner| runner.add(spec))?
+        self.call_runner(move |runner| runner.add(spec))?
     }
 
     /// Closes a link's listener and resets its connections.
     pub fn remove(&self, link: LinkId) -> Result<(), LinkError> {
-        self.ask(move |runner| runner.remove(link))?
+        self.call_runner(move |runner| runner.remove(link))?
     }
 
-    /// Leads connections that come from now on to another address.
+    /// Forwards connections accepted from now on to another target.
     pub fn retarget(&self, link: LinkId, target: SocketAddr) -> Result<(), LinkError> {
-        self.ask(move |runner| runner.retarget(link, target))?
+        self.call_runner(move |runner| runner.retarget(link, target))?
     }
 
-    /// Begins a fault now, and gives the number by which it is taken back.
+    /// Starts a fault immediately and returns the id that ends it.
     pub fn begin(&self, link: LinkId, who: ConnectionSelector, fault: Fault) -> Result<FaultId, LinkError> {
-        self.ask(move |runner| runner.begin(link, who, fault))?
+        self.call_runner(move |runner| runner.begin(link, who, fault))?
     }
 
-    /// Takes a fault back.
+    /// Ends a fault.
     pub fn end(&self, link: LinkId, fault: FaultId) -> Result<(), LinkError> {
-        self.ask(move |runner| runner.end(link, fault))?
+        self.call_runner(move |runner| runner.end(link, fault))?
     }
 
-    /// Takes all faults of a link back that are in force. What is planned stays planned.
+    /// Ends all active faults of a link. Planned faults stay planned.
     pub fn heal(&self, link: LinkId) -> Result<(), LinkError> {
-        self.ask(move |runner| runner.heal(link))?
+        self.call_runner(move |runner| runner.heal(link))?
     }
 
-    /// Adds a plan to what is planned. Nothing of it is taken where an entry can never come.
+    /// Adds the entries of a plan. The whole plan is rejected if an entry can never fire.
     pub fn plan(&self, plan: Plan) -> Result<(), LinkError> {
-        self.ask(move |runner| runner.plan(plan))?
+        self.call_runner(move |runner| runner.plan(plan))?
     }
 
-    /// Tells all links of a signal.
+    /// Sends a signal to all links.
     pub fn send_signal(&self, name: &str) -> Result<(), LinkError> {
         let name = name.to_string();
-        self.ask(move |runner| runner.send_signal(&name))
+        self.call_runner(move |runner| runner.send_signal(&name))
     }
 
-    /// What was done so far.
+    /// Returns the events so far.
     pub fn trace(&self) -> Result<Trace, LinkError> {
-        self.ask(|runner| runner.trace())
+        self.call_runner(|runner| runner.trace())
     }
 
-    /// What it holds now.
+    /// Returns the current resource usage.
     pub fn counts(&self) -> Result<Counts, LinkError> {
-        self.ask(|runner| runner.counts())
+        self.call_runner(|runner| runner.counts())
     }
 
-    /// Waits until the trace has an event like this, also an earlier one; `None` after the time-out.
+    /// Waits until the trace contains a matching event, earlier events included. Returns `None` after the
+    /// timeout.
     pub fn wait(
         &self,
         timeout: Duration,
-        like: impl Fn(&Event) -> bool + Send + 'static,
+        matches: impl Fn(&Event) -> bool + Send + 'static,
     ) -> Result<Option<Event>, LinkError> {
         let (found, event) = mpsc::channel();
-        self.ask(move |runner| runner.watch(Box::new(like), found))?;
+        self.call_runner(move |runner| runner.watch(Box::new(matches), found))?;
         Ok(event.recv_timeout(timeout).ok())
     }
 
-    /// Stops, and gives the whole trace.
+    /// Stops the set and returns the complete trace.
     pub fn stop(self) -> Result<Trace, LinkError> {
         self.trace()
     }
 
-    fn ask<T: Send + 'static>(
+    fn call_runner<T: Send + 'static>(
         &self,
-        what: impl FnOnce(&mut Runner) -> T + Send + 'static,
+        call: impl FnOnce(&mut Runner) -> T + Send + 'static,
     ) -> Result<T, LinkError> {
-        let (reply, answer) = mpsc::channel();
+        let (reply_tx, reply_rx) = mpsc::channel();
         let command: Command = Box::new(move |runner| {
-            // Who asked may be gone.
-            let _ = reply.send(what(runner));
+            // The caller may have stopped waiting.
+            let _ = reply_tx.send(call(runner));
         });
         self.commands.send(command).map_err(|_| LinkError::Stopped)?;
-        self.waker.wake().map_err(|error| LinkError::System { what: "wake the thread", error })?;
-        answer.recv().map_err(|_| LinkError::Stopped)
+        self.waker.wake().map_err(|error| LinkError::System { operation: "wake the thread", error })?;
+        reply_rx.recv().map_err(|_| LinkError::Stopped)
     }
 }
 
 impl Drop for LinkSet {
     fn drop(&mut self) {
-        // The thread may have ended by a panic; there is nothing left to end then.
-        let _ = self.ask(|runner| runner.stop());
+        // The thread may have ended by a panic; then there is nothing left to stop.
+        let _ = self.call_runner(|runner| runner.stop());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/fault-proxy/src/trace.rs
+++ b/crates/fault-proxy/src/trace.rs
@@ -1,4 +1,4 @@
-//! What links did, with times: bounded, written as lines, and turned back into a plan.
+//! Bounded log of link events with their times. It is printed as lines and can be converted back into a plan.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -6,101 +6,102 @@
 
 use crate::plan::{ConnectionSelector, Direction, Entry, Fault, FaultId, LinkId, Plan, Trigger};
 
-/// A place in a stream: so many bytes of a direction of a connection had passed.
+/// Position in a stream: the number of bytes forwarded in a direction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Place {
-    /// Which connection of the link, from 1.
+    /// Number of the connection on its link, from 1.
     pub connection: u64,
     /// The direction.
     pub way: Direction,
-    /// Bytes since the connection's first.
+    /// Bytes since the start of the connection.
     pub bytes: u64,
 }
 
-/// What a link had done last.
+/// Last activity of a link before a fault started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LastActivity {
-    /// Nothing.
+    /// No activity.
     Nothing,
-    /// It was about to accept its n-th connection, from 1.
+    /// The link was about to accept its n-th connection, from 1.
     Connecting(u64),
-    /// It had passed a byte, or accepted a connection that has passed none.
+    /// The link forwarded a byte, or accepted a connection that has forwarded none.
     Passed(Place),
 }
 
-/// What happened.
+/// Kind of an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// A connection was accepted and is led to the target.
+    /// A connection was accepted and is being connected to the target.
     Accepted,
-    /// A connection was accepted and waits: silence, or calls are cut.
+    /// A connection was accepted and waits, because of `Silent` or because calls are cut.
     Waits,
-    /// A connection was accepted and reset at once, by `ResetNew`.
+    /// A connection was accepted and reset immediately by `ResetNew`.
     TurnedAway,
-    /// A connection was accepted and reset at once, since descriptors are short.
+    /// A connection was accepted and reset immediately because the descriptor limit was reached.
     OverBound,
-    /// The target has taken the connection.
+    /// The connection to the target was established.
     Joined,
-    /// The target has not taken it; the connection was reset.
+    /// The connection to the target could not be established; the client's connection was reset.
     NotJoined,
-    /// The sender's end has passed.
+    /// The sender's end of stream was forwarded.
     End,
-    /// The sender broke its connection; its reset passes behind what it sent.
+    /// The sender's socket failed; its reset is forwarded after the bytes it sent.
     Broke,
-    /// Both sides were reset.
+    /// Both sides of the connection were reset.
     Reset,
-    /// The receiver saw an end that its sender did not make.
+    /// The receiver saw an end of stream that its sender did not send.
     HalfClosed,
-    /// Nothing passes from here on, by a fault with `End::Silence`.
+    /// Nothing more is forwarded, because of a fault with `End::Silence`.
     Silenced,
-    /// The connection has ended in order.
+    /// The connection was closed in order.
     Closed,
-    /// A fault began.
+    /// A fault started.
     Began {
-        /// Its number.
+        /// Number of the fault.
         id: FaultId,
-        /// What it is.
+        /// The fault.
         fault: Fault,
-        /// The only connection that it concerns.
+        /// The only affected connection; `None` for all.
         only: Option<u64>,
-        /// What the link had done last.
+        /// Last activity of the link before the fault.
         after: LastActivity,
     },
-    /// A fault ended. The event's bytes are those that waited in the link.
+    /// A fault ended. The event's bytes are those queued in the link.
     Ended {
-        /// Its number.
+        /// Number of the fault.
         id: FaultId,
     },
-    /// A flapping link changed.
+    /// A flapping link changed its state.
     Flapped {
-        /// The fault's number.
+        /// Number of the fault.
         id: FaultId,
-        /// Whether it is cut now.
+        /// Whether the link is cut now.
         cut: bool,
     },
-    /// All faults of a link were taken back.
+    /// All faults of a link were ended.
     Healed,
-    /// The system would not accept a connection, or not open a socket.
+    /// The system failed to accept a connection or to open a socket.
     Refused {
-        /// What it said.
+        /// Error of the system.
         error: String,
     },
 }
 
-/// One thing that a link did.
+/// Event on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Since the set's start.
+    /// Time since the set's start.
     pub at: Duration,
     /// The link.
     pub link: LinkId,
-    /// Which connection of it, from 1; 0 where it concerns the link.
+    /// Number of the connection on the link, from 1; 0 if the event concerns the whole link.
     pub connection: u64,
-    /// The direction that it concerns, if one.
+    /// The affected direction, if any.
     pub way: Option<Direction>,
-    /// What happened.
+    /// Kind of an event.
     pub what: EventKind,
-    /// Bytes that have passed there, in both directions where none is named; of `Ended` and `Healed`, bytes that waited.
+    /// Bytes forwarded so far, in both directions if none is named; for `Ended` and `Healed`, the bytes
+    /// queued.
     pub bytes: u64,
 }
 
@@ -117,12 +118,12 @@
     }
 }
 
-/// Some events are gone, so that what is left tells no whole story.
+/// Error for a trace that has dropped events and is therefore incomplete.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("the trace has lost its first {0} events, and cannot be played again")]
+#[error("the trace has lost its first {0} events, and cannot be replayed")]
 pub struct IncompleteTrace(pub u64);
 
-/// Events in order, the oldest left out where there were too many.
+/// Events in order; the oldest are dropped when the bound is exceeded.
 #[derive(Clone, Debug)]
 pub struct Trace {
     events: VecDeque<Event>,
@@ -131,12 +132,12 @@
 }
 
 impl Trace {
-    /// An empty one that keeps so many events.
+    /// Creates an empty trace that keeps at most `bound` events.
     pub fn new(bound: usize) -> Trace {
         Trace { events: VecDeque::new(), bound: bound.max(1), lost: 0 }
     }
 
-    /// Adds one.
+    /// Appends an event, dropping the oldest one if the trace is full.
     pub fn push(&mut self, event: Event) {
         if self.events.len() == self.bound {
             self.events.pop_front();
@@ -145,18 +146,19 @@
         self.events.push_back(event);
     }
 
-    /// Those that are kept, in order.
+    /// Returns the kept events in order.
     pub fn events(&self) -> impl Iterator<Item = &Event> {
         self.events.iter()
     }
 
-    /// How many the bound cost, from the front.
+    /// Returns the number of events dropped from the front.
     pub fn lost(&self) -> u64 {
         self.lost
     }
 
-    /// The faults of this run as a plan that needs no clock but for how long they last: each begins after the
-    /// same byte. Where several connections send at once, what else had passed by then may differ.
+    /// Returns the faults of this run as a plan that depends on time only for fault durations: each fault
+    /// starts after the same byte. If several connections send at once, the bytes forwarded on the other
+    /// connections by then may differ.
     pub fn to_plan(&self) -> Result<Plan, IncompleteTrace> {
         if self.lost > 0 {
             return Err(IncompleteTrace(self.lost));
@@ -183,17 +185,17 @@
     }
 
     fn lasts(&self, index: usize, began: &Event, id: FaultId) -> Option<Duration> {
-        let over = |later: &&Event| {
+        let is_end = |later: &&Event| {
             later.link == began.link && matches!(later.what, EventKind::Ended { id: ended } if ended == id)
         };
-        self.events.range(index..).find(over).map(|ended| ended.at - began.at)
+        self.events.range(index..).find(is_end).map(|ended| ended.at - began.at)
     }
 }
 
 impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.lost > 0 {
-            writeln!(f, "# the first {} events are left out", self.lost)?;
+            writeln!(f, "# the first {} events were dropped", self.lost)?;
         }
         self.events.iter().try_for_each(|event| writeln!(f, "{event}"))
     }
--- a/crates/fault-proxy/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -404,7 +404,10 @@
     let taken = bed.host.local_addr().expect("an address");
     let spec = LinkSpec::to("gateway-1 to host-1", taken).listen(taken);
     let error = bed.links.add(spec).expect_err("it is taken");
-    assert_eq!(error.to_string(), format!("link gateway-1 to host-1: {taken} is taken by somebody else"));
+    assert_eq!(
+        error.to_string(),
+        format!("link gateway-1 to host-1: {taken} is already in use by another process")
+    );
     let nobody = LinkId(99);
     assert!(matches!(bed.links.heal(nobody), Err(LinkError::NoLink(link)) if link == nobody));
     let never = Plan::new().at(bed.link, Trigger::Connection(0), Fault::Reset);
