--- a/crates/fault-proxy/src/core.rs
+++ b/crates/fault-proxy/src/core.rs
@@ -1,13 +1,16 @@
-//! A link without I/O and clock. Who drives it says what happened and when, and asks what may pass:
+//! A link without I/O and without a clock. Its driver reports what happened and when, and asks what may be
+//! forwarded:
 //!
-//! 1. [`Link::accept`] when somebody connects; [`Link::target_connected`] when the target has taken the connection.
-//! 2. [`Link::read_capacity`] bytes may be read from a sender; [`Link::bytes_received`] and [`Link::sender_ended`] tell of them.
-//! 3. [`Link::next_output`] says what may be written to a receiver; [`Link::bytes_written`] and [`Link::end_written`] that it was.
-//! 4. [`Link::socket_failed`] when one side's socket turns out broken.
-//! 5. After each of these and after [`Link::poll`], which is due at [`Link::next_wake`]: [`Link::take_actions`] are to
-//!    be done, and connections they name to be looked at again.
+//! 1. [`Link::accept`] when a client connects; [`Link::target_connected`] when the target accepts the connection.
+//! 2. [`Link::read_capacity`] returns how many bytes may be read from a sender; [`Link::bytes_received`] and
+//!    [`Link::sender_ended`] report them.
+//! 3. [`Link::next_output`] returns what may be written to a receiver; [`Link::bytes_written`] and
+//!    [`Link::end_written`] report that it was.
+//! 4. [`Link::socket_failed`] when the socket of one side has failed.
+//! 5. After each of these, and after [`Link::poll`], which has to be called at [`Link::next_wake`]: the driver
+//!    performs [`Link::take_actions`] and processes the connections that they name.
 //!
-//! All that is due at an instant happens before any byte that is due then: `poll` comes first.
+//! All timers that expire at an instant run before any byte that is ready at that instant: `poll` comes first.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -23,31 +26,31 @@
 use crate::set::Framing;
 use crate::trace::{Event, EventKind, LastActivity, Place};
 
-/// What whoever drives a link has to do.
+/// Action that the driver of a link has to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Lead a connection that waits to the target.
+    /// Connect a waiting connection to the target.
     Connect(u64),
-    /// Reset a connection on both sides. The link knows it no more.
+    /// Reset a connection on both sides. The link has already removed it.
     Reset(u64),
-    /// Close a connection that has ended in order. The link knows it no more.
+    /// Close a connection that has ended in order. The link has already removed it.
     Close(u64),
-    /// Look at a connection: something may pass.
+    /// Process a connection: it may be able to forward data.
     Process(u64),
-    /// Look at all of them.
+    /// Process all connections.
     ProcessAll,
-    /// Let the listener do this from now on.
+    /// Switch the listener to this state.
     Listen(Listening),
 }
 
-/// What may pass to a receiver.
+/// Data that may be written to a receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output<'a> {
-    /// Nothing now.
+    /// Nothing at present.
     Nothing,
-    /// These bytes, or the first of them.
+    /// These bytes or a prefix of them.
     Bytes(&'a [u8]),
-    /// An end, and nothing after it.
+    /// An end of stream, with nothing after it.
     End,
 }
 
@@ -62,11 +65,11 @@
 struct Connection {
     phase: Phase,
     flows: [Flow; 2],
-    /// Nothing passes any more, by this fault.
+    /// The `End::Silence` fault that stopped all forwarding on this connection.
     silenced_by: Option<FaultId>,
 }
 
-/// What falls due; at the same instant in this order.
+/// Timers. Those that expire at the same instant run in the order of this type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     End(FaultId),
@@ -75,15 +78,15 @@
     Flow(u64, Direction),
 }
 
-/// A link.
+/// State machine of one link.
 #[derive(Debug)]
 pub struct Link {
     id: LinkId,
     seed: u64,
     messages: Framing,
-    /// Bytes that may wait in one direction of a connection.
+    /// Maximum bytes queued in one direction of a connection.
     max_queued: usize,
-    /// Connections that were accepted.
+    /// Number of accepted connections.
     accepted: u64,
     connections: BTreeMap<u64, Connection>,
     faults: Faults,
@@ -97,7 +100,8 @@
 }
 
 impl Link {
-    /// A link that is whole. `bound` is how many bytes may wait in one direction of a connection.
+    /// Creates a link without faults. `max_queued` is the maximum number of bytes queued in one direction of
+    /// a connection.
     pub fn new(id: LinkId, seed: u64, messages: Framing, max_queued: usize) -> Link {
         Link {
             id,
@@ -117,12 +121,13 @@
         }
     }
 
-    /// Somebody has connected: the connection's number, from 1, and what becomes of it.
+    /// Handles a new client connection. Returns its number, from 1, and how to treat it.
     pub fn accept(&mut self, now: Time) -> (u64, Opening) {
         self.accepted += 1;
         let number = self.accepted;
         self.last = LastActivity::Connecting(number);
-        // What lasts comes before anything is done with it, what is done at once needs it to be there.
+        // Lasting faults start before the connection is processed; immediate faults need the connection to
+        // exist.
         let planned = self.planned.connection(number);
         let (actions, lasting): (Vec<_>, Vec<_>) =
             planned.into_iter().partition(|index| self.planned.entry(*index).is_immediate());
@@ -142,22 +147,22 @@
             self.run_stops(now, number, direction);
         }
         if opening != Opening::Reset && !self.connections.contains_key(&number) {
-            // It is over already; the target need not hear of it.
+            // The connection has already ended, so the target is not contacted.
             self.actions.retain(|action| *action != Action::Reset(number));
             return (number, Opening::Reset);
         }
         (number, opening)
     }
 
-    fn insert(&mut self, now: Time, number: u64, phase: Phase, what: EventKind) {
-        self.record(now, number, None, what, 0);
+    fn insert(&mut self, now: Time, number: u64, phase: Phase, kind: EventKind) {
+        self.record(now, number, None, kind, 0);
         self.last = LastActivity::Passed(Place { connection: number, way: Direction::Calls, bytes: 0 });
         let flows = Direction::BOTH.map(|direction| self.new_flow(number, direction));
         self.connections.insert(number, Connection { phase, flows, silenced_by: None });
     }
 
     fn new_flow(&mut self, number: u64, direction: Direction) -> Flow {
-        // A stream of chance for each direction of each connection of each link.
+        // Each direction of each connection of each link has its own random stream.
         let part = (u64::from(self.id.0) << 40) ^ (number << 1) ^ direction as u64;
         let mut flow = Flow::new(direction, self.messages, Rng::stream(self.seed, "link", part));
         for (index, bytes) in self.planned.places(number, direction) {
@@ -173,13 +178,13 @@
         flow
     }
 
-    /// Somebody has connected for whom there are no descriptors; he is to be reset.
+    /// Records a connection that has to be reset because the descriptor limit is reached.
     pub fn reject_over_limit(&mut self, now: Time) {
         self.accepted += 1;
         self.record(now, self.accepted, None, EventKind::OverBound, 0);
     }
 
-    /// The target has taken a connection.
+    /// Handles an established connection to the target.
     pub fn target_connected(&mut self, now: Time, number: u64) {
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.phase = Phase::Open;
@@ -188,26 +193,28 @@
         }
     }
 
-    /// The target has not: the connection is to be reset, and the link knows it no more.
+    /// Handles a failed connection to the target: the driver has to reset the client's connection, and the
+    /// link removes it.
     pub fn target_connect_failed(&mut self, now: Time, number: u64) {
         if self.connections.remove(&number).is_some() {
             self.record(now, number, None, EventKind::NotJoined, 0);
         }
     }
 
-    /// How many bytes may be read from the sender of a direction; with 0 it is not read at all.
+    /// Returns how many bytes may be read from the sender of a direction; at 0 the sender must not be read.
     pub fn read_capacity(&self, number: u64, direction: Direction) -> usize {
         self.flow(number, direction).map_or(0, |flow| flow.read_capacity(self.max_queued))
     }
 
-    /// Whether an error of the sender's socket counts at once, and not only behind what can be read from it: what it
-    /// sends has ended already, or is lost, since nothing can pass.
+    /// Returns whether a socket error of the sender takes effect immediately instead of after the bytes that
+    /// can still be read: true if the sender has already ended its stream, or if its bytes are lost because
+    /// nothing can be forwarded.
     pub fn error_counts_at_once(&self, now: Time, number: u64, direction: Direction) -> bool {
         let ended = self.flow(number, direction).is_some_and(|flow| flow.sender != SenderState::Open);
         ended || self.faults.cuts(now, number, direction)
     }
 
-    /// Bytes came from the sender, no more than there was room for.
+    /// Queues bytes from the sender; at most as many as [`Link::read_capacity`] allowed.
     pub fn bytes_received(&mut self, now: Time, number: u64, direction: Direction, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         let flow = &mut connection.flows[direction.index()];
@@ -219,7 +226,7 @@
         self.most_waiting = self.most_waiting.max(flow.queue.len());
     }
 
-    /// The sender of a direction has ended it.
+    /// Handles the end of stream of a sender.
     pub fn sender_ended(&mut self, now: Time, number: u64, direction: Direction) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         let flow = &mut connection.flows[direction.index()];
@@ -231,15 +238,16 @@
         if matches!(flow.receiver, ReceiverState::Ended | ReceiverState::Gone) {
             flow.sender = SenderState::Passed;
         }
-        self.close_if_over(now, number);
+        self.close_if_finished(now, number);
     }
 
-    /// The socket of the sender of a direction is broken: it sends no more, and takes nothing either. What it
-    /// sent and then a reset pass to the other side; only the reset where the direction is cut just now.
+    /// Handles a failed socket of the sender of a direction: it neither sends nor receives any more. The
+    /// bytes it sent and then a reset are forwarded to the other side; only the reset if the direction is
+    /// currently cut.
     pub fn socket_failed(&mut self, now: Time, number: u64, direction: Direction) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         if connection.phase == Phase::Waiting {
-            // The target knows nothing of it.
+            // The target has not been contacted yet.
             return self.reset(now, number, EventKind::Broke);
         }
         let cut = self.faults.cuts(now, number, direction);
@@ -256,7 +264,7 @@
             let passed = flow.passed;
             self.record(now, number, Some(direction), EventKind::Broke, passed);
         } else if flow.sender == SenderState::Passed {
-            // It had ended what it sends; the other side may still send, and is to learn.
+            // The sender had ended its stream; the other side may still send and has to be notified.
             flow.sender = SenderState::Reset(now);
         }
         if self
@@ -268,7 +276,8 @@
         self.actions.push_back(Action::Process(number));
     }
 
-    /// What may pass in a direction now. Where something may later, [`Link::next_wake`] knows when.
+    /// Returns the data that may be written in a direction now. If data becomes ready later,
+    /// [`Link::next_wake`] returns the time.
     pub fn next_output(&mut self, now: Time, number: u64, direction: Direction) -> Output<'_> {
         match self.next_output_kind(now, number, direction) {
             OutputKind::Nothing => Output::Nothing,
@@ -310,12 +319,12 @@
             if count > 0 {
                 return OutputKind::Bytes(count);
             }
-            // A stop stands just here; it is gone afterwards.
+            // A stop lies at exactly this position; running it removes it.
             self.run_stops(now, number, direction);
         }
     }
 
-    /// The same where no bytes are due.
+    /// Returns the output if no bytes are ready.
     fn next_end(&mut self, now: Time, number: u64, direction: Direction) -> OutputKind {
         let Some(flow) = self.flow(number, direction) else { return OutputKind::Nothing };
         match (flow.queue.next_ready_at(), flow.sender) {
@@ -342,7 +351,7 @@
         OutputKind::Nothing
     }
 
-    /// So many of the bytes that were offered have passed.
+    /// Records that `count` of the offered bytes were written.
     pub fn bytes_written(&mut self, now: Time, number: u64, direction: Direction, count: usize) {
         let rate = self.faults.rate(number, direction);
         let Some(connection) = self.connections.get_mut(&number) else { return };
@@ -356,11 +365,11 @@
         self.run_stops(now, number, direction);
     }
 
-    /// The end that was offered has passed.
+    /// Records that the offered end of stream was written.
     pub fn end_written(&mut self, now: Time, number: u64, direction: Direction) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         let flow = &mut connection.flows[direction.index()];
-        let what = if flow.receiver == ReceiverState::Ending {
+        let kind = if flow.receiver == ReceiverState::Ending {
             flow.receiver = ReceiverState::Ended;
             EventKind::HalfClosed
         } else {
@@ -370,19 +379,19 @@
             flow.sender = SenderState::Passed;
         }
         let passed = flow.passed;
-        self.record(now, number, Some(direction), what, passed);
-        self.close_if_over(now, number);
+        self.record(now, number, Some(direction), kind, passed);
+        self.close_if_finished(now, number);
     }
 
-    fn close_if_over(&mut self, now: Time, number: u64) {
-        let over =
+    fn close_if_finished(&mut self, now: Time, number: u64) {
+        let is_finished =
             |connection: &Connection| connection.flows.iter().all(|flow| flow.sender == SenderState::Passed);
-        if self.connections.get(&number).is_some_and(over) {
+        if self.connections.get(&number).is_some_and(is_finished) {
             self.remove_connection(now, number, EventKind::Closed, Action::Close(number));
         }
     }
 
-    /// Does what is due.
+    /// Runs all expired timers.
     pub fn poll(&mut self, now: Time) {
         while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, timer));
@@ -400,33 +409,34 @@
         }
     }
 
-    /// When something falls due next.
+    /// Returns when the next timer expires.
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// What is to be done, in order; the list is empty afterwards.
+    /// Takes the pending actions in order.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// What was done, for the trace; the list is empty afterwards.
+    /// Takes the events for the trace.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Bytes that wait.
+    /// Returns the number of queued bytes.
     pub fn waiting(&self) -> usize {
         let flows = self.connections.values().flat_map(|connection| &connection.flows);
         flows.map(|flow| flow.queue.len()).sum()
     }
 
-    /// The most that ever waited in one direction of a connection.
+    /// Returns the maximum number of bytes ever queued in one direction of a connection.
     pub fn most_waiting(&self) -> usize {
         self.most_waiting
     }
 
-    /// Adds an entry of a plan. A message, pattern or connection that was there already does not come again.
+    /// Adds an entry of a plan. Messages, patterns and connections that have already occurred do not trigger
+    /// it.
     pub fn plan(&mut self, now: Time, entry: Entry) {
         let (when, wait) = entry.when.parts();
         let place = match when {
@@ -449,7 +459,7 @@
         }
     }
 
-    /// Tells of a signal.
+    /// Starts the entries that wait for a signal.
     pub fn signal(&mut self, now: Time, name: &str) {
         for index in self.planned.signal(name) {
             self.begin_entry(now, index, None);
@@ -469,7 +479,7 @@
         }
     }
 
-    /// Begins a fault, on one connection or all.
+    /// Starts a fault on one connection or on all.
     pub fn begin(&mut self, now: Time, only: Option<u64>, fault: Fault, lasts: Option<Duration>) -> FaultId {
         let id = self.faults.number();
         let began = EventKind::Began { id, fault: fault.clone(), only, after: self.last };
@@ -521,9 +531,9 @@
         }
     }
 
-    /// Takes a fault back; whether it was in force.
+    /// Ends a fault. Returns whether it was active.
     pub fn end(&mut self, now: Time, id: FaultId) -> bool {
-        let Some(over) = self.faults.remove(id) else { return false };
+        let Some(ended) = self.faults.remove(id) else { return false };
         self.timers.retain(|(_, timer)| *timer != Timer::End(id) && *timer != Timer::Flap(id));
         for connection in self.connections.values_mut() {
             connection.flows.iter_mut().for_each(|flow| flow.remove_fault_stops(id));
@@ -532,13 +542,13 @@
             }
         }
         let waiting = self.waiting() as u64;
-        self.record(now, over.only.unwrap_or(0), None, EventKind::Ended { id }, waiting);
+        self.record(now, ended.only.unwrap_or(0), None, EventKind::Ended { id }, waiting);
         self.listen();
         self.resume_blocked(now);
         true
     }
 
-    /// Takes all faults back, in the order in which they began.
+    /// Ends all faults in the order in which they started.
     pub fn heal(&mut self, now: Time) {
         for id in self.faults.ids() {
             self.end(now, id);
@@ -557,7 +567,7 @@
         }
     }
 
-    /// Something may pass that could not.
+    /// Connects waiting connections and processes all others after a fault stopped blocking them.
     fn resume_blocked(&mut self, now: Time) {
         for (number, connection) in &mut self.connections {
             if connection.phase == Phase::Waiting && self.faults.opening(now, *number) != Opening::Wait {
@@ -575,7 +585,7 @@
         }
     }
 
-    /// Does what stops a direction at the place where it stands.
+    /// Runs the stops that a direction has reached.
     fn run_stops(&mut self, now: Time, number: u64, direction: Direction) {
         loop {
             let Some(connection) = self.connections.get_mut(&number) else { return };
@@ -617,11 +627,11 @@
         self.actions.push_back(Action::Process(number));
     }
 
-    fn reset(&mut self, now: Time, number: u64, what: EventKind) {
-        self.remove_connection(now, number, what, Action::Reset(number));
+    fn reset(&mut self, now: Time, number: u64, kind: EventKind) {
+        self.remove_connection(now, number, kind, Action::Reset(number));
     }
 
-    fn remove_connection(&mut self, now: Time, number: u64, what: EventKind, action: Action) {
+    fn remove_connection(&mut self, now: Time, number: u64, kind: EventKind, action: Action) {
         let passed = self.passed(number);
         if let Some(connection) = self.connections.remove(&number) {
             for flow in connection.flows {
@@ -629,24 +639,24 @@
                     self.timers.remove(&(at, Timer::Flow(number, flow.direction)));
                 }
             }
-            self.record(now, number, None, what, passed);
+            self.record(now, number, None, kind, passed);
             self.actions.push_back(action);
         }
     }
 
-    /// The open connections that a fault concerns.
+    /// Returns the open connections that a fault affects.
     fn connections_matching(&self, only: Option<u64>) -> Vec<u64> {
-        let concerned = |number: &u64| only.is_none_or(|only| only == *number);
-        self.connections.keys().copied().filter(concerned).collect()
+        let affected = |number: &u64| only.is_none_or(|only| only == *number);
+        self.connections.keys().copied().filter(affected).collect()
     }
 
     fn flow(&self, number: u64, direction: Direction) -> Option<&Flow> {
         self.connections.get(&number).map(|connection| &connection.flows[direction.index()])
     }
 
-    fn with_flow(&mut self, number: u64, direction: Direction, what: impl FnOnce(&mut Flow)) {
+    fn with_flow(&mut self, number: u64, direction: Direction, update: impl FnOnce(&mut Flow)) {
         if let Some(connection) = self.connections.get_mut(&number) {
-            what(&mut connection.flows[direction.index()]);
+            update(&mut connection.flows[direction.index()]);
         }
     }
 
@@ -655,9 +665,9 @@
         connection.map_or(0, |connection| connection.flows.iter().map(|flow| flow.passed).sum())
     }
 
-    fn record(&mut self, now: Time, connection: u64, way: Option<Direction>, what: EventKind, bytes: u64) {
+    fn record(&mut self, now: Time, connection: u64, way: Option<Direction>, kind: EventKind, bytes: u64) {
         let at = Duration::from_nanos(now);
-        self.events.push(Event { at, link: self.id, connection, way, what, bytes });
+        self.events.push(Event { at, link: self.id, connection, way, what: kind, bytes });
     }
 }
 
--- a/crates/fault-proxy/src/faults.rs
+++ b/crates/fault-proxy/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults in force on a link, and what they come to together.
+//! The active faults of a link and their combined effect.
 
 use std::time::Duration;
 
@@ -7,25 +7,26 @@
 
 use crate::plan::{Direction, Fault, FaultId};
 
-/// Parts of a flapping link's period are no shorter, or it would do nothing else.
+/// Minimum duration of each phase of a flapping link; shorter phases would keep the link busy with nothing
+/// but phase changes.
 const MIN_FLAP_PHASE: Span = MS / 10;
 
-/// A fault in force.
+/// An active fault.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveFault {
     pub id: FaultId,
     pub fault: Fault,
-    /// The only connection that it concerns.
+    /// The only affected connection; `None` for all.
     pub only: Option<u64>,
     since: Time,
 }
 
 impl ActiveFault {
-    fn concerns(&self, connection: u64) -> bool {
+    fn affects(&self, connection: u64) -> bool {
         self.only.is_none_or(|only| only == connection)
     }
 
-    /// Whether it stops all that passes in a direction just now, as a cut does.
+    /// Returns whether the fault currently blocks all data in a direction, as a cut does.
     fn cuts(&self, now: Time, direction: Direction) -> bool {
         match &self.fault {
             Fault::Cut { way } => way.covers(direction),
@@ -39,7 +40,7 @@
     }
 }
 
-/// Whether a flapping link is cut when it has flapped for so long, and how long that lasts.
+/// Returns whether a link that has flapped for `since` is cut, and how long that phase still lasts.
 fn flap(since: Span, down: Duration, up: Duration) -> (bool, Span) {
     let down = nanos(down).max(MIN_FLAP_PHASE);
     let up = nanos(up).max(MIN_FLAP_PHASE);
@@ -52,34 +53,34 @@
     }
 }
 
-/// A duration as a span; what is beyond 500 years is for ever.
+/// Converts a duration to nanoseconds; durations above 500 years are clamped to the maximum.
 pub(crate) fn nanos(duration: Duration) -> Span {
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// What is done with a new connection.
+/// How a new connection is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// It is led to the target.
+    /// The connection is connected to the target.
     Connect,
-    /// It is kept, and hears nothing until [`Action::Connect`](crate::core::Action::Connect).
+    /// The connection is kept but receives nothing until [`Action::Connect`](crate::core::Action::Connect).
     Wait,
-    /// It is reset.
+    /// The connection is reset.
     Reset,
 }
 
-/// What the system does with those who ask for a connection.
+/// How the listener treats connection attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listening {
-    /// It takes them.
+    /// Connections are accepted.
     Open,
-    /// It refuses them.
+    /// Connections are refused.
     Refusing,
-    /// It does not answer them.
+    /// Connection attempts are not answered.
     Unanswering,
 }
 
-/// Those of one link.
+/// The active faults of one link.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Faults {
     list: Vec<ActiveFault>,
@@ -109,12 +110,12 @@
         self.list.iter().map(|active| active.id).collect()
     }
 
-    /// Those that concern a connection.
+    /// Returns the faults that affect a connection.
     pub fn on(&self, connection: u64) -> impl Iterator<Item = &ActiveFault> {
-        self.list.iter().filter(move |active| active.concerns(connection))
+        self.list.iter().filter(move |active| active.affects(connection))
     }
 
-    /// How long what comes now is on its way.
+    /// Returns the delay of bytes that arrive now.
     pub fn delay(&self, connection: u64, direction: Direction, rng: &mut Rng) -> Span {
         self.on(connection).fold(0, |sum: Span, active| match &active.fault {
             Fault::Delay { way, base, jitter } if way.covers(direction) => {
@@ -125,7 +126,7 @@
         })
     }
 
-    /// Bytes a second, where that is bound.
+    /// Returns the rate limit in bytes per second, if there is one.
     pub fn rate(&self, connection: u64, direction: Direction) -> Option<u64> {
         let rates = self.on(connection).filter_map(|active| match &active.fault {
             Fault::Rate { way, bytes_per_s } if way.covers(direction) => Some((*bytes_per_s).max(1)),
@@ -134,17 +135,19 @@
         rates.min()
     }
 
-    /// Whether nothing passes in a direction of a connection.
+    /// Returns whether nothing can be forwarded in a direction of a connection.
     pub fn blocks(&self, now: Time, connection: u64, direction: Direction) -> bool {
         self.on(connection).any(|active| active.blocks(now, direction))
     }
 
-    /// The same, and what its sender's end leaves behind is lost.
+    /// Returns whether a direction of a connection is cut: nothing can be forwarded, and the queued bytes are
+    /// lost if the sender's socket fails.
     pub fn cuts(&self, now: Time, connection: u64, direction: Direction) -> bool {
         self.on(connection).any(|active| active.cuts(now, direction))
     }
 
-    /// The faults that end messages in a direction of a connection: which, in which message, behind how many bytes.
+    /// Returns the faults that terminate messages in a direction of a connection: id, message number and byte
+    /// count.
     pub fn cut_messages(&self, connection: u64, direction: Direction) -> Vec<(FaultId, u64, u64)> {
         let cuts = self.on(connection).filter_map(|active| match &active.fault {
             Fault::CutMessage { way, message, bytes, .. } if *way == direction => {
@@ -155,7 +158,7 @@
         cuts.collect()
     }
 
-    /// What becomes of a connection that is new, or has waited so far.
+    /// Returns how to treat a new or waiting connection.
     pub fn opening(&self, now: Time, connection: u64) -> Opening {
         if self.list.iter().any(|active| active.fault == Fault::ResetNew) {
             return Opening::Reset;
@@ -168,7 +171,7 @@
         }
     }
 
-    /// What the listener does; to refuse goes before not to answer.
+    /// Returns the state of the listener; `Refuse` takes precedence over `Unanswered`.
     pub fn listening(&self) -> Listening {
         let any = |fault| self.list.iter().any(|active| active.fault == fault);
         if any(Fault::Refuse) {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Whether a flapping link is cut now, and when that changes.
+    /// Returns whether a flapping link is cut now, and when that changes.
     pub fn flapping(&self, now: Time, id: FaultId) -> Option<(bool, Time)> {
         let active = self.get(id)?;
         let Fault::Flap { down, up, .. } = &active.fault else { return None };
--- a/crates/fault-proxy/src/flow.rs
+++ b/crates/fault-proxy/src/flow.rs
@@ -1,4 +1,4 @@
-//! One direction of a connection: what waits in it, where it stops next, and how it ends.
+//! One direction of a connection: its queued bytes, its next stop, and how it ends.
 
 use cluster_model::rng::Rng;
 use cluster_model::{Span, Time, MS};
@@ -9,43 +9,43 @@
 use crate::set::Framing;
 use crate::split::{Edge, Splitter};
 
-/// A narrow link may make up for so much lateness, so that its rate holds on a busy machine.
+/// Maximum lateness that a rate-limited link may catch up on, so that the rate holds on a busy machine.
 const MAX_CREDIT: Span = 10 * MS;
-/// A narrow link lets so much time's worth of bytes pass at once.
+/// A rate-limited link forwards bytes worth this time at once.
 const BURST: Span = MS;
 
-/// How the sender's side stands.
+/// State of the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SenderState {
-    /// More may come.
+    /// The sender may send more.
     Open,
-    /// It has ended; the end may pass at this time, behind all bytes.
+    /// The sender ended its stream; the end may be forwarded at this time, after all bytes.
     End(Time),
-    /// It broke; the reset may pass at this time, behind all bytes.
+    /// The sender's socket failed; the reset may be forwarded at this time, after all bytes.
     Reset(Time),
-    /// The end has passed.
+    /// The end was forwarded.
     Passed,
 }
 
-/// How the receiver's side stands.
+/// State of the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReceiverState {
-    /// It takes bytes.
+    /// The receiver accepts bytes.
     Open,
-    /// A fault ends it; it has yet to be told.
+    /// A fault ends the stream; the end has yet to be written.
     Ending,
-    /// A fault has ended it; what comes is thrown away.
+    /// A fault has ended the stream; further bytes are discarded.
     Ended,
-    /// It is gone.
+    /// The receiver's socket has failed.
     Gone,
 }
 
-/// What happens at a place; of several, the order of this type.
+/// Effect of reaching a stream position; several at one position run in the order of this type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stop {
-    /// A fault in force ends the connection.
+    /// An active fault terminates the connection.
     Fault(FaultId),
-    /// A planned entry begins.
+    /// A planned entry starts.
     Entry(EntryIndex),
 }
 
@@ -56,21 +56,22 @@
     pub queue: Queue,
     pub sender: SenderState,
     pub receiver: ReceiverState,
-    /// Bytes that have passed.
+    /// Bytes forwarded so far.
     pub passed: u64,
-    /// When the link looks at it again by itself.
+    /// When the link's timer for this direction expires.
     pub wake: Option<Time>,
     rng: Rng,
-    /// Bytes that have been looked at for messages and patterns.
+    /// Bytes scanned for messages and patterns.
     scanned: u64,
     splitter: Splitter,
     matched: Matched,
-    /// Messages that have begun, and where the one at hand did.
+    /// Number of messages that have begun, and the start position of the current one.
     message_count: u64,
     message_start: Option<u64>,
-    /// Where it stops, in order, and whether that hangs on the end of the message at hand.
+    /// Stops in order: the position, the effect, and whether the position moves to the end of the current
+    /// message if that is shorter.
     stops: Vec<(u64, Stop, bool)>,
-    /// When a narrow link has passed all that it let pass.
+    /// When a rate-limited link has used up its allowance.
     free_at: Time,
 }
 
@@ -98,12 +99,12 @@
         &mut self.rng
     }
 
-    /// Stops behind so many bytes, or at once if more have passed.
+    /// Adds a stop after `bytes` bytes, or at the current position if more have been forwarded.
     pub fn stop_at(&mut self, bytes: u64, stop: Stop) {
         self.add_stop(bytes.max(self.passed), stop, false);
     }
 
-    /// Stops in the message at hand, if this is it; whether it has come and gone is not asked.
+    /// Adds a stop in the current message if it has this number; earlier and later messages are not checked.
     pub fn stop_in_message(&mut self, message: u64, bytes: u64, stop: Stop) {
         if let (true, Some(start)) = (self.message_count == message, self.message_start) {
             self.add_stop(start.saturating_add(bytes).max(self.passed), stop, true);
@@ -115,18 +116,18 @@
         self.stops.insert(behind, (at, stop, of_message));
     }
 
-    /// The next stop that has been reached, and is one no more.
+    /// Removes and returns the next stop that has been reached.
     pub fn take_reached_stop(&mut self) -> Option<Stop> {
         let reached = self.stops.first().is_some_and(|(at, ..)| *at <= self.passed);
         reached.then(|| self.stops.remove(0).1)
     }
 
-    /// Takes the stops of a fault away that is over.
+    /// Removes the stops of a fault that has ended.
     pub fn remove_fault_stops(&mut self, id: FaultId) {
         self.stops.retain(|(_, stop, _)| *stop != Stop::Fault(id));
     }
 
-    /// Bytes that a narrow link lets pass now, or when it will.
+    /// Returns the bytes that the rate limit allows now, or the time when it will allow more.
     pub fn allowance(&self, now: Time, rate: u64) -> Result<usize, Time> {
         if self.free_at > now {
             return Err(self.free_at);
@@ -135,14 +136,14 @@
         Ok(usize::try_from(burst).unwrap_or(usize::MAX).max(1))
     }
 
-    /// Bytes have passed a narrow link.
+    /// Charges forwarded bytes to the rate limit.
     pub fn spend(&mut self, now: Time, rate: u64, bytes: usize) {
         let cost = bytes as u128 * 1_000_000_000 / u128::from(rate);
         let from = self.free_at.max(now.saturating_sub(MAX_CREDIT));
         self.free_at = from.saturating_add(u64::try_from(cost).unwrap_or(u64::MAX));
     }
 
-    /// Whether more may be read from the sender, and how much.
+    /// Returns how many bytes may be read from the sender.
     pub fn read_capacity(&self, bound: usize) -> usize {
         match (self.sender, self.receiver) {
             (SenderState::Open, ReceiverState::Open) => bound.saturating_sub(self.queue.len()),
@@ -152,15 +153,16 @@
     }
 }
 
-/// What a flow asks while it looks at bytes: the link's plan and the faults that end messages.
+/// Context of a scan: the planned faults of the link and the faults that terminate messages.
 pub(crate) struct ScanContext<'a> {
     pub planned: &'a mut PlannedFaults,
-    /// `CutMessage` faults on this connection and direction: which, in which message, after how many bytes.
+    /// `CutMessage` faults on this connection and direction: id, message number and byte count.
     pub message_cuts: Vec<(FaultId, u64, u64)>,
 }
 
 impl Flow {
-    /// Looks at the first bytes, up to `most`; how many of them may pass before the next stop.
+    /// Scans at most `most` of the first bytes. Returns how many of them may be forwarded before the next
+    /// stop.
     pub fn scan(&mut self, most: usize, context: &mut ScanContext<'_>) -> usize {
         let mut end = self.passed + self.queue.front(most).len() as u64;
         loop {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// What was to come later in the message comes at its end.
+    /// Moves stops that lie beyond the end of the message to its end.
     fn end_message(&mut self) {
         self.message_start = None;
         let end = self.scanned;
--- a/crates/fault-proxy/src/planned.rs
+++ b/crates/fault-proxy/src/planned.rs
@@ -1,19 +1,19 @@
-//! What is planned on a link, by the moments that it waits for.
+//! The planned faults of a link, indexed by their triggers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::plan::{Direction, Entry, Trigger};
 
-/// A place in a plan of one link; of several at the same place the first comes first.
+/// Index of an entry in the plan of one link; at the same stream position the lower index runs first.
 pub(crate) type EntryIndex = usize;
 
-/// Bytes that are looked for, as Knuth, Morris and Pratt do.
+/// A byte pattern, searched with the Knuth-Morris-Pratt algorithm.
 #[derive(Clone, Debug)]
 struct Pattern {
     index: EntryIndex,
     way: Direction,
     bytes: Vec<u8>,
-    /// For each length that has matched: the longest shorter one that has, too.
+    /// For each matched length, the longest proper prefix that also matches.
     failure_table: Vec<usize>,
     n: u64,
     occurrences: u64,
@@ -33,7 +33,7 @@
         Pattern { index, way, bytes: bytes.to_vec(), failure_table, n, occurrences: 0 }
     }
 
-    /// One more byte; whether the pattern ends with it.
+    /// Advances by one byte. Returns whether the pattern ends with it.
     fn step(&self, matched: &mut usize, byte: u8) -> bool {
         while *matched > 0 && byte != self.bytes[*matched] {
             *matched = self.failure_table[*matched - 1];
@@ -47,21 +47,21 @@
     }
 }
 
-/// How much of each pattern a stream has just occurrences, by the pattern's index.
+/// The currently matched length of each pattern in a stream, by the pattern's index.
 pub(crate) type Matched = BTreeMap<EntryIndex, usize>;
 
 /// The plan of one link.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlannedFaults {
     entries: Vec<Entry>,
-    /// Entries that have begun: one that two things may begin comes once.
+    /// Entries that have started; an entry that can be started by two triggers starts only once.
     started: BTreeSet<EntryIndex>,
     connections: BTreeMap<u64, Vec<EntryIndex>>,
     messages: BTreeMap<(Direction, u64), Vec<(EntryIndex, u64)>>,
     places: BTreeMap<(u64, Direction), Vec<(EntryIndex, u64)>>,
     signals: BTreeMap<String, Vec<EntryIndex>>,
     patterns: Vec<Pattern>,
-    /// Messages that have begun.
+    /// Number of messages that have begun, by direction.
     message_count: [u64; 2],
 }
 
@@ -69,7 +69,7 @@
     pub fn add(&mut self, entry: Entry) -> EntryIndex {
         let index = self.entries.len();
         match entry.when.parts().0 {
-            // A moment that may be waited for is none that waits itself.
+            // `Trigger::parts` has already unwrapped `Within`; a nested one is not allowed and ignored.
             Trigger::At(_) | Trigger::Within { .. } => {}
             Trigger::Connection(n) => self.connections.entry(*n).or_default().push(index),
             Trigger::Message { way, n, after } => {
@@ -91,34 +91,34 @@
         &self.entries[index]
     }
 
-    /// The entry begins now; `None` where it has before.
+    /// Marks an entry as started and returns it; `None` if it started before.
     pub fn begin(&mut self, index: EntryIndex) -> Option<Entry> {
         self.started.insert(index).then(|| self.entries[index].clone())
     }
 
-    /// What begins with a link's n-th connection.
+    /// Takes the entries that start with the link's n-th connection.
     pub fn connection(&mut self, n: u64) -> Vec<EntryIndex> {
         self.connections.remove(&n).unwrap_or_default()
     }
 
-    /// What begins at places of a direction of a connection.
+    /// Takes the entries that start at positions in a direction of a connection.
     pub fn places(&mut self, connection: u64, way: Direction) -> Vec<(EntryIndex, u64)> {
         self.places.remove(&(connection, way)).unwrap_or_default()
     }
 
-    /// What begins with a signal.
+    /// Takes the entries that start with a signal.
     pub fn signal(&mut self, name: &str) -> Vec<EntryIndex> {
         self.signals.remove(name).unwrap_or_default()
     }
 
-    /// A message has begun: what begins in it, and after how many bytes of it.
+    /// Counts a new message and takes the entries that start in it, each with its byte count in the message.
     pub fn message(&mut self, way: Direction) -> Vec<(EntryIndex, u64)> {
         let n = &mut self.message_count[way.index()];
         *n += 1;
         self.messages.remove(&(way, *n)).unwrap_or_default()
     }
 
-    /// Looks for patterns in bytes; what begins behind how many of them.
+    /// Searches bytes for patterns. Returns the entries that start and the number of bytes before each.
     pub fn find_patterns(
         &mut self,
         way: Direction,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Whether a moment can never come.
+/// Returns whether the trigger of an entry can never fire.
 pub(crate) fn can_never_fire(entry: &Entry) -> bool {
     match entry.when.parts().0 {
         Trigger::Within { .. } => true,
--- a/crates/fault-proxy/src/queue.rs
+++ b/crates/fault-proxy/src/queue.rs
@@ -1,22 +1,24 @@
-//! Bytes on their way through a link, each piece with the time at which it may pass.
+//! Queue of bytes in a link; each piece has the time at which it may be forwarded.
 
 use std::collections::VecDeque;
 
 use cluster_model::Time;
 
-/// Pieces that are told apart; more share the time of the last, so that single bytes cost no more than this.
+/// Maximum number of pieces with a time of their own. Further pieces share the time of the last one, which
+/// bounds the memory used when bytes arrive one by one.
 const MAX_PIECES: usize = 4096;
-/// An empty queue gives its memory back beyond this.
+/// Capacity in bytes above which an empty queue frees its memory.
 const MAX_IDLE_CAPACITY: usize = 4096;
 
-/// A queue of bytes in order. It has no bound of its own: who fills it looks at [`Queue::len`] first.
+/// FIFO queue of bytes. The queue itself is unbounded; the caller checks [`Queue::len`] before pushing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     bytes: VecDeque<u8>,
-    /// Ends of pieces that are not due yet, as bytes since the beginning, and when they are.
+    /// Ends of pieces that are not ready yet, as byte offsets since the beginning, and when they become
+    /// ready.
     pieces: VecDeque<(u64, Time)>,
     popped: u64,
-    /// Bytes since the beginning that are due.
+    /// Offset since the beginning up to which bytes are ready.
     ready: u64,
 }
 
@@ -25,7 +27,7 @@
         self.bytes.len()
     }
 
-    /// Adds bytes that may pass at a time, or with those before them if that is later.
+    /// Appends bytes that become ready at a time, or together with the bytes before them if that is later.
     pub fn push(&mut self, bytes: &[u8], ready_at: Time) {
         self.bytes.extend(bytes);
         let end = self.popped + self.bytes.len() as u64;
@@ -36,7 +38,7 @@
         }
     }
 
-    /// How many bytes may pass now.
+    /// Returns how many bytes are ready.
     pub fn ready(&mut self, now: Time) -> usize {
         while let Some((end, _)) = self.pieces.front().filter(|(_, ready_at)| *ready_at <= now) {
             self.ready = *end;
@@ -45,18 +47,18 @@
         self.ready.saturating_sub(self.popped) as usize
     }
 
-    /// When the first piece that is not due will be.
+    /// Returns when the first piece that is not ready becomes ready.
     pub fn next_ready_at(&self) -> Option<Time> {
         self.pieces.front().map(|(_, ready_at)| *ready_at)
     }
 
-    /// The first bytes, up to so many, as far as they lie in one piece of memory.
+    /// Returns at most `most` of the first bytes, as far as they are contiguous in memory.
     pub fn front(&self, most: usize) -> &[u8] {
         let (front, _) = self.bytes.as_slices();
         &front[..front.len().min(most)]
     }
 
-    /// Takes the first bytes away.
+    /// Removes the first bytes.
     pub fn pop(&mut self, count: usize) {
         self.bytes.drain(..count);
         self.popped += count as u64;
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Loses all; how much it was.
+    /// Discards all bytes and returns their number.
     pub fn clear(&mut self) -> usize {
         let lost = self.bytes.len();
         *self = Queue { popped: self.popped, ready: self.popped, ..Queue::default() };
@@ -78,14 +80,18 @@
     use super::*;
 
     #[test]
-    fn single_bytes_that_are_late_cost_a_bounded_list() {
+    fn single_delayed_bytes_use_a_bounded_number_of_pieces() {
         let mut queue = Queue::default();
         for at in 0..10 * MAX_PIECES as Time {
             queue.push(b"x", at);
         }
         assert_eq!((queue.len(), queue.pieces.len()), (10 * MAX_PIECES, MAX_PIECES));
-        assert_eq!(queue.ready(7), 8, "the first are as they were");
-        assert_eq!(queue.ready(10 * MAX_PIECES as Time - 2), MAX_PIECES - 1, "the others wait for the last");
+        assert_eq!(queue.ready(7), 8, "the first pieces keep their times");
+        assert_eq!(
+            queue.ready(10 * MAX_PIECES as Time - 2),
+            MAX_PIECES - 1,
+            "the others share the time of the last"
+        );
         assert_eq!(queue.ready(10 * MAX_PIECES as Time - 1), 10 * MAX_PIECES);
     }
 }
--- a/crates/fault-proxy/src/runner.rs
+++ b/crates/fault-proxy/src/runner.rs
@@ -1,4 +1,4 @@
-//! The thread: sockets, and nothing that is decided. Which bytes pass when is in [`crate::core`].
+//! The I/O thread: it serves the sockets. [`crate::core`] decides which bytes are forwarded when.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -19,23 +19,24 @@
 use crate::socket::{reset, Listener, WakeupTimer};
 use crate::trace::{Event, EventKind, Trace};
 
-/// What the handle asks of the thread.
+/// A call from the handle, run on the thread.
 pub(crate) type Command = Box<dyn FnOnce(&mut Runner) + Send>;
-/// Somebody waits for an event like this.
+/// A predicate on events, and the channel that receives the first matching event.
 type Watcher = (Box<dyn Fn(&Event) -> bool + Send>, Sender<Event>);
 
 const WAKER: Token = Token(0);
 const WAKEUP_TIMER: Token = Token(4);
-/// The poll, the waker, the alarm, and one that is closed at once: to reset a connection, or to fill a listener.
+/// Descriptors of the set itself: the poll, the waker, the timer, and one that is closed immediately, to
+/// reset a connection or to plug a listener.
 const OWN_DESCRIPTORS: usize = 4;
-/// Bytes that are read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Rounds that one connection gets before others have their turn.
+/// Rounds that one connection may run before others have their turn.
 const MAX_ROUNDS_PER_TURN: usize = 16;
-/// A listener that the system failed is tried again after this.
+/// Delay before accepting again after a system error.
 const ACCEPT_RETRY_DELAY: Time = 10 * MS;
 
-/// Whose a token is: the lowest two bits tell the kind.
+/// Owner of a token; the lowest two bits encode the kind.
 #[derive(Clone, Copy)]
 enum Owner {
     Own,
@@ -66,30 +67,32 @@
     link: Link,
     spec: LinkSpec,
     listener: Listener,
-    /// Connections by their numbers.
+    /// Relay keys by connection number.
     relays: BTreeMap<u64, usize>,
-    /// When it is looked at by itself.
+    /// When the link's next timer expires.
     wake: Option<Time>,
-    /// When accepting is tried again.
+    /// When accepting is retried.
     accept_retry_at: Option<Time>,
 }
 
-/// One side's socket.
+/// Socket of one side of a connection.
 struct Endpoint {
     stream: TcpStream,
     connected: bool,
     readable: bool,
     writable: bool,
-    /// The system has seen an end or an error, so that reading has to go on until it is met.
+    /// The system reported an end of stream or an error, so reading continues until it is reached.
     ends: bool,
     broken: bool,
-    /// It was connected and broken before that was looked at: what it sent can be read, and then an end that is none.
+    /// The peer connected and reset the connection before the event was handled: its bytes can be read,
+    /// followed by an end of stream that has to be treated as a reset.
     reset_after_connect: bool,
 }
 
 impl Endpoint {
     fn new(stream: TcpStream, connected: bool) -> Endpoint {
-        // Without it small messages may wait for the peer; a link that cannot be told so only is slower.
+        // Without `TCP_NODELAY`, small messages may wait for the peer. If setting it fails, the link is only
+        // slower.
         let _ = stream.set_nodelay(true);
         Endpoint {
             stream,
@@ -103,12 +106,12 @@
     }
 }
 
-/// A connection's sockets: the client's, and the target's once it was led there.
+/// Sockets of a connection: the client's, and the target's once the link has started to connect to it.
 struct Relay {
     link: usize,
     number: u64,
     endpoints: [Option<Endpoint>; 2],
-    /// Whether it is in line to be looked at.
+    /// Whether the relay is in the ready queue.
     queued: bool,
 }
 
@@ -158,7 +161,7 @@
         Ok((runner, waker))
     }
 
-    /// Runs until it is told to stop, or the handle is gone.
+    /// Runs until it is stopped or the handle is dropped.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(1024);
         while !self.stopping {
@@ -168,7 +171,7 @@
                 Err(error) if error.kind() != ErrorKind::Interrupted => break,
                 _ => {}
             }
-            // What is due comes before bytes that have come meanwhile.
+            // Expired timers run before bytes that arrived meanwhile.
             self.run_expired_timers();
             for event in &events {
                 match Owner::of(event.token()) {
@@ -194,7 +197,7 @@
         let next = self.wakes.first().map(|(at, _)| *at);
         if next != self.armed {
             let after = next.map(|at| Duration::from_nanos(at.saturating_sub(self.now())));
-            // The only ways to fail are words that are wrong.
+            // Setting the timer fails only for invalid arguments.
             if self.wakeup_timer.set(after).is_ok() {
                 self.armed = next;
             }
@@ -233,7 +236,8 @@
         if !socket.connected {
             return self.connected(key);
         }
-        // Who has ended what he sends, or fills a link that is cut, is read no more; that he broke shows only here.
+        // A sender that has ended its stream, or that fills a cut link, is not read any more; only this event
+        // shows that its socket failed.
         let direction = Direction::BOTH[endpoint];
         let now = self.start.elapsed().as_nanos() as Time;
         let breaks = |state: &&mut LinkState| state.link.error_counts_at_once(now, number, direction);
@@ -246,7 +250,7 @@
         self.queue(key);
     }
 
-    /// Asks whether a connection to a target has come about.
+    /// Checks whether the connection to a target was established.
     fn connected(&mut self, key: usize) {
         let now = self.now();
         let relay = &mut self.relays[key];
@@ -255,7 +259,7 @@
         let Some(state) = &mut self.link_states[link] else { return };
         let refused = match socket.stream.take_error() {
             Ok(None) => false,
-            // Only who was connected can be reset; who is not is refused.
+            // Only an established connection can be reset; one that was not established is refused.
             Ok(Some(error)) if matches!(error.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe) => {
                 socket.reset_after_connect = true;
                 false
@@ -282,7 +286,7 @@
 
     fn process_next(&mut self) {
         let Some(key) = self.ready_queue.pop_front() else { return };
-        // Keys are used again; a look too many does no harm.
+        // Keys are reused; processing a connection once too often is harmless.
         let Some(relay) = self.relays.get_mut(key) else { return };
         relay.queued = false;
         let (link, number) = (relay.link, relay.number);
@@ -305,7 +309,7 @@
         }
     }
 
-    /// Does what a link wants done, and writes down what it did.
+    /// Performs the pending actions of a link and records its events.
     fn run_actions(&mut self, id: usize) {
         loop {
             let Some(state) = &mut self.link_states[id] else { return };
@@ -352,7 +356,7 @@
     }
 
     fn listen(&mut self, id: usize, listening: Listening) {
-        // Who came before is taken; the fault concerns those after it.
+        // Connections that arrived before the fault are accepted; the fault affects later ones.
         self.accept(id);
         let Some(state) = &mut self.link_states[id] else { return };
         if let Err(error) = state.listener.set(listening) {
@@ -448,7 +452,7 @@
         }
     }
 
-    /// The system would not have a connection.
+    /// Handles a connection that the system failed to register or to open.
     fn connection_failed(&mut self, id: usize, number: u64, error: &io::Error) {
         let now = self.now();
         if let Some(state) = &mut self.link_states[id] {
@@ -479,7 +483,7 @@
         self.watchers.retain(|(like, found)| {
             let wanted = like(&event);
             if wanted {
-                // Who waited may have given up.
+                // The waiting caller may have timed out.
                 let _ = found.send(event.clone());
             }
             !wanted
@@ -492,7 +496,7 @@
     }
 }
 
-/// What the handle asks.
+/// Calls of the handle.
 impl Runner {
     pub fn add(&mut self, spec: LinkSpec) -> Result<(LinkId, SocketAddr), LinkError> {
         if self.descriptors + 1 > self.settings.descriptors {
@@ -611,7 +615,7 @@
 
     pub fn watch(&mut self, like: Box<dyn Fn(&Event) -> bool + Send>, found: Sender<Event>) {
         match self.trace.events().find(|event| like(event)) {
-            // Who waited may have given up.
+            // The waiting caller may have timed out.
             Some(event) => drop(found.send(event.clone())),
             None => self.watchers.push((like, found)),
         }
@@ -633,7 +637,7 @@
     }
 }
 
-/// Reads what the sender of a direction has for it; whether anything came.
+/// Reads from the sender of a direction. Returns false if there was nothing to read.
 fn read_from_sender(
     link: &mut Link,
     relay: &mut Relay,
@@ -658,7 +662,7 @@
             link.sender_ended(now, relay.number, direction);
         }
         Ok(count) => {
-            // Less than there was room for: the system tells when more comes.
+            // Fewer bytes than requested were read: the system reports when more arrive.
             endpoint.readable = endpoint.ends || count == room;
             link.bytes_received(now, relay.number, direction, &read_buffer[..count]);
         }
@@ -675,7 +679,8 @@
     true
 }
 
-/// Writes what may pass to the receiver of a direction; whether anything passed.
+/// Writes the data that may be forwarded to the receiver of a direction. Returns whether anything was
+/// written.
 fn write_to_receiver(link: &mut Link, relay: &mut Relay, direction: Direction, start: Instant) -> bool {
     let receiver = direction.other();
     let Some(endpoint) = &mut relay.endpoints[receiver as usize] else { return false };
@@ -687,7 +692,7 @@
             Output::Bytes(_) if !endpoint.writable => break,
             Output::Bytes(bytes) => endpoint.stream.write(bytes),
             Output::End => {
-                // It fails only where the peer is gone, which shows at the next read or write.
+                // The call fails only if the peer has closed, which the next read or write reports.
                 let _ = endpoint.stream.shutdown(Shutdown::Write);
                 link.end_written(now, relay.number, direction);
                 moved = true;
--- a/crates/fault-proxy/src/socket.rs
+++ b/crates/fault-proxy/src/socket.rs
@@ -1,5 +1,5 @@
-//! What the system does for a link: a listener that can refuse and keep its port, resets, and an alarm finer
-//! than a poll's time-out, which is of whole milliseconds.
+//! System calls of a link: a listener that can refuse connections and keep its port, resets, and a timer that
+//! is finer than the timeout of a poll, which has millisecond resolution.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,17 +14,19 @@
 
 use crate::core::Listening;
 
-/// Connections that the system may complete before a link has accepted them.
+/// Connections that the system may establish before the link accepts them.
 const BACKLOG: i32 = 1024;
-/// A connection to ourselves is made within this, by the system alone, also on a loaded machine.
+/// Timeout of a connection to the link's own listener. The system alone establishes it, within this time even
+/// on a loaded machine.
 const PLUG_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A listener whose port stays its own while it refuses.
+/// Listener that keeps its port while it refuses connections.
 pub(crate) struct Listener {
     pub socket: TcpListener,
     pub address: SocketAddr,
     listening: Listening,
-    /// Whose connection fills the place that the system leaves where nobody is to be answered.
+    /// Local address of the connection that fills the one backlog entry that remains while connection
+    /// attempts are not answered.
     plug: Option<SocketAddr>,
 }
 
@@ -32,8 +34,8 @@
     pub fn open(address: SocketAddr) -> io::Result<Listener> {
         let mut socket = bound(address)?;
         let address = local(&socket)?;
-        // A port that the system picked is lost when the socket stops listening; one that was asked for is not.
-        // Both may be bound to it, since neither listens yet.
+        // A port that the system picked is released when the socket stops listening; an explicitly bound port
+        // is not. Both sockets can be bound to the port because neither listens yet.
         let picked = std::mem::replace(&mut socket, bound(address)?);
         drop(picked);
         socket.listen(BACKLOG)?;
@@ -41,17 +43,17 @@
         Ok(Listener { socket, address, listening: Listening::Open, plug: None })
     }
 
-    /// Whether connections are to be accepted.
+    /// Returns whether connections are to be accepted.
     pub fn is_open(&self) -> bool {
         self.listening == Listening::Open
     }
 
-    /// Whether this peer is our own plug.
+    /// Returns whether this peer is the link's own plug connection.
     pub fn is_plug(&self, peer: SocketAddr) -> bool {
         self.plug == Some(peer)
     }
 
-    /// Forgets the plug, once it was accepted.
+    /// Clears the plug after it was accepted.
     pub fn clear_plug(&mut self) {
         self.plug = None;
     }
@@ -67,8 +69,9 @@
                 SockRef::from(&self.socket).shutdown(std::net::Shutdown::Both)?;
             }
             Listening::Unanswering => {
-                // One connection may wait beyond a backlog of 0. Ours does, also when its own end is closed, so it
-                // costs no descriptor. It cannot be made only where somebody else's waits there already.
+                // One connection fits into a backlog of 0. The plug occupies it even after its own end is
+                // closed, so it costs no descriptor. The connect fails only if another process's connection
+                // is already there.
                 SockRef::from(&self.socket).listen(0)?;
                 let plug = Socket::new(Domain::for_address(self.address), Type::STREAM, None)?;
                 match plug.connect_timeout(&self.address.into(), PLUG_CONNECT_TIMEOUT) {
@@ -96,13 +99,14 @@
     address.as_socket().ok_or_else(|| io::Error::from(io::ErrorKind::AddrNotAvailable))
 }
 
-/// Closes a socket so that its peer sees a reset.
+/// Makes the close of a socket send a reset to its peer.
 pub(crate) fn reset(stream: &mio::net::TcpStream) {
-    // Without it the peer sees an end or a reset as the system finds; the socket is closed in any case.
+    // If this fails, the system decides whether the peer sees an end of stream or a reset; the socket is
+    // closed in any case.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Wakes the thread at a time.
+/// Timer that wakes the thread.
 pub(crate) struct WakeupTimer(OwnedFd);
 
 impl WakeupTimer {
@@ -113,10 +117,11 @@
         Ok(WakeupTimer(timer))
     }
 
-    /// Rings once after this, and not at what was set before. It need not be read: being set anew clears it.
+    /// Sets the timer to expire once after this time, replacing the previous setting. The timer need not be
+    /// read: setting it clears the expiration.
     pub fn set(&self, after: Option<Duration>) -> io::Result<()> {
         let zero = Timespec { tv_sec: 0, tv_nsec: 0 };
-        // Zero would unset it.
+        // A value of zero would disarm the timer.
         let after = after.map_or(zero, |after| {
             let after = after.max(Duration::from_nanos(1));
             Timespec { tv_sec: after.as_secs() as _, tv_nsec: after.subsec_nanos() as _ }
--- a/crates/fault-proxy/src/split.rs
+++ b/crates/fault-proxy/src/split.rs
@@ -1,14 +1,14 @@
-//! Where messages begin and end in a stream, for counting only: nothing is kept but a few numbers, whatever
-//! comes. Words that are no RESP2 count as lines.
+//! Finds message boundaries in a stream, for counting only: it keeps a constant amount of state for any
+//! input. Input that is not RESP2 is counted by lines.
 
 use crate::set::Framing;
 
-/// A border of a message.
+/// A message boundary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Edge {
-    /// The next byte is a message's first.
+    /// The next byte is the first of a message.
     Start,
-    /// The last byte was a message's last.
+    /// The previous byte was the last of a message.
     End,
 }
 
@@ -18,11 +18,11 @@
     Between,
     /// At the first byte of an element.
     Element,
-    /// Within a line whose number matters: an array's or a string's length.
+    /// In a line with the length of an array or a string.
     Length { array: bool, number: u64, negative: bool },
-    /// Within a line.
+    /// In a line.
     Line,
-    /// Within a string and the line end after it.
+    /// In a string and the line end after it.
     Text { left: u64 },
 }
 
@@ -31,17 +31,17 @@
 pub struct Splitter {
     messages: Framing,
     state: State,
-    /// Elements that the message still wants, the one at hand included.
+    /// Remaining elements of the message, including the current one.
     elements: u64,
 }
 
 impl Splitter {
-    /// At the beginning of a stream.
+    /// Creates a splitter at the start of a stream.
     pub fn new(messages: Framing) -> Splitter {
         Splitter { messages, state: State::Between, elements: 0 }
     }
 
-    /// Takes bytes up to the next border: how many they are, and the border, if there is one among them.
+    /// Consumes bytes up to the next boundary. Returns their number and the boundary, if there is one.
     pub fn next(&mut self, bytes: &[u8]) -> (usize, Option<Edge>) {
         if self.messages == Framing::None || bytes.is_empty() {
             return (bytes.len(), None);
@@ -63,14 +63,14 @@
         (at, None)
     }
 
-    /// Takes some bytes, at least one; whether an element has ended with them.
+    /// Consumes at least one byte. Returns the number of bytes and whether an element ends with them.
     fn element(&mut self, bytes: &[u8]) -> (usize, bool) {
         match self.state {
             State::Between | State::Element => {
                 self.state = match bytes[0] {
                     b'*' => State::Length { array: true, number: 0, negative: false },
                     b'$' => State::Length { array: false, number: 0, negative: false },
-                    // An empty line has its end here.
+                    // An empty line ends here.
                     b'\n' => return (1, self.ended(0)),
                     _ => State::Line,
                 };
@@ -108,7 +108,7 @@
         (bytes.len(), false)
     }
 
-    /// An element is over that holds so many others, which are still to come.
+    /// Ends an element that contains `holds` nested elements, which are still to come.
     fn ended(&mut self, holds: u64) -> bool {
         self.elements = (self.elements - 1).saturating_add(holds);
         self.state = State::Element;
