--- a/crates/fault-proxy/examples/measure.rs
+++ b/crates/fault-proxy/examples/measure.rs
@@ -1,4 +1,4 @@
-//! What a link costs: throughput, round trips, latency, CPU and memory, beside a direct connection.
+//! Measures the cost of a link compared with a direct connection: throughput, round trips, latency, CPU and memory.
 //!
 //!     cargo run --release -p fault-proxy --example measure
 //!
@@ -17,15 +17,15 @@
 const MESSAGE: usize = 200;
 const ROUND_TRIPS: usize = 10_000;
 const BULK: usize = 1 << 28;
-/// Turns of each way, in turns with the others, so that what else the machine does meets all of them.
-const TURNS: usize = 15;
+/// Rounds per variant. The variants alternate, so that other load on the machine affects all of them.
+const ROUNDS_PER_VARIANT: usize = 15;
 
 fn main() -> Outcome<()> {
     let host = echo()?;
     let links = LinkSet::start(Settings { descriptors: 8192, ..Settings::default() })?;
-    // First, while this process has given back nothing that could be used again.
+    // Runs first, before this process has freed memory that could be reused.
     memory(&links, host)?;
-    // With the names of the threads that do it.
+    // Each variant with the name of the threads that relay.
     let ways = [
         ("direct", "none"),
         ("two threads a connection", "relay"),
@@ -34,10 +34,10 @@
         ("link, RESP2 counted", "links"),
     ];
     println!("{MESSAGE} bytes there and back, {ROUND_TRIPS} times; {} MiB one way", BULK >> 20);
-    println!("medians of {TURNS} turns, the best in parentheses\n");
+    println!("medians of {ROUNDS_PER_VARIANT} rounds, the best in parentheses\n");
     println!("| way | round trips/s | median us | p99 us | CPU of the relay, us a message | MB/s |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    let mut turns: Vec<Vec<[f64; 5]>> = vec![Vec::new(); ways.len()];
+    let mut rounds: Vec<Vec<[f64; 5]>> = vec![Vec::new(); ways.len()];
     let link = |name: &str, messages, target| -> Outcome<SocketAddr> {
         Ok(links.add(LinkSpec::to(name, target).messages(messages))?.1)
     };
@@ -49,67 +49,67 @@
         (link("none", Framing::None, host)?, link("none", Framing::None, end)?),
         (link("resp", Framing::Resp, host)?, link("resp", Framing::Resp, end)?),
     ];
-    for _ in 0..TURNS {
+    for _ in 0..ROUNDS_PER_VARIANT {
         for (way, (echo, sink)) in addresses.iter().enumerate() {
             let (per_s, median, p99, cpu) = round_trips(*echo, ways[way].1)?;
-            turns[way].push([per_s, median, p99, cpu, bulk(*sink)?]);
+            rounds[way].push([per_s, median, p99, cpu, bulk(*sink)?]);
         }
     }
-    for ((name, _), turns) in ways.iter().zip(&turns) {
+    for ((name, _), rounds) in ways.iter().zip(&rounds) {
         let of = |figure: usize, digits: usize, high: bool| {
-            let mut of: Vec<f64> = turns.iter().map(|turn| turn[figure]).collect();
+            let mut of: Vec<f64> = rounds.iter().map(|round| round[figure]).collect();
             of.sort_by(f64::total_cmp);
-            let best = if high { of[TURNS - 1] } else { of[0] };
-            format!("{:.digits$} ({best:.digits$})", of[TURNS / 2])
+            let best = if high { of[ROUNDS_PER_VARIANT - 1] } else { of[0] };
+            format!("{:.digits$} ({best:.digits$})", of[ROUNDS_PER_VARIANT / 2])
         };
         let (per_s, median, p99, cpu) = (of(0, 0, true), of(1, 1, false), of(2, 1, false), of(3, 2, false));
         println!("| {name} | {per_s} | {median} | {p99} | {cpu} | {} |", of(4, 0, true));
     }
     delays(&links, host)?;
-    many(&links, host)
+    many_links(&links, host)
 }
 
-/// Round trips a second, the median and 99th percentile of one, and what a relay's threads ran for a message, in
-/// microseconds.
+/// Rerounds the round trips per second, the median and 99th percentile of their latency, and the CPU time of the
+/// relay's threads per message, in microseconds.
 fn round_trips(address: SocketAddr, threads: &str) -> Outcome<(f64, f64, f64, f64)> {
     let mut stream = connect(address)?;
-    // A RESP2 message of the size.
+    // A RESP2 message of `MESSAGE` bytes.
     let mut message = format!("*2\r\n$4\r\nECHO\r\n${}\r\n", MESSAGE - 22).into_bytes();
     message.resize(MESSAGE - 2, b'x');
     message.extend(b"\r\n");
     let mut answer = [0; MESSAGE];
-    let mut took = Vec::with_capacity(ROUND_TRIPS);
-    // Once, so that the relay's threads are there.
+    let mut latencies = Vec::with_capacity(ROUND_TRIPS);
+    // One round trip before the measurement, so that the relay's threads exist.
     stream.write_all(&message)?;
     stream.read_exact(&mut answer)?;
     let cpu = cpu_of(threads)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..ROUND_TRIPS {
         let sent = Instant::now();
         stream.write_all(&message)?;
         stream.read_exact(&mut answer)?;
-        took.push(sent.elapsed().as_nanos() as f64 / 1e3);
+        latencies.push(sent.elapsed().as_nanos() as f64 / 1e3);
     }
-    let per_s = ROUND_TRIPS as f64 / begun.elapsed().as_secs_f64();
+    let per_s = ROUND_TRIPS as f64 / started.elapsed().as_secs_f64();
     let cpu = (cpu_of(threads)? - cpu).as_secs_f64() * 1e6 / (2 * ROUND_TRIPS) as f64;
-    took.sort_by(f64::total_cmp);
-    Ok((per_s, took[ROUND_TRIPS / 2], took[ROUND_TRIPS * 99 / 100], cpu))
+    latencies.sort_by(f64::total_cmp);
+    Ok((per_s, latencies[ROUND_TRIPS / 2], latencies[ROUND_TRIPS * 99 / 100], cpu))
 }
 
-/// Megabytes a second one way; the other side answers one byte at the end.
+/// Rerounds the throughput in one direction in MB/s; the other side answers one byte at the end.
 fn bulk(address: SocketAddr) -> Outcome<f64> {
     let mut stream = connect(address)?;
     let piece = vec![b'x'; 256 * 1024];
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..BULK / piece.len() {
         stream.write_all(&piece)?;
     }
     stream.shutdown(std::net::Shutdown::Write)?;
     stream.read_exact(&mut [0])?;
-    Ok(BULK as f64 / 1e6 / begun.elapsed().as_secs_f64())
+    Ok(BULK as f64 / 1e6 / started.elapsed().as_secs_f64())
 }
 
-/// What a delay that was asked for comes to.
+/// Measures round trips with injected delays.
 fn delays(links: &LinkSet, host: SocketAddr) -> Outcome<()> {
     println!("\n| delay each way | round trip, median us | p99 us |\n| --- | --- | --- |");
     let (link, address) = links.add(LinkSpec::to("late", host))?;
@@ -119,15 +119,15 @@
         let fault =
             if micros > 0 { Some(links.begin(link, ConnectionSelector::Every, fault)?) } else { None };
         let mut stream = connect(address)?;
-        let mut took = Vec::new();
+        let mut latencies = Vec::new();
         for _ in 0..400 {
             let sent = Instant::now();
             stream.write_all(b"PING\r\n")?;
             stream.read_exact(&mut [0; 6])?;
-            took.push(sent.elapsed().as_nanos() as f64 / 1e3);
+            latencies.push(sent.elapsed().as_nanos() as f64 / 1e3);
         }
-        took.sort_by(f64::total_cmp);
-        println!("| {:.1} ms | {:.0} | {:.0} |", micros as f64 / 1e3, took[200], took[396]);
+        latencies.sort_by(f64::total_cmp);
+        println!("| {:.1} ms | {:.0} | {:.0} |", micros as f64 / 1e3, latencies[200], latencies[396]);
         if let Some(fault) = fault {
             links.end(link, fault)?;
         }
@@ -135,8 +135,8 @@
     Ok(())
 }
 
-/// 300 links with a connection each, a message on all of them, and then all answers.
-fn many(links: &LinkSet, host: SocketAddr) -> Outcome<()> {
+/// Measures 300 links with one connection each: sends a message on all of them, then reads all answers.
+fn many_links(links: &LinkSet, host: SocketAddr) -> Outcome<()> {
     const LINKS: usize = 300;
     const ROUNDS: usize = 200;
     println!(
@@ -149,7 +149,7 @@
             streams.push(connect(if linked { link()?.1 } else { host })?);
         }
         let cpu = cpu_of("links")?;
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..ROUNDS {
             for stream in &mut streams {
                 stream.write_all(b"PING\r\n")?;
@@ -161,12 +161,12 @@
         let count = (LINKS * ROUNDS) as f64;
         let cpu = (cpu_of("links")? - cpu).as_secs_f64() * 1e6 / (2.0 * count);
         let name = if linked { "300 links" } else { "direct" };
-        println!("| {name} | {:.0} | {cpu:.2} |", count / begun.elapsed().as_secs_f64());
+        println!("| {name} | {:.0} | {cpu:.2} |", count / started.elapsed().as_secs_f64());
     }
     Ok(())
 }
 
-/// What idle links and connections take of this process's memory; that of the system is not counted.
+/// Measures the memory of this process per idle link and connection; kernel memory is not counted.
 fn memory(links: &LinkSet, host: SocketAddr) -> Outcome<()> {
     const LINKS: usize = 1000;
     const CONNECTIONS: usize = 1000;
@@ -185,7 +185,7 @@
         open.push(listener.accept()?.0);
         open.push(client);
     }
-    // One message each, so that what a first message takes is in it.
+    // One message each, so that memory allocated by a first message is included.
     for pair in open.chunks_mut(2) {
         pair[1].write_all(b"PING\r\n")?;
         pair[0].read_exact(&mut [0; 6])?;
@@ -207,7 +207,7 @@
     Ok(stream)
 }
 
-/// A host that sends everything back.
+/// Starts a host that echoes all bytes.
 fn echo() -> io::Result<SocketAddr> {
     serve(|mut stream| {
         let mut piece = [0; 4096];
@@ -219,12 +219,12 @@
     })
 }
 
-/// A host that throws everything away, and says so at the end.
+/// Starts a host that discards all bytes and answers one byte at the end.
 fn sink() -> io::Result<SocketAddr> {
     serve(|mut stream| {
         let mut piece = vec![0; 256 * 1024];
         while let Ok(1..) = stream.read(&mut piece) {}
-        // Who does not wait for it has its figure already.
+        // The client may have closed; then it does not need the answer.
         let _ = stream.write_all(b"!");
     })
 }
@@ -241,7 +241,7 @@
     Ok(address)
 }
 
-/// A relay that copies with two threads a connection.
+/// Starts a relay that copies with two threads per connection.
 fn by_threads(target: SocketAddr) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -252,7 +252,7 @@
                 break;
             }
         }
-        // It fails where the peer is gone already.
+        // The call fails if the peer has already closed.
         let _ = to.shutdown(std::net::Shutdown::Write);
     };
     thread::spawn(move || -> io::Result<()> {
@@ -268,7 +268,7 @@
     Ok(address)
 }
 
-/// A relay of tokio's on one thread.
+/// Starts a tokio relay on one thread.
 fn by_tokio(target: SocketAddr) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -293,12 +293,12 @@
     Ok(address)
 }
 
-/// CPU time so far of all threads of a name that are there.
+/// Rerounds the CPU time of all running threads with this name.
 fn cpu_of(threads: &str) -> Outcome<Duration> {
     let mut nanos = 0;
     for task in fs::read_dir("/proc/self/task")? {
         let path = task?.path();
-        // A thread may end meanwhile.
+        // The thread may have ended since the directory was read.
         let Ok(name) = fs::read_to_string(path.join("comm")) else { continue };
         if name.trim() == threads {
             let ran = fs::read_to_string(path.join("schedstat")).unwrap_or_default();
@@ -308,7 +308,7 @@
     Ok(Duration::from_nanos(nanos))
 }
 
-/// Bytes of memory in use.
+/// Rerounds the resident memory in bytes.
 fn resident() -> Outcome<u64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with("VmRSS")).ok_or("no VmRSS")?;
