--- a/crates/fault-proxy/src/planned.rs
+++ b/crates/fault-proxy/src/planned.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 struct Pattern {
     index: EntryIndex,
-    way: Direction,
+    direction: Direction,
     bytes: Vec<u8>,
     /// For each matched length, the longest proper prefix that also matches.
     failure_table: Vec<usize>,
@@ -20,7 +20,7 @@
 }
 
 impl Pattern {
-    fn new(index: EntryIndex, way: Direction, bytes: &[u8], n: u64) -> Pattern {
+    fn new(index: EntryIndex, direction: Direction, bytes: &[u8], n: u64) -> Pattern {
         let mut failure_table = vec![0; bytes.len()];
         let mut matched = 0;
         for at in 1..bytes.len() {
@@ -30,7 +30,7 @@
             matched += usize::from(bytes[at] == bytes[matched]);
             failure_table[at] = matched;
         }
-        Pattern { index, way, bytes: bytes.to_vec(), failure_table, n, occurrences: 0 }
+        Pattern { index, direction, bytes: bytes.to_vec(), failure_table, n, occurrences: 0 }
     }
 
     /// Advances by one byte. Returns whether the pattern ends with it.
@@ -102,8 +102,8 @@
     }
 
     /// Takes the entries that start at positions in a direction of a connection.
-    pub fn places(&mut self, connection: u64, way: Direction) -> Vec<(EntryIndex, u64)> {
-        self.places.remove(&(connection, way)).unwrap_or_default()
+    pub fn places(&mut self, connection: u64, direction: Direction) -> Vec<(EntryIndex, u64)> {
+        self.places.remove(&(connection, direction)).unwrap_or_default()
     }
 
     /// Takes the entries that start with a signal.
@@ -112,21 +112,21 @@
     }
 
     /// Counts a new message and takes the entries that start in it, each with its byte count in the message.
-    pub fn message(&mut self, way: Direction) -> Vec<(EntryIndex, u64)> {
-        let n = &mut self.message_count[way.index()];
+    pub fn message(&mut self, direction: Direction) -> Vec<(EntryIndex, u64)> {
+        let n = &mut self.message_count[direction.index()];
         *n += 1;
-        self.messages.remove(&(way, *n)).unwrap_or_default()
+        self.messages.remove(&(direction, *n)).unwrap_or_default()
     }
 
     /// Searches bytes for patterns. Returns the entries that start and the number of bytes before each.
     pub fn find_patterns(
         &mut self,
-        way: Direction,
+        direction: Direction,
         matched: &mut Matched,
         bytes: &[u8],
     ) -> Vec<(EntryIndex, usize)> {
         let mut found = Vec::new();
-        for pattern in self.patterns.iter_mut().filter(|pattern| pattern.way == way) {
+        for pattern in self.patterns.iter_mut().filter(|pattern| pattern.direction == direction) {
             let matched = matched.entry(pattern.index).or_default();
             for (at, byte) in bytes.iter().enumerate() {
                 if pattern.step(matched, *byte) {
--- a/crates/fault-proxy/src/trace.rs
+++ b/crates/fault-proxy/src/trace.rs
@@ -195,7 +195,7 @@
 impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.lost > 0 {
-            writeln!(f, "# the first {} events were dropped", self.lost)?;
+            writeln!(f, "# the first {} events are left out", self.lost)?;
         }
         self.events.iter().try_for_each(|event| writeln!(f, "{event}"))
     }
