--- a/crates/routing/examples/lookup_cost.rs
+++ b/crates/routing/examples/lookup_cost.rs
@@ -1,4 +1,4 @@
-//! Measures time and memory of the tables: `cargo run --release -p routing --example lookup_cost`.
+//! Measures the look-up time and the memory of routing tables: `cargo run --release -p routing --example lookup_cost`.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -10,19 +10,19 @@
 const CLASSES: usize = 6;
 const PLANS: usize = 4;
 const POOLS: usize = 8;
-/// Requests of a round. Enough to last milliseconds, so that reading the clock does not show.
+/// Requests per round: enough for milliseconds, so that the time to read the clock is negligible.
 const REQUESTS: usize = 5_000_000;
-/// Rounds of a measurement, of which the best counts.
+/// Rounds per measurement, of which the fastest is reported.
 const ROUNDS: usize = 5;
 
 /// Which routes name classes and plans, besides customers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Scopes {
-    /// None: one table.
+    /// No route does: one table.
     Shared,
     /// Each route names one class and one plan: 24 tables, each with a part of the routes.
     Apart,
-    /// The first 24 routes do, the others apply to all: 24 tables, each with nearly all routes.
+    /// The first 24 routes each name one class and one plan, the others apply to all: 24 tables, each with nearly all routes.
     Mixed,
 }
 
@@ -74,9 +74,9 @@
     }
 }
 
-/// Returns the nanoseconds that `call` takes for a request, in the best round.
+/// Returns the mean duration of `call` in nanoseconds, in the fastest round.
 fn nanoseconds_per_request(mut call: impl FnMut(RequestAttributes)) -> f64 {
-    let mut best = f64::INFINITY;
+    let mut fastest = f64::INFINITY;
     for _ in 0..ROUNDS {
         let mut state = 1;
         let start = Instant::now();
@@ -86,9 +86,9 @@
             let plan = (random >> 8) as usize % PLANS;
             call(RequestAttributes { class, plan, customer: random % CUSTOMERS });
         }
-        best = best.min(start.elapsed().as_nanos() as f64 / REQUESTS as f64);
+        fastest = fastest.min(start.elapsed().as_nanos() as f64 / REQUESTS as f64);
     }
-    best
+    fastest
 }
 
 /// Returns a value of `/proc/self/status` in KiB.
@@ -123,8 +123,8 @@
     );
 }
 
-/// Measures one case, `lookup_cost ROUTES shared|apart|mixed`, so that its memory is that of a process of its own;
-/// without arguments all cases.
+/// Measures one case, `lookup_cost ROUTES shared|apart|mixed`, in a separate process, so that its memory is not mixed
+/// with that of other cases; without arguments, all cases.
 fn main() {
     println!("routes tables    ranges look-up KiB  compile ms  KiB more  ns each");
     let arguments: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/routing/src/error.rs
+++ b/crates/routing/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors in the operators' files that only compiling them finds.
+//! Errors in the operators' files that are found when they are compiled.
 
 use config_language::model::Origin;
 
 use crate::limits::{MAX_POOLS, MAX_RANGES, MAX_ROUTES};
 
-/// Why a file set cannot be used, and the place in the files that causes it.
+/// The reason why a file set is rejected, and the place in the files that causes it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}:{}:{}: {kind}", .origin.file, .origin.line, .origin.column)]
 pub struct RoutingError {
     /// The place in the files.
     pub origin: Origin,
-    /// What is wrong there.
+    /// The error found in that place.
     pub kind: RoutingErrorKind,
 }
 
-/// What is wrong in a file set. A `String` is the name that the message quotes.
+/// The kinds of errors in a file set. A `String` is the name that the message quotes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RoutingErrorKind {
     /// A route names a class that the platform does not have.
@@ -41,15 +41,13 @@
     /// There are more pools than a mask has bits.
     #[error("pool `{0}` is one too many: at most {MAX_POOLS} pools")]
     TooManyPools(String),
-    /// All bits that are free are reserved for removed pools, which requests still use. The error is temporary.
-    #[error(
-        "pool `{0}` finds no place: requests are still on their way to pools that were removed; try again"
-    )]
+    /// No bit is free, because requests in flight still use removed pools. The error is temporary.
+    #[error("pool `{0}` cannot be added yet: requests in flight still use removed pools; try again")]
     NoFreePoolBit(String),
-    /// The pools, with one more for the part of each pool in each site, are more than a mask has bits.
+    /// The pools and their parts in the sites, each of which is a pool too, are more than a mask has bits.
     #[error(
-        "{pools} pools and {sites} sites make {total} pools, as the part of each in a site is one of its own: at most \
-         {MAX_POOLS}"
+        "{pools} pools and {sites} sites make {total} pools, because the part of a pool in a site counts as a pool: \
+         at most {MAX_POOLS}"
     )]
     TooManySitePools {
         /// Number of pools that the operators define.
@@ -59,13 +57,13 @@
         /// Number of pools together with their parts in sites.
         total: usize,
     },
-    /// There are more routes than numbers for them.
+    /// There are more routes than [`MAX_ROUTES`].
     #[error("route `{0}` is one too many: at most {MAX_ROUTES} routes")]
     TooManyRoutes(String),
     /// The tables would exceed [`MAX_RANGES`].
     #[error(
-        "route `{0}` makes the tables too large: the ranges of customers, counted once for each class and plan \
-         that the routes tell apart, may be {MAX_RANGES} in all"
+        "route `{0}` makes the tables too large: at most {MAX_RANGES} customer ranges in all, each counted once for \
+         each class and plan that the routes distinguish"
     )]
     TooManyRanges(String),
     /// A limit of a quota policy is not a positive, finite number. Zero would remove the limit.
@@ -73,7 +71,7 @@
     InvalidLimit {
         /// Name of the policy.
         policy: String,
-        /// Word of the limit in the operators' language.
+        /// Keyword of the limit in the operators' language.
         limit: &'static str,
     },
     /// A policy sets a rate, but no burst, for a plan without a quota of the platform.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decides by the operators' files which pools a host is in, which pool a request goes to, and which quota a plan has.
+//! Determines from the operators' files which pools a host is in, which pool a request goes to, and which quota a plan
+//! has.
 //!
 //! The operators define pools of hosts, routes that send requests to pools, and quota policies. A gateway compiles
-//! them once when it reads the files, into a [`RoutingTable`] and [`EffectiveQuota`]s, and then only looks values up.
+//! them once when it reads the files, into a [`RoutingTable`] and [`EffectiveQuota`]s, and from then on only looks values up.
 //! The crate does no I/O, reads no clock and draws no random numbers.
 //!
 //! ```
@@ -51,32 +52,32 @@
 //! # The first route that applies
 //!
 //! The routes are ordered as in the files, and the first one that applies to the class, plan and customer of a request
-//! decides. Which one that is, is computed beforehand. Classes that the same routes name form a group, and so do plans.
-//! For each pair of groups there is one table, which divides the customers into disjoint ranges and has the winning
-//! route for each. A look-up reads the groups of class and plan and does a binary search in one table. A table for `n`
+//! decides. This route is computed when the files are compiled. Classes that are named by the same routes form a group,
+//! and so do plans. Each pair of groups has one table, which divides the customers into disjoint ranges and stores the
+//! winning route of each. A look-up reads the groups of class and plan and does a binary search in one table. A table for `n`
 //! ranges in the files has at most `2 n + 1` ranges of 10 bytes each; [`MAX_RANGES`] bounds all tables together.
 //!
 //! # Reload
 //!
 //! A [`RoutingTable`] never changes. On a reload the gateway replaces it by the next one
-//! ([`RoutingTable::compile_after`]), and a request keeps its [`Destination`], also for retries and while it is queued:
+//! ([`RoutingTable::compile_after`]). A request keeps its [`Destination`], also for retries and while it is queued:
 //!
 //! - A pool keeps its bit from one version to the next by its name, so the mask in a destination stays valid. The
-//!   gateway computes the masks of all hosts again. A host that has left a pool gets no more requests for it from then
-//!   on, not even those that were queued before. [`RoutingTable::pools_left_by`] returns the pools that a host has
+//!   gateway recomputes the masks of all hosts. From then on a host that has left a pool receives no requests for it,
+//!   not even those that were queued before. [`RoutingTable::pools_left_by`] returns the pools that a host has
 //!   left.
 //! - A removed pool keeps its bit and its hosts as long as a request in flight may need it. The gateway passes these
-//!   pools at each reload, as the union of [`Destination::named_pools`]. No new request goes there.
+//!   pools at each reload, as the union of [`Destination::named_pools`]. New requests are not routed to them.
 //! - A [`RouteId`] is valid within its version. [`RoutingTable::successors`] returns the route with the same name in
 //!   the next version, so that attempts in flight still count towards [`Destination::max_in_flight`].
 //!
 //! # Files
 //!
-//! | file | job |
+//! | file | contents |
 //! |---|---|
 //! | `routing_table.rs` | [`RoutingTable`]: compiling a version, and the queries |
 //! | `destination.rs` | [`RequestAttributes`], which a look-up takes, and [`Destination`], which it returns |
-//! | `table_grid.rs` | which table a class and a plan share, and building the tables from the routes |
+//! | `table_grid.rs` | the table for each class and plan, and building the tables from the routes |
 //! | `position_groups.rs` | groups of classes and plans that all routes treat alike |
 //! | `range_tables.rs` | tables of disjoint customer ranges, and the binary search |
 //! | `pool_set.rs` | pools with their bits, and which of them a host is in |
--- a/crates/routing/src/platform_names.rs
+++ b/crates/routing/src/platform_names.rs
@@ -6,7 +6,7 @@
 
 use crate::error::{RoutingError, RoutingErrorKind};
 
-/// Names that the platform's settings define, each list in the order in which the gateway numbers them.
+/// Names that the platform's settings define. The position of a name in its list is the number that the gateway uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformNames<'a> {
     /// Classes of requests.
@@ -32,10 +32,10 @@
         NameIndex(positions)
     }
 
-    /// Returns the positions of these names.
+    /// Returns the positions of `names` in the list.
     ///
     /// # Errors
-    /// The first name that is not in the list, as `unknown` makes an error of it.
+    /// The result of `unknown` for the first name that is not in the list.
     pub(crate) fn positions(
         &self,
         names: &At<Vec<String>>,
@@ -43,17 +43,17 @@
     ) -> Result<Vec<usize>, RoutingError> {
         let mut positions = Vec::new();
         for name in &names.value {
-            let of_name = self.0.get(name.as_str());
-            positions.extend(of_name.ok_or_else(|| unknown(name.clone()).at(&names.origin))?);
+            let matching = self.0.get(name.as_str());
+            positions.extend(matching.ok_or_else(|| unknown(name.clone()).at(&names.origin))?);
         }
         Ok(positions)
     }
 }
 
-/// Checks that each of these names is in a list of the platform.
+/// Checks that each of `names` is in `defined`, a list of the platform.
 ///
 /// # Errors
-/// The first name that is not, as `unknown` makes an error of it.
+/// The result of `unknown` for the first name that is not.
 pub(crate) fn check_names(
     names: &At<Vec<String>>,
     defined: &[String],
--- a/crates/routing/src/pool_mask.rs
+++ b/crates/routing/src/pool_mask.rs
@@ -8,10 +8,10 @@
 pub struct PoolMask(pub u64);
 
 impl PoolMask {
-    /// No pool. The mask of a host that is in no pool, and the fallback of a destination without one.
+    /// The empty set: the mask of a host that is in no pool, and the fallback of a destination that has none.
     pub const NONE: PoolMask = PoolMask(0);
-    /// As the pool of a destination: any host, also one that is in no pool. No route has this mask, because a route
-    /// names one pool, and so one bit.
+    /// The pool of a destination without a route: accepts any host, even one that is in no pool. No route has this
+    /// mask, because a route names one pool, which is one bit.
     pub const ALL: PoolMask = PoolMask(u64::MAX);
 
     /// Returns the mask with one bit.
@@ -26,7 +26,7 @@
         self.intersects(host) || self == PoolMask::ALL
     }
 
-    /// Returns whether a pool is in both masks.
+    /// Returns whether the masks have a pool in common.
     pub(crate) fn intersects(self, other: PoolMask) -> bool {
         self.0 & other.0 != 0
     }
--- a/crates/routing/src/pool_set.rs
+++ b/crates/routing/src/pool_set.rs
@@ -1,4 +1,4 @@
-//! The pools of one version with their bits, and which of them a host is in.
+//! The pools of one version of the routing table with their bits, and which of them a host is in.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 /// Attributes of a host, as discovery reports them, by which pools select their hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostAttributes<'a> {
-    /// Id of the host. Pools select by its beginning.
+    /// Id of the host. Pools select hosts by prefixes of it.
     pub id: &'a str,
     /// Name of the zone.
     pub zone: &'a str,
@@ -40,16 +40,16 @@
         PoolMask::single(self.bit)
     }
 
-    /// Returns whether a host has all attributes that the pool asks for. An attribute that the pool leaves out
-    /// matches each host, a list without entries none.
+    /// Returns whether a host has all attributes that the pool selects by. An attribute without a list matches every
+    /// host; an empty list matches none.
     fn contains(&self, host: &HostAttributes) -> bool {
-        fn any<T>(wanted: &Option<At<Vec<T>>>, matches: impl Fn(&T) -> bool) -> bool {
+        fn matches_any<T>(wanted: &Option<At<Vec<T>>>, matches: impl Fn(&T) -> bool) -> bool {
             wanted.as_ref().is_none_or(|list| list.value.iter().any(matches))
         }
-        any(&self.pool.zones, |zone| zone == host.zone)
-            && any(&self.pool.machines, |machine_type| machine_type == host.machine_type)
-            && any(&self.pool.cells, |cells| cells.contains(&host.cell))
-            && any(&self.pool.ids, |prefix| host.id.starts_with(prefix.as_str()))
+        matches_any(&self.pool.zones, |zone| zone == host.zone)
+            && matches_any(&self.pool.machines, |machine_type| machine_type == host.machine_type)
+            && matches_any(&self.pool.cells, |cells| cells.contains(&host.cell))
+            && matches_any(&self.pool.ids, |prefix| host.id.starts_with(prefix.as_str()))
     }
 }
 
@@ -58,8 +58,8 @@
 pub(crate) struct PoolSet(Vec<PoolEntry>);
 
 impl PoolSet {
-    /// Gives each pool a bit: the one that its name has in `previous`, otherwise the lowest one that is free. A pool
-    /// of `previous` that is no longer among `pools` keeps its bit if that is `in_use`.
+    /// Assigns each pool a bit: the one that its name has in `previous`, otherwise the lowest one that is free. A pool
+    /// of `previous` that is no longer among `pools` keeps its bit if `in_use` has it.
     ///
     /// # Errors
     /// Too many pools, a name that is unknown or not unique, or no free bit for a new pool.
@@ -74,22 +74,22 @@
         let mut entries = previous.removed_but_in_use(pools, in_use);
         let kept = entries.iter().map(PoolEntry::mask);
         let reused = pools.iter().filter_map(|pool| previous_masks.get(pool.name.value.as_str()).copied());
-        let mut taken: PoolMask = kept.chain(reused).collect();
+        let mut assigned: PoolMask = kept.chain(reused).collect();
         for pool in pools {
             let previous_mask = previous_masks.get(pool.name.value.as_str());
-            let bit = previous_mask.map_or(taken.0.trailing_ones(), |mask| mask.0.trailing_zeros());
+            let bit = previous_mask.map_or(assigned.0.trailing_ones(), |mask| mask.0.trailing_zeros());
             if bit as usize == MAX_POOLS {
                 let name = pool.name.value.clone();
                 return Err(RoutingErrorKind::NoFreePoolBit(name).at(&pool.name.origin));
             }
-            taken |= PoolMask::single(bit);
+            assigned |= PoolMask::single(bit);
             entries.push(PoolEntry { bit, pool: pool.clone(), is_removed: false });
         }
         entries.sort_unstable_by_key(|entry| entry.bit);
         Ok(PoolSet(entries))
     }
 
-    /// Returns the entries whose pools are not among `pools` although requests in flight use them.
+    /// Returns the entries whose pools are not among `pools` but are still used by requests in flight.
     fn removed_but_in_use(&self, pools: &[Pool], in_use: PoolMask) -> Vec<PoolEntry> {
         let named: BTreeSet<&str> = pools.iter().map(|pool| pool.name.value.as_str()).collect();
         let is_kept = |entry: &&PoolEntry| !named.contains(entry.name()) && entry.mask().intersects(in_use);
@@ -97,7 +97,7 @@
         kept.map(|entry| PoolEntry { is_removed: true, ..entry.clone() }).collect()
     }
 
-    /// Returns the mask of each name, removed pools included.
+    /// Returns the mask of each pool by name, including removed pools.
     fn masks_by_name(&self) -> BTreeMap<&str, PoolMask> {
         self.0.iter().map(|entry| (entry.name(), entry.mask())).collect()
     }
@@ -107,15 +107,16 @@
         self.0.iter().filter(|entry| entry.contains(host)).map(PoolEntry::mask).collect()
     }
 
-    /// Returns the pools that a host is in here and no longer in `next`, by the bits here.
+    /// Returns the pools that a host is in according to this version but not according to `next`, as bits of this
+    /// version.
     pub(crate) fn pools_left_by(&self, next: &PoolSet, host: &HostAttributes) -> PoolMask {
         let stays = |name| next.0.iter().any(|entry| entry.name() == name && entry.contains(host));
         let left = self.0.iter().filter(|entry| entry.contains(host) && !stays(entry.name()));
         left.map(PoolEntry::mask).collect()
     }
 
-    /// Returns the pools that routes may name, so without removed ones.
-    pub(crate) fn by_name(&self) -> BTreeMap<&str, PoolMask> {
+    /// Returns the mask of each pool that the files define, by name, without removed pools.
+    pub(crate) fn defined_masks_by_name(&self) -> BTreeMap<&str, PoolMask> {
         let present = self.0.iter().filter(|entry| !entry.is_removed);
         present.map(|entry| (entry.name(), entry.mask())).collect()
     }
--- a/crates/routing/src/position_groups.rs
+++ b/crates/routing/src/position_groups.rs
@@ -1,9 +1,9 @@
-//! Groups of classes, or of plans, that all routes treat alike and that so can share tables.
+//! Groups of classes, or of plans, that all routes treat alike and that can therefore share tables.
 
 use std::collections::BTreeMap;
 
-/// Groups of positions in a list: two positions are in one group if the same routes name them. Positions that no
-/// route names are a group as well.
+/// Groups of positions in a list: two positions are in the same group if the same routes name them. Positions that no
+/// route names form a group as well.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PositionGroups {
     /// The group of each position.
@@ -14,7 +14,7 @@
 
 impl PositionGroups {
     /// Groups the positions below `position_count`. `named` has an entry for each route: the positions that the route
-    /// names, or none if it applies to all.
+    /// names, or `None` if it applies to all.
     pub(crate) fn new<'a>(
         position_count: usize,
         named: impl Iterator<Item = Option<&'a [usize]>>,
@@ -37,7 +37,7 @@
         PositionGroups { group_of, count: groups.len() }
     }
 
-    /// Returns the group of a position, or none beyond the list.
+    /// Returns the group of a position, or `None` for a position past the end of the list.
     #[inline]
     pub(crate) fn group_of(&self, position: usize) -> Option<usize> {
         self.group_of.get(position).map(|group| *group as usize)
--- a/crates/routing/src/quota.rs
+++ b/crates/routing/src/quota.rs
@@ -6,7 +6,7 @@
 
 use crate::error::{RoutingError, RoutingErrorKind};
 
-/// The quota that the platform grants each customer of a plan.
+/// The quota that the platform grants to each customer of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantedQuota<'a> {
     /// Name of the plan.
@@ -38,7 +38,7 @@
 pub struct Limit<T> {
     /// The limit, with the unit and the meaning of 0 as in [`GrantedQuota`].
     pub value: T,
-    /// Where it was set; the platform where both set the same.
+    /// Where it was set; the platform if a policy sets the same value.
     pub source: LimitSource,
 }
 
@@ -58,7 +58,7 @@
 /// Returns the effective quota of each plan, in the platform's order.
 ///
 /// A policy never raises a limit: the lower value is effective, so a policy above the platform's value has no effect.
-/// The same applies to several policies of one plan.
+/// Of several policies for one plan, too, the lowest value is effective.
 ///
 /// # Errors
 /// A plan that the platform does not have, a limit that is not above 0 (0 would remove the limit), and a rate without
@@ -106,7 +106,7 @@
     policies: &[&QuotaPolicy],
 ) -> Result<EffectiveQuota, RoutingError> {
     let has_rate = granted.rate > 0.0;
-    // With a rate a burst of 0 is a limit: the bucket holds nothing. Without a rate it means that there is no bucket.
+    // With a rate, a burst of 0 is a limit: the bucket is always empty. Without a rate, it means that there is no bucket.
     let has_burst = has_rate || granted.burst > 0.0;
     let rate = lowest(granted.rate, has_rate, policies, |policy| policy.rate.as_ref());
     let burst = lowest(granted.burst, has_burst, policies, |policy| policy.burst.as_ref());
@@ -124,7 +124,7 @@
     }
 }
 
-/// Returns the lowest of the granted value, if `is_limited` says that it is a limit, and the values of the policies.
+/// Returns the lowest of the values of the policies and, if `is_limited` says that it is a limit, the granted value.
 fn lowest<T: Copy + PartialOrd>(
     granted: T,
     mut is_limited: bool,
--- a/crates/routing/src/range_tables.rs
+++ b/crates/routing/src/range_tables.rs
@@ -1,4 +1,4 @@
-//! Tables of disjoint customer ranges, each range with the route that wins in it.
+//! Tables of disjoint customer ranges, with the winning route of each range.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,8 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Stands in place of a route where none applies. No route has this number, see
-/// [`MAX_ROUTES`](crate::MAX_ROUTES).
+/// Winner of a range in which no route applies. No route has this number, see [`MAX_ROUTES`](crate::MAX_ROUTES).
 pub(crate) const NO_ROUTE: u16 = u16::MAX;
 
 /// A range of customers that a route applies to.
@@ -21,17 +20,17 @@
     pub(crate) route: u16,
 }
 
-/// A range that the sweep has reached. The order is that of routes, so that the lowest number is the winner.
+/// A range that the sweep has reached. Ranges are ordered by route number, and the lowest one wins.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ActiveRange {
     route: u16,
     last: u64,
 }
 
-/// Many tables, one after the other in common lists.
+/// All tables, stored one after another in shared lists.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RangeTables {
-    /// The end of each table in the lists below. It begins where the one before it ends.
+    /// The end of each table in the lists below. A table begins where the one before it ends.
     table_ends: Vec<u32>,
     /// The first customer of each range. The first range of a table begins at 0.
     range_starts: Vec<u64>,
@@ -40,7 +39,7 @@
 }
 
 impl RangeTables {
-    /// Makes a table of each list of ranges.
+    /// Builds one table from each list of ranges.
     pub(crate) fn build<R>(tables: impl Iterator<Item = R>) -> RangeTables
     where
         R: IntoIterator<Item = CustomerRange>,
@@ -58,8 +57,8 @@
         built
     }
 
-    /// Adds a table: a sweep from the lowest customer to the highest, which stops where a range begins and where one
-    /// ends that was winning.
+    /// Adds a table, by a sweep from the lowest to the highest customer. The sweep stops where a range begins and after
+    /// the end of each winning range: only there can the winner change.
     fn add_table(&mut self, ranges: &mut [CustomerRange]) {
         ranges.sort_unstable_by_key(|range| range.first);
         let table_start = self.range_starts.len();
@@ -70,16 +69,16 @@
             while let Some(range) = upcoming.next_if(|range| range.first <= customer) {
                 active.push(Reverse(ActiveRange { route: range.route, last: range.last }));
             }
-            // Ranges that have ended stay below the top of the heap until they reach it: they cannot win before.
+            // A range that has ended is removed only when it reaches the top of the heap; below the top it cannot win.
             while active.peek().is_some_and(|Reverse(range)| range.last < customer) {
                 active.pop();
             }
             let winner = active.peek().map(|Reverse(range)| range);
             self.push_range(table_start, customer, winner.map_or(NO_ROUTE, |range| range.route));
-            // A range up to the highest customer number has no customer behind it.
-            let behind_winner = winner.and_then(|range| range.last.checked_add(1));
+            // No customer follows a range that ends at the highest customer number.
+            let after_winner = winner.and_then(|range| range.last.checked_add(1));
             let next_start = upcoming.peek().map(|range| range.first);
-            stop = next_start.into_iter().chain(behind_winner).min();
+            stop = next_start.into_iter().chain(after_winner).min();
         }
         self.table_ends.push(self.range_starts.len() as u32);
     }
@@ -98,12 +97,12 @@
     pub(crate) fn winner(&self, table: usize, customer: u64, mut on_comparison: impl FnMut()) -> u16 {
         let table_start = if table == 0 { 0 } else { self.table_ends[table - 1] as usize };
         let range_starts = &self.range_starts[table_start..self.table_ends[table] as usize];
-        let behind = range_starts.partition_point(|first| {
+        let begun_count = range_starts.partition_point(|first| {
             on_comparison();
             *first <= customer
         });
         // The first range begins at 0, so at least one begins at or before the customer.
-        self.winners[table_start + behind - 1]
+        self.winners[table_start + begun_count - 1]
     }
 
     /// Returns the number of ranges in all tables.
--- a/crates/routing/src/routing_table.rs
+++ b/crates/routing/src/routing_table.rs
@@ -34,8 +34,8 @@
     ///
     /// # Errors
     /// A name that is unknown or not unique, too many pools or routes, or tables beyond
-    /// [`MAX_RANGES`](crate::MAX_RANGES). The checker of the language finds all but the bounds earlier, with more
-    /// detail.
+    /// [`MAX_RANGES`](crate::MAX_RANGES). The checker of the operators' language reports all but
+    /// the exceeded bounds earlier, in more detail.
     pub fn compile(operators: &Operators, names: &PlatformNames) -> Result<RoutingTable, RoutingError> {
         RoutingTable::compile_after(&RoutingTable::default(), PoolMask::NONE, operators, names)
     }
@@ -60,20 +60,20 @@
         let routes = &operators.routes;
         check_routes(routes)?;
         let grid = TableGrid::compile(routes, names)?;
-        let destinations = destinations(routes, &pools.by_name())?;
+        let destinations = destinations(routes, &pools.defined_masks_by_name())?;
         let names = routes.iter().map(|route| route.name.value.as_str().into()).collect();
         Ok(RoutingTable { pools, site_pools, grid, destinations, names })
     }
 
-    /// Returns the pools that a host is in. It compares the host with each pool, so it is meant for each change of the
-    /// endpoint list, not for each request.
+    /// Returns the pools that a host is in. The host is compared with each pool, so this is meant to be called at each
+    /// change of the endpoint list, not for each request.
     #[must_use]
     pub fn pools_of(&self, host: &HostAttributes) -> PoolMask {
         self.pools.pools_of(host)
     }
 
-    /// Returns the parts of `pools` that are in a set of sites; parts are pools like others. [`PoolMask::ALL`] and
-    /// [`PoolMask::NONE`] stand for all hosts.
+    /// Returns the parts of `pools` that are in a set of sites; each part is a pool itself. [`PoolMask::ALL`]
+    /// and [`PoolMask::NONE`] mean all hosts.
     ///
     /// `sites` has a bit for each site, by its position in the files, and bit 63 for the hosts that are in no site.
     #[must_use]
@@ -81,14 +81,14 @@
         self.site_pools.in_sites(pools, sites)
     }
 
-    /// Returns the pools of this version that a host is in and that it is no longer in by `next`, by the bits of this
-    /// version. Pools are matched by their names.
+    /// Returns the pools that a host is in according to this version but not according to `next`, as bits of this
+    /// version. Pools are matched by name.
     #[must_use]
     pub fn pools_left_by(&self, next: &RoutingTable, host: &HostAttributes) -> PoolMask {
         self.pools.pools_left_by(&next.pools, host)
     }
 
-    /// Returns the names of the pools in a mask, also of removed ones that requests in flight use.
+    /// Returns the names of the pools in a mask, including removed pools that requests in flight use.
     pub fn pool_names(&self, mask: PoolMask) -> impl Iterator<Item = &str> {
         self.pools.names(mask)
     }
@@ -102,13 +102,13 @@
         self.lookup_counting(request, || ())
     }
 
-    /// Returns [`RoutingTable::lookup`], and calls `on_comparison` at each comparison of the search.
+    /// Does [`RoutingTable::lookup`], and calls `on_comparison` at each comparison of the search.
     #[inline]
     fn lookup_counting(&self, request: RequestAttributes, on_comparison: impl FnMut()) -> Destination {
         let Some(winner) = self.grid.winner(request, on_comparison) else {
             return Destination::default();
         };
-        // `NO_ROUTE` lies beyond the last route.
+        // `NO_ROUTE` is past the last route, so it gets the default destination.
         self.destinations.get(usize::from(winner)).copied().unwrap_or_default()
     }
 
@@ -166,7 +166,7 @@
 /// Returns the destination of each route.
 ///
 /// # Errors
-/// The first pool that is not defined.
+/// The first name of a pool that is not defined.
 fn destinations(
     routes: &[Route],
     pools: &BTreeMap<&str, PoolMask>,
--- a/crates/routing/src/routing_table/tests.rs
+++ b/crates/routing/src/routing_table/tests.rs
@@ -1,4 +1,4 @@
-//! The cost of a look-up, counted in comparisons.
+//! The number of comparisons of a look-up.
 
 use config_language::model::{Origin, Pool};
 
@@ -8,8 +8,8 @@
     At { value, origin: Origin::default() }
 }
 
-/// Returns routes for ten customers each, with ten customers without a route behind each.
-fn routes_with_gaps(count: u64) -> RoutingTable {
+/// Returns a table with routes for ten customers each, and a gap of ten customers without a route after each route.
+fn table_with_gaps(count: u64) -> RoutingTable {
     let pool = Pool { name: at("a".into()), zones: None, machines: None, cells: None, ids: None };
     let route = |number: u64| Route {
         name: at(number.to_string()),
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn a_look_up_compares_no_more_often_than_a_binary_search() {
+fn a_lookup_compares_no_more_often_than_a_binary_search() {
     for count in [0, 1, 10, 10_000, 50_000] {
-        let routes = routes_with_gaps(count);
+        let table = table_with_gaps(count);
         let halvings = (2 * count).max(1).ilog2() + 1;
         let customers = (0..1000).map(|part| part * 20 * count / 1000).chain([u64::MAX]);
         for customer in customers {
             let request = RequestAttributes { class: 0, plan: 0, customer };
             let mut comparisons = 0;
-            let destination = routes.lookup_counting(request, || comparisons += 1);
+            let destination = table.lookup_counting(request, || comparisons += 1);
             let (route, is_in_range) = (customer / 20, customer % 20 < 10);
             let expected = (route < count && is_in_range).then(|| route.to_string());
-            assert_eq!(destination.route.map(|id| routes.route_name(id).to_owned()), expected);
+            assert_eq!(destination.route.map(|id| table.route_name(id).to_owned()), expected);
             assert!((1..=halvings + 1).contains(&comparisons), "{comparisons} with {count} routes");
         }
     }
--- a/crates/routing/src/site_pools.rs
+++ b/crates/routing/src/site_pools.rs
@@ -1,7 +1,7 @@
-//! The part of each pool that is in a site, as a pool of its own.
+//! The part of each pool that is in a site, which is itself a pool with a bit.
 //!
-//! A request is kept from a lost site by narrowing its destination to the parts of its pool in other sites. So the
-//! decision module needs nothing but the mask of the destination.
+//! To keep a request away from a lost site, its destination is narrowed to the parts of its pool in the other sites. The
+//! decision module then needs only the mask of the destination.
 
 use std::collections::BTreeMap;
 
@@ -15,17 +15,17 @@
 
 /// Separates the names of pool and site in the name of a part. The operators' language allows it in no name.
 const SEPARATOR: char = '\u{1f}';
-/// Bit of the hosts that are in no site, in a set of sites. All other bits are positions in the files.
+/// In a set of sites, the bit for the hosts that are in no site. The other bits are the positions of sites in the files.
 const NO_SITE_BIT: usize = 63;
 
-/// A site and its zones; without a site, the zones that are in none.
+/// A site and its zones; if `site` is `None`, the zones that are in no site.
 struct SiteZones {
     site: Option<String>,
     zones: Vec<String>,
 }
 
 impl SiteZones {
-    /// Returns all sites in the order of the files, and last the zones that are in no site.
+    /// Returns all sites in the order of the files, followed by the zones that are in no site.
     fn all(operators: &Operators, names: &PlatformNames) -> Vec<SiteZones> {
         let in_sites = operators
             .sites
@@ -38,13 +38,14 @@
         all
     }
 
-    /// Returns the name of the part of a pool that is here; without a pool, of all hosts.
+    /// Returns the name of the part of a pool in this site; without a pool, of the part of all hosts.
     fn part_name(&self, pool: Option<&Pool>) -> String {
         let pool = pool.map_or("", |pool| &pool.name.value);
         format!("{pool}{SEPARATOR}{}", self.site.as_deref().unwrap_or_default())
     }
 
-    /// Returns the part of a pool that is here, or none if no zone of the pool is; without a pool, of all hosts.
+    /// Returns the part of a pool in this site, or `None` if no zone of the pool is in it; without a pool, the part of
+    /// all hosts.
     fn part(&self, pool: Option<&Pool>, origin: &Origin) -> Option<Pool> {
         let wanted = pool.and_then(|pool| pool.zones.as_ref());
         let is_wanted = |zone: &&String| wanted.is_none_or(|wanted| wanted.value.contains(zone));
@@ -62,16 +63,16 @@
     }
 }
 
-/// Returns none, which means all hosts, and then each pool of the operators.
+/// Returns `None`, which means all hosts, followed by each pool of the operators.
 fn all_hosts_and_pools(operators: &Operators) -> impl Iterator<Item = Option<&Pool>> {
     std::iter::once(None).chain(operators.pools.iter().map(Some))
 }
 
-/// Returns the pools of the operators and, behind them, the part of each in each site. Without sites there are no
+/// Returns the pools of the operators, followed by the part of each pool in each site. Without sites there are no
 /// parts.
 ///
 /// # Errors
-/// More pools and parts than a mask has bits.
+/// More pools and parts together than a mask has bits.
 pub(crate) fn with_site_pools(
     operators: &Operators,
     names: &PlatformNames,
@@ -83,7 +84,7 @@
         pools.extend(all_hosts_and_pools(operators).filter_map(|pool| site.part(pool, origin)));
     }
     let (defined, total) = (operators.pools.len(), pools.len());
-    // Too many pools without any part is an error of its own, which names the pool.
+    // Too many pools even without parts is left to the later check that names the first pool beyond the bound.
     if defined <= MAX_POOLS && total > MAX_POOLS {
         let sites = operators.sites.len();
         return Err(RoutingErrorKind::TooManySitePools { pools: defined, sites, total }.at(origin));
@@ -117,7 +118,7 @@
         if operators.sites.is_empty() {
             return SitePools::default();
         }
-        let masks: BTreeMap<&str, PoolMask> = pools.by_name();
+        let masks: BTreeMap<&str, PoolMask> = pools.defined_masks_by_name();
         let sites = SiteZones::all(operators, names);
         let site_bit = |position| if position == operators.sites.len() { NO_SITE_BIT } else { position };
         let parts_of = |pool: Option<&Pool>| {
--- a/crates/routing/src/table_grid.rs
+++ b/crates/routing/src/table_grid.rs
@@ -1,4 +1,4 @@
-//! Which table a class and a plan share, and how the tables are built from the routes.
+//! Maps each pair of a class and a plan to a table, and builds the tables from the routes.
 
 use std::ops::RangeInclusive;
 
@@ -11,7 +11,7 @@
 use crate::position_groups::PositionGroups;
 use crate::range_tables::{CustomerRange, RangeTables};
 
-/// The classes and plans that a route applies to, by position; none where it applies to all.
+/// The positions of the classes and plans that a route applies to; `None` where it applies to all.
 struct RouteScope {
     classes: Option<Vec<usize>>,
     plans: Option<Vec<usize>>,
@@ -78,7 +78,7 @@
         let mut range_count = table_count;
         for ((route, scope), number) in routes.iter().zip(scopes).zip(0_u16..) {
             let tables = self.tables_of_scope(scope);
-            let added = tables.len().saturating_mul(customers(route).count());
+            let added = tables.len().saturating_mul(customer_bounds(route).count());
             range_count = range_count.saturating_add(added);
             if range_count > MAX_RANGES {
                 let name = route.name.value.clone();
@@ -107,7 +107,7 @@
     }
 
     /// Returns the number of the route that wins for a request, or
-    /// [`NO_ROUTE`](crate::range_tables::NO_ROUTE); none for a class or plan that the platform does not have.
+    /// [`NO_ROUTE`](crate::range_tables::NO_ROUTE); `None` for a class or plan that the platform does not have.
     /// `on_comparison` is called at each comparison of the search.
     #[inline]
     pub(crate) fn winner(&self, request: RequestAttributes, on_comparison: impl FnMut()) -> Option<u16> {
@@ -127,16 +127,16 @@
     }
 }
 
-/// Returns the first and last customer of each range that a route applies to; one range with all customers where the
-/// route names none. A range that ends before it begins has no customers.
-fn customers(route: &Route) -> impl Iterator<Item = (u64, u64)> + '_ {
+/// Returns the first and last customer of each range that a route applies to; one range with all customers if the
+/// route names no customers. Skips ranges that end before they begin, because no customer is in them.
+fn customer_bounds(route: &Route) -> impl Iterator<Item = (u64, u64)> + '_ {
     const ALL_CUSTOMERS: &[RangeInclusive<u64>] = &[0..=u64::MAX];
     let ranges = route.customers.as_ref().map_or(ALL_CUSTOMERS, |ranges| &ranges.value);
     ranges.iter().filter(|range| !range.is_empty()).map(|range| (*range.start(), *range.end()))
 }
 
-/// Returns the customers of the route with this number.
+/// Returns the customer ranges of the route with this number.
 fn customer_ranges(routes: &[Route], number: u16) -> impl Iterator<Item = CustomerRange> + '_ {
     let route = &routes[usize::from(number)];
-    customers(route).map(move |(first, last)| CustomerRange { first, last, route: number })
+    customer_bounds(route).map(move |(first, last)| CustomerRange { first, last, route: number })
 }
--- a/crates/routing/tests/routing/brute_force.rs
+++ b/crates/routing/tests/routing/brute_force.rs
@@ -1,4 +1,4 @@
-//! The tables compared with a linear search through the routes.
+//! Compares look-ups in the tables with a linear search through the routes.
 
 use std::ops::RangeInclusive;
 
@@ -8,7 +8,7 @@
 
 use super::common::*;
 
-/// Generates customers that are close together, so that ranges touch, and the lowest and highest ones.
+/// Generates customers that are close together, so that ranges adjoin and overlap, and extreme customer numbers.
 fn customer() -> impl Strategy<Value = u64> {
     let ends = [0, 1, (1 << 33) - 1, 1 << 33, u64::MAX - 1, u64::MAX];
     prop_oneof![4 => 0_u64..40, 1 => prop::sample::select(ends.to_vec())]
@@ -28,17 +28,17 @@
 }
 
 /// Generates a list that may be missing, be empty, or have duplicates.
-fn some_of<T: Clone + std::fmt::Debug>(
+fn optional_list<T: Clone + std::fmt::Debug>(
     one: impl Strategy<Value = T>,
 ) -> impl Strategy<Value = Option<At<Vec<T>>>> {
     prop::option::of(prop::collection::vec(one, 0..4).prop_map(|list| at(1, list)))
 }
 
 fn any_route() -> impl Strategy<Value = Route> {
-    let classes = some_of(prop::sample::select(Platform::new().classes));
-    let plans = some_of(prop::sample::select(Platform::new().plans));
+    let classes = optional_list(prop::sample::select(Platform::new().classes));
+    let plans = optional_list(prop::sample::select(Platform::new().plans));
     let pool = prop::sample::select(names(&["a", "b"]));
-    (classes, plans, some_of(range()), pool).prop_map(|(classes, plans, customers, pool)| Route {
+    (classes, plans, optional_list(range()), pool).prop_map(|(classes, plans, customers, pool)| Route {
         classes,
         plans,
         customers,
@@ -48,12 +48,12 @@
 
 /// Returns whether a route applies to a request.
 fn applies(route: &Route, class: &str, plan: &str, customer: u64) -> bool {
-    fn any<T>(list: &Option<At<Vec<T>>>, matches: impl Fn(&T) -> bool) -> bool {
+    fn matches_any<T>(list: &Option<At<Vec<T>>>, matches: impl Fn(&T) -> bool) -> bool {
         list.as_ref().is_none_or(|list| list.value.iter().any(matches))
     }
-    any(&route.classes, |name| name == class)
-        && any(&route.plans, |name| name == plan)
-        && any(&route.customers, |range| range.contains(&customer))
+    matches_any(&route.classes, |name| name == class)
+        && matches_any(&route.plans, |name| name == plan)
+        && matches_any(&route.customers, |range| range.contains(&customer))
 }
 
 proptest! {
@@ -65,7 +65,7 @@
     })]
 
     #[test]
-    fn the_look_up_finds_the_first_route_that_applies(
+    fn the_lookup_finds_the_first_route_that_applies(
         routes in prop::collection::vec(any_route(), 0..25),
         customers in prop::collection::vec(customer(), 1..30),
     ) {
--- a/crates/routing/tests/routing/common.rs
+++ b/crates/routing/tests/routing/common.rs
@@ -1,11 +1,11 @@
-//! Builders for the operators' file sets, as data.
+//! Builders for the operators' file sets, without parsing files.
 
 use std::ops::RangeInclusive;
 
 use config_language::model::{At, Operators, Origin, Pool, QuotaPolicy, Route};
 use routing::{PlatformNames, RequestAttributes, RoutingTable};
 
-/// Returns a value that is defined in this line.
+/// Returns a value whose origin is the given line.
 pub fn at<T>(line: u32, value: T) -> At<T> {
     At { value, origin: Origin { file: "park.fb".into(), line, column: 3 } }
 }
@@ -56,7 +56,7 @@
 }
 
 /// Returns a pool with the hosts of a zone.
-pub fn zone(name: &str, zone: &str) -> Pool {
+pub fn zone_pool(name: &str, zone: &str) -> Pool {
     Pool { zones: Some(at(2, names(&[zone]))), ..pool(name) }
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// Returns a route for some customers.
-pub fn customers(name: &str, pool: &str, customers: &[RangeInclusive<u64>]) -> Route {
+pub fn route_for_customers(name: &str, pool: &str, customers: &[RangeInclusive<u64>]) -> Route {
     Route { customers: Some(at(5, customers.to_vec())), ..route(name, pool) }
 }
 
--- a/crates/routing/tests/routing/errors.rs
+++ b/crates/routing/tests/routing/errors.rs
@@ -1,4 +1,4 @@
-//! File sets that are errors.
+//! File sets that compilation rejects.
 
 use config_language::model::{Operators, Pool, Route};
 use routing::{RoutingErrorKind, RoutingTable, MAX_RANGES, MAX_ROUTES};
@@ -23,7 +23,7 @@
     assert_eq!(error_of_routes(vec![route("r", "b")]), "park.fb:4:3: there is no pool `b`");
     let fallback = Route { fallback: Some(at(13, "c".into())), ..route("r", "a") };
     assert_eq!(error_of_routes(vec![fallback]), "park.fb:13:3: there is no pool `c`");
-    let zone = zone("z", "north");
+    let zone = zone_pool("z", "north");
     assert_eq!(error_text(&operators(vec![zone], vec![])), "park.fb:2:3: the platform has no zone `north`");
     let machine = Pool { machines: Some(at(14, names(&["huge"]))), ..pool("m") };
     let message = "park.fb:14:3: the platform has no machine type `huge`";
@@ -34,7 +34,7 @@
 fn a_duplicate_name_is_an_error_at_its_place() {
     let duplicate = vec![route("r", "a"), route("r", "a")];
     assert_eq!(error_of_routes(duplicate), "park.fb:3:3: a second route has the name `r`");
-    let duplicate = vec![pool("a"), zone("a", "east")];
+    let duplicate = vec![pool("a"), zone_pool("a", "east")];
     assert_eq!(error_text(&operators(duplicate, vec![])), "park.fb:1:3: a second pool has the name `a`");
 }
 
@@ -50,8 +50,8 @@
 #[test]
 fn the_route_with_the_highest_number_is_found() {
     let mut routes: Vec<Route> =
-        (1..MAX_ROUTES).map(|n| customers(&format!("r{n}"), "a", &[0..=0])).collect();
-    routes.push(customers("last", "a", &[7..=7]));
+        (1..MAX_ROUTES).map(|n| route_for_customers(&format!("r{n}"), "a", &[0..=0])).collect();
+    routes.push(route_for_customers("last", "a", &[7..=7]));
     let routes = Platform::new().compile(&operators(vec![pool("a")], routes));
     assert_eq!(routes.lookup(request(0, 0, 7)).route.map(|route| routes.route_name(route)), Some("last"));
     assert_eq!(routes.lookup(request(0, 0, 8)).route, None);
@@ -59,14 +59,14 @@
 
 #[test]
 fn ranges_beyond_the_maximum_are_an_error() {
-    // One table, which counts as one, equal ranges, and one range without customers, which does not count.
+    // Fills the bound exactly: the one table counts as one, and the range without customers does not count.
     let mut ranges = vec![5..=6; MAX_RANGES - 1];
     #[allow(clippy::reversed_empty_ranges, reason = "a file may have such a range")]
     ranges.push(9..=2);
-    let fits = customers("fits", "a", &ranges);
+    let fits = route_for_customers("fits", "a", &ranges);
     let routes = Platform::new().compile(&operators(vec![pool("a")], vec![fits.clone()]));
     assert_eq!(routes.range_count(), 3);
-    let more = customers("more", "a", &[7..=8]);
+    let more = route_for_customers("more", "a", &[7..=8]);
     let error =
         RoutingTable::compile(&operators(vec![pool("a")], vec![fits, more]), &Platform::new().names());
     assert_eq!(error.unwrap_err().kind, RoutingErrorKind::TooManyRanges("more".into()));
--- a/crates/routing/tests/routing/main.rs
+++ b/crates/routing/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Pools, routes and quotas, queried as a gateway does.
+//! Pools, routes and quotas, queried as a gateway queries them.
 
 mod brute_force;
 mod common;
--- a/crates/routing/tests/routing/order.rs
+++ b/crates/routing/tests/routing/order.rs
@@ -1,11 +1,11 @@
-//! Which route decides about a request.
+//! Which route applies to a request.
 
 use config_language::model::Route;
 use routing::{Destination, PoolMask, RoutingTable};
 
 use super::common::*;
 
-/// Returns the name of the route that decides about a request, if one does.
+/// Returns the name of the route that decides on a request, if one applies.
 fn route_of(routes: &RoutingTable, class: usize, plan: usize, customer: u64) -> Option<&str> {
     routes.lookup(request(class, plan, customer)).route.map(|route| routes.route_name(route))
 }
@@ -13,8 +13,8 @@
 #[test]
 fn without_routes_a_request_may_go_to_any_host() {
     let platform = Platform::new();
-    let none = platform.compile(&operators(vec![zone("a", "east")], vec![]));
-    for routes in [&none, &RoutingTable::default()] {
+    let compiled = platform.compile(&operators(vec![zone_pool("a", "east")], vec![]));
+    for routes in [&compiled, &RoutingTable::default()] {
         assert!(routes.is_empty());
         let destination = routes.lookup(request(0, 0, 5));
         assert_eq!(destination, Destination::default());
@@ -30,7 +30,8 @@
 #[test]
 fn the_first_of_overlapping_routes_wins() {
     let platform = Platform::new();
-    let (wide, narrow) = (customers("wide", "a", &[0..=100]), customers("narrow", "a", &[10..=20]));
+    let (wide, narrow) =
+        (route_for_customers("wide", "a", &[0..=100]), route_for_customers("narrow", "a", &[10..=20]));
     let wide_first = platform.compile(&operators(vec![pool("a")], vec![wide.clone(), narrow.clone()]));
     let narrow_first = platform.compile(&operators(vec![pool("a")], vec![narrow, wide]));
     assert_eq!(route_of(&wide_first, 0, 0, 15), Some("wide"));
@@ -45,9 +46,9 @@
     let platform = Platform::new();
     let top = (1 << 33) - 1;
     let routes = vec![
-        customers("first", "a", &[0..=0]),
-        customers("top", "a", &[top..=top]),
-        customers("last", "a", &[u64::MAX..=u64::MAX]),
+        route_for_customers("first", "a", &[0..=0]),
+        route_for_customers("top", "a", &[top..=top]),
+        route_for_customers("last", "a", &[u64::MAX..=u64::MAX]),
     ];
     let routes = platform.compile(&operators(vec![pool("a")], routes));
     let customers = [0, 1, top - 1, top, top + 1, u64::MAX - 1, u64::MAX];
@@ -58,7 +59,8 @@
 #[test]
 fn a_route_for_all_customers_makes_one_range() {
     let platform = Platform::new();
-    let routes = platform.compile(&operators(vec![pool("a")], vec![customers("all", "a", &[0..=u64::MAX])]));
+    let routes =
+        platform.compile(&operators(vec![pool("a")], vec![route_for_customers("all", "a", &[0..=u64::MAX])]));
     assert_eq!([0, 7, u64::MAX].map(|customer| route_of(&routes, 1, 1, customer)), [Some("all"); 3]);
     assert_eq!(routes.range_count(), 1);
 }
@@ -87,9 +89,9 @@
 fn a_route_that_can_never_apply_is_accepted_and_ignored() {
     let platform = Platform::new();
     #[allow(clippy::reversed_empty_ranges, reason = "a file may have such a range")]
-    let reversed = customers("reversed", "a", &[9..=2]);
+    let reversed = route_for_customers("reversed", "a", &[9..=2]);
     let classless = Route { classes: Some(at(1, vec![])), ..route("classless", "a") };
-    let nobody = customers("nobody", "a", &[]);
+    let nobody = route_for_customers("nobody", "a", &[]);
     let (all, shadowed) = (route("all", "b"), route("shadowed", "a"));
     let routes = vec![reversed, classless, nobody, all, shadowed];
     let routes = platform.compile(&operators(vec![pool("a"), pool("b")], routes));
@@ -113,10 +115,10 @@
 fn classes_and_plans_that_no_route_distinguishes_share_a_table() {
     let platform = Platform::new();
     let shared: Vec<Route> =
-        (0..100).map(|n| customers(&format!("r{n}"), "a", &[10 * n..=10 * n + 5])).collect();
+        (0..100).map(|n| route_for_customers(&format!("r{n}"), "a", &[10 * n..=10 * n + 5])).collect();
     let one = platform.compile(&operators(vec![pool("a")], shared.clone()));
     assert_eq!(one.range_count(), 200);
-    // Now one route is for orders only and one for premium only: four tables.
+    // One route for orders only and one for premium only split the table into four.
     let mut distinguishing = shared;
     distinguishing[50].classes = Some(at(1, names(&["order"])));
     distinguishing[51].plans = Some(at(1, names(&["premium", "premium"])));
@@ -137,12 +139,12 @@
 fn ten_thousand_routes_take_no_more_memory_than_documented() {
     let platform = Platform::new();
     let routes: Vec<Route> =
-        (0..10_000).map(|n| customers(&format!("r{n}"), "a", &[10 * n..=10 * n + 5])).collect();
+        (0..10_000).map(|n| route_for_customers(&format!("r{n}"), "a", &[10 * n..=10 * n + 5])).collect();
     let routes = platform.compile(&operators(vec![pool("a")], routes));
     assert_eq!(route_of(&routes, 0, 0, 99_993), Some("r9999"));
     assert_eq!(route_of(&routes, 0, 0, 99_996), None);
     let tables = 10 * (2 * 10_000 + 1);
-    let choices = 10_000 * size_of::<Destination>();
+    let destinations = 10_000 * size_of::<Destination>();
     let groups = 4 * (3 + 2 + 1);
-    assert!(routes.lookup_bytes() <= tables + choices + groups, "{}", routes.lookup_bytes());
+    assert!(routes.lookup_bytes() <= tables + destinations + groups, "{}", routes.lookup_bytes());
 }
--- a/crates/routing/tests/routing/pools.rs
+++ b/crates/routing/tests/routing/pools.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_empty_list_matches_no_host_and_a_missing_list_each() {
+fn an_empty_list_matches_no_host_and_a_missing_list_matches_all() {
     let none = Pool { zones: Some(at(1, vec![])), ..pool("none") };
     assert_eq!(pools_of(vec![none, pool("all")], &HOST), ["all"]);
     assert_eq!(pools_of(vec![pool("all")], &HostAttributes::default()), ["all"]);
@@ -39,11 +39,11 @@
 
 #[test]
 fn a_host_may_be_in_several_pools_or_in_none() {
-    let pools = vec![zone("east", "east"), zone("west", "west"), pool("all")];
+    let pools = vec![zone_pool("east", "east"), zone_pool("west", "west"), pool("all")];
     assert_eq!(pools_of(pools, &HOST), ["east", "all"]);
-    let (east, west) = (zone("east", "east"), zone("west", "west"));
-    let routes =
-        Platform::new().compile(&operators(vec![east, west], vec![customers("r", "east", &[0..=9])]));
+    let (east, west) = (zone_pool("east", "east"), zone_pool("west", "west"));
+    let routes = Platform::new()
+        .compile(&operators(vec![east, west], vec![route_for_customers("r", "east", &[0..=9])]));
     let outside = routes.pools_of(&HostAttributes { zone: "north", ..HOST });
     assert_eq!(outside, PoolMask::NONE);
     assert!(!routes.lookup(request(0, 0, 9)).pool.accepts(outside));
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_destination_accepts_only_hosts_of_its_pool() {
-    let pools = vec![zone("east", "east"), zone("west", "west")];
+    let pools = vec![zone_pool("east", "east"), zone_pool("west", "west")];
     let routes = Platform::new().compile(&operators(pools, vec![route("r", "west")]));
     let destination = routes.lookup(request(0, 0, 0));
     assert!(destination.pool.accepts(routes.pools_of(&HostAttributes { zone: "west", ..HOST })));
--- a/crates/routing/tests/routing/quota.rs
+++ b/crates/routing/tests/routing/quota.rs
@@ -1,4 +1,4 @@
-//! Effective quotas.
+//! The effective quota of a plan, from the platform's grant and the operators' policies.
 
 use config_language::model::{Operators, QuotaPolicy};
 use proptest::prelude::*;
@@ -40,7 +40,7 @@
     assert_eq!(values(standard), (3.0, 20.0, 2));
     let source = LimitSource::Policy { name: "slow".into(), origin: at(21, ()).origin };
     assert_eq!(standard.rate.source, source);
-    // One above the platform's limit, and one equal to it.
+    // The policy's burst is above the platform's limit, and its `open` is equal to it.
     assert_eq!(
         (&standard.burst.source, &standard.max_concurrent.source),
         (&LimitSource::Platform, &LimitSource::Platform)
@@ -102,7 +102,7 @@
     assert_eq!(error.to_string(), "park.fb:7:3: the platform has no plan `gold`");
 }
 
-/// Returns what a limit allows: 0 means no limit to the decision module.
+/// Returns the highest value that a limit allows. A limit of 0 means no limit to the decision module.
 fn allowed(limit: f64) -> f64 {
     if limit == 0.0 {
         f64::INFINITY
@@ -138,8 +138,8 @@
             prop_assert!(allowed(open.into()) <= allowed(platform.max_concurrent.into()));
             // With a rate the burst is a limit, and a burst of 0 is the lowest one.
             prop_assert!(platform.rate == 0.0 || burst <= platform.burst);
-            for given in operators.policies.iter().filter_map(|policy| policy.rate.as_ref()) {
-                prop_assert!(allowed(rate) <= given.value);
+            for policy_rate in operators.policies.iter().filter_map(|policy| policy.rate.as_ref()) {
+                prop_assert!(allowed(rate) <= policy_rate.value);
             }
         }
     }
