--- a/crates/routing/examples/lookup_cost.rs
+++ b/crates/routing/examples/lookup_cost.rs
@@ -22,7 +22,8 @@
     Shared,
     /// Each route names one class and one plan: 24 tables, each with a part of the routes.
     Apart,
-    /// The first 24 routes each name one class and one plan, the others apply to all: 24 tables, each with nearly all routes.
+    /// The first 24 routes each name one class and one plan, the others apply to all: 24 tables, each with nearly all
+    /// routes.
     Mixed,
 }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -2,8 +2,8 @@
 //! has.
 //!
 //! The operators define pools of hosts, routes that send requests to pools, and quota policies. A gateway compiles
-//! them once when it reads the files, into a [`RoutingTable`] and [`EffectiveQuota`]s, and from then on only looks values up.
-//! The crate does no I/O, reads no clock and draws no random numbers.
+//! them once when it reads the files, into a [`RoutingTable`] and [`EffectiveQuota`]s, and from then on only looks
+//! values up. The crate does no I/O, reads no clock and draws no random numbers.
 //!
 //! ```
 //! use config_language::model::{At, Operators, Origin, Pool, Route};
@@ -54,8 +54,9 @@
 //! The routes are ordered as in the files, and the first one that applies to the class, plan and customer of a request
 //! decides. This route is computed when the files are compiled. Classes that are named by the same routes form a group,
 //! and so do plans. Each pair of groups has one table, which divides the customers into disjoint ranges and stores the
-//! winning route of each. A look-up reads the groups of class and plan and does a binary search in one table. A table for `n`
-//! ranges in the files has at most `2 n + 1` ranges of 10 bytes each; [`MAX_RANGES`] bounds all tables together.
+//! winning route of each. A look-up reads the groups of class and plan and does a binary search in one table. A table
+//! for `n` ranges in the files has at most `2 n + 1` ranges of 10 bytes each; [`MAX_RANGES`] bounds all tables
+//! together.
 //!
 //! # Reload
 //!
--- a/crates/routing/src/quota.rs
+++ b/crates/routing/src/quota.rs
@@ -106,7 +106,8 @@
     policies: &[&QuotaPolicy],
 ) -> Result<EffectiveQuota, RoutingError> {
     let has_rate = granted.rate > 0.0;
-    // With a rate, a burst of 0 is a limit: the bucket is always empty. Without a rate, it means that there is no bucket.
+    // With a rate, a burst of 0 is a limit: the bucket is always empty. Without a rate, it means that there is no
+    // bucket.
     let has_burst = has_rate || granted.burst > 0.0;
     let rate = lowest(granted.rate, has_rate, policies, |policy| policy.rate.as_ref());
     let burst = lowest(granted.burst, has_burst, policies, |policy| policy.burst.as_ref());
--- a/crates/routing/src/site_pools.rs
+++ b/crates/routing/src/site_pools.rs
@@ -1,7 +1,7 @@
 //! The part of each pool that is in a site, which is itself a pool with a bit.
 //!
-//! To keep a request away from a lost site, its destination is narrowed to the parts of its pool in the other sites. The
-//! decision module then needs only the mask of the destination.
+//! To keep a request away from a lost site, its destination is narrowed to the parts of its pool in the other sites.
+//! The decision module then needs only the mask of the destination.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
 
 /// Separates the names of pool and site in the name of a part. The operators' language allows it in no name.
 const SEPARATOR: char = '\u{1f}';
-/// In a set of sites, the bit for the hosts that are in no site. The other bits are the positions of sites in the files.
+/// In a set of sites, the bit for the hosts that are in no site. The other bits are the positions of sites in the
+/// files.
 const NO_SITE_BIT: usize = 63;
 
 /// A site and its zones; if `site` is `None`, the zones that are in no site.
--- a/crates/site-failover/src/capacity_check.rs
+++ b/crates/site-failover/src/capacity_check.rs
@@ -1,5 +1,4 @@
-//! Checks by arithmetic whether the fleet carries the loss of sites, from the capacities and loads that operators
-//! declare.
+//! Computes whether the fleet can carry the loss of sites, from the capacities and loads that operators declare.
 //!
 //! Assumptions:
 //!
@@ -68,7 +67,7 @@
 /// How the load fits the sites that remain after a loss. Rates are in requests per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadFit {
-    /// Load of the whole fleet.
+    /// Total load of the fleet.
     pub demand: f64,
     /// Sites that remain.
     pub remaining_sites: Vec<SiteDemand>,
--- a/crates/site-failover/src/controller/exclusions.rs
+++ b/crates/site-failover/src/controller/exclusions.rs
@@ -21,12 +21,12 @@
         self.reported.is_empty()
     }
 
-    /// Has the hosts computed again, as the plan or the host list has changed.
+    /// Marks the reported hosts as stale, because the plan or the host list has changed.
     pub fn invalidate(&mut self) {
         self.is_stale = true;
     }
 
-    /// Returns the hosts that are excluded now and were not, or the other way round, and reports them.
+    /// Returns the hosts whose exclusion has changed since the last call, in either direction.
     pub fn changed_hosts(&mut self, inventory: &HostInventory, states: &[SiteState]) -> Vec<HostId> {
         let exclusions: Vec<Option<Exclusion>> = states.iter().map(SiteState::exclusion).collect();
         let is_stale = std::mem::take(&mut self.is_stale);
--- a/crates/site-failover/src/controller/gateway_identity.rs
+++ b/crates/site-failover/src/controller/gateway_identity.rs
@@ -5,8 +5,8 @@
 use crate::hashing::uniform_from_hash;
 use crate::time::SECOND;
 
-/// Turns per second at a lost site of all gateways together, whatever the size of the fleet. A turn has two probes at
-/// most.
+/// Turns per second of all gateways together to probe a lost site, whatever the size of the fleet. A turn has at most
+/// two probes.
 const FLEET_TURNS_PER_SECOND: u64 = 30;
 /// Minimum of the span between two turns of one gateway.
 const MIN_TURN_INTERVAL: Span = SECOND;
--- a/crates/site-failover/src/controller/health_decision.rs
+++ b/crates/site-failover/src/controller/health_decision.rs
@@ -1,6 +1,6 @@
-//! The health decision: from what a gateway knows about its sites to the next state of one of them.
+//! The health decision: determines the next state of a site from what a gateway knows about all sites.
 //!
-//! The checks come in the order of their precedence; the first one that decides ends the decision. Each check sets the
+//! The checks run in the order of their precedence, until one of them decides. Each check sets the
 //! site's state, and returns the cause if the state or the traffic fraction has changed.
 
 use std::ops::ControlFlow;
@@ -16,20 +16,21 @@
 
 /// A site that discovery lists no ready host of is lost if nothing answers there for this span.
 const EMPTIED_GRACE: Span = 2 * SECOND;
-/// A site that had no ready host when this gateway first heard of others may appear within this span without a
-/// recovery ramp: the deployment is starting.
+/// A site without a ready host at the time when this gateway first knows of ready hosts of other sites may get its
+/// hosts within this span without a recovery ramp, because the deployment is starting.
 const STARTUP_GRACE: Span = 60 * SECOND;
 /// A site is slow if responses take this multiple of the usual time.
 const SLOW_RATIO: f64 = 3.0;
 /// A slow site remains slow above this multiple of the usual time.
 const STILL_SLOW_RATIO: f64 = 1.5;
-/// A slow site's ratio exceeds that of the best other site by this factor, so that a slowdown everywhere does not count.
+/// A slow site's ratio exceeds that of the best other site by this factor, so that a slowdown everywhere does not
+/// count.
 const SLOWER_THAN_OTHERS: f64 = 2.0;
 
 /// Result of one check: `Break` if it decides, with the cause of a change, or `Continue` if the next check decides.
 type Check = ControlFlow<Option<TransitionCause>>;
 
-/// What the decisions of one tick have in common.
+/// Input that the decisions of one tick have in common.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TickInput<'a> {
     pub now: Time,
@@ -85,7 +86,7 @@
             decided(has_changed, TransitionCause::SetByOperators)
         }
         Some(OperatorOverride::Lost) if is_another_available => {
-            state.lose(now, SiteHealth::Lost);
+            state.exclude(now, SiteHealth::Lost);
             decided(true, TransitionCause::SetByOperators)
         }
         Some(OperatorOverride::Lost) => ControlFlow::Continue(()),
@@ -128,19 +129,19 @@
     if now < emptied + EMPTIED_GRACE {
         return ControlFlow::Break(None);
     }
-    state.lose(now, SiteHealth::Lost);
+    state.exclude(now, SiteHealth::Lost);
     decided(true, TransitionCause::NoHostsListed)
 }
 
-/// Excludes a site whose hosts were all restarted: they are cold, and the site recovers like any that was lost. As a
-/// deployment starts, its sites appear one after the other, which is no recovery.
+/// Excludes a site whose hosts were all restarted: they have to warm up, so the site recovers like any lost site.
+/// While a deployment starts, its sites appear one after the other, which is not a recovery.
 fn check_restarted(table: &mut SiteTable, site: usize, now: Time, emptied: Time) -> Check {
     table.inventory.forget_emptied(site);
     let is_startup = !table.has_capacity_fraction(site) && now < emptied + STARTUP_GRACE;
     if is_startup || !table.is_another_available(site) {
         return ControlFlow::Continue(());
     }
-    table.states[site].lose(now, SiteHealth::Lost);
+    table.states[site].exclude(now, SiteHealth::Lost);
     decided(true, TransitionCause::NoHostsListed)
 }
 
@@ -175,7 +176,7 @@
     }
     let may_be_isolated = table.is_own_site_alone(now, site);
     let health = if may_be_isolated { SiteHealth::Unreachable } else { SiteHealth::Lost };
-    table.states[site].lose(now, health);
+    table.states[site].exclude(now, health);
     decided(true, evidence.into())
 }
 
@@ -200,7 +201,7 @@
         RampProgress::StepChanged | RampProgress::Complete => Some(TransitionCause::RecoveryProgress),
         RampProgress::Failed if !table.is_another_available(site) => None,
         RampProgress::Failed => {
-            table.states[site].lose(tick.now, SiteHealth::Lost);
+            table.states[site].exclude(tick.now, SiteHealth::Lost);
             Some(TransitionCause::RecoveryFailed)
         }
     }
--- a/crates/site-failover/src/controller/host_inventory.rs
+++ b/crates/site-failover/src/controller/host_inventory.rs
@@ -9,7 +9,7 @@
 
 /// Time for which a removed host is remembered, so that its last attempts still count for its site.
 const REMOVED_HOST_LIFETIME: Span = 10 * SECOND;
-/// Lower bound of a host's size, so that no ready host weighs nothing.
+/// Lower bound of a host's size, so that each ready host has a weight above zero.
 const MIN_HOST_SIZE: f64 = 1e-9;
 
 /// A host as discovery lists it.
@@ -76,7 +76,7 @@
         self.hosts.clear();
     }
 
-    /// Takes in a host list.
+    /// Applies a host list.
     pub fn on_host_list(
         &mut self,
         now: Time,
@@ -105,7 +105,7 @@
         self.has_changed = true;
     }
 
-    /// Rebuilds the listings if a host list or a plan has come since the last call, and returns whether one has.
+    /// Rebuilds the listings if a host list or a plan was applied since the last call, and returns whether one was.
     pub fn refresh(&mut self, now: Time) -> bool {
         if !std::mem::take(&mut self.has_changed) {
             return false;
@@ -124,9 +124,9 @@
         true
     }
 
-    /// Notes which sites are without ready hosts. A site whose hosts return without having been restarted was never
-    /// empty. Without any ready host in the fleet, the list says nothing about sites.
-    pub fn note_emptied(&mut self, now: Time) {
+    /// Records which sites have no ready hosts. A site whose hosts return without a restart is treated as never empty.
+    /// If the fleet has no ready host at all, the list says nothing about sites.
+    pub fn record_emptied(&mut self, now: Time) {
         if self.total_size() <= 0.0 {
             return;
         }
--- a/crates/site-failover/src/controller/mod.rs
+++ b/crates/site-failover/src/controller/mod.rs
@@ -33,7 +33,7 @@
 const TICK_INTERVAL: Span = SECOND;
 /// Span between two ticks while a site fails, is excluded, or recovers.
 const ALERT_TICK_INTERVAL: Span = 100 * MILLISECOND;
-/// Failures without an answer from which on ticks come at the shorter interval.
+/// Consecutive failures at a site from which on ticks follow at [`ALERT_TICK_INTERVAL`].
 const ALERT_FAILURES: u32 = suspect_query::MIN_FAILURES;
 
 /// The controller of site failover at one gateway.
@@ -70,7 +70,7 @@
         controller
     }
 
-    /// Puts another version of the plan in force. Sites that keep their names keep their observations and states. Host
+    /// Applies another version of the plan. Sites that keep their names keep their observations and states. Host
     /// lists are ignored while the plan has no sites, so after such a plan a full list has to be passed again.
     pub fn apply_plan(&mut self, plan: FailoverPlan, now: Time) {
         if self.table.plan.shedding != plan.shedding || plan.sites.is_empty() {
@@ -80,7 +80,7 @@
         self.suspect_queries.clear();
         self.excluded_hosts.invalidate();
         self.is_unrestricted &= self.is_idle();
-        // One more tick of a plan without sites revokes what the plan before has excluded and shed.
+        // With a plan without sites, one more tick revokes the exclusions and the shedding of the previous plan.
         let has_reported = !self.excluded_hosts.is_empty() || self.shedder.is_shedding_reported();
         self.next_tick_at = if self.is_idle() && !has_reported { Time::MAX } else { now };
     }
@@ -165,8 +165,8 @@
         exclusion.is_some_and(|exclusion| exclusion.excludes(host))
     }
 
-    /// Returns the sites that a request may go to. To be called once for each request, as an idempotent one may be used
-    /// as a health probe.
+    /// Returns the sites that a request may go to. Must be called once for each request, because an idempotent
+    /// request may be used as a health probe.
     pub fn allowed_sites(&mut self, now: Time, request: RequestId, is_idempotent: bool) -> SiteSet {
         if is_idempotent {
             if let Some(site) = self.suspect_queries.next_query(&self.table, now) {
@@ -195,7 +195,7 @@
         self.shedder.level()
     }
 
-    /// Takes in what was observed since the last tick, decides, and returns the changes, if there are any.
+    /// Updates the decisions from the observations since the last tick, and returns the changes, if there are any.
     #[must_use]
     pub fn tick(&mut self, now: Time) -> Option<FailoverUpdate> {
         if self.is_idle() {
@@ -216,7 +216,7 @@
         update.into_option()
     }
 
-    /// Revokes what a plan before the present one, which has no sites, has excluded and shed.
+    /// Revokes the exclusions and the shedding of the previous plan, because the present plan has no sites.
     fn revoke_everything(&mut self) -> Option<FailoverUpdate> {
         self.is_unrestricted = true;
         self.table.inventory.clear();
--- a/crates/site-failover/src/controller/site_table.rs
+++ b/crates/site-failover/src/controller/site_table.rs
@@ -1,4 +1,4 @@
-//! Everything that a gateway knows about its sites, and the questions that need more than one site to answer.
+//! Everything that a gateway knows about its sites, and the queries that concern more than one site.
 
 use policy::api::{Span, Time};
 
@@ -9,7 +9,7 @@
 use crate::site_state::SiteState;
 use crate::status::SiteStatus;
 
-/// Lower bound of the fleet's size that is divided by.
+/// Lower bound of the fleet's size where it is used as a divisor.
 const MIN_FLEET_SIZE: f64 = 1e-9;
 
 /// Since when parts of the control plane are in doubt.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Puts another plan in force. Sites that keep their names keep their observations and states.
+    /// Applies another plan. Sites that keep their names keep their observations and states.
     pub fn apply_plan(&mut self, plan: FailoverPlan, seed: u64, now: Time) {
         let mut observations = Vec::new();
         let mut states = Vec::new();
@@ -86,24 +86,25 @@
         self.observations.iter_mut().map(|site| site.tick(elapsed)).collect()
     }
 
-    /// Takes in the latest host list, and returns whether the list or the plan has changed since the last call.
+    /// Updates the listings and the capacity fractions from the latest host list, and returns whether the list or the
+    /// plan has changed since the last call.
     pub fn refresh_hosts(&mut self, now: Time) -> bool {
         let has_changed = self.inventory.refresh(now);
         self.update_capacity_fractions();
-        self.inventory.note_emptied(now);
+        self.inventory.record_emptied(now);
         has_changed
     }
 
-    /// Updates the sites' fractions of the fleet's capacity while all sites are well. A lost site thus keeps its
-    /// fraction, by which its load is taken over.
+    /// Updates the sites' fractions of the fleet's capacity while all sites receive full load and none fails. A lost
+    /// site thus keeps its fraction, which determines how many requests its failover targets take over.
     fn update_capacity_fractions(&mut self) {
         let total = self.inventory.total_size();
-        let is_well = self.states.iter().all(SiteState::has_full_traffic)
+        let is_undisturbed = self.states.iter().all(SiteState::has_full_traffic)
             && !self.observations.iter().any(SiteObservations::has_failure_run);
         let is_any_emptied = (0..self.states.len())
             .any(|site| self.inventory.ready(site).is_empty() && self.has_capacity_fraction(site));
         let is_none_known = (0..self.states.len()).all(|site| !self.has_capacity_fraction(site));
-        if is_well && !is_any_emptied && total > 0.0 || is_none_known {
+        if is_undisturbed && !is_any_emptied && total > 0.0 || is_none_known {
             for site in 0..self.states.len() {
                 self.update_capacity_fraction(site);
             }
@@ -126,7 +127,7 @@
         self.states.get(site).is_none_or(|state| !state.is_excluded())
     }
 
-    /// Returns whether this gateway cannot reach any host that receives load. No site is to be excluded then.
+    /// Returns whether this gateway cannot reach any host that receives load. No site may be excluded then.
     pub fn is_gateway_isolated(&self, now: Time) -> bool {
         let mut receiving = (0..self.observations.len())
             .filter(|site| self.receives_load(*site) && !self.inventory.ready(*site).is_empty())
@@ -172,8 +173,8 @@
         elsewhere
     }
 
-    /// Returns whether discovery and the counter are in doubt and no site answers but the one that this gateway is in.
-    /// Then it may be this gateway's site that is isolated rather than `lost` that has failed.
+    /// Returns whether discovery and the counter are in doubt and, apart from the site that this gateway is in, no
+    /// site answers. This gateway's site may then be isolated, rather than `lost` have failed.
     pub fn is_own_site_alone(&self, now: Time, lost: usize) -> bool {
         let Some(own) = self.plan.site_of(self.identity.zone) else { return false };
         own != lost
--- a/crates/site-failover/src/controller/suspect_query.rs
+++ b/crates/site-failover/src/controller/suspect_query.rs
@@ -1,5 +1,5 @@
 //! Requests that are sent to a suspect site on purpose. Load balancing avoids hosts that failed, so without such
-//! requests the evidence on the site would not grow any more.
+//! requests the evidence against the site would stop growing.
 
 use policy::api::{Span, Time};
 
@@ -12,9 +12,9 @@
 const MAX_FRACTION: f64 = 0.25;
 /// Lower bound of the rate of attempts that the interval is computed from, in attempts per second.
 const MIN_RATE: f64 = 0.1;
-/// Failures without an answer from which on a site is suspect.
+/// Consecutive failures from which on a site is suspect.
 pub(super) const MIN_FAILURES: u32 = 3;
-/// Hosts at which they have to be.
+/// Number of hosts at which these failures have to occur.
 const MIN_FAILED_HOSTS: usize = 2;
 
 /// The site that the next of these requests goes to.
@@ -36,7 +36,8 @@
         self.query = None;
     }
 
-    /// Chooses the site with the most failures, at more than one host, whose load has another place to go.
+    /// Chooses the suspect site with the most failures. A site is suspect only if another one is available for its
+    /// load.
     pub fn update(&mut self, table: &SiteTable, now: Time) {
         let sites = (0..table.states.len()).filter(|site| is_suspect(table, *site));
         let suspect = sites.max_by_key(|site| table.observations[*site].failure_count().failures);
--- a/crates/site-failover/src/controller/update.rs
+++ b/crates/site-failover/src/controller/update.rs
@@ -7,7 +7,7 @@
 /// Changes that the gateway has to carry out after a tick.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FailoverUpdate {
-    /// Hosts that are excluded now and were not, or the other way round.
+    /// Hosts whose exclusion has changed, in either direction.
     pub changed_hosts: Vec<HostId>,
     /// Admitted fraction of requests by cell, if it has changed; an empty list if all requests are admitted.
     pub admission_fractions: Option<Vec<f64>>,
--- a/crates/site-failover/src/health/failure_test.rs
+++ b/crates/site-failover/src/health/failure_test.rs
@@ -2,10 +2,10 @@
 //!
 //! An answer shows that the site is alive, and ends the run of failures. Each failure of a run adds the log-likelihood
 //! ratio of a failure at a failed site to one at a healthy site. The failure probability of a healthy site, the
-//! baseline, is the highest of a fixed minimum, of what is usual at the site, of what failed there just before the run,
-//! and of what fails at another site that answers. Thus a fault that affects all sites condemns none of them, and
-//! neither does one through which the site has been answering. The evidence of one host is bounded, so that no single
-//! host condemns its site.
+//! baseline, is the highest of four values: a fixed minimum, the site's usual failure fraction, its failure fraction
+//! just before the run, and the lowest failure fraction of the other sites that answer. Thus no site counts as failed
+//! because of a fault that affects all sites, or of one during which the site keeps answering. The evidence of one host
+//! is bounded, so that failures of a single host are not enough, unless it is the site's only one.
 
 use policy::api::{Span, Time};
 
@@ -16,7 +16,7 @@
 const FAILURE_PROBABILITY_IF_LOST: f64 = 0.98;
 /// Minimum of the failure probability of attempts at a healthy site, however few have failed so far.
 const MIN_BASELINE: f64 = 0.1;
-/// Failure fraction from which on another site is no reference.
+/// Failure fraction at or above which another site is not used as a reference.
 const MAX_REFERENCE_FAILURES: f64 = 0.5;
 /// False alarms per hour and site that the test of one gateway may raise if failures are independent.
 const FALSE_ALARMS_PER_HOUR: f64 = 1e-7;
@@ -24,7 +24,7 @@
 const MIN_ATTEMPT_RATE: f64 = 0.05;
 /// Minimum length of a run of failures; a shorter one may be a network glitch.
 const MIN_RUN_LENGTH: Span = 250 * MILLISECOND;
-/// Hosts that have to fail before a site is lost, if the site has as many.
+/// Hosts that have to fail before a site is lost, if it has that many.
 const MIN_FAILED_HOSTS: usize = 4;
 /// Fraction of the threshold from which on a site is suspect.
 const SUSPECT_FRACTION: f64 = 0.5;
@@ -57,14 +57,14 @@
 }
 
 /// Returns the evidence against a site with `ready_hosts` hosts in service, with the `other_sites` that receive load as
-/// references. Returns `None` if attempts do not fail for long enough, or if no other site is a reference.
+/// references. Returns `None` if attempts have not been failing for long enough, or if no other site is a reference.
 pub(crate) fn failure_evidence<'a>(
     site: &SiteObservations,
     now: Time,
     ready_hosts: usize,
     other_sites: impl Iterator<Item = &'a SiteObservations>,
 ) -> Option<FailureEvidence> {
-    let run = long_run(site, now)?;
+    let run = sustained_run(site, now)?;
     let elsewhere = other_sites
         .filter(|other| is_reference(other, now, run.started))
         .map(|other| other.recent.failure_fraction())
@@ -76,12 +76,12 @@
 
 /// Returns whether this gateway fails to reach a site with `ready_hosts` hosts in service, whatever other sites do.
 pub(crate) fn is_unreachable(site: &SiteObservations, now: Time, ready_hosts: usize) -> bool {
-    long_run(site, now).is_some_and(|run| {
+    sustained_run(site, now).is_some_and(|run| {
         evidence_of_run(run, site.attempts_per_second, ready_hosts, MIN_BASELINE).is_conclusive()
     })
 }
 
-fn long_run(site: &SiteObservations, now: Time) -> Option<&FailureRun> {
+fn sustained_run(site: &SiteObservations, now: Time) -> Option<&FailureRun> {
     site.failure_run.as_ref().filter(|run| now >= run.started + MIN_RUN_LENGTH)
 }
 
--- a/crates/site-failover/src/health/observations.rs
+++ b/crates/site-failover/src/health/observations.rs
@@ -14,9 +14,9 @@
 const CANCELLED_AS_FAILED: f64 = 4.0;
 /// Number of attempts over which the failure fraction ahead of the current run of failures is averaged.
 const AVERAGED_ATTEMPTS: u32 = 32;
-/// Answers without which the usual response time is unknown.
+/// Number of answers below which a mean response time is unknown.
 const MIN_USUAL_ANSWERS: f64 = 20.0;
-/// Lower bounds, in seconds, of spans that are divided by.
+/// Lower bounds, in seconds, of divisors.
 const MIN_ELAPSED: f64 = 1e-3;
 const MIN_RESPONSE_TIME: f64 = 1e-6;
 
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,11 +1,11 @@
-//! Loss and recovery of a whole site, without I/O.
+//! Site failover: decides when a site is lost, where its load goes, and how it recovers. Does no I/O.
 //!
 //! # Purpose
 //!
-//! Operators plan ahead which zones fail together as a *site*, which other sites take over a lost site's load, and which
-//! requests are shed first if the remaining capacity does not suffice. Each gateway runs a [`FailoverController`], which
-//! decides from the gateway's own observations whether a site is lost, and brings a recovered site back gradually.
-//! Gateways do not communicate with one another for this.
+//! Operators plan ahead which zones fail together as a *site*, which other sites take over a lost site's load, and
+//! which requests are shed first if the remaining capacity does not suffice. Each gateway runs a
+//! [`FailoverController`], which decides from the gateway's own observations whether a site is lost, and brings a
+//! recovered site back gradually. Gateways do not communicate with one another for this.
 //!
 //! # Contract
 //!
@@ -20,8 +20,8 @@
 //!
 //! The caller asks for each request which sites it may go to ([`allowed_sites`](FailoverController::allowed_sites)),
 //! calls [`tick`](FailoverController::tick) at [`next_tick_at`](FailoverController::next_tick_at), and carries out the
-//! [`FailoverUpdate`] that a tick returns. The controller never excludes all sites. It has no clock and no random
-//! numbers of its own: equal calls give equal results. With a plan without sites it does nothing.
+//! [`FailoverUpdate`] that a tick returns. The controller never excludes all sites. It reads no clock and
+//! draws no random numbers: equal calls give equal results. With a plan without sites it does nothing.
 //!
 //! # Example
 //!
@@ -85,15 +85,16 @@
 //!    the declared capacities carry.
 //! 2. `controller/mod.rs` passes host lists to `controller/host_inventory.rs`, and ends of attempts to
 //!    `health/observations.rs`.
-//! 3. At each tick `controller/health_decision.rs` decides the health of each site: operators first, then what this
-//!    gateway reaches at all, the host list, and the sequential test of `health/failure_test.rs`. While a site is
+//! 3. At each tick `controller/health_decision.rs` decides the health of each site, by these checks in order: the
+//!    operators' override, whether this gateway reaches any host at all, the host list, and the sequential test of
+//!    `health/failure_test.rs`. While a site is
 //!    suspect, `controller/suspect_query.rs` sends a few requests there to get evidence.
-//! 4. A lost site becomes excluded in `site_state.rs`, the state machine of a site; `controller/exclusions.rs` reports its
-//!    hosts to the gateway.
-//! 5. `traffic_split.rs` binds the lost site's load to its failover targets, and `shedding.rs` sheds requests by tiers
+//! 4. A lost site becomes excluded in `site_state.rs`, the state machine of a site; `controller/exclusions.rs` reports
+//!    its hosts to the gateway.
+//! 5. `traffic_split.rs` sends the lost site's load to its failover targets, and `shedding.rs` sheds requests by tiers
 //!    while capacity is exhausted.
-//! 6. `recovery/probing.rs` probes the lost site in the gateway's turns, which `controller/gateway_identity.rs` spreads
-//!    over the fleet.
+//! 6. `recovery/probing.rs` probes the lost site when it is the gateway's turn; `controller/gateway_identity.rs`
+//!    spreads the gateways' turns over time.
 //! 7. Once enough hosts answer, and `recovery/backoff.rs` permits, `recovery/ramp.rs` gives the site its load back step
 //!    by step.
 //! 8. `transition.rs` and `status.rs` report all of it for logs and queries.
--- a/crates/site-failover/src/recovery/backoff.rs
+++ b/crates/site-failover/src/recovery/backoff.rs
@@ -1,5 +1,5 @@
-//! The minimum time between two recoveries of a site, which keeps a site that fails again and again from taking and
-//! losing its load just as often.
+//! The minimum time between two recoveries of a site. It limits how often a site that fails repeatedly gains and loses
+//! its load.
 
 use policy::api::{Span, Time};
 
@@ -23,19 +23,19 @@
         RecoveryBackoff { last_started: None, interval: MIN_INTERVAL }
     }
 
-    /// Returns whether a recovery may start.
-    pub fn is_over(&self, now: Time) -> bool {
+    /// Returns whether the minimum time since the last recovery has passed, so that another one may start.
+    pub fn has_expired(&self, now: Time) -> bool {
         self.last_started.is_none_or(|started| now >= started + self.interval)
     }
 
-    /// Notes that a recovery starts.
+    /// Records that a recovery starts.
     pub fn on_recovery_started(&mut self, now: Time) {
         self.last_started = Some(now);
     }
 
-    /// Notes that the site is lost, which doubles the interval if it is lost during a recovery or soon after.
+    /// Records that the site is lost, which doubles the interval if it is lost during a recovery or soon after.
     pub fn on_lost(&mut self, now: Time, is_recovering: bool) {
-        if is_recovering || !self.is_over(now) {
+        if is_recovering || !self.has_expired(now) {
             self.interval = (2 * self.interval).min(MAX_INTERVAL);
         }
     }
--- a/crates/site-failover/src/recovery/probing.rs
+++ b/crates/site-failover/src/recovery/probing.rs
@@ -10,7 +10,7 @@
 const PROBE_TIMEOUT: Span = SECOND;
 /// Hosts that have to answer probes before a site recovers, if the site has as many ready hosts.
 const MIN_ANSWERING_HOSTS: usize = 2;
-/// Answers count for this number of turns, and for this span at least.
+/// Answers count for this number of turns, but at least for [`MIN_ANSWER_LIFETIME`].
 const ANSWER_LIFETIME_TURNS: u64 = 3;
 const MIN_ANSWER_LIFETIME: Span = 10 * SECOND;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// How far a probe has come.
+/// Progress of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeState {
     /// No request has been sent as the probe yet.
@@ -124,17 +124,17 @@
             }
         }
         let last = self.probe.take();
-        let is_followed =
+        let is_second_of_turn =
             last.is_some_and(|probe| probe.is_first_of_turn && probe.state == ProbeState::Succeeded);
         let is_turn = now >= turns.next_turn;
-        if ready.is_empty() || !(is_followed || is_turn) {
+        if ready.is_empty() || !(is_second_of_turn || is_turn) {
             return;
         }
-        if !is_followed {
+        if !is_second_of_turn {
             turns.advance(now, turn_interval);
         }
         let host = turns.next_host(ready);
-        let is_first_of_turn = !is_followed;
+        let is_first_of_turn = !is_second_of_turn;
         self.probe = Some(Probe { host, opened: now, state: ProbeState::Open, is_first_of_turn });
     }
 
--- a/crates/site-failover/src/recovery/ramp.rs
+++ b/crates/site-failover/src/recovery/ramp.rs
@@ -1,4 +1,5 @@
-//! The recovery ramp: the steps by which a site that was lost gets its load back, at a speed that depends on how its attempts end.
+//! The recovery ramp: the steps by which a site that was lost receives its load again, at a speed that depends on how
+//! attempts at it end.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +16,11 @@
 const MIN_ATTEMPTS: f64 = 6.0;
 /// A step with too few attempts lasts this number of times longer.
 const TOO_FEW_ATTEMPTS_FACTOR: Span = 4;
-/// A step that is worse than elsewhere, but not bad enough to be taken back, lasts this number of times longer.
+/// A step that is worse than elsewhere, but not bad enough for a step back, lasts this number of times longer.
 const DEGRADED_FACTOR: Span = 16;
-/// A step lasts this number of times longer after any step was taken back.
+/// A step lasts this number of times longer after any step back in the same recovery.
 const AFTER_STEP_BACK_FACTOR: Span = 2;
-/// Minimum time in a step before it is taken back, so that attempts of the previous step have ended.
+/// Minimum time in a step before a step back, so that attempts of the previous step have ended.
 const MIN_TIME_BEFORE_STEP_BACK: Span = 2 * SECOND;
 /// Time constant by which the attempts of a step decay: hosts that warm up are assessed by their latest attempts.
 const STATS_DECAY: Span = 5 * SECOND;
@@ -30,7 +31,7 @@
 /// Standard deviations by which the failure fraction may exceed the tolerated one by chance.
 const FAILURE_DEVIATIONS: f64 = 3.0;
 
-/// What a step of the ramp is assessed by.
+/// Input by which a step of the ramp is assessed and advanced.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RampInput<'a> {
     /// Time since the last tick.
@@ -41,7 +42,7 @@
     pub usual_response_time: Option<f64>,
     /// Speed of the ramp.
     pub speed: RampSpeed,
-    /// Shortest duration of the whole ramp.
+    /// Shortest duration of the ramp, all steps together.
     pub min_duration: Span,
 }
 
@@ -82,7 +83,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecoveryRamp {
     step: usize,
-    steps_taken_back: u32,
+    step_back_count: u32,
     /// Time in the current step.
     time_in_step: Span,
     /// The part of that time that counts, by the speed.
@@ -92,7 +93,7 @@
     elsewhere: AttemptStats,
     /// Attempts at the recovering site since the last tick.
     since_last_tick: AttemptStats,
-    /// Hosts that were tried since the recovery started, and whether they have ever answered.
+    /// Hosts at which attempts ended since the recovery started, and whether they have ever answered.
     has_answered: BTreeMap<HostId, bool>,
     /// Number of those that have answered.
     answering_hosts: usize,
@@ -114,7 +115,7 @@
     }
 
     /// Observes the end of an attempt at a host of the site. Failures of a host that has not answered since the
-    /// recovery started do not count: the host is not back yet, which says nothing about the others.
+    /// recovery started do not count: the host has not recovered yet, which says nothing about the others.
     pub fn on_attempt_ended(&mut self, host: HostId, is_answered: bool, response_time: Span) {
         let has_answered = self.has_answered.entry(host).or_default();
         if is_answered {
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Assesses the current step, and moves to the next or the previous one if it is time.
+    /// Assesses the current step, and moves to the previous step if it is bad, or to the next one once it has lasted
+    /// long enough.
     pub fn tick(&mut self, input: &RampInput) -> RampProgress {
         let decay = libm::exp(-(input.elapsed as f64) / STATS_DECAY as f64);
         self.here.decay(decay);
@@ -151,10 +153,10 @@
         if self.time_in_step < MIN_TIME_BEFORE_STEP_BACK {
             return RampProgress::Unchanged;
         }
-        if self.step == 0 && self.steps_taken_back > 0 {
+        if self.step == 0 && self.step_back_count > 0 {
             return RampProgress::Failed;
         }
-        self.steps_taken_back += 1;
+        self.step_back_count += 1;
         self.enter_step(self.step.saturating_sub(1));
         RampProgress::StepChanged
     }
@@ -172,7 +174,7 @@
 
     fn step_duration(&self, quality: StepQuality, min_duration: Span) -> Span {
         let mut duration = min_duration / STEP_FRACTIONS.len() as Span;
-        if self.steps_taken_back > 0 {
+        if self.step_back_count > 0 {
             duration *= AFTER_STEP_BACK_FACTOR;
         }
         match quality {
@@ -191,7 +193,7 @@
     }
 
     /// Compares the failures and response times of the step with those elsewhere and with the usual response time,
-    /// allowing for what so few attempts show by chance.
+    /// allowing for the random deviation to expect with this number of attempts.
     fn step_quality(&self, usual_response_time: Option<f64>) -> StepQuality {
         let attempts = self.here.attempts();
         if attempts < MIN_ATTEMPTS {
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Returns the fraction of the hosts tried since the recovery started that have answered; 1 if none has.
+    /// Returns the fraction of hosts, of those in `has_answered`, that have answered; 1 if none has.
     fn answering_fraction(&self) -> f64 {
         if self.answering_hosts == 0 {
             return 1.0;
--- a/crates/site-failover/src/shedding.rs
+++ b/crates/site-failover/src/shedding.rs
@@ -8,8 +8,8 @@
 
 /// Time constant in seconds by which the traffic mix decays.
 const MIX_DECAY: f64 = 5.0;
-/// Interval at which the level is adjusted. While fewer than [`MIN_REQUESTS`] have come it grows up to
-/// [`MAX_INTERVAL`].
+/// Minimum interval between adjustments of the level. Until [`MIN_REQUESTS`] requests have been observed, an adjustment
+/// is delayed, up to [`MAX_INTERVAL`].
 const MIN_INTERVAL: Span = SECOND;
 const MAX_INTERVAL: Span = 5 * SECOND;
 const MIN_REQUESTS: f64 = 10.0;
@@ -22,7 +22,7 @@
 const DECREASE_PER_SECOND: f64 = 0.05;
 /// Smallest change of a cell's admission fraction that is reported.
 const MIN_REPORTED_CHANGE: f64 = 0.005;
-/// Lower bound of the number of requests that is divided by.
+/// Lower bound of a number of requests that is used as a divisor.
 const MIN_TOTAL: f64 = 1e-9;
 
 /// Load shedding of one gateway.
@@ -51,7 +51,7 @@
         LoadShedder { requests: vec![0.0; cells], mix: vec![0.0; cells], ..LoadShedder::default() }
     }
 
-    /// Starts anew with other tiers. The reported fractions are kept, so that the next report corrects them.
+    /// Resets the state for other tiers. The reported fractions are kept, so that the next report corrects them.
     pub fn reset(&mut self, shedding: &SheddingTiers) {
         let reported = std::mem::take(&mut self.reported);
         *self = LoadShedder { reported, ..LoadShedder::new(shedding) };
@@ -91,7 +91,8 @@
         (self.level > 0.0).then(|| libm::ceil(self.level) as usize - 1)
     }
 
-    /// Adjusts the level if it is time. While `all_available` sites receive their load, the level only decreases.
+    /// Adjusts the level if the interval has passed. With `all_available`, which means that all sites receive their
+    /// load, the level only decreases.
     pub fn tick(&mut self, elapsed: Span, shedding: &SheddingTiers, all_available: bool) {
         self.since_adjustment += elapsed;
         let requests: f64 = self.requests.iter().sum();
--- a/crates/site-failover/src/site_state.rs
+++ b/crates/site-failover/src/site_state.rs
@@ -1,7 +1,7 @@
 //! The state machine of one site: its health, and how much of its load it receives.
 //!
-//! Health and traffic are two dimensions. A site whose health becomes `Slow` or `Suspect` keeps the traffic that it has;
-//! [`SiteState::lose`] excludes it, [`SiteState::start_recovery`] lets it back in by a ramp, and
+//! Health and traffic are two dimensions. A site whose health becomes `Slow` or `Suspect` keeps the traffic that it
+//! has; [`SiteState::exclude`] excludes it, [`SiteState::start_recovery`] lets it back in by a ramp, and
 //! [`SiteState::admit_fully`] restores all of its load.
 
 use policy::api::{HostId, Span, Time};
@@ -12,7 +12,7 @@
 };
 use crate::time::SECOND;
 
-/// Time for which a recovery waits while discovery is silent or the counter in doubt; then it goes on at half speed.
+/// Time for which a recovery waits while discovery is silent or the counter in doubt; then it continues at half speed.
 const MAX_WAIT_IN_DOUBT: Span = 30 * SECOND;
 
 /// How much of its load a site receives.
@@ -95,7 +95,7 @@
         matches!(self.traffic, Traffic::Full)
     }
 
-    /// Returns whether nothing is known that makes the fleet's capacity less than usual.
+    /// Returns whether the site receives all of its load and is reachable, so that the fleet's capacity is not reduced.
     pub fn is_fully_available(&self) -> bool {
         self.has_full_traffic() && self.health != SiteHealth::Unreachable
     }
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Returns whether a request may go to the site, given the request's uniform draw from `[0, 1)`. No more than the
-    /// traffic fraction of the site's share of all requests may.
+    /// Returns whether a request may go to the site, given the request's uniform draw from `[0, 1)`. Of the site's
+    /// share of all requests, at most the traffic fraction is admitted.
     pub fn admits(&self, draw: f64, is_idempotent: bool) -> bool {
         match &self.traffic {
             Traffic::Full => true,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Uses a request as a health probe, and returns whether one was open for it.
+    /// Uses a request as the health probe if one is open, and returns whether it does.
     pub fn start_probe(&mut self, now: Time) -> bool {
         match &mut self.traffic {
             Traffic::Excluded(probing) => probing.start_probe(now),
@@ -163,7 +163,7 @@
     }
 
     /// Excludes the site, which is lost or unreachable.
-    pub fn lose(&mut self, now: Time, health: SiteHealth) {
+    pub fn exclude(&mut self, now: Time, health: SiteHealth) {
         let is_recovering = matches!(self.traffic, Traffic::Ramping(_));
         self.backoff.on_lost(now, is_recovering);
         self.set_health(now, health);
@@ -198,11 +198,11 @@
         probing.is_answering(now, ready.len(), turn_interval)
     }
 
-    /// Returns whether a recovery may start: the backoff is over, and nothing has been in doubt lately.
+    /// Returns whether a recovery may start: the backoff has expired, and no doubt about the control plane delays it.
     /// `in_doubt_since` is the time since which discovery is silent or the counter in doubt.
     pub fn may_recover(&self, now: Time, in_doubt_since: Option<Time>) -> bool {
         let is_waiting = self.doubt_wait_end(in_doubt_since).is_some_and(|wait_end| now < wait_end);
-        self.backoff.is_over(now) && !is_waiting
+        self.backoff.has_expired(now) && !is_waiting
     }
 
     /// Starts a recovery of the site by a ramp.
@@ -237,8 +237,8 @@
         progress
     }
 
-    /// Returns the time until which a recovery waits for the doubt to end, counted from the later of the beginnings of
-    /// the doubt and of the site's present health.
+    /// Returns the time until which a recovery waits for the doubt to end, counted from the later of two times: when
+    /// the doubt began, and when the site entered its present health.
     fn doubt_wait_end(&self, in_doubt_since: Option<Time>) -> Option<Time> {
         in_doubt_since.map(|since| since.max(self.since) + MAX_WAIT_IN_DOUBT)
     }
--- a/crates/site-failover/src/traffic_split.rs
+++ b/crates/site-failover/src/traffic_split.rs
@@ -6,14 +6,15 @@
 use crate::plan::{FailoverPlan, SiteSet};
 use crate::site_state::SiteState;
 
-/// Purposes of the draws. Each draw is the same for a request whenever it is repeated, and independent of the others.
+/// Purposes of the hash draws. A draw gives the same number each time it is repeated for a request, and is independent
+/// of the draws for other purposes.
 const DRAW_LOST_SITE: u64 = 1;
 const DRAW_FAILOVER_TARGET: u64 = 2;
 /// Added to the index of a site.
 const DRAW_RECOVERING_SITE: u64 = 1_000;
 
-/// Returns the sites that a request may go to. A request that would have gone to a lost site is bound to one of that
-/// site's failover targets.
+/// Returns the sites that a request may go to. A request that would have gone to a lost site may go only to one of
+/// that site's failover targets.
 pub(crate) fn allowed_sites(
     plan: &FailoverPlan,
     states: &[SiteState],
