--- a/crates/site-failover/src/plan/error.rs
+++ b/crates/site-failover/src/plan/error.rs
@@ -51,7 +51,7 @@
     #[error("site `{0}` takes over twice from the same site")]
     DuplicateTarget(String),
     /// A fraction is not between 0 and 1, or the fractions of a site's failover targets add up to more than 1.
-    #[error("the shares of site `{0}` are not between nothing and the whole")]
+    #[error("the shares of site `{0}` must be between zero and its load, each and in total")]
     InvalidShares(String),
 }
 
--- a/crates/site-failover/tests/controller/failover_traffic.rs
+++ b/crates/site-failover/tests/controller/failover_traffic.rs
@@ -6,9 +6,9 @@
 use policy::api::RequestId;
 use site_failover::{GatewayIdentity, SiteSet};
 
-/// Load balancing avoids hosts that fail, so the evidence on a site would not grow without requests for it.
+/// Load balancing avoids hosts that fail, so without these requests the evidence against a site would stop growing.
 #[test]
-fn a_suspect_site_receives_idempotent_requests_now_and_then_until_it_answers() {
+fn a_suspect_site_receives_idempotent_requests_at_intervals_until_it_answers() {
     let mut simulation = Simulation::usual();
     simulation.run(30 * SECOND, 200.0, &all_answer);
     (0..9).for_each(|n| simulation.end_attempt(HOSTS_PER_SITE + n % 3, TIMED_OUT));
@@ -34,12 +34,12 @@
 
 #[test]
 fn a_lost_sites_load_goes_to_its_failover_targets_by_their_fractions() {
-    // Fractions of all requests that are bound to the first and the third site, by what the plan says.
+    // Expected fractions of all requests that may go only to the first site, and only to the third site.
     for (fractions, capacity, expected) in [
         ([0.5, 0.5], None, [0.167, 0.167]),
         ([0.9, 0.1], None, [0.3, 0.033]),
         ([0.3, 0.0], None, [0.1, 0.0]),
-        // The first has capacity for a fifth of the lost site's load: 133.4 x 0.9 - 100 of 100.
+        // The first site has capacity for a fifth of the lost site's load: 133.4 x 0.9 - 100 of 100.
         ([1.0, 0.0], Some(133.4), [0.067, 0.0]),
     ] {
         let mut plan = plan();
@@ -54,16 +54,18 @@
         let mut simulation = Simulation::new(plan, identity);
         simulation.run(30 * SECOND, 200.0, &all_answer);
         simulation.run(5 * SECOND, 200.0, &site_times_out(1));
-        let mut bound = [0.0; 3];
+        let mut restricted = [0.0; 3];
         for id in 0..30_000 {
             let allowed = simulation.controller.allowed_sites(simulation.now, RequestId(id), false);
-            let bound_to = (0..3).filter(|site| allowed == SiteSet::one(*site));
-            bound_to.for_each(|site| bound[site] += 1.0 / 30_000.0);
+            let restricted_to = (0..3).filter(|site| allowed == SiteSet::one(*site));
+            restricted_to.for_each(|site| restricted[site] += 1.0 / 30_000.0);
         }
         let is_near = |a: f64, b: f64| (a - b).abs() < 0.015;
         assert!(
-            is_near(bound[0], expected[0]) && is_near(bound[2], expected[1]) && bound[1] == 0.0,
-            "{fractions:?}: {bound:?}"
+            is_near(restricted[0], expected[0])
+                && is_near(restricted[2], expected[1])
+                && restricted[1] == 0.0,
+            "{fractions:?}: {restricted:?}"
         );
     }
 }
--- a/crates/site-failover/tests/controller/health.rs
+++ b/crates/site-failover/tests/controller/health.rs
@@ -10,18 +10,18 @@
 
 const NOT_SENT: Ending = (Outcome::NotSent, 0);
 
-/// A number that looks random, from 0 to 1, for each host and time.
+/// Returns a pseudo-random number in `[0, 1)` for each host and time.
 fn pseudo_random(now: Time, host: u64) -> f64 {
     let bits = ((now / 1_000) ^ (host << 40)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     ((bits ^ (bits >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// A fraction of all attempts times out.
+/// Returns endings with which a fraction of all attempts times out.
 fn fraction_times_out(fraction: f64) -> impl Fn(Time, u64) -> Ending {
     move |now, host| if pseudo_random(now, host) < fraction { TIMED_OUT } else { ANSWERED }
 }
 
-/// All attempts at the second site end like this, and those at the others are answered.
+/// Returns endings with which all attempts at the second site end as given, and those at the others are answered.
 fn second_site_ends(ending: Ending) -> impl Fn(Time, u64) -> Ending {
     move |_, host| if site_of(host) == 1 { ending } else { ANSWERED }
 }
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_failing_host_does_not_condemn_its_site_however_much_of_the_traffic_it_has() {
+fn failures_of_one_host_do_not_exclude_its_site_even_if_it_receives_all_requests_for_it() {
     let mut simulation = Simulation::usual();
     simulation.run(30 * SECOND, 100.0, &all_answer);
     // From here on requests go to one host of the site only, and it does not respond.
@@ -92,7 +92,7 @@
         simulation.end_attempt(HOSTS_PER_SITE, TIMED_OUT);
     }
     assert_eq!(simulation.excluded(), [false; 3]);
-    // Four are enough.
+    // Failures of four hosts are enough.
     for host in HOSTS_PER_SITE..HOSTS_PER_SITE + 4 {
         (0..10).for_each(|_| simulation.end_attempt(host, TIMED_OUT));
     }
@@ -101,8 +101,8 @@
 }
 
 #[test]
-fn failures_through_which_sites_keep_answering_move_no_load() {
-    // A third of one site's attempts fail for ten minutes; and two thirds of all sites' do.
+fn failures_move_no_load_while_the_sites_still_answer_some_attempts() {
+    // For ten minutes, a third of one site's attempts fail, or two thirds of all sites' attempts.
     let one_site = |now, host| match site_of(host) {
         1 => fraction_times_out(0.33)(now, host),
         _ => ANSWERED,
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_gateway_whose_site_may_be_isolated_considers_the_others_unreachable_rather_than_lost() {
-    // All but the gateway's own site fail. Whether the control plane is silent as well tells who is isolated.
+    // All but the gateway's own site fail. Whether the control plane is silent as well shows which side is isolated.
     for (is_silent, expected) in [(true, Unreachable), (false, Lost)] {
         let mut simulation = Simulation::usual();
         simulation.run(30 * SECOND, 100.0, &all_answer);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn never_all_sites_are_excluded() {
+fn all_sites_are_never_excluded_at_once() {
     let mut simulation = Simulation::usual();
     simulation.run(30 * SECOND, 100.0, &all_answer);
     for failed in 1..=3 {
@@ -155,7 +155,7 @@
     for (answers, started, without_hosts, with_hosts) in [
         (true, 0, Suspect, Healthy),
         (false, 0, Lost, Recovering),
-        // Listed again with hosts that have been restarted: they are cold.
+        // Listed again with hosts that have been restarted: they have to warm up.
         (true, 60 * SECOND, Suspect, Recovering),
     ] {
         let mut simulation = Simulation::usual();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn with_little_traffic_a_loss_is_found_late_and_there_is_no_false_alarm() {
+fn with_little_traffic_a_loss_is_detected_within_minutes_and_without_false_alarms() {
     let ten_per_minute = 1.0 / 6.0;
     let mut simulation = Simulation::usual();
     simulation.run(7_200 * SECOND, ten_per_minute, &fraction_times_out(0.05));
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_during_a_loss_finds_it() {
+fn a_gateway_that_starts_during_a_loss_detects_it() {
     let mut simulation = Simulation::usual();
     simulation.run(5 * SECOND, 100.0, &site_times_out(2));
     assert_eq!(simulation.health(), [Healthy, Healthy, Lost]);
@@ -200,7 +200,7 @@
     controller.on_host_list(0, HostListKind::Full, &listed(0..2 * HOSTS_PER_SITE, 0));
     (0..600).for_each(|n| drop(controller.tick(n * 100 * MILLISECOND)));
     assert!(controller.statuses().all(|status| status.health == Healthy));
-    // When it appears it is cold, and recovers like any other.
+    // When the site appears, its hosts have to warm up, so it recovers like a lost site.
     let third_site = listed(2 * HOSTS_PER_SITE..3 * HOSTS_PER_SITE, 61 * SECOND);
     controller.on_host_list(62 * SECOND, HostListKind::Delta, &third_site);
     drop(controller.tick(62 * SECOND));
@@ -233,7 +233,7 @@
 
 #[test]
 fn a_site_is_not_lost_while_no_other_site_answers_as_a_reference() {
-    // Nothing is answered anywhere, and nearly all is sent to one site, so that its failures are observed first.
+    // No site answers, and nearly all attempts are sent to one site, so that its failures are observed first.
     let mut simulation = Simulation::usual();
     simulation.run(30 * SECOND, 100.0, &all_answer);
     for n in 0..300 {
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_site_that_answers_now_and_then_is_lost_only_after_a_much_longer_run_of_failures() {
+fn a_site_that_answers_occasionally_is_lost_only_after_a_much_longer_run_of_failures() {
     let mut simulation = Simulation::usual();
     simulation.run(600 * SECOND, 100.0, &all_answer);
     let second_site_not_sent = second_site_ends(NOT_SENT);
@@ -265,5 +265,5 @@
     fail(&mut simulation, 20);
     assert_eq!(simulation.excluded(), [false; 3]);
     fail(&mut simulation, 600);
-    assert_eq!(simulation.health()[1], Lost, "but it is found");
+    assert_eq!(simulation.health()[1], Lost, "the loss is detected in the end");
 }
--- a/crates/site-failover/tests/controller/main.rs
+++ b/crates/site-failover/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! The controller of one gateway: what it decides from what it observes.
+//! The controller of one gateway: its decisions for given observations.
 
 mod failover_traffic;
 mod health;
--- a/crates/site-failover/tests/controller/operators.rs
+++ b/crates/site-failover/tests/controller/operators.rs
@@ -1,4 +1,4 @@
-//! What operators set: the health of a site, and another plan.
+//! Operators' settings: overrides of a site's health, and changes of the plan.
 
 use crate::simulation::{all_answer, plan, site_times_out, Simulation, HOSTS_PER_SITE, SECOND};
 use policy::api::{HostId, Time};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn another_plan_during_a_loss_keeps_the_states_of_sites_that_keep_their_names() {
+fn a_plan_applied_during_a_loss_preserves_the_states_of_sites_by_name() {
     let mut simulation = Simulation::usual();
     simulation.run(30 * SECOND, 100.0, &all_answer);
     simulation.run(5 * SECOND, 100.0, &site_times_out(1));
--- a/crates/site-failover/tests/controller/recovery.rs
+++ b/crates/site-failover/tests/controller/recovery.rs
@@ -1,4 +1,4 @@
-//! How a site that was lost recovers.
+//! The recovery of a lost site.
 
 use crate::simulation::{
     all_answer, plan, site_of, site_times_out, EndingOf, Simulation, ANSWERED, HOSTS_PER_SITE, MILLISECOND,
@@ -11,7 +11,7 @@
 /// Reports to a controller whether a part of the control plane is in doubt.
 type ReportDoubt = fn(&mut FailoverController, Time, bool);
 
-/// How far a recovery comes with certain endings of attempts.
+/// The expected progress of a recovery for given endings of attempts.
 struct RecoveryCase<'a> {
     title: &'a str,
     ending_of: EndingOf<'a>,
@@ -19,7 +19,7 @@
     expected: [(Span, f64, f64); 2],
 }
 
-/// A gateway that lost its second site 30 s ago.
+/// Returns a simulation whose second site has been failing for 30 s and is lost.
 fn after_a_loss() -> Simulation {
     let mut simulation = Simulation::usual();
     simulation.run(30 * SECOND, 200.0, &all_answer);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_recovering_site_receives_its_traffic_fraction_at_most() {
+fn a_recovering_site_receives_its_traffic_fraction_of_requests() {
     let mut simulation = after_a_loss();
     simulation.run(5 * SECOND, 200.0, &all_answer);
     for _ in 0..8 {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn non_idempotent_requests_are_no_probes_and_come_late_in_a_recovery() {
+fn non_idempotent_requests_go_neither_to_a_lost_site_nor_to_one_at_the_start_of_its_recovery() {
     let mut simulation = after_a_loss();
     let mut probes = 0;
     for n in 0..200 {
@@ -108,7 +108,7 @@
         assert!(!is_open || !controller.allowed_sites(now, RequestId(n), false).contains(1));
         probes += u32::from(controller.allowed_sites(now, RequestId(n), true) == SiteSet::one(1));
     }
-    assert!((5..=11).contains(&probes), "an idempotent one is, each second: {probes}");
+    assert!((5..=11).contains(&probes), "an idempotent request is a probe each second: {probes}");
     simulation.run(5 * SECOND, 200.0, &all_answer);
     assert_eq!((simulation.health()[1], simulation.traffic_fraction(1)), (Recovering, 0.05));
     for n in 0..5_000 {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_flapping_site_recovers_once_a_minute_at_most_and_ever_more_rarely() {
+fn a_flapping_site_recovers_at_most_once_a_minute_and_at_growing_intervals() {
     let mut simulation = Simulation::usual();
     simulation.run(30 * SECOND, 200.0, &all_answer);
     let flaps = |now: Time, host| match site_of(host) {
@@ -130,7 +130,7 @@
     let spans: Vec<Span> = started.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(!spans.is_empty() && spans.iter().all(|span| *span >= 60 * SECOND), "{spans:?}");
     assert!(spans.windows(2).all(|pair| pair[1] > pair[0]), "{spans:?}");
-    // Once it has been healthy for long, the backoff is reset: two recoveries in three minutes, not in ten.
+    // Once the site has been healthy for long, the backoff is reset: two recoveries take three minutes, not ten.
     simulation.run(1_500 * SECOND, 200.0, &all_answer);
     assert_eq!(simulation.health()[1], Healthy);
     let reset = simulation.now;
--- a/crates/site-failover/tests/controller/shedding.rs
+++ b/crates/site-failover/tests/controller/shedding.rs
@@ -4,12 +4,13 @@
 use policy::api::{HostState, RejectReason};
 use site_failover::SiteHealth::{Healthy, Lost};
 
-/// Whether the admitted fraction of a cell is at its floor.
+/// Returns whether the admitted fraction of a cell is at its floor.
 fn is_at(fraction: f64, floor: f64) -> bool {
     (fraction - floor).abs() < 1e-9
 }
 
-/// Whether the second tier is shed only if the first one is at its floor, and orders, which belong to no tier, never.
+/// Returns whether the second tier is shed only if the first one is at its floor. Orders belong to no tier and must
+/// never be shed.
 fn is_in_order(fractions: &[f64]) -> bool {
     match fractions {
         [] => true,
@@ -20,8 +21,8 @@
     }
 }
 
-/// Runs for a second with 100 requests of three classes in equal parts, of which `rejections` are rejected for want of
-/// capacity unless they are shed. Returns the admitted fractions.
+/// Runs for a second with 100 requests of three classes in equal parts, of which `rejections` are rejected because
+/// capacity is exhausted, unless they are shed before. Returns the admitted fractions.
 fn run_with_rejections(simulation: &mut Simulation, rejections: u32) -> Vec<f64> {
     for n in 0..100_u32 {
         let class = n as usize % 3;
@@ -48,7 +49,10 @@
     let first = &overload[0];
     assert!(first[0] > 0.1 && first[1] == 1.0, "the first tier is shed first: {first:?}");
     let last = &overload[29];
-    assert!(is_at(last[0], 0.1) && is_at(last[1], 0.3), "to their floors, and no further: {last:?}");
+    assert!(
+        is_at(last[0], 0.1) && is_at(last[1], 0.3),
+        "the tiers are shed to their floors, and no further: {last:?}"
+    );
     let calm: Vec<_> = (0..10).map(|_| run_with_rejections(&mut simulation, 0)).collect();
     assert!(calm.iter().all(|fractions| is_in_order(fractions)), "{calm:?}");
     let last = &calm[9];
--- a/crates/site-failover/tests/controller/simulation.rs
+++ b/crates/site-failover/tests/controller/simulation.rs
@@ -11,7 +11,7 @@
 pub const HOSTS_PER_SITE: u64 = 6;
 const ALL_HOSTS: u64 = 3 * HOSTS_PER_SITE;
 
-/// How an attempt ends, and after which span.
+/// The outcome of an attempt, and the time until it ends.
 pub type Ending = (Outcome, Span);
 
 pub const ANSWERED: Ending = (Outcome::Ok, 10 * MILLISECOND);
@@ -20,7 +20,8 @@
 /// Determines how an attempt ends that is sent at a time to a host.
 pub type EndingOf<'a> = &'a dyn Fn(Time, u64) -> Ending;
 
-/// Three sites, which take over each other's load evenly, and two shedding tiers over three classes of one plan.
+/// Returns a plan with three sites, which take over each other's load evenly, and two shedding tiers over three classes
+/// of one plan.
 pub fn plan() -> FailoverPlan {
     let tier = |name: &str, cell, floor| SheddingTier { name: name.to_string(), cells: vec![cell], floor };
     let tiers = vec![tier("batch", 0, 0.1), tier("browse", 1, 0.3)];
@@ -44,7 +45,7 @@
     }
 }
 
-/// The hosts are numbered on from site to site.
+/// Returns the site of a host. Hosts are numbered consecutively, site by site.
 pub fn site_of(host: u64) -> usize {
     (host / HOSTS_PER_SITE) as usize
 }
@@ -58,7 +59,7 @@
     ANSWERED
 }
 
-/// All attempts at one site time out.
+/// Returns endings with which all attempts at one site time out.
 pub fn site_times_out(site: usize) -> impl Fn(Time, u64) -> Ending {
     move |_, host| if site_of(host) == site { TIMED_OUT } else { ANSWERED }
 }
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The usual plan at the first of eight gateways.
+    /// Returns a simulation of [`plan`] at the first of eight gateways.
     pub fn usual() -> Simulation {
         Simulation::new(plan(), GatewayIdentity { gateways: 8, gateway_index: 0, zone: 0 })
     }
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Runs for a span, with a rate of requests per second, each sent to the next host in turn that it may go to.
+    /// Runs for a span, with a rate of requests per second. Each request goes to the next host, in a round robin, that
+    /// it may go to.
     pub fn run(&mut self, duration: Span, rate: f64, ending_of: EndingOf) {
         let end = self.now + duration;
         let request_interval = (SECOND as f64 / rate) as Span;
@@ -158,15 +160,17 @@
     fn request(&mut self, ending_of: EndingOf) {
         self.requests += 1;
         let allowed = self.controller.allowed_sites(self.now, RequestId(self.requests), true);
-        // A stride that meets all hosts in an order that meets the sites in turn.
+        // The stride visits all hosts, and consecutive requests go to different sites in turn.
         let hosts = (0..ALL_HOSTS).map(|n| ((self.requests + n) * 7) % ALL_HOSTS);
-        let open: Vec<u64> = hosts
+        let candidates: Vec<u64> = hosts
             .filter(|host| !self.controller.is_excluded(HostId(*host)))
             .filter(|host| allowed.contains(site_of(*host)) && self.statuses[site_of(*host)].ready_hosts > 0)
             .collect();
         // Hosts of a recovering site are idle, and load balancing prefers idle hosts.
         let is_recovering = |host: &&u64| self.statuses[site_of(**host)].health == SiteHealth::Recovering;
-        let Some(host) = open.iter().find(is_recovering).or(open.first()).copied() else { return };
+        let Some(host) = candidates.iter().find(is_recovering).or(candidates.first()).copied() else {
+            return;
+        };
         let site = site_of(host);
         self.attempts_by_site[site] += 1;
         self.probes += u32::from(self.statuses[site].traffic_fraction == 0.0);
@@ -189,22 +193,22 @@
         self.controller.on_attempt_ended(self.now, &ended);
     }
 
-    /// Health of each site.
+    /// Returns the health of each site.
     pub fn health(&self) -> Vec<SiteHealth> {
         self.controller.statuses().map(|status| status.health).collect()
     }
 
-    /// Whether each site is excluded, but for a host that is being probed.
+    /// Returns whether each site is excluded, apart from a host that is being probed.
     pub fn excluded(&self) -> Vec<bool> {
         self.controller.statuses().map(|status| status.traffic_fraction == 0.0).collect()
     }
 
-    /// Whether no site has lost any of its traffic so far.
+    /// Returns whether no site has lost any of its traffic so far.
     pub fn has_moved_no_load(&self) -> bool {
         self.changes.iter().all(|change| change.traffic_fraction == 1.0)
     }
 
-    /// Times at which a site entered a health state.
+    /// Returns the times at which a site entered a health state.
     pub fn times_entered(&self, site: usize, health: SiteHealth) -> Vec<Time> {
         let entered = |change: &&Change| {
             change.site == site && change.current == health && change.previous != change.current
--- a/crates/site-failover/tests/plan/capacity_check.rs
+++ b/crates/site-failover/tests/plan/capacity_check.rs
@@ -1,4 +1,4 @@
-//! Whether the fleet carries a loss, by the declared capacities and loads.
+//! Whether the fleet can carry a loss, according to the declared capacities and loads.
 
 use crate::support::{plan, sites, takeovers, SHEDS};
 use site_failover::capacity_check::{check_loss, check_losses, LoadFit, LossOutcome, TrafficMix};
--- a/crates/site-failover/tests/plan/compile.rs
+++ b/crates/site-failover/tests/plan/compile.rs
@@ -1,4 +1,4 @@
-//! How operators' files are compiled to plans.
+//! Compiling operators' files to plans.
 
 use crate::support::{compile, operators, plan, sites, takeovers, SHEDS};
 use config_language::model::Operators;
@@ -25,7 +25,7 @@
     let target = |site, fraction| FailoverTarget { site, fraction };
     assert_eq!(a.failover_targets, [target(1, 0.6), target(2, 0.2), target(3, 0.2)]);
     assert_eq!(b.failover_targets, [target(0, 1.0)]);
-    // Reads of both plans, and then orders of the standard plan; no cell is left for the third tier.
+    // The tiers cover reads of both plans, and orders of the standard plan; no cell is left for the third tier.
     let tiers: Vec<(&str, &[usize], f64)> =
         plan.shedding.tiers.iter().map(|tier| (tier.name.as_str(), &tier.cells[..], tier.floor)).collect();
     assert_eq!(tiers, [("reads", &[0, 1][..], 0.2), ("standard", &[2][..], 0.6)]);
@@ -68,7 +68,7 @@
                 operators.takeovers[0].share =
                     Some(config_language::model::At { value: 1.5, origin: Default::default() })
             }),
-            "11:8: the shares of site `a` are not between nothing and the whole",
+            "11:8: the shares of site `a` must be between zero and its load, each and in total",
         ),
         (
             changed(|operators| {
--- a/crates/site-failover/tests/plan/support.rs
+++ b/crates/site-failover/tests/plan/support.rs
@@ -6,7 +6,7 @@
 use config_language::model::Operators;
 use site_failover::{FailoverPlan, PlatformNames};
 
-/// Two shedding tiers: reads, and then what is left of the standard plan.
+/// Two shedding tiers: reads, followed by the other requests of the standard plan.
 pub const SHEDS: &str = "shed \"reads\" {\n  classes = \"read\"\n  floor = 20 %\n}\n\
                          shed \"standard\" {\n  plans = \"standard\"\n  floor = 60 %\n}\n";
 
@@ -35,7 +35,7 @@
     compile(&operators(text)).unwrap()
 }
 
-/// Sites `a`, `b`, ... in the zones `z1`, `z2`, ..., each with these settings.
+/// Returns sites `a`, `b`, ... in the zones `z1`, `z2`, ..., each with these settings.
 pub fn sites(settings: &[&str]) -> String {
     let site = |(n, settings): (usize, &&str)| {
         let name = char::from(b'a' + n as u8);
@@ -44,7 +44,8 @@
     settings.iter().enumerate().map(site).collect()
 }
 
-/// `a>b 60%`: `b` takes over this share of the load of `a`; without a share what is left.
+/// Returns takeovers. `a>b 60%` means that `b` takes over this share of the load of `a`; without a share, `b` takes
+/// over the rest.
 pub fn takeovers(all: &str) -> String {
     let one = |text: &str| {
         let (sites, share) = text.split_once(' ').unwrap_or((text, ""));
