--- a/crates/site-failover/src/controller/site_table.rs
+++ b/crates/site-failover/src/controller/site_table.rs
@@ -174,7 +174,7 @@
     }
 
     /// Returns whether discovery and the counter are in doubt and, apart from the site that this gateway is in, no
-    /// site answers. This gateway's site may then be isolated, rather than `lost` have failed.
+    /// site answers. In that case the gateway's own site may be isolated, and the site `lost` may not have failed.
     pub fn is_own_site_alone(&self, now: Time, lost: usize) -> bool {
         let Some(own) = self.plan.site_of(self.identity.zone) else { return false };
         own != lost
