--- a/crates/history-checker/src/downs.rs
+++ b/crates/history-checker/src/availability.rs
@@ -1,47 +1,47 @@
-//! Which gateways ran when, and what excuses them for answers that clients never got.
+//! When each gateway ran, and the events that excuse it for responses that clients never received.
 
-use crate::{after, ALLOWANCE};
+use crate::{after, SOCKET_TOLERANCE};
 use cluster_model::observation::ObservationKind;
 use cluster_model::{Span, Time, MS};
 use std::collections::BTreeMap;
 
-/// A planned restart's SIGKILL comes no sooner after SIGTERM than the longest deadline and this.
-const KILL_AFTER: Span = 700 * MS;
+/// A planned restart sends SIGKILL at the earliest after the longest deadline plus this time, counted from SIGTERM.
+const KILL_MARGIN: Span = 700 * MS;
 
 #[derive(Clone, Copy, Debug)]
 enum Change {
     Up,
     Down,
-    Told { kill: bool },
+    Signalled { kill: bool },
     Cut(bool),
-    Still(bool),
+    Suspended(bool),
 }
 
-/// What happened to gateways' processes and to the way to their clients.
+/// Changes of the gateways' processes and of the links to their clients.
 #[derive(Debug, Default)]
-pub(crate) struct Downs {
+pub(crate) struct Availability {
     changes: BTreeMap<u32, Vec<(Time, Change)>>,
 }
 
-impl Downs {
-    pub(crate) fn see(&mut self, at: Time, what: &ObservationKind) {
+impl Availability {
+    pub(crate) fn observe(&mut self, at: Time, what: &ObservationKind) {
         let (gateway, change) = match *what {
             ObservationKind::GatewayUp { gateway } => (gateway, Change::Up),
             ObservationKind::GatewayDown { gateway, .. } => (gateway, Change::Down),
-            ObservationKind::GatewaySignalled { gateway, kill } => (gateway, Change::Told { kill }),
+            ObservationKind::GatewaySignalled { gateway, kill } => (gateway, Change::Signalled { kill }),
             ObservationKind::ClientLinksCut { gateway, cut } => (gateway, Change::Cut(cut)),
             ObservationKind::GatewaySuspended { gateway, suspended: stopped } => {
-                (gateway, Change::Still(stopped))
+                (gateway, Change::Suspended(stopped))
             }
             _ => return,
         };
         self.changes.entry(gateway).or_default().push((at, change));
     }
 
-    pub(crate) fn settle(&mut self) {
-        // Of one instant: what it was told, then its end, then the next start.
+    pub(crate) fn finish(&mut self) {
+        // Order of events with the same timestamp: signals, then the exit, then the next start.
         let rank = |change: &Change| match change {
-            Change::Told { .. } | Change::Cut(_) | Change::Still(_) => 0,
+            Change::Signalled { .. } | Change::Cut(_) | Change::Suspended(_) => 0,
             Change::Down => 1,
             Change::Up => 2,
         };
@@ -52,39 +52,39 @@
         self.changes.get(&gateway).into_iter().flatten()
     }
 
-    /// Gateways of which nothing was seen ran all along.
+    /// Returns whether a gateway ran at this time. Gateways without observations ran all the time.
     pub(crate) fn ran(&self, gateway: u32, at: Time) -> bool {
         let states = self.of(gateway).take_while(|(when, _)| *when <= at);
         let last = states.filter(|(_, change)| matches!(change, Change::Up | Change::Down)).last();
         !matches!(last, Some((_, Change::Down)))
     }
 
-    /// When the process that ran at that moment was started; 0 if that was not seen.
+    /// Returns the start time of the process that ran at this time, or 0 if it was not observed.
     pub(crate) fn up_since(&self, gateway: u32, at: Time) -> Time {
         let ups = self.of(gateway).take_while(|(when, _)| *when <= at);
         ups.filter(|(_, change)| matches!(change, Change::Up)).last().map_or(0, |(when, _)| *when)
     }
 
-    /// Whether something that was not the gateway's fault kept an answer from a client in this time: an end out of
-    /// the blue (what it held is the clients' to repeat), a cut on the way, or a process that stood still.
-    pub(crate) fn excuse(&self, gateway: u32, from: Time, to: Time, longest: Span) -> bool {
+    /// Returns whether an event in this interval that was not the gateway's fault kept a response from a client: an exit
+    /// without SIGTERM (the clients have to retry its requests), a cut link, or a suspended process.
+    pub(crate) fn excuses(&self, gateway: u32, from: Time, to: Time, longest: Span) -> bool {
         let (mut terminated, mut killed) = (None, None);
         let (mut cut, mut still) = (None, None);
         for (at, change) in self.of(gateway) {
             match change {
                 Change::Up => (terminated, killed) = (None, None),
-                Change::Told { kill: false } => terminated = terminated.or(Some(*at)),
-                Change::Told { kill: true } => killed = killed.or(Some(*at)),
-                // Whoever sees the end may write it down a little after the clients have felt it.
+                Change::Signalled { kill: false } => terminated = terminated.or(Some(*at)),
+                Change::Signalled { kill: true } => killed = killed.or(Some(*at)),
+                // The exit may be recorded shortly after the clients observed the closed connections.
                 Change::Down => {
-                    let felt = from..=to.saturating_add(ALLOWANCE);
-                    if !owed(terminated, killed, longest) && felt.contains(at) {
+                    let observed = from..=to.saturating_add(SOCKET_TOLERANCE);
+                    if !must_respond(terminated, killed, longest) && observed.contains(at) {
                         return true;
                     }
                 }
                 Change::Cut(true) => cut = cut.or(Some(*at)),
-                Change::Still(true) => still = still.or(Some(*at)),
-                Change::Cut(false) | Change::Still(false) => {
+                Change::Suspended(true) => still = still.or(Some(*at)),
+                Change::Cut(false) | Change::Suspended(false) => {
                     let gap = if matches!(change, Change::Cut(_)) { &mut cut } else { &mut still };
                     if gap.take().is_some_and(|since| since <= to && from <= *at) {
                         return true;
@@ -96,11 +96,12 @@
     }
 }
 
-/// Whether a process that ended had to answer all that it had taken: after SIGTERM, unless it was killed too soon.
-fn owed(terminated: Option<Time>, killed: Option<Time>, longest: Span) -> bool {
+/// Returns whether a process that exited had to respond to all accepted requests: after SIGTERM, unless it was killed too
+/// early.
+fn must_respond(terminated: Option<Time>, killed: Option<Time>, longest: Span) -> bool {
     match (terminated, killed) {
         (None, _) => false,
         (Some(_), None) => true,
-        (Some(terminated), Some(killed)) => after(killed, terminated) >= longest + KILL_AFTER,
+        (Some(terminated), Some(killed)) => after(killed, terminated) >= longest + KILL_MARGIN,
     }
 }
--- a/crates/history-checker/src/finding.rs
+++ b/crates/history-checker/src/finding.rs
@@ -1,20 +1,20 @@
-//! A breach, and the chain of events that makes it.
+//! A violation, and the chain of events that causes it.
 
 use cluster_model::Time;
 use std::fmt;
 
-/// What a history is held to.
+/// The rules that a history is checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request gets one final answer at most, and one that a running gateway took gets one.
+    /// Each request gets at most one final response, and a request accepted by a running gateway gets one.
     SingleResponse,
-    /// Nothing that may have run is sent again or refused where its class forbids that.
+    /// No request that may have been executed is forwarded again or rejected if its class forbids that.
     NoDuplicateExecution,
-    /// Units sent on are within the stated bound in every window.
+    /// The forwarded units are within the stated bound in every window.
     QuotaWindow,
-    /// Nothing new goes to a host that drains or is gone, from the grace on after the gateway was told.
+    /// A gateway forwards no request to a draining or removed host once the grace period after the notification is over.
     DrainGrace,
-    /// No verdict is used that is older than stated.
+    /// No cached state is used that is older than its stated maximum age.
     StaleState,
 }
 
@@ -35,25 +35,25 @@
 pub struct Step {
     /// Seconds from the first request; below 0 before it.
     pub at_s: f64,
-    /// What happened, in words.
+    /// Description of the event.
     pub description: String,
 }
 
-/// A breach.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// What was broken.
+    /// The violated rule.
     pub rule: Rule,
-    /// When, in seconds from the first request: the moment of the event that made it a breach.
+    /// Time in seconds from the first request of the event that completed the violation.
     pub at_s: f64,
-    /// In one sentence.
+    /// Description in one sentence.
     pub text: String,
-    /// The events that make it, in the order of time; without any one of them it would be none.
+    /// The events that cause the violation, in chronological order; without any one of them there is no violation.
     pub chain: Vec<Step>,
 }
 
 impl fmt::Display for Finding {
-    /// A line, and one for each event.
+    /// Writes one line for the violation, and one for each event.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "history, {}, at {:.3} s: {}", self.rule, self.at_s, self.text)?;
         for step in &self.chain {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Findings in the making: moments on the clock of the sightings.
+/// Collects findings; times are on the clock of the observations.
 #[derive(Debug)]
 pub(crate) struct Findings {
     start: Time,
@@ -75,7 +75,7 @@
         Findings { start, found: Vec::new() }
     }
 
-    /// A rule was broken at that moment. The chain is put in the order of time.
+    /// Adds a violation at this time and sorts its chain chronologically.
     pub(crate) fn add(&mut self, rule: Rule, at: Time, text: String, mut chain: Vec<(Time, String)>) {
         chain.sort_by_key(|(at, _)| *at);
         let steps =
@@ -92,7 +92,7 @@
         }
     }
 
-    /// In the order of time.
+    /// Returns the findings in chronological order.
     pub(crate) fn finish(mut self) -> Vec<Finding> {
         self.found.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         self.found
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -1,13 +1,13 @@
-//! Takes what was seen, and goes over all of it at the end.
+//! Records the observations and checks all of them at the end.
 
-use crate::downs::Downs;
-use crate::ears::Ears;
+use crate::availability::Availability;
 use crate::finding::{Finding, Findings};
-use crate::news::{News, Pairs, Sent};
-use crate::tale::{Asked, Attempt, End, Tale, Through};
-use crate::terms::Limits;
-use crate::units::Spent;
-use crate::{answers, claims, drains, twice, units, StateUse};
+use crate::limits::Limits;
+use crate::notifications::{Notification, Pairs, Sent};
+use crate::observability::ObservabilityGaps;
+use crate::quota_windows::UnitsForwarded;
+use crate::timeline::{Attempt, AttemptEnd, End, RequestTimeline, RequestWrite};
+use crate::{drains, duplicate_execution, quota_windows, responses, state_use, StateUse};
 use cluster_model::observation::{Lifecycle, Observation, ObservationKind};
 use cluster_model::Time;
 use std::collections::BTreeMap;
@@ -15,130 +15,143 @@
 /// The history of one run.
 #[derive(Debug)]
 pub struct History {
-    terms: Limits,
+    limits: Limits,
     start: Time,
-    tales: BTreeMap<u64, Tale>,
+    timelines: BTreeMap<u64, RequestTimeline>,
     pairs: Pairs,
-    downs: Downs,
-    ears: Ears,
-    unasked: Vec<(Time, u32)>,
-    claims: Vec<StateUse>,
+    availability: Availability,
+    gaps: ObservabilityGaps,
+    unexpected: Vec<(Time, u32)>,
+    state_uses: Vec<StateUse>,
 }
 
 impl History {
-    /// Of a run whose first request is due at `start`, in nanoseconds on the clock of the sightings.
-    pub fn new(terms: Limits, start: Time) -> History {
+    /// Creates the history of a run whose first request is scheduled at `start`, in nanoseconds on the clock of the
+    /// observations.
+    pub fn new(limits: Limits, start: Time) -> History {
         History {
-            terms,
+            limits,
             start,
-            tales: BTreeMap::new(),
+            timelines: BTreeMap::new(),
             pairs: Pairs::new(),
-            downs: Downs::default(),
-            ears: Ears::default(),
-            unasked: Vec::new(),
-            claims: Vec::new(),
+            availability: Availability::default(),
+            gaps: ObservabilityGaps::default(),
+            unexpected: Vec::new(),
+            state_uses: Vec::new(),
         }
     }
 
-    /// Takes down a sighting; the order does not matter. What no rule speaks of is left out.
-    pub fn observe(&mut self, seen: &Observation) {
-        let at = seen.at;
-        match seen.kind {
-            ObservationKind::RequestSent { .. } => self.asked(seen),
+    /// Records an observation; the order of the calls does not matter. Observations that no rule uses are ignored.
+    pub fn observe(&mut self, observation: &Observation) {
+        let at = observation.at;
+        match observation.kind {
+            ObservationKind::RequestSent { .. } => self.request_written(observation),
             ObservationKind::RequestEnded { request, gateway, outcome: got } => {
-                self.tale(request).ends.push((at, End::Got(gateway, got)));
+                self.timeline(request).ends.push((at, End::Outcome(gateway, got)));
+            }
+            ObservationKind::ClientDisconnected { request } => {
+                self.timeline(request).ends.push((at, End::Disconnected))
             }
-            ObservationKind::ClientDisconnected { request } => self.tale(request).ends.push((at, End::Left)),
             ObservationKind::AttemptReceived { request, host, gateway, first_byte, .. } => {
-                let attempt = Attempt { host, gateway, first_byte, came: at, ended: None };
-                self.tale(request).attempts.push(attempt);
+                let attempt = Attempt { host, gateway, first_byte, received_at: at, ended: None };
+                self.timeline(request).attempts.push(attempt);
                 let pair = self.pairs.entry((gateway, host)).or_default();
                 pair.sent.push(Sent { first_byte, request });
             }
-            ObservationKind::AttemptEnded { request, host, gateway, outcome: dealt, units } => {
-                self.tale(request).through.push(Through { at, host, gateway, dealt, units });
+            ObservationKind::AttemptEnded { request, host, gateway, outcome, units } => {
+                self.timeline(request).attempt_ends.push(AttemptEnd { at, host, gateway, outcome, units });
             }
             ObservationKind::AgentNotified { gateway, host, state, started } => {
-                self.news(at, false, (gateway, host), state, started)
+                self.record_notification(at, false, (gateway, host), state, started)
             }
             ObservationKind::GatewayNotified { gateway, host, state, started } => {
-                self.news(at, true, (gateway, host), state, started)
+                self.record_notification(at, true, (gateway, host), state, started)
             }
-            ObservationKind::UnexpectedResponse { gateway } => self.unasked.push((at, gateway)),
+            ObservationKind::UnexpectedResponse { gateway } => self.unexpected.push((at, gateway)),
             _ => {
-                self.downs.see(at, &seen.kind);
-                self.ears.see(at, &seen.kind);
+                self.availability.observe(at, &observation.kind);
+                self.gaps.observe(at, &observation.kind);
             }
         }
     }
 
-    /// Takes down that somebody used a verdict.
-    pub fn record_state_use(&mut self, claim: StateUse) {
-        self.claims.push(claim);
+    /// Records a use of cached state.
+    pub fn record_state_use(&mut self, state_use: StateUse) {
+        self.state_uses.push(state_use);
     }
 
-    fn tale(&mut self, request: u64) -> &mut Tale {
-        self.tales.entry(request).or_default()
+    fn timeline(&mut self, request: u64) -> &mut RequestTimeline {
+        self.timelines.entry(request).or_default()
     }
 
-    fn asked(&mut self, seen: &Observation) {
-        let ObservationKind::RequestSent {
-            request,
-            gateway,
-            customer,
-            class,
-            plan,
-            units,
-            timeout: patience,
-            ..
-        } = seen.kind
+    fn request_written(&mut self, observation: &Observation) {
+        let ObservationKind::RequestSent { request, gateway, customer, class, plan, units, timeout, .. } =
+            observation.kind
         else {
             return;
         };
-        let tale = self.tale(request);
-        (tale.customer, tale.class, tale.plan, tale.units) = (customer, class as usize, plan as usize, units);
-        tale.asked.push(Asked { at: seen.at, gateway, patience });
+        let timeline = self.timeline(request);
+        (timeline.customer, timeline.class, timeline.plan, timeline.units) =
+            (customer, class as usize, plan as usize, units);
+        timeline.writes.push(RequestWrite { at: observation.at, gateway, timeout });
     }
 
-    fn news(&mut self, at: Time, told: bool, pair: (u32, u32), state: Lifecycle, started: Time) {
-        self.pairs.entry(pair).or_default().news.push(News { at, told, state, started });
+    fn record_notification(
+        &mut self,
+        at: Time,
+        to_gateway: bool,
+        pair: (u32, u32),
+        state: Lifecycle,
+        started: Time,
+    ) {
+        self.pairs.entry(pair).or_default().notifications.push(Notification {
+            at,
+            to_gateway,
+            state,
+            started,
+        });
     }
 
-    /// What is wrong with the history of a run that ended at `end`, in the order of time. Of each request, customer
-    /// and pair of gateway and host the first breach of each rule is told.
+    /// Returns the violations in the history of a run that ended at `end`, in chronological order. For each request,
+    /// customer, and pair of gateway and host, only the first violation of each rule is reported.
     pub fn check(mut self, end: Time) -> Vec<Finding> {
         let mut found = Findings::new(self.start);
-        self.downs.settle();
-        self.ears.settle();
-        self.unasked.iter().for_each(|(at, gateway)| answers::unasked(*at, *gateway, &mut found));
-        let mut customers: BTreeMap<(u64, usize), Vec<Spent>> = BTreeMap::new();
-        for (id, tale) in &mut self.tales {
-            tale.settle(&self.ears);
-            answers::check(*id, tale, &self.downs, &self.terms, end, &mut found);
-            twice::check(*id, tale, &self.downs, &self.terms, &mut found);
-            spend(*id, tale, customers.entry((tale.customer, tale.plan)).or_default());
+        self.availability.finish();
+        self.gaps.finish();
+        self.unexpected.iter().for_each(|(at, gateway)| responses::unexpected(*at, *gateway, &mut found));
+        let mut customers: BTreeMap<(u64, usize), Vec<UnitsForwarded>> = BTreeMap::new();
+        for (id, timeline) in &mut self.timelines {
+            timeline.finish(&self.gaps);
+            responses::check(*id, timeline, &self.availability, &self.limits, end, &mut found);
+            duplicate_execution::check(*id, timeline, &self.availability, &self.limits, &mut found);
+            record_units(*id, timeline, customers.entry((timeline.customer, timeline.plan)).or_default());
         }
         for ((customer, plan), events) in &mut customers {
-            if let Some(Some(bound)) = self.terms.quota_bounds.get(*plan) {
-                units::check(*customer, events, bound, &mut found);
+            if let Some(Some(bound)) = self.limits.quota_bounds.get(*plan) {
+                quota_windows::check(*customer, events, bound, &mut found);
             }
         }
         for (who, pair) in &mut self.pairs {
-            pair.settle(*who, &self.ears);
-            drains::check(*who, pair, (&self.downs, &self.ears), &self.terms, &mut found);
-            self.claims.extend(claims::of_starts(*who, pair, &self.downs, &self.ears));
+            pair.finish(*who, &self.gaps);
+            drains::check(*who, pair, (&self.availability, &self.gaps), &self.limits, &mut found);
+            self.state_uses.extend(state_use::of_starts(*who, pair, &self.availability, &self.gaps));
         }
-        self.claims.iter().for_each(|claim| claims::check(claim, &mut found));
+        self.state_uses.iter().for_each(|state_use| state_use::check(state_use, &mut found));
         found.finish()
     }
 }
 
-/// What a request took of its customer's quota: the units it names when it was first sent on, and the difference when
-/// an answer told the true ones.
-fn spend(request: u64, tale: &Tale, events: &mut Vec<Spent>) {
-    let Some(first) = tale.attempts.first().filter(|_| !tale.asked.is_empty()) else { return };
-    events.push(Spent { at: first.came, request, units: tale.units, corrects: false });
-    if let Some((at, units)) = tale.true_units().filter(|(_, units)| *units != tale.units) {
-        events.push(Spent { at, request, units: units - tale.units, corrects: true });
+/// Records the units that a request took from its customer's quota: the units that it names when it was first forwarded, and
+/// the difference when a response reported the actual units.
+fn record_units(request: u64, timeline: &RequestTimeline, events: &mut Vec<UnitsForwarded>) {
+    let Some(first) = timeline.attempts.first().filter(|_| !timeline.writes.is_empty()) else { return };
+    events.push(UnitsForwarded {
+        at: first.received_at,
+        request,
+        units: timeline.units,
+        is_correction: false,
+    });
+    if let Some((at, units)) = timeline.true_units().filter(|(_, units)| *units != timeline.units) {
+        events.push(UnitsForwarded { at, request, units: units - timeline.units, is_correction: true });
     }
 }
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -1,21 +1,22 @@
-//! Checks the history of a run after the fact: what the wires showed, against rules that hold for any run of any
-//! fleet, in virtual time or on sockets. A breach is explained by the shortest chain of events that makes it.
+//! Checks the recorded history of a run after its end: the observed traffic, against rules that hold for any run of
+//! any fleet, in virtual time or on sockets. Each violation is explained by the shortest chain of events that causes it.
 //!
-//! A [`History`] takes the judge's [sightings](cluster_model::observation::Observation), in any order, and
-//! [`StateUse`]s. It does no I/O and reads no clock. [`History::check`] goes over the whole of it at the end:
+//! A [`History`] records the same [observations](cluster_model::observation::Observation) as the invariant checker, in
+//! any order, and each [`StateUse`]. It does no I/O and reads no clock. [`History::check`] checks all of them at the end:
 //!
-//! 1. `tale` holds what was seen of each request, `downs` which gateways ran, `news` who was told what of hosts,
-//!    `ears` what could not be heard or came late meanwhile.
-//! 2. `answers`: each request got one final answer at most, and one that a running gateway had taken got one.
-//! 3. `twice`: nothing that may have run was sent again, or refused, where the class forbids it.
-//! 4. `units`: what a customer was sent on keeps to `rate * span + burst + allowance` in *every* window.
-//! 5. `drains`: nothing new to a host that drains or is gone, counted from when the gateway was told.
-//! 6. `claims`: no verdict was used that was older than stated. Of today's program that is the news of a host's start;
-//!    subsystems that share verdicts add [`StateUse`]s of their own.
+//! 1. `timeline` holds the observations of each request, `availability` when each gateway ran, `notifications` who was
+//!    notified of which host state, and `observability` the gaps in notifications and the delays of traffic.
+//! 2. `responses`: each request got at most one final response, and one that a running gateway had accepted got one.
+//! 3. `duplicate_execution`: no request that may have been executed was forwarded again, or rejected, if its class forbids
+//!    that.
+//! 4. `quota_windows`: the units forwarded for a customer are within `rate * span + burst + allowance` in *every* window.
+//! 5. `drains`: no request was forwarded to a draining or removed host, counted from the notification of the gateway.
+//! 6. `state_use`: no cached state was used that was older than stated. In the present program this is the notification of
+//!    a host's start; subsystems that share state record each [`StateUse`] themselves.
 //!
-//! It differs from the judge in this: the judge rules while the run goes on and keeps running sums, so it says *that*
-//! a rule broke; the history keeps all events and says *by which*. Whether an answer came in time, cold hosts and
-//! ceilings stay with the judge.
+//! The invariant checker works during the run with running sums, so it reports *that* a rule was violated. The history
+//! keeps all events and reports *by which*. Only the invariant checker covers the deadlines of responses, hosts that are
+//! warming up, and hard limits.
 //!
 //! ```
 //! use history_checker::{StateUse, History, Rule, Limits};
@@ -36,42 +37,42 @@
 //! println!("{}", findings[0]);
 //! ```
 
-mod answers;
-mod claims;
-mod downs;
+mod availability;
 mod drains;
-mod ears;
+mod duplicate_execution;
 mod finding;
 mod history;
-mod news;
-mod tale;
-mod terms;
-mod twice;
-mod units;
+mod limits;
+mod notifications;
+mod observability;
+mod quota_windows;
+mod responses;
+mod state_use;
+mod timeline;
 
-pub use claims::StateUse;
 pub use finding::{Finding, Rule, Step};
 pub use history::History;
-pub use terms::{Limits, QuotaBound};
+pub use limits::{Limits, QuotaBound};
+pub use state_use::StateUse;
 
 use cluster_model::{Span, Time, MS, SECOND};
 
-/// Time limits of the rules are this much longer on sockets (the protocol's "50 ms longer").
-const ALLOWANCE: Span = 50 * MS;
-/// What an agent has heard counts as told to its gateway so much later at the latest (the protocol's 6 s).
-const LATEST: Span = 6 * SECOND;
+/// Extension of every time limit of the rules for runs on sockets (the protocol's "50 ms longer").
+const SOCKET_TOLERANCE: Span = 50 * MS;
+/// A gateway is considered notified at the latest this long after its agent (the protocol's 6 s).
+const MAX_NOTIFICATION_DELAY: Span = 6 * SECOND;
 
-/// A machine as people count: from 1, as scenarios do.
+/// Returns the number of a machine counted from 1, as in scenarios.
 fn nth(number: u32) -> u64 {
     u64::from(number) + 1
 }
 
-/// A span in words, in milliseconds.
+/// Formats a duration in milliseconds.
 fn ms(span: Span) -> String {
     format!("{:.1} ms", span as f64 / 1e6)
 }
 
-/// The later of two moments less the earlier one, 0 if they are the other way round.
+/// Returns the time from `earlier` to `later`, or 0 if `later` is the earlier one.
 fn after(later: Time, earlier: Time) -> Span {
     later.saturating_sub(earlier)
 }
--- a/crates/history-checker/src/units.rs
+++ b/crates/history-checker/src/quota_windows.rs
@@ -1,32 +1,32 @@
-//! What a customer is sent on keeps to `rate * seconds + burst + allowance` in every window, not only over the whole
-//! run.
+//! Checks that the units forwarded for a customer are within `rate * seconds + burst + allowance` in every window, not only
+//! over the entire run.
 //!
-//! With the events of one customer in the order of time, `S` the sum up to and with an event and `P` the sum before
-//! it, a window from event i to event j goes beyond the quota by `(S(j) - rate * t(j)) - (P(i) - rate * t(i)) - burst`.
-//! So the worst window that ends at j begins where `P - rate * t` was least so far: one pass with a running minimum,
+//! Let the events of one customer be in chronological order, `S` the sum up to and including an event, and `P` the sum
+//! before it. A window from event i to event j exceeds the quota by `(S(j) - rate * t(j)) - (P(i) - rate * t(i)) - burst`.
+//! The worst window that ends at j therefore begins where `P - rate * t` is lowest so far: one pass with a running minimum,
 //! `O(n log n)` with the sort.
 
 use crate::finding::{Findings, Rule};
-use crate::terms::QuotaBound;
+use crate::limits::QuotaBound;
 use cluster_model::Time;
 
-/// Sums of floating-point numbers may be off by this many units.
+/// Tolerance in units for the rounding errors of floating-point sums.
 const ROUNDING: f64 = 1e-6;
-/// Of the events of a window a chain shows so many of the earliest, and as many of the latest.
-const SHOWN: usize = 3;
+/// Number of earliest events, and of latest events, of a window that a chain shows.
+const MAX_SHOWN: usize = 3;
 
-/// Units that a customer was sent on, or that turned out to be more or fewer.
+/// Units forwarded for a customer, or a correction of that number.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spent {
+pub(crate) struct UnitsForwarded {
     pub at: Time,
     pub request: u64,
-    /// As named at the first attempt; or, when the answer told the truth, by how many more.
+    /// Units named at the first attempt, or the difference to the actual units that the response reported.
     pub units: f64,
-    /// It is such a correction.
-    pub corrects: bool,
+    /// Whether this is a correction.
+    pub is_correction: bool,
 }
 
-/// The window that goes furthest beyond the quota: its first and its last event, and by how many units.
+/// The window that exceeds the quota most: its first and last event, and the excess in units.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Window {
     pub first: usize,
@@ -34,8 +34,8 @@
     pub beyond: f64,
 }
 
-/// The worst window of events in the order of time; `None`: there are none.
-pub(crate) fn worst(events: &[Spent], bound: &QuotaBound) -> Option<Window> {
+/// Returns the worst window of events in chronological order, or `None` if there are no events.
+pub(crate) fn worst_window(events: &[UnitsForwarded], bound: &QuotaBound) -> Option<Window> {
     let begin = events.first()?.at;
     let (mut sum, mut least, mut from) = (0.0, f64::INFINITY, 0);
     let mut worst: Option<Window> = None;
@@ -54,9 +54,9 @@
 }
 
 /// Checks one customer.
-pub(crate) fn check(customer: u64, events: &mut [Spent], bound: &QuotaBound, found: &mut Findings) {
+pub(crate) fn check(customer: u64, events: &mut [UnitsForwarded], bound: &QuotaBound, found: &mut Findings) {
     events.sort_by_key(|event| event.at);
-    let Some(window) = worst(events, bound) else { return };
+    let Some(window) = worst_window(events, bound) else { return };
     let over = window.beyond - bound.allowance;
     if over <= ROUNDING {
         return;
@@ -67,25 +67,25 @@
     let units: f64 = inside.iter().map(|event| event.units).sum();
     let QuotaBound { rate, burst, allowance } = bound;
     let text = format!(
-        "customer {customer:016x} was sent on {units:.1} units within {span:.3} s, {over:.1} more than \
+        "customer {customer:016x} was admitted {units:.1} units within {span:.3} s, {over:.1} more than \
          {rate:.1} x {span:.3} + {burst:.1} + {allowance:.1}"
     );
     found.add(Rule::QuotaWindow, to, text, chain(inside));
 }
 
-/// The earliest and the latest events of a window, and how many lie between them.
-fn chain(inside: &[Spent]) -> Vec<(Time, String)> {
-    let step = |event: &Spent| {
-        let Spent { at, request, units, corrects } = *event;
-        let what = if corrects { "turned out to be" } else { "sent on for" };
-        let more = if corrects { " more" } else { "" };
+/// Describes the earliest and the latest events of a window, and the number of events between them.
+fn chain(inside: &[UnitsForwarded]) -> Vec<(Time, String)> {
+    let step = |event: &UnitsForwarded| {
+        let UnitsForwarded { at, request, units, is_correction } = *event;
+        let what = if is_correction { "was corrected by" } else { "was forwarded for" };
+        let more = if is_correction { " more" } else { "" };
         (at, format!("request {request:016x} {what} {units:.1} units{more}"))
     };
-    if inside.len() <= 2 * SHOWN {
+    if inside.len() <= 2 * MAX_SHOWN {
         return inside.iter().map(step).collect();
     }
-    let (head, rest) = inside.split_at(SHOWN);
-    let (middle, tail) = rest.split_at(rest.len() - SHOWN);
+    let (head, rest) = inside.split_at(MAX_SHOWN);
+    let (middle, tail) = rest.split_at(rest.len() - MAX_SHOWN);
     let units: f64 = middle.iter().map(|event| event.units).sum();
     let between = (middle[0].at, format!("... and {} more, {units:.1} units", middle.len()));
     head.iter().map(step).chain([between]).chain(tail.iter().map(step)).collect()
@@ -95,8 +95,8 @@
 mod tests {
     use super::*;
 
-    /// All windows, one by one.
-    fn by_hand(events: &[Spent], bound: &QuotaBound) -> f64 {
+    /// Computes every window separately.
+    fn brute_force_worst(events: &[UnitsForwarded], bound: &QuotaBound) -> f64 {
         let mut worst = f64::NEG_INFINITY;
         for first in 0..events.len() {
             for last in first..events.len() {
@@ -118,17 +118,20 @@
         };
         for _ in 0..200 {
             let mut at = 1_000;
-            let events: Vec<Spent> = (0..draw(40) + 1)
+            let events: Vec<UnitsForwarded> = (0..draw(40) + 1)
                 .map(|request| {
                     at += draw(1_500_000_000);
                     let units = draw(60) as f64 / 10.0 - 1.0;
-                    Spent { at, request, units, corrects: false }
+                    UnitsForwarded { at, request, units, is_correction: false }
                 })
                 .collect();
-            let window = worst(&events, &bound).unwrap();
-            assert!((window.beyond - by_hand(&events, &bound)).abs() < 1e-6, "{events:?}");
+            let window = worst_window(&events, &bound).unwrap();
+            assert!((window.beyond - brute_force_worst(&events, &bound)).abs() < 1e-6, "{events:?}");
             let alone = &events[window.first..=window.last];
-            assert!((by_hand(alone, &bound) - window.beyond).abs() < 1e-6, "it is the window that is named");
+            assert!(
+                (brute_force_worst(alone, &bound) - window.beyond).abs() < 1e-6,
+                "the reported window has the reported excess"
+            );
         }
     }
 }
--- a/crates/history-checker/tests/history/chains.rs
+++ b/crates/history-checker/tests/history/chains.rs
@@ -21,9 +21,9 @@
     day.receive(5, ID, 0).done(100, ID, 0, HostOutcome::Undelivered).receive(102, ID, 1);
     day.receive(104, ID, 2).done(150, ID, 1, HostOutcome::Served).answer(151, ID, SERVED);
     let wanted = [
-        "0.005000 s  attempt A had come whole to host 1 from gateway 1",
-        "0.100000 s  host 1 ran attempt A, the answer was lost",
-        "0.102000 s  attempt B had come whole to host 2 from gateway 1",
+        "0.005000 s  host 1 had received attempt A completely from gateway 1",
+        "0.100000 s  host 1 executed attempt A, the response was lost",
+        "0.102000 s  host 2 had received attempt B completely from gateway 1",
     ];
     assert_eq!(chain(&day), wanted);
 }
@@ -50,8 +50,11 @@
     let mut day = Day::default();
     day.hear(500, 0, 0, Lifecycle::Draining).serve(8_000, read(ID));
     let lines = chain(&day);
-    assert!(lines[0].starts_with("0.500000 s  the agent of gateway 1 heard that host 1 drains"), "{lines:?}");
-    assert!(lines[1].starts_with("6.500000 s  gateway 1 counts as told"), "{lines:?}");
-    assert!(lines[2].ends_with("the grace was over"), "{lines:?}");
-    assert!(lines[3].ends_with("request 0000000000000010 was sent to host 1"), "{lines:?}");
+    assert!(
+        lines[0].starts_with("0.500000 s  the agent of gateway 1 was notified that host 1 is draining"),
+        "{lines:?}"
+    );
+    assert!(lines[1].starts_with("6.500000 s  gateway 1 is considered notified"), "{lines:?}");
+    assert!(lines[2].ends_with("the grace period expired"), "{lines:?}");
+    assert!(lines[3].ends_with("request 0000000000000010 was forwarded to host 1"), "{lines:?}");
 }
