--- a/crates/history-checker/src/drains.rs
+++ b/crates/history-checker/src/drains.rs
@@ -67,9 +67,9 @@
             since,
             format!("gateway {gateway} is considered notified that host {host} is draining or removed"),
         )];
-        if let (Some(heard), false) = (known.agent, known.gateway == Some(since)) {
+        if let (Some(agent_notified_at), false) = (known.agent, known.gateway == Some(since)) {
             chain.push((
-                heard,
+                agent_notified_at,
                 format!(
                     "the agent of gateway {gateway} was notified that host {host} is draining or removed"
                 ),
--- a/crates/history-checker/src/duplicate_execution.rs
+++ b/crates/history-checker/src/duplicate_execution.rs
@@ -22,14 +22,14 @@
     limits: &Limits,
     found: &mut Findings,
 ) {
-    let wrong = match limits.idempotency.get(timeline.class) {
+    let violation = match limits.idempotency.get(timeline.class) {
         Some(Idempotency::NonIdempotent) => repeated_attempt(timeline, availability, limits)
             .or_else(|| rejected_after_run(timeline, availability, limits))
             .or_else(|| sent_after_rejection(timeline)),
         Some(Idempotency::Keyed(window)) => keyed_repeat(timeline, *window, limits),
         Some(Idempotency::Idempotent) | None => None,
     };
-    if let Some(Violation { at, why, chain }) = wrong {
+    if let Some(Violation { at, why, chain }) = violation {
         found.add(Rule::NoDuplicateExecution, at, format!("request {id:016x} {why}"), chain);
     }
 }
@@ -69,7 +69,7 @@
     availability: &Availability,
     limits: &Limits,
 ) -> bool {
-    let to = |gateway| timeline.writes.iter().find(move |asked| asked.gateway == gateway);
+    let to = |gateway| timeline.writes.iter().find(move |write| write.gateway == gateway);
     let (Some(first), Some(second)) = (to(earlier.gateway), to(other)) else { return false };
     earlier.gateway != other
         && first.at < second.at
--- a/crates/history-checker/src/history.rs
+++ b/crates/history-checker/src/history.rs
@@ -46,8 +46,8 @@
         let at = observation.at;
         match observation.kind {
             ObservationKind::RequestSent { .. } => self.request_written(observation),
-            ObservationKind::RequestEnded { request, gateway, outcome: got } => {
-                self.timeline(request).ends.push((at, End::Outcome(gateway, got)));
+            ObservationKind::RequestEnded { request, gateway, outcome } => {
+                self.timeline(request).ends.push((at, End::Outcome(gateway, outcome)));
             }
             ObservationKind::ClientDisconnected { request } => {
                 self.timeline(request).ends.push((at, End::Disconnected))
--- a/crates/history-checker/src/state_use.rs
+++ b/crates/history-checker/src/state_use.rs
@@ -53,7 +53,7 @@
     gaps: &ObservabilityGaps,
 ) -> Option<StateUse> {
     let mut place = 0;
-    let (mut told, mut heard): (Option<Notification>, Option<Notification>) = (None, None);
+    let (mut gateway_start, mut agent_start): (Option<Notification>, Option<Notification>) = (None, None);
     let mut oldest: Option<StateUse> = None;
     for sent in &pair.sent {
         while let Some(notification) =
@@ -61,24 +61,26 @@
         {
             // Another rule covers hosts that are draining or removed.
             match (notification.to_gateway, notification.state) {
-                (true, _) => told = Some(*notification),
+                (true, _) => gateway_start = Some(*notification),
                 (false, Lifecycle::InService)
-                    if heard.is_none_or(|heard| heard.started != notification.started) =>
+                    if agent_start.is_none_or(|agent_start| agent_start.started != notification.started) =>
                 {
-                    heard = Some(*notification);
+                    agent_start = Some(*notification);
                 }
                 (false, Lifecycle::InService) => {}
-                (false, _) => heard = None,
+                (false, _) => agent_start = None,
             }
             place += 1;
         }
-        let Some(newer) = heard.filter(|newer| newer.started > told.map_or(0, |told| told.started)) else {
+        let Some(newer) = agent_start
+            .filter(|newer| newer.started > gateway_start.map_or(0, |gateway_start| gateway_start.started))
+        else {
             continue;
         };
-        let heard = newer.at.max(availability.up_since(gateway, sent.first_byte));
+        let agent_start = newer.at.max(availability.up_since(gateway, sent.first_byte));
         // After an observability gap the gateway is notified with the same delay.
-        let confirmed_at =
-            gaps.notified_at(gateway, heard.saturating_add(MAX_NOTIFICATION_DELAY)) - MAX_NOTIFICATION_DELAY;
+        let confirmed_at = gaps.notified_at(gateway, agent_start.saturating_add(MAX_NOTIFICATION_DELAY))
+            - MAX_NOTIFICATION_DELAY;
         if oldest.as_ref().is_none_or(|oldest| {
             after(sent.first_byte, confirmed_at) > after(oldest.used_at, oldest.confirmed_at)
         }) {
--- a/crates/history-checker/src/timeline.rs
+++ b/crates/history-checker/src/timeline.rs
@@ -69,7 +69,7 @@
         for attempt in &mut self.attempts {
             attempt.first_byte = gaps.earliest_send((attempt.gateway, attempt.host), attempt.first_byte);
         }
-        self.writes.sort_by_key(|asked| asked.at);
+        self.writes.sort_by_key(|write| write.at);
         self.ends.sort_by_key(|(at, _)| *at);
         self.attempts.sort_by_key(|attempt| attempt.received_at);
         self.attempt_ends.sort_by_key(|end| end.at);
--- a/crates/history-checker/tests/history/edges.rs
+++ b/crates/history-checker/tests/history/rule_limits.rs
@@ -1,11 +1,11 @@
-//! Where each rule begins and ends.
+//! Boundary cases of each rule.
 
-use crate::day::{first, order, read, Ask, Day, SERVED, START};
-use crate::{rules, terms};
+use crate::run_builder::{first, order, read, RequestSpec, RunBuilder, SERVED, START};
+use crate::{limits, rules};
 use cluster_model::observation::{ClientOutcome, HostOutcome, Lifecycle, ObservationKind};
 use cluster_model::{MS, SECOND};
 use history_checker::{History, Rule, StateUse};
-use invariants::Rule as Judged;
+use invariants::Rule as CheckerRule;
 
 const ID: u64 = 16;
 
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn what_a_gateway_took_with_it_is_the_clients_to_repeat_unless_it_was_asked_to_stop() {
+fn exit_excuses_open_requests_unless_the_gateway_got_sigterm() {
     let lost = |before: &[(u64, ObservationKind)]| {
-        let mut day = Day::default();
-        day.ask(5_000, read(ID)).answer(5_050, ID, ClientOutcome::ConnectionClosed);
+        let mut run = RunBuilder::default();
+        run.ask(5_000, read(ID)).answer(5_050, ID, ClientOutcome::ConnectionClosed);
         before.iter().for_each(|(ms, what)| {
-            day.see(*ms, what.clone());
+            run.observe(*ms, what.clone());
         });
-        rules(&day)
+        rules(&run)
     };
     assert_eq!(lost(&[]), [Rule::SingleResponse]);
     assert_eq!(lost(&[(5_049, down())]), [], "killed");
@@ -51,30 +51,30 @@
 }
 
 #[test]
-fn a_request_that_is_due_after_the_end_of_the_run_may_still_be_answered() {
-    let mut history = History::new(terms(), 0);
-    let mut day = Day::default();
-    day.ask(0, read(ID));
-    let asked = &day.sightings()[0];
+fn request_with_deadline_after_the_end_of_the_run_is_not_lost() {
+    let mut history = History::new(limits(), 0);
+    let mut run = RunBuilder::default();
+    run.ask(0, read(ID));
+    let asked = &run.observations()[0];
     history.observe(asked);
     assert_eq!(history.check(asked.at + 1_000 * MS), []);
 }
 
 #[test]
-fn a_request_that_crossed_the_end_of_its_connection_is_written_again() {
-    let mut day = Day::default();
-    day.ask(0, read(ID)).ask(900, read(ID)).answer(1_500, ID, SERVED);
-    assert_eq!(rules(&day), []);
+fn request_may_be_rewritten_after_its_connection_closed_unread() {
+    let mut run = RunBuilder::default();
+    run.ask(0, read(ID)).ask(900, read(ID)).answer(1_500, ID, SERVED);
+    assert_eq!(rules(&run), []);
 }
 
 #[test]
-fn an_order_whose_gateway_died_may_be_written_to_another_one() {
+fn order_may_be_rewritten_after_its_gateway_crashed() {
     let acts = |refuses: bool, died_ms: Option<u64>| {
-        let mut day = Day::default();
-        day.ask(0, order(ID)).receive(2, ID, 0).done(30, ID, 0, HostOutcome::Undelivered);
-        day.ask(20, Ask { gateway: 1, ..order(ID) });
+        let mut run = RunBuilder::default();
+        run.ask(0, order(ID)).receive(2, ID, 0).done(30, ID, 0, HostOutcome::Undelivered);
+        run.ask(20, RequestSpec { gateway: 1, ..order(ID) });
         if refuses {
-            day.see(
+            run.observe(
                 22,
                 ObservationKind::RequestEnded {
                     request: ID,
@@ -84,7 +84,7 @@
             );
         } else {
             let first_byte = START + 21 * MS;
-            day.see(
+            run.observe(
                 22,
                 ObservationKind::AttemptReceived {
                     request: ID,
@@ -94,14 +94,14 @@
                     expected_work: MS,
                 },
             );
-            day.answer(40, ID, SERVED);
+            run.answer(40, ID, SERVED);
         }
         if let Some(ms) = died_ms {
-            day.see(ms, down());
+            run.observe(ms, down());
         }
-        (rules(&day), day.broken())
+        (rules(&run), run.violated_rules())
     };
-    let caught = (vec![Rule::NoDuplicateExecution], vec![Judged::NoDuplicateExecution]);
+    let caught = (vec![Rule::NoDuplicateExecution], vec![CheckerRule::NoDuplicateExecution]);
     for refuses in [false, true] {
         assert_eq!(acts(refuses, None), caught, "it closed a connection whose request it had read");
         assert_eq!(acts(refuses, Some(19)), (vec![], vec![]));
@@ -111,74 +111,75 @@
 }
 
 #[test]
-fn nobody_minds_what_comes_after_a_client_has_left() {
-    let mut day = Day::default();
-    day.ask(0, read(ID))
-        .see(30, ObservationKind::ClientDisconnected { request: ID })
+fn responses_after_a_client_disconnect_are_ignored() {
+    let mut run = RunBuilder::default();
+    run.ask(0, read(ID))
+        .observe(30, ObservationKind::ClientDisconnected { request: ID })
         .answer(40, ID, SERVED)
         .answer(50, ID, SERVED);
-    assert_eq!(rules(&day), []);
+    assert_eq!(rules(&run), []);
 }
 
 #[test]
-fn units_count_once_a_try_and_are_put_right_when_the_truth_is_told() {
-    let broken = |units: f64, truth: f64| {
-        let (mut day, id) = (Day::default(), first(1));
-        day.ask(0, Ask { units, ..read(id) }).receive(2, id, 0).done(9, id, 0, HostOutcome::Rejected);
-        day.receive(12, id, 1).done_for(13, id, 1, truth).answer(14, id, SERVED);
-        rules(&day)
+fn units_count_once_per_request_and_are_corrected_to_actual_units() {
+    let violated_rules = |units: f64, truth: f64| {
+        let (mut run, id) = (RunBuilder::default(), first(1));
+        run.ask(0, RequestSpec { units, ..read(id) }).receive(2, id, 0).done(9, id, 0, HostOutcome::Rejected);
+        run.receive(12, id, 1).done_for(13, id, 1, truth).answer(14, id, SERVED);
+        rules(&run)
     };
-    // 10 at once, 2 more are stated, and 0.044 come in the 11 ms.
-    assert_eq!(broken(12.0, 12.0), []);
-    assert_eq!(broken(12.1, 12.1), [Rule::QuotaWindow]);
-    assert_eq!(broken(3.0, 12.04), []);
-    assert_eq!(broken(3.0, 12.1), [Rule::QuotaWindow]);
+    // The burst is 10, the allowance 2, and 0.044 are refilled in the 11 ms.
+    assert_eq!(violated_rules(12.0, 12.0), []);
+    assert_eq!(violated_rules(12.1, 12.1), [Rule::QuotaWindow]);
+    assert_eq!(violated_rules(3.0, 12.04), []);
+    assert_eq!(violated_rules(3.0, 12.1), [Rule::QuotaWindow]);
 }
 
 #[test]
-fn a_drain_counts_from_when_the_gateway_was_told_or_six_seconds_after_its_agent_heard() {
-    // 250 ms at the default site, and 50 ms on sockets.
+fn drain_counts_from_gateway_notification_or_six_seconds_after_agent() {
+    // 250 ms at the default site, plus 50 ms on sockets.
     let grace = 300;
-    let sent = |ms: u64, tell: &dyn Fn(&mut Day)| {
-        let mut day = Day::default();
-        tell(&mut day);
-        day.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, HostOutcome::Served).answer(
+    let sent = |ms: u64, notify: &dyn Fn(&mut RunBuilder)| {
+        let mut run = RunBuilder::default();
+        notify(&mut run);
+        run.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, HostOutcome::Served).answer(
             ms + 1,
             ID,
             SERVED,
         );
-        rules(&day)
+        rules(&run)
     };
-    let told = |day: &mut Day| {
-        day.tell(0, 0, 0, Lifecycle::Draining);
+    let told = |run: &mut RunBuilder| {
+        run.notify_gateway(0, 0, 0, Lifecycle::Draining);
     };
     assert_eq!(sent(grace, &told), []);
     assert_eq!(sent(grace + 1, &told), [Rule::DrainGrace]);
-    let heard = |day: &mut Day| {
-        day.hear(0, 0, 0, Lifecycle::Removed);
+    let heard = |run: &mut RunBuilder| {
+        run.notify_agent(0, 0, 0, Lifecycle::Removed);
     };
     assert_eq!(sent(6_000 + grace, &heard), []);
     assert_eq!(sent(6_001 + grace, &heard), [Rule::DrainGrace]);
-    let started_late = |day: &mut Day| {
+    let started_late = |run: &mut RunBuilder| {
         {
-            day.hear(0, 0, 0, Lifecycle::Removed).see(20_000, ObservationKind::GatewayUp { gateway: 0 });
+            run.notify_agent(0, 0, 0, Lifecycle::Removed)
+                .observe(20_000, ObservationKind::GatewayUp { gateway: 0 });
         };
     };
     assert_eq!(sent(20_000 + grace, &started_late), [], "nobody is told before it runs");
-    let back = |day: &mut Day| {
-        day.tell(0, 0, 0, Lifecycle::Removed).tell(5_000, 0, 0, Lifecycle::InService);
+    let back = |run: &mut RunBuilder| {
+        run.notify_gateway(0, 0, 0, Lifecycle::Removed).notify_gateway(5_000, 0, 0, Lifecycle::InService);
     };
     assert_eq!(sent(9_000, &back), [], "it is back");
-    let other = |day: &mut Day| {
-        day.tell(0, 1, 0, Lifecycle::Removed).tell(0, 0, 1, Lifecycle::Removed);
+    let other = |run: &mut RunBuilder| {
+        run.notify_gateway(0, 1, 0, Lifecycle::Removed).notify_gateway(0, 0, 1, Lifecycle::Removed);
     };
     assert_eq!(sent(9_000, &other), [], "another gateway, another host");
 }
 
 #[test]
-fn a_verdict_may_be_as_old_as_stated_and_no_older() {
+fn cached_state_must_not_exceed_its_maximum_age() {
     let aged = |age| {
-        let mut history = History::new(terms(), 0);
+        let mut history = History::new(limits(), 0);
         let (user, subject, value) = ("gateway 2".to_owned(), "building 1".to_owned(), "lost".to_owned());
         history.record_state_use(StateUse {
             user,
@@ -195,20 +196,20 @@
 }
 
 #[test]
-fn the_news_of_a_start_may_be_six_seconds_old() {
+fn start_notification_may_be_six_seconds_old() {
     let sent = |ms: u64, told_ms: Option<u64>| {
-        let mut day = Day::default();
+        let mut run = RunBuilder::default();
         let (gateway, host, state, started) = (0, 0, Lifecycle::InService, 77);
-        day.see(0, ObservationKind::AgentNotified { gateway, host, state, started });
+        run.observe(0, ObservationKind::AgentNotified { gateway, host, state, started });
         told_ms.iter().for_each(|ms| {
-            day.see(*ms, ObservationKind::GatewayNotified { gateway, host, state, started });
+            run.observe(*ms, ObservationKind::GatewayNotified { gateway, host, state, started });
         });
-        day.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, HostOutcome::Served).answer(
+        run.ask(ms, read(ID)).receive(ms, ID, 0).done(ms + 1, ID, 0, HostOutcome::Served).answer(
             ms + 1,
             ID,
             SERVED,
         );
-        rules(&day)
+        rules(&run)
     };
     assert_eq!(sent(6_050, None), []);
     assert_eq!(sent(6_051, None), [Rule::StaleState]);
--- a/crates/invariants/examples/pace.rs
+++ b/crates/invariants/examples/throughput.rs
@@ -1,4 +1,4 @@
-//! Prints how long 100,000 sightings take: `cargo run --release -p invariants --example pace`.
+//! Prints the time to check 100,000 observations: `cargo run --release -p invariants --example throughput`.
 
 use cluster_model::observation::{ClientOutcome, HostOutcome, Observation, ObservationKind};
 use cluster_model::requests;
@@ -9,8 +9,8 @@
 
 const REQUESTS: u64 = 20_000;
 
-/// Five sightings each: asked, received, ended, out, answered; one request every 5 ms.
-fn sightings() -> Vec<Observation> {
+/// Returns five observations for each request: sent, received, ended, closed, response; one request every 5 ms.
+fn observations() -> Vec<Observation> {
     let life = |thing: u64| {
         let request = requests::request_id(thing, 0);
         let at: Time = thing * 5 * MS;
@@ -60,11 +60,11 @@
 }
 
 fn main() {
-    let seen = sightings();
+    let seen = observations();
     let began = Instant::now();
-    let mut judge = InvariantChecker::new(&Site::default(), &Traffic::default(), 0);
-    seen.iter().for_each(|seen| judge.observe(seen));
-    let verdict = judge.finish(REQUESTS * 5 * MS + 3_000 * MS);
+    let mut checker = InvariantChecker::new(&Site::default(), &Traffic::default(), 0);
+    seen.iter().for_each(|seen| checker.observe(seen));
+    let verdict = checker.finish(REQUESTS * 5 * MS + 3_000 * MS);
     let (took, served) = (began.elapsed(), verdict.counts.served);
     println!("{} sightings of {served} served requests judged in {took:?}", seen.len());
 }
--- a/crates/invariants/tests/judge/figures.rs
+++ b/crates/invariants/tests/checker/figures.rs
@@ -1,6 +1,6 @@
-//! Latencies, hosts and the run second by second.
+//! Statistics of latencies and hosts, and of the run second by second.
 
-use crate::day::{first, read, Ask, Day, PREMIUM, READ, SERVED, STANDARD, START};
+use crate::run_builder::{first, read, RequestSpec, RunBuilder, PREMIUM, READ, SERVED, STANDARD, START};
 use cluster_model::observation::{ClientOutcome, HostOutcome, Observation, ObservationKind};
 use cluster_model::requests;
 use cluster_model::scenario::{Site, Traffic};
@@ -9,11 +9,11 @@
 
 #[test]
 fn percentiles_are_exact() {
-    let mut day = Day::default();
+    let mut run = RunBuilder::default();
     (1..=200).for_each(|n| {
-        day.ask(0, read(first(n))).answer(n, first(n), SERVED);
+        run.ask(0, read(first(n))).answer(n, first(n), SERVED);
     });
-    let latency = day.verdict(&Site::default()).classes[READ as usize].latency;
+    let latency = run.verdict(&Site::default()).classes[READ as usize].latency;
     assert_eq!(
         [latency.p50_ms, latency.p95_ms, latency.p99_ms, latency.max_ms],
         [100.0, 190.0, 198.0, 200.0]
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn a_thing_ends_as_its_last_try_does() {
+fn operation_ends_like_its_last_request() {
     let ended =
         |last: ClientOutcome| {
-            let mut day = Day::default();
-            day.refuse(0, read(requests::request_id(1, 0)))
+            let mut run = RunBuilder::default();
+            run.refuse(0, read(requests::request_id(1, 0)))
                 .ask(100, read(requests::request_id(1, 1)))
                 .answer(120, requests::request_id(1, 1), last);
-            let counts = day.verdict(&Site::default()).counts;
+            let counts = run.verdict(&Site::default()).counts;
             [counts.asked, counts.served, counts.refused, counts.failed]
         };
     assert_eq!(ended(SERVED), [1, 1, 0, 0]);
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn seconds_count_tries_where_they_came_and_ended() {
-    let mut day = Day::default();
-    day.serve(0, read(first(1))).serve_after(500, 700, read(first(2))).refuse(1_100, read(first(3)));
-    // Never answered: failed when its time was over, 1066 ms later.
-    day.ask(1_200, read(first(4)));
-    let timeline = day.verdict(&Site::default()).timeline;
+fn requests_count_in_the_seconds_of_arrival_and_end() {
+    let mut run = RunBuilder::default();
+    run.serve(0, read(first(1))).serve_after(500, 700, read(first(2))).refuse(1_100, read(first(3)));
+    // Without a response the request fails when its deadline expires, 1066 ms later.
+    run.ask(1_200, read(first(4)));
+    let timeline = run.verdict(&Site::default()).timeline;
     let counts: Vec<[u32; 5]> = timeline
         .iter()
         .map(|second| [second.offered, second.served, second.late, second.refused, second.failed])
@@ -52,37 +52,37 @@
 }
 
 #[test]
-fn a_broken_answer_fails_a_try_once() {
-    let mut day = Day::default();
-    day.ask(0, read(first(1))).answer(10, first(1), ClientOutcome::ConnectionClosed);
+fn incomplete_response_fails_a_request_once() {
+    let mut run = RunBuilder::default();
+    run.ask(0, read(first(1))).answer(10, first(1), ClientOutcome::ConnectionClosed);
     let failed: Vec<u32> =
-        day.verdict(&Site::default()).timeline.iter().map(|second| second.failed).collect();
+        run.verdict(&Site::default()).timeline.iter().map(|second| second.failed).collect();
     assert_eq!(failed, [1, 0, 0, 0]);
 }
 
 #[test]
-fn a_late_answer_ends_a_try_once() {
-    let mut day = Day::default();
-    day.serve_after(0, 1_300, read(first(1)));
-    let verdict = day.verdict(&Site::default());
+fn response_after_the_deadline_ends_a_request_once() {
+    let mut run = RunBuilder::default();
+    run.serve_after(0, 1_300, read(first(1)));
+    let verdict = run.verdict(&Site::default());
     let sum = |of: &dyn Fn(usize) -> u32| (0..verdict.timeline.len()).map(of).sum::<u32>();
     let (served, late) = (sum(&|s| verdict.timeline[s].served), sum(&|s| verdict.timeline[s].late));
     assert_eq!((served, late, sum(&|s| verdict.timeline[s].failed)), (0, 0, 1));
-    // It came too late for the rule, but before the class's time: it is served, and worth its part.
+    // The response violates the rule, but arrives before the class's deadline: it counts as served and earns the late share.
     assert_eq!((verdict.counts.served, verdict.counts.within_objective, verdict.weighted_share), (1, 0, 0.2));
 }
 
 #[test]
 fn seconds_show_units_quotas_hosts_and_gateways() {
-    let mut day = Day::default();
+    let mut run = RunBuilder::default();
     let id = first(1);
-    day.ask(900, Ask { units: 3.0, ..read(id) }).receive(950, id, 0).done_for(1_050, id, 0, 5.0);
-    day.answer(1_051, id, SERVED);
-    day.serve(1_100, Ask { customer: 8, plan: STANDARD, ..read(first(2)) });
-    day.see(1_000, ObservationKind::HostLoad { host: 2, requests: 1, utilization: 0.25 });
-    day.see(1_500, ObservationKind::GatewayDown { gateway: 2, expected: true });
-    day.see(2_500, ObservationKind::GatewayUp { gateway: 2 });
-    day.see(
+    run.ask(900, RequestSpec { units: 3.0, ..read(id) }).receive(950, id, 0).done_for(1_050, id, 0, 5.0);
+    run.answer(1_051, id, SERVED);
+    run.serve(1_100, RequestSpec { customer: 8, plan: STANDARD, ..read(first(2)) });
+    run.observe(1_000, ObservationKind::HostLoad { host: 2, requests: 1, utilization: 0.25 });
+    run.observe(1_500, ObservationKind::GatewayDown { gateway: 2, expected: true });
+    run.observe(2_500, ObservationKind::GatewayUp { gateway: 2 });
+    run.observe(
         2_500,
         ObservationKind::CounterCall {
             gateway: 0,
@@ -93,9 +93,9 @@
             duration: 0,
         },
     );
-    let verdict = day.verdict(&Site::default());
+    let verdict = run.verdict(&Site::default());
     let timeline = &verdict.timeline;
-    // Settled in the second in which they were passed on.
+    // Units are settled in the second in which they were forwarded.
     assert_eq!([&timeline[0].units[..], &timeline[1].units[..]], [[0.0, 5.0], [1.0, 0.0]]);
     assert_eq!([&timeline[0].quota[..], &timeline[2].quota[..]], [[0.0, 30.0], [4.5, 30.0]]);
     assert_eq!(timeline[0].busy, [None, None, None]);
@@ -106,18 +106,18 @@
 }
 
 #[test]
-fn hosts_count_what_came_to_them() {
-    let mut day = Day::default();
+fn hosts_count_received_attempts() {
+    let mut run = RunBuilder::default();
     let id = first(1);
-    day.see(0, ObservationKind::HostConnectionOpened { host: 1, gateway: 0 }).ask(0, read(id));
-    day.receive(5, id, 1).done(6, id, 1, HostOutcome::Rejected).receive(9, id, 0).done(
+    run.observe(0, ObservationKind::HostConnectionOpened { host: 1, gateway: 0 }).ask(0, read(id));
+    run.receive(5, id, 1).done(6, id, 1, HostOutcome::Rejected).receive(9, id, 0).done(
         60,
         id,
         0,
         HostOutcome::Served,
     );
-    day.answer(61, id, SERVED).ask(70, read(first(2))).answer(71, first(2), ClientOutcome::Failed);
-    let verdict = day.verdict(&Site::default());
+    run.answer(61, id, SERVED).ask(70, read(first(2))).answer(71, first(2), ClientOutcome::Failed);
+    let verdict = run.verdict(&Site::default());
     let hosts: Vec<[u64; 4]> = verdict
         .hosts
         .iter()
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn the_fleet_is_summed_from_the_first_request_to_the_last_try() {
-    let mut day = Day::default();
+fn fleet_rates_cover_first_to_last_request() {
+    let mut run = RunBuilder::default();
     let id = first(1);
     let counted = |amount, answered, turned_away, ms| ObservationKind::CounterCall {
         gateway: 0,
@@ -140,26 +140,27 @@
         duration: ms * MS,
     };
     let connected = |host| ObservationKind::HostConnectionOpened { host, gateway: 1 };
-    day.ask(0, Ask { units: 3.0, ..read(id) });
-    day.receive_sent(30, 31, id, 0).done(60, id, 0, HostOutcome::Served).answer(61, id, SERVED);
-    day.see(100, counted(1.0, true, false, 2)).see(110, counted(0.0, true, false, 51));
-    day.see(120, counted(1.0, false, true, 0)).see(130, counted(0.0, false, false, 9));
-    day.see(200, connected(0)).see(210, connected(1));
-    day.see(220, ObservationKind::HostConnectionClosed { host: 0, gateway: 1 }).see(230, connected(2));
-    day.see(240, connected(3)).see(300, ObservationKind::HealthCheckReceived { host: 1, gateway: 2 });
-    day.see(310, ObservationKind::DiscoveryRequest { gateway: 2, watch: false });
+    run.ask(0, RequestSpec { units: 3.0, ..read(id) });
+    run.receive_sent(30, 31, id, 0).done(60, id, 0, HostOutcome::Served).answer(61, id, SERVED);
+    run.observe(100, counted(1.0, true, false, 2)).observe(110, counted(0.0, true, false, 51));
+    run.observe(120, counted(1.0, false, true, 0)).observe(130, counted(0.0, false, false, 9));
+    run.observe(200, connected(0)).observe(210, connected(1));
+    run.observe(220, ObservationKind::HostConnectionClosed { host: 0, gateway: 1 })
+        .observe(230, connected(2));
+    run.observe(240, connected(3)).observe(300, ObservationKind::HealthCheckReceived { host: 1, gateway: 2 });
+    run.observe(310, ObservationKind::DiscoveryRequest { gateway: 2, watch: false });
     for (count, what) in [
         (2, ObservationKind::DiscoveryRequest { gateway: 2, watch: true }),
         (3, ObservationKind::DiscoveryMessage { gateway: 2 }),
     ] {
         (0..count).for_each(|_| {
-            day.see(320, what.clone());
+            run.observe(320, what.clone());
         });
     }
-    // One of 100 units is beyond the store of 65, and one is refused with all of it there.
-    day.ask(1_000, Ask { units: 100.0, ..read(first(2)) });
-    day.receive_sent(1_050, 1_051, first(2), 0).done(1_090, first(2), 0, HostOutcome::Served);
-    day.answer(1_091, first(2), SERVED).refuse(2_000, read(first(3)));
+    // One request of 100 units exceeds the bucket of 65, and one is rejected with a full bucket.
+    run.ask(1_000, RequestSpec { units: 100.0, ..read(first(2)) });
+    run.receive_sent(1_050, 1_051, first(2), 0).done(1_090, first(2), 0, HostOutcome::Served);
+    run.answer(1_091, first(2), SERVED).refuse(2_000, read(first(3)));
     let wanted = FleetFigures {
         gateways: 3,
         counter_calls_per_s: 2.0,
@@ -178,27 +179,27 @@
         first_attempt_p50_ms: 30.0,
         first_attempt_p99_ms: 50.0,
     };
-    assert_eq!(day.verdict(&Site::default()).fleet, wanted);
-    // What was before the first request is none of the day, but what is open is open.
-    let mut judge = InvariantChecker::new(&Site::default(), &Traffic::default(), START);
+    assert_eq!(run.verdict(&Site::default()).fleet, wanted);
+    // Events before the first request are not counted, but connections opened before it stay open.
+    let mut checker = InvariantChecker::new(&Site::default(), &Traffic::default(), START);
     for what in [counted(1.0, false, true, 0), ObservationKind::DiscoveryMessage { gateway: 2 }, connected(0)]
     {
-        judge.observe(&Observation { at: START - 1, kind: what });
+        checker.observe(&Observation { at: START - 1, kind: what });
     }
-    day.sightings().iter().for_each(|seen| judge.observe(seen));
-    let fleet = judge.finish(START + 3 * SECOND).fleet;
+    run.observations().iter().for_each(|seen| checker.observe(seen));
+    let fleet = checker.finish(START + 3 * SECOND).fleet;
     assert_eq!(fleet, FleetFigures { peak_open_connections: 4, ..wanted });
 }
 
 #[test]
-fn events_keep_their_words_and_times() {
-    let mut judge = InvariantChecker::new(&Site::default(), &Traffic::default(), START);
+fn events_preserve_text_and_time() {
+    let mut checker = InvariantChecker::new(&Site::default(), &Traffic::default(), START);
     for (at, text) in
         [(START - SECOND, "the hosts are up"), (START + 1_500 * MS, "kill 41 % of the gateways")]
     {
-        judge.observe(&Observation { at, kind: ObservationKind::ScenarioEvent { text: text.into() } });
+        checker.observe(&Observation { at, kind: ObservationKind::ScenarioEvent { text: text.into() } });
     }
-    let verdict = judge.finish(START + 2 * SECOND);
+    let verdict = checker.finish(START + 2 * SECOND);
     assert_eq!(
         verdict.events,
         [(-1.0, "the hosts are up".into()), (1.5, "kill 41 % of the gateways".into())]
