--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -18,8 +18,7 @@
 //! use cluster_model::observation::{Observation, ObservationKind};
 //!
 //! let mut checker = InvariantChecker::new(&Site::default(), &Traffic::default(), 0);
-//! let kind = ObservationKind::GatewayDown { gateway: 1, expected: false };
-//! checker.observe(&Observation { at: 5, kind });
+//! checker.observe(&Observation { at: 5, kind: ObservationKind::GatewayDown { gateway: 1, expected: false } });
 //! assert_eq!(checker.violations()[0].rule, Rule::NoCrash);
 //! assert_eq!(checker.finish(10).counts.asked, 0);
 //! ```
