--- a/crates/history-checker/src/availability.rs
+++ b/crates/history-checker/src/availability.rs
@@ -30,8 +30,8 @@
             ObservationKind::GatewayDown { gateway, .. } => (gateway, Change::Down),
             ObservationKind::GatewaySignalled { gateway, kill } => (gateway, Change::Signalled { kill }),
             ObservationKind::ClientLinksCut { gateway, cut } => (gateway, Change::Cut(cut)),
-            ObservationKind::GatewaySuspended { gateway, suspended: stopped } => {
-                (gateway, Change::Suspended(stopped))
+            ObservationKind::GatewaySuspended { gateway, suspended } => {
+                (gateway, Change::Suspended(suspended))
             }
             _ => return,
         };
--- a/crates/invariants/tests/checker/run_builder.rs
+++ b/crates/invariants/tests/checker/run_builder.rs
@@ -69,7 +69,7 @@
                 class,
                 plan,
                 units,
-                timeout: timeout,
+                timeout,
             },
         )
     }
@@ -98,10 +98,7 @@
     }
 
     pub fn end(&mut self, ms: u64, request: u64, host: u32, outcome: HostOutcome) -> &mut RunBuilder {
-        self.observe(
-            ms,
-            ObservationKind::AttemptEnded { request, host, gateway: 0, outcome: outcome, units: None },
-        )
+        self.observe(ms, ObservationKind::AttemptEnded { request, host, gateway: 0, outcome, units: None })
     }
 
     pub fn close_attempt(&mut self, ms: u64, request: u64, host: u32) -> &mut RunBuilder {
@@ -118,7 +115,7 @@
         let outcome = HostOutcome::Served;
         self.observe(
             ms,
-            ObservationKind::AttemptEnded { request, host, gateway: 0, outcome: outcome, units: Some(units) },
+            ObservationKind::AttemptEnded { request, host, gateway: 0, outcome, units: Some(units) },
         );
         self.close_attempt(ms, request, host)
     }
