--- a/crates/api-gateway/tests/clocks.rs
+++ b/crates/api-gateway/tests/clocks.rs
@@ -34,7 +34,7 @@
             println!("{reason}");
             continue;
         }
-        assert_eq!(played.verdict.breaches, []);
+        assert_eq!(played.verdict.violations, []);
         assert_eq!(played.history.findings, []);
         assert_eq!(played.troubles, [""; 0]);
         assert!(played.verdict.share_served > 0.5, "{}", played.verdict.share_served);
--- a/crates/api-gateway/tests/crash.rs
+++ b/crates/api-gateway/tests/crash.rs
@@ -19,7 +19,7 @@
                 let death = Death { point: Some(point), nth, cut };
                 let played = death.play(Path::new(env!("CARGO_BIN_EXE_api-gateway")), 1).unwrap();
                 assert_eq!(played.died.len(), 1, "{death:?}");
-                assert_eq!(played.verdict.breaches, [], "{death:?}");
+                assert_eq!(played.verdict.violations, [], "{death:?}");
                 assert_eq!(played.history.findings, [], "{death:?}");
                 assert_eq!(played.troubles, [""; 0], "{death:?}");
             });
--- a/crates/api-gateway/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -151,7 +151,7 @@
         match &played.too_slow {
             Some(reason) => println!("{reason}"),
             None => {
-                assert_eq!(played.verdict.breaches, []);
+                assert_eq!(played.verdict.violations, []);
                 assert_eq!(played.verdict.notes, [""; 0]);
                 assert_eq!(played.history.findings, []);
                 assert_eq!(played.troubles, [""; 0]);
