--- a/crates/fault-proxy/src/core.rs
+++ b/crates/fault-proxy/src/core.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Waiting,
-    Joining,
+    Connecting,
     Open,
 }
 
@@ -129,7 +129,7 @@
         // Lasting faults start before the connection is processed; immediate faults need the connection to
         // exist.
         let planned = self.planned.connection(number);
-        let (actions, lasting): (Vec<_>, Vec<_>) =
+        let (immediate, lasting): (Vec<_>, Vec<_>) =
             planned.into_iter().partition(|index| self.planned.entry(*index).is_immediate());
         for index in lasting {
             self.begin_entry(now, index, Some(number));
@@ -137,10 +137,10 @@
         let opening = self.faults.opening(now, number);
         match opening {
             Opening::Reset => self.record(now, number, None, EventKind::TurnedAway, 0),
-            Opening::Connect => self.insert(now, number, Phase::Joining, EventKind::Accepted),
+            Opening::Connect => self.insert(now, number, Phase::Connecting, EventKind::Accepted),
             Opening::Wait => self.insert(now, number, Phase::Waiting, EventKind::Waits),
         }
-        for index in actions {
+        for index in immediate {
             self.begin_entry(now, index, Some(number));
         }
         for direction in Direction::BOTH {
@@ -571,7 +571,7 @@
     fn resume_blocked(&mut self, now: Time) {
         for (number, connection) in &mut self.connections {
             if connection.phase == Phase::Waiting && self.faults.opening(now, *number) != Opening::Wait {
-                connection.phase = Phase::Joining;
+                connection.phase = Phase::Connecting;
                 self.actions.push_back(Action::Connect(*number));
             }
         }
