--- a/crates/api-gateway/tests/fleet.rs
+++ b/crates/api-gateway/tests/fleet.rs
@@ -5,7 +5,7 @@
 //! names.
 
 use cluster_emulator::{
-    become_process, play_real, play_virtual, OnProgress, Played, Progress, RealOptions, RunTrace,
+    run_child_process, run_real, run_virtual, OnProgress, Progress, RealOptions, RunOutcome, RunTrace,
     VirtualOptions,
 };
 use cluster_model::file;
@@ -67,7 +67,7 @@
 ";
 
 fn main() {
-    if let Err(error) = become_process() {
+    if let Err(error) = run_child_process() {
         panic!("cannot start: {error}");
     }
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -112,7 +112,7 @@
     file::parse("fleet.scenario", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn run(text: &str) -> Played {
+fn run(text: &str) -> RunOutcome {
     run_with(&parse(text), RunOptions::default())
 }
 
@@ -125,7 +125,7 @@
     logs: Option<PathBuf>,
 }
 
-fn run_with(scenario: &Scenario, options: RunOptions<'_>) -> Played {
+fn run_with(scenario: &Scenario, options: RunOptions<'_>) -> RunOutcome {
     let RunOptions { replay, progress, operators, logs } = options;
     let options = RealOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")),
@@ -134,18 +134,18 @@
         replay,
         logs,
         operators,
-        special: None,
+        gateway_override: None,
         progress,
     };
-    play_real(scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
+    run_real(scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
 }
 
 /// Runs a scenario until a run has a result, and checks that it has no violations.
-fn run_checked(text: &str) -> Played {
+fn run_checked(text: &str) -> RunOutcome {
     run_checked_by(|| run(text))
 }
 
-fn run_checked_by(run: impl Fn() -> Played) -> Played {
+fn run_checked_by(run: impl Fn() -> RunOutcome) -> RunOutcome {
     for _ in 0..MAX_RUNS {
         let played = run();
         match &played.too_slow {
@@ -154,7 +154,7 @@
                 assert_eq!(played.verdict.violations, []);
                 assert_eq!(played.verdict.notes, [""; 0]);
                 assert_eq!(played.history.findings, []);
-                assert_eq!(played.troubles, [""; 0]);
+                assert_eq!(played.errors, [""; 0]);
                 return played;
             }
         }
@@ -163,13 +163,13 @@
 }
 
 /// Returns the number of requests served within the latency objective in these seconds.
-fn served(played: &Played, seconds: std::ops::Range<usize>) -> u32 {
+fn served(played: &RunOutcome, seconds: std::ops::Range<usize>) -> u32 {
     played.verdict.timeline[seconds].iter().map(|second| second.served).sum()
 }
 
 fn a_fleet_survives_a_partitioned_building() {
     let real = run_checked(FLEET);
-    let virtual_time = play_virtual(&parse(FLEET), 1, VirtualOptions::default()).unwrap();
+    let virtual_time = run_virtual(&parse(FLEET), 1, VirtualOptions::default()).unwrap();
     for played in [&real, &virtual_time] {
         // Half of the gateways reach no host during the partition.
         let (during, after) = (served(played, 3..5), served(played, 7..9));
--- a/crates/cluster-emulator/src/virtual_time.rs
+++ b/crates/cluster-emulator/src/virtual_time.rs
@@ -1,6 +1,6 @@
-//! The virtual stage: the real network side, once per gateway, in processes of a simulated machine room.
+//! The virtual backend: runs the gateway's network code once per gateway, in processes on a simulated network.
 
-use crate::stage::{lock, Exit, Post, Signal, Stage};
+use crate::backend::{lock, Backend, Exit, MachineRole, Signal};
 use anyhow::Result;
 use cluster_model::scenario::{LinkFault, NetworkSpec, Site};
 use gateway::{serve, Config, Operators};
@@ -15,18 +15,18 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 
-/// Where gateways listen on their machines.
-const PORT: u16 = 6379;
-/// Bytes.
+/// Listen port of gateways on their machines.
+const GATEWAY_PORT: u16 = 6379;
+/// Bytes of a KiB.
 const KIB: f64 = 1024.0;
 
-/// A gateway's process, as it begins.
+/// Arguments of a new gateway process.
 pub struct GatewayStart {
-    /// Its world.
+    /// Runtime environment of the process.
     pub env: SimEnv,
-    /// Its configuration document, which may be another one at a reload.
+    /// Configuration document, which may be replaced before a reload.
     pub document: Document,
-    /// What it is told from outside.
+    /// Signals to the process.
     pub signals: UnboundedReceiver<gateway::Signal>,
 }
 
@@ -39,7 +39,7 @@
         Document(Arc::new(Mutex::new(document.to_string())))
     }
 
-    /// Its text, as it is now.
+    /// Returns the current text.
     pub fn text(&self) -> String {
         lock(&self.0).clone()
     }
@@ -49,13 +49,13 @@
     }
 }
 
-/// A gateway at work. Its process ends with it, in the ordinary way, or by an error.
+/// The main task of a gateway, whose process ends when it completes, normally or with an error.
 pub type GatewayTask = Pin<Box<dyn Future<Output = Result<()>> + Send>>;
 
-/// Makes what runs in the place of the real gateway, once for each start of a process.
-pub type GatewayMaker = Arc<dyn Fn(GatewayStart) -> GatewayTask + Send + Sync>;
+/// Creates the task that runs in place of the real gateway, once for each start of a process.
+pub type GatewayFactory = Arc<dyn Fn(GatewayStart) -> GatewayTask + Send + Sync>;
 
-/// The real one, with these operators' files. Fails where its document cannot be read.
+/// Creates the task of the real gateway with these operators' settings. Fails if its document cannot be parsed.
 fn real_gateway(start: GatewayStart, operators: Operators) -> Result<GatewayTask> {
     let GatewayStart { env, document, signals } = start;
     let read = move || {
@@ -66,7 +66,7 @@
     Ok(Box::pin(async move { Ok(serve(env, config, read, signals).await?) }))
 }
 
-/// A gateway's process that runs.
+/// A running gateway process.
 struct Running {
     env: SimEnv,
     incarnation: u32,
@@ -74,126 +74,126 @@
     document: Document,
 }
 
-/// A stage in virtual time.
-pub struct VirtualStage {
+/// A backend in virtual time.
+pub struct VirtualBackend {
     sim: Sim,
-    gateway: Option<GatewayMaker>,
+    gateway: Option<GatewayFactory>,
     operators: Operators,
     buildings: u32,
-    /// Where the counter stands, from 0.
-    counter: u32,
+    /// The building of the counter, from 0.
+    counter_building: u32,
     descriptors: usize,
-    machines: Arc<Mutex<BTreeMap<Post, Machine>>>,
+    machines: Arc<Mutex<BTreeMap<MachineRole, Machine>>>,
     running: BTreeMap<u32, Running>,
-    /// Nanoseconds by which clocks of gateways that start from now on are ahead.
+    /// Nanoseconds by which the clocks of gateways started later are ahead.
     clocks: BTreeMap<u32, i64>,
-    /// The last process of each stand-in's machine.
-    standins: Mutex<BTreeMap<Post, ProcessId>>,
+    /// The last process of each fake service's machine.
+    service_processes: Mutex<BTreeMap<MachineRole, ProcessId>>,
     exits: Arc<Mutex<Vec<Exit>>>,
-    cuts: BTreeMap<u64, CutId>,
-    next_cut: u64,
+    partitions: BTreeMap<u64, CutId>,
+    next_partition: u64,
 }
 
-impl VirtualStage {
-    /// An empty one whose clock shows `start`.
-    pub fn new(site: &Site, seed: u64, start: Time) -> VirtualStage {
+impl VirtualBackend {
+    /// Creates an empty backend whose clock starts at `start`.
+    pub fn new(site: &Site, seed: u64, start: Time) -> VirtualBackend {
         let network: NetworkSpec = site.network.clone();
-        VirtualStage {
+        VirtualBackend {
             sim: Sim::new(SimConfig { seed, start, network }),
             gateway: None,
             operators: Operators::default(),
             buildings: site.buildings.max(1),
-            counter: site.counter.building - 1,
+            counter_building: site.counter.building - 1,
             descriptors: site.file_descriptors as usize,
             machines: Arc::default(),
             running: BTreeMap::new(),
             clocks: BTreeMap::new(),
-            standins: Mutex::default(),
+            service_processes: Mutex::default(),
             exits: Arc::default(),
-            cuts: BTreeMap::new(),
-            next_cut: 0,
+            partitions: BTreeMap::new(),
+            next_partition: 0,
         }
     }
 
-    /// The same with other gateways in the place of the real ones.
-    pub fn with_gateway(self, gateway: Option<GatewayMaker>) -> VirtualStage {
-        VirtualStage { gateway, ..self }
+    /// Replaces the real gateways by others.
+    pub fn with_gateway(self, gateway: Option<GatewayFactory>) -> VirtualBackend {
+        VirtualBackend { gateway, ..self }
     }
 
-    /// The same with operators' files for the real gateways.
-    pub fn with_operators(self, operators: Operators) -> VirtualStage {
-        VirtualStage { operators, ..self }
+    /// Sets the operators' settings of the real gateways.
+    pub fn with_operators(self, operators: Operators) -> VirtualBackend {
+        VirtualBackend { operators, ..self }
     }
 
-    /// The machine room.
+    /// Returns the simulated network.
     pub fn sim(&self) -> &Sim {
         &self.sim
     }
 
-    fn machine(&self, post: Post) -> Machine {
+    fn machine(&self, role: MachineRole) -> Machine {
         let place = |number: u32| Place::Building(number % self.buildings);
-        let (name, place) = match post {
-            Post::Gateway(number) => (format!("gateway {}", number + 1), place(number)),
-            Post::Host(number) => (format!("host {}", number + 1), place(number)),
-            Post::Counter => ("counter".to_owned(), place(self.counter)),
-            Post::Clients => ("clients".to_owned(), Place::Client),
+        let (name, place) = match role {
+            MachineRole::Gateway(number) => (format!("gateway {}", number + 1), place(number)),
+            MachineRole::Host(number) => (format!("host {}", number + 1), place(number)),
+            MachineRole::Counter => ("counter".to_owned(), place(self.counter_building)),
+            MachineRole::Clients => ("clients".to_owned(), Place::Client),
         };
-        lock(&self.machines).entry(post).or_insert_with(|| self.sim.machine(&name, place)).clone()
+        lock(&self.machines).entry(role).or_insert_with(|| self.sim.machine(&name, place)).clone()
     }
 
-    fn machines(&self, pairs: &[(Post, Post)]) -> Vec<(MachineId, MachineId)> {
+    fn machines(&self, pairs: &[(MachineRole, MachineRole)]) -> Vec<(MachineId, MachineId)> {
         pairs.iter().map(|(a, b)| (self.machine(*a).id(), self.machine(*b).id())).collect()
     }
 
-    fn end(&mut self, gateway: u32) {
+    fn kill(&mut self, gateway: u32) {
         let Some(running) = self.running.remove(&gateway) else { return };
         self.sim.kill(running.env.process_id());
         lock(&self.exits).push(Exit {
             gateway,
             incarnation: running.incarnation,
             error: None,
-            arranged: None,
+            restart_after: None,
         });
     }
 }
 
-impl Stage for VirtualStage {
+impl Backend for VirtualBackend {
     type Env = SimEnv;
 
-    fn process(&self, post: Post, name: &str) -> SimEnv {
-        let env = self.machine(post).process(name);
-        lock(&self.standins).insert(post, env.process_id());
+    fn process(&self, role: MachineRole, name: &str) -> SimEnv {
+        let env = self.machine(role).process(name);
+        lock(&self.service_processes).insert(role, env.process_id());
         env
     }
 
-    fn address(&self, post: Post) -> SocketAddr {
-        SocketAddr::new(self.machine(post).ip(), 0)
+    fn address(&self, role: MachineRole) -> SocketAddr {
+        SocketAddr::new(self.machine(role).ip(), 0)
     }
 
     fn gateway_address(&self, gateway: u32) -> SocketAddr {
-        SocketAddr::new(self.machine(Post::Gateway(gateway)).ip(), PORT)
+        SocketAddr::new(self.machine(MachineRole::Gateway(gateway)).ip(), GATEWAY_PORT)
     }
 
-    fn lag(&self, _post: Post) -> Span {
+    fn extra_latency(&self, _role: MachineRole) -> Span {
         0
     }
 
     fn start_gateway(&mut self, gateway: u32, incarnation: u32, document: &Value) -> io::Result<()> {
         let name = format!("gateway {}.{incarnation}", gateway + 1);
         let ahead = self.clocks.get(&gateway).copied().unwrap_or(0);
-        let env = self.machine(Post::Gateway(gateway)).process(&name).with_clock(ahead);
+        let env = self.machine(MachineRole::Gateway(gateway)).process(&name).with_clock(ahead);
         env.set_descriptors(self.descriptors);
         let document = Document::new(document);
         let (signals, inbox) = mpsc::unbounded_channel();
         let start = GatewayStart { env: env.clone(), document: document.clone(), signals: inbox };
         let serving = match &self.gateway {
-            Some(other) => other(start),
+            Some(factory) => factory(start),
             None => real_gateway(start, self.operators.clone()).map_err(io::Error::other)?,
         };
         let (exits, own) = (self.exits.clone(), env.clone());
         env.spawn(async move {
             let error = serving.await.err().map(|error| format!("{error:#}"));
-            lock(&exits).push(Exit { gateway, incarnation, error, arranged: None });
+            lock(&exits).push(Exit { gateway, incarnation, error, restart_after: None });
             own.exit();
         });
         self.running.insert(gateway, Running { env, incarnation, signals, document });
@@ -208,20 +208,20 @@
     }
 
     fn signal(&mut self, gateway: u32, signal: Signal) {
-        let told = match signal {
-            Signal::Kill => return self.end(gateway),
+        let gateway_signal = match signal {
+            Signal::Kill => return self.kill(gateway),
             Signal::Stop | Signal::Continue => {
                 let running = self.running.get(&gateway);
                 return running
                     .into_iter()
-                    .for_each(|it| self.sim.stop(it.env.process_id(), signal == Signal::Stop));
+                    .for_each(|process| self.sim.stop(process.env.process_id(), signal == Signal::Stop));
             }
             Signal::Reload => gateway::Signal::Reload,
             Signal::Terminate => gateway::Signal::Terminate,
         };
         if let Some(running) = self.running.get(&gateway) {
-            // One that has ended takes none.
-            let _ = running.signals.send(told);
+            // A gateway that has ended receives no signals.
+            let _ = running.signals.send(gateway_signal);
         }
     }
 
@@ -230,37 +230,48 @@
         Ok(())
     }
 
-    fn clock_stood_still(&mut self, gateway: u32, span: Span) -> io::Result<()> {
+    fn exclude_pause_from_clock(&mut self, gateway: u32, span: Span) -> io::Result<()> {
         self.running.get(&gateway).into_iter().for_each(|running| running.env.clock_stood_still(span));
         Ok(())
     }
 
-    fn stand_still(&mut self, post: Post, still: bool) -> io::Result<()> {
-        let process = lock(&self.standins).get(&post).copied();
-        process.into_iter().for_each(|process| self.sim.stop(process, still));
+    fn set_suspended(&mut self, role: MachineRole, suspended: bool) -> io::Result<()> {
+        let process = lock(&self.service_processes).get(&role).copied();
+        process.into_iter().for_each(|process| self.sim.stop(process, suspended));
         Ok(())
     }
 
-    fn exits(&mut self) -> Vec<Exit> {
+    fn take_exits(&mut self) -> Vec<Exit> {
         std::mem::take(&mut *lock(&self.exits))
     }
 
-    fn cut(&mut self, a: &[Post], b: &[Post], _span: Span, reset: bool) -> io::Result<u64> {
-        let ids = |side: &[Post]| side.iter().map(|post| self.machine(*post).id()).collect();
+    fn partition(
+        &mut self,
+        a: &[MachineRole],
+        b: &[MachineRole],
+        _span: Span,
+        reset: bool,
+    ) -> io::Result<u64> {
+        let ids = |side: &[MachineRole]| side.iter().map(|role| self.machine(*role).id()).collect();
         let how = if reset { Cut::Reset } else { Cut::Silent };
         let cut = self.sim.cut(ids(a), ids(b), how);
-        self.next_cut += 1;
-        self.cuts.insert(self.next_cut, cut);
-        Ok(self.next_cut)
+        self.next_partition += 1;
+        self.partitions.insert(self.next_partition, cut);
+        Ok(self.next_partition)
     }
 
-    fn heal(&mut self, cut: u64) {
-        if let Some(cut) = self.cuts.remove(&cut) {
+    fn heal(&mut self, partition: u64) {
+        if let Some(cut) = self.partitions.remove(&partition) {
             self.sim.heal(cut);
         }
     }
 
-    fn fail_links(&mut self, pairs: &[(Post, Post)], fault: &LinkFault, span: Span) -> io::Result<()> {
+    fn start_link_fault(
+        &mut self,
+        pairs: &[(MachineRole, MachineRole)],
+        fault: &LinkFault,
+        span: Span,
+    ) -> io::Result<()> {
         let fault = match fault {
             LinkFault::Hold(way) => simulated_runtime::LinkFault::Hold(*way),
             LinkFault::Blackhole(way) => simulated_runtime::LinkFault::Cut(*way),
@@ -273,12 +284,12 @@
         Ok(())
     }
 
-    fn reset_links(&mut self, pairs: &[(Post, Post)]) -> io::Result<()> {
+    fn reset_links(&mut self, pairs: &[(MachineRole, MachineRole)]) -> io::Result<()> {
         self.sim.reset_links(&self.machines(pairs));
         Ok(())
     }
 
-    fn knows_when_sent(&self) -> bool {
+    fn knows_send_times(&self) -> bool {
         true
     }
 
