--- a/crates/cluster-emulator/src/plan.rs
+++ b/crates/cluster-emulator/src/plan.rs
@@ -6,7 +6,7 @@
 use gateway::{check_operators, Config, PlatformSettings};
 use policy::api::{Idempotency, Span, Time};
 use site_failover::{FailoverPlan, PlatformNames};
-use site_failover_model::{play, Back, Down, Figures, Loss, Setting};
+use site_failover_model::{run_scenario, FailureMode, LossSummary, ReturnMode, Scenario, SiteLoss};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -71,20 +71,21 @@
     Ok(())
 }
 
-fn setting(site: &PlatformSettings, plan: FailoverPlan) -> Option<Setting> {
+fn setting(site: &PlatformSettings, plan: FailoverPlan) -> Option<Scenario> {
     let (classes, plans) = (&site.settings.classes, site.settings.plans.len());
     let cells = classes.len() * plans;
     let once =
         (0..cells).filter(|cell| classes[cell / plans].idempotency == Idempotency::NotIdempotent).collect();
-    Setting::of_plan(plan, site.settings.gateways, vec![1.0 / cells as f64; cells], once)
+    Scenario::from_plan(plan, site.settings.gateways, vec![1.0 / cells as f64; cells], once)
 }
 
-fn row(setting: &Setting, number: usize, words: &Words) -> String {
-    let (lasts, down, back) = (words.lost * SECOND, Down::Silent, Back::Cold);
-    let losses = vec![Loss { site: number, at: AT, lasts, down, back }];
+fn row(setting: &Scenario, number: usize, words: &Words) -> String {
+    let (duration, failure, return_mode) = (words.lost * SECOND, FailureMode::Silent, ReturnMode::Cold);
+    let site_losses = vec![SiteLoss { site: number, at: AT, duration, failure, return_mode }];
     let after = 2 * setting.plan.sites[number].recovery_ramp + 120 * SECOND;
-    let setting = Setting { losses, lasts: AT + lasts + after, seed: words.seed, ..setting.clone() };
-    let figures = Figures::of(&play(&setting), &setting, 0);
+    let setting =
+        Scenario { site_losses, duration: AT + duration + after, seed: words.seed, ..setting.clone() };
+    let figures = LossSummary::of(&run_scenario(&setting), &setting, 0);
     let last = |when: Option<(Time, Time, usize)>| match when {
         Some((_, last, _)) => format!("{:.1}", last as f64 / SECOND as f64),
         None => "-".to_owned(),
@@ -94,11 +95,11 @@
         "{:<12} {:>7}   {:>12}   {:>8}   {:>4.1} %   {:>10.1} %   {:>13.1} %   {:>4}",
         setting.plan.sites[number].name,
         last(figures.lost),
-        last(figures.returning),
-        last(figures.whole),
+        last(figures.recovering),
+        last(figures.healthy),
         mean(&figures.served),
         mean(&figures.served_after),
         mean(&figures.shed),
-        figures.fell,
+        figures.crashes,
     )
 }
--- a/crates/site-failover-model/src/gateway.rs
+++ b/crates/site-failover-model/src/gateway.rs
@@ -1,127 +1,137 @@
-//! A gateway: its controller, and a simple stand-in for the decision module.
+//! A gateway with its failover controller and a simplified host selection in place of the decision module.
 
 use cluster_model::rng::Rng;
 use policy::api::{HostEntry, HostId, Span, Time};
 use site_failover::{FailoverController, FailoverUpdate, SiteHealth, SiteSet};
 
 use crate::host::Host;
-use crate::setting::{MILLISECOND, SECOND};
+use crate::scenario::{MILLISECOND, SECOND};
 
-/// Hosts that are drawn, of which the least busy is taken.
-const DRAWN: usize = 2;
-const TRIES: usize = 24;
-/// A host that failed is left alone for so long, twice as long after each failure in a row, up to the longest.
-const ALONE: u64 = 200 * MILLISECOND;
-const LONGEST_ALONE: u64 = 5 * SECOND;
+/// Number of usable hosts drawn at random, of which the least busy is selected.
+const HOST_CANDIDATES: usize = 2;
+const MAX_RANDOM_DRAWS: usize = 24;
+/// Base of the backoff of a failed host, which doubles with each consecutive failure up to [`MAX_BACKOFF`].
+const BASE_BACKOFF: u64 = 200 * MILLISECOND;
+const MAX_BACKOFF: u64 = 5 * SECOND;
 
-/// A gateway.
+/// State of a simulated gateway.
 pub(crate) struct Gateway {
-    pub sites: FailoverController,
-    pub keep: Vec<f64>,
-    withheld: Vec<bool>,
-    alone_until: Vec<Time>,
-    fails: Vec<u32>,
+    pub controller: FailoverController,
+    pub admission_fractions: Vec<f64>,
+    excluded: Vec<bool>,
+    backoff_until: Vec<Time>,
+    consecutive_failures: Vec<u32>,
 }
 
 impl Gateway {
-    pub fn new(sites: FailoverController, hosts: usize) -> Gateway {
+    pub fn new(controller: FailoverController, hosts: usize) -> Gateway {
         Gateway {
-            sites,
-            keep: vec![],
-            withheld: vec![false; hosts],
-            alone_until: vec![0; hosts],
-            fails: vec![0; hosts],
+            controller,
+            admission_fractions: vec![],
+            excluded: vec![false; hosts],
+            backoff_until: vec![0; hosts],
+            consecutive_failures: vec![0; hosts],
         }
     }
 
-    /// Ticks the controller if it is due.
+    /// Ticks the controller if its next tick has been reached, and applies the update.
     pub fn tick(&mut self, now: Time) -> Option<FailoverUpdate> {
-        if self.sites.next_tick_at() > now {
+        if self.controller.next_tick_at() > now {
             return None;
         }
-        let mut turn = self.sites.tick(now)?;
-        for host in &turn.changed_hosts {
-            self.withheld[host.0 as usize] = self.sites.is_excluded(*host);
+        let mut update = self.controller.tick(now)?;
+        for host in &update.changed_hosts {
+            self.excluded[host.0 as usize] = self.controller.is_excluded(*host);
         }
-        if let Some(keep) = turn.admission_fractions.take() {
-            self.keep.clone_from(&keep);
-            turn.admission_fractions = Some(keep);
+        if let Some(admission_fractions) = update.admission_fractions.take() {
+            self.admission_fractions.clone_from(&admission_fractions);
+            update.admission_fractions = Some(admission_fractions);
         }
-        Some(turn)
+        Some(update)
     }
 
-    /// Whether a request of a cell is let in.
-    pub fn lets_in(&self, cell: usize, rng: &mut Rng) -> bool {
-        match self.keep.get(cell) {
-            Some(share) if *share < 1.0 => rng.chance(*share),
+    /// Decides at random, by the admission fraction of the cell, whether a request is admitted.
+    pub fn admits(&self, cell: usize, rng: &mut Rng) -> bool {
+        match self.admission_fractions.get(cell) {
+            Some(fraction) if *fraction < 1.0 => rng.chance(*fraction),
             _ => true,
         }
     }
 
-    /// Where an attempt goes: within the sites that it may go to, or, where none takes work, anywhere.
+    /// Selects a host within the allowed sites, or in any site if none of them has a usable host.
     pub fn pick(
         &self,
         now: Time,
-        to: SiteSet,
+        allowed_sites: SiteSet,
         hosts: &[Host],
-        waits: &[Span],
+        reported_delays: &[Span],
         rng: &mut Rng,
     ) -> Option<usize> {
-        let first = self.drawn(now, to, hosts, waits, rng);
-        let anywhere = |rng| self.drawn(now, SiteSet::ALL, hosts, waits, rng);
-        first.or_else(|| if to == SiteSet::ALL { None } else { anywhere(rng) })
+        let preferred = self.least_busy(now, allowed_sites, hosts, reported_delays, rng);
+        let anywhere = |rng| self.least_busy(now, SiteSet::ALL, hosts, reported_delays, rng);
+        preferred.or_else(|| if allowed_sites == SiteSet::ALL { None } else { anywhere(rng) })
     }
 
-    fn drawn(&self, now: Time, to: SiteSet, hosts: &[Host], waits: &[Span], rng: &mut Rng) -> Option<usize> {
-        let mut found = 0;
+    fn least_busy(
+        &self,
+        now: Time,
+        allowed_sites: SiteSet,
+        hosts: &[Host],
+        reported_delays: &[Span],
+        rng: &mut Rng,
+    ) -> Option<usize> {
+        let mut candidates = 0;
         let mut best: Option<usize> = None;
         let offset = rng.below(hosts.len() as u64) as usize;
-        // A trial host may be the only one: what chance does not find, a look at all does.
-        for n in 0..TRIES + hosts.len() {
-            let host = match n < TRIES {
+        // A host that is being probed may be the only usable one: if the random draws miss it, scan all hosts.
+        for n in 0..MAX_RANDOM_DRAWS + hosts.len() {
+            let host = match n < MAX_RANDOM_DRAWS {
                 true => rng.below(hosts.len() as u64) as usize,
                 false => (offset + n) % hosts.len(),
             };
-            if self.withheld[host] || !to.contains(hosts[host].site) || now < self.alone_until[host] {
+            if self.excluded[host]
+                || !allowed_sites.contains(hosts[host].site)
+                || now < self.backoff_until[host]
+            {
                 continue;
             }
-            if best.is_none_or(|best| waits[host] < waits[best]) {
+            if best.is_none_or(|best| reported_delays[host] < reported_delays[best]) {
                 best = Some(host);
             }
-            found += 1;
-            if found >= DRAWN || n >= TRIES {
+            candidates += 1;
+            if candidates >= HOST_CANDIDATES || n >= MAX_RANDOM_DRAWS {
                 break;
             }
         }
         best
     }
 
-    /// What a failure, or an answer, says of a host.
-    pub fn learn(&mut self, now: Time, host: usize, answered: bool) {
+    /// Updates the backoff of a host after an answer or a failure.
+    pub fn record_outcome(&mut self, now: Time, host: usize, answered: bool) {
         if answered {
-            self.fails[host] = 0;
+            self.consecutive_failures[host] = 0;
             return;
         }
-        self.fails[host] = (self.fails[host] + 1).min(10);
-        self.alone_until[host] = now + (ALONE << self.fails[host]).min(LONGEST_ALONE);
+        self.consecutive_failures[host] = (self.consecutive_failures[host] + 1).min(10);
+        self.backoff_until[host] = now + (BASE_BACKOFF << self.consecutive_failures[host]).min(MAX_BACKOFF);
     }
 
-    /// Whether a site is withheld here.
-    pub fn withholds(&self, site: usize) -> bool {
-        self.sites
+    /// Returns whether this gateway sends no regular traffic to the site.
+    pub fn excludes(&self, site: usize) -> bool {
+        self.controller
             .statuses()
             .nth(site)
             .is_some_and(|site| site.traffic_fraction == 0.0 && site.health != SiteHealth::Healthy)
     }
 }
 
-/// What discovery lists.
-pub(crate) fn entry(number: usize, host: &Host) -> HostEntry {
+/// Returns the entry of a host in the endpoint list.
+pub(crate) fn host_entry(number: usize, host: &Host) -> HostEntry {
     HostEntry {
         id: HostId(number as u64),
         zone: host.site as u32,
         size: host.rate,
-        started_at: host.started.unwrap_or(0),
+        started_at: host.started_at.unwrap_or(0),
         ..HostEntry::default()
     }
 }
--- a/crates/site-failover-model/src/lib.rs
+++ b/crates/site-failover-model/src/lib.rs
@@ -1,16 +1,16 @@
-//! Plays the loss and the return of sites in virtual time: a fleet of gateways, each with a controller of its own
-//! ([`site_failover::FailoverController`]), and hosts that queue, are cold, fall over and fail now and then. Which host a request
-//! goes to is simplified: the least busy of a few that are drawn; a host that failed is left alone for a while. Never
-//! linked into a gateway.
+//! Simulates the loss and the return of sites in virtual time: a fleet of gateways, each with its own controller
+//! ([`site_failover::FailoverController`]), and hosts that queue, warm up, crash through overload and fail at
+//! random. Host selection is simplified: the least busy of a few hosts drawn at random, with a backoff after failures.
+//! Never linked into a gateway.
 
-mod calm;
-mod figures;
+mod false_alarms;
 mod gateway;
 mod host;
-mod setting;
-mod world;
+mod scenario;
+mod simulation;
+mod summary;
 
-pub use calm::{calm, Alarms, Calm};
-pub use figures::Figures;
-pub use setting::{Back, Down, Loss, Setting, Spill, Traffic, Trouble};
-pub use world::{play, Change, Played, Second};
+pub use false_alarms::{count_false_alarms, FalseAlarmScenario, FalseAlarms};
+pub use scenario::{FailoverMode, FailureMode, FaultRates, ReturnMode, Scenario, SiteLoss, Traffic};
+pub use simulation::{run_scenario, HealthChange, ScenarioResult, SecondStats};
+pub use summary::LossSummary;
