--- a/crates/api-gateway/tests/clocks.rs
+++ b/crates/api-gateway/tests/clocks.rs
@@ -2,7 +2,7 @@
 //! invariant may be violated. Needs a test build with the feature `told-clock`. A test binary without the usual
 //! harness, since it also is the launcher of the gateways.
 
-use cluster_emulator::{become_process, play_real, Played, RealOptions};
+use cluster_emulator::{run_child_process, run_real, RealOptions, RunOutcome};
 use cluster_model::file;
 use std::path::PathBuf;
 
@@ -25,7 +25,7 @@
 ";
 
 fn main() {
-    if let Err(error) = become_process() {
+    if let Err(error) = run_child_process() {
         panic!("cannot start: {error}");
     }
     for _ in 0..MAX_RUNS {
@@ -36,7 +36,7 @@
         }
         assert_eq!(played.verdict.violations, []);
         assert_eq!(played.history.findings, []);
-        assert_eq!(played.troubles, [""; 0]);
+        assert_eq!(played.errors, [""; 0]);
         assert!(played.verdict.share_served > 0.5, "{}", played.verdict.share_served);
         println!("test gateways_whose_clocks_differ_violate_no_invariant ... ok");
         return;
@@ -44,7 +44,7 @@
     panic!("the machine was too slow {MAX_RUNS} times");
 }
 
-fn run() -> Played {
+fn run() -> RunOutcome {
     let options = RealOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_api-gateway")),
         launcher: Some(std::env::current_exe().unwrap()),
@@ -52,9 +52,9 @@
         replay: None,
         logs: None,
         operators: None,
-        special: None,
+        gateway_override: None,
         progress: None,
     };
     let scenario = file::parse("clocks.scenario", SCENARIO).unwrap();
-    play_real(&scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
+    run_real(&scenario, 1, options).unwrap_or_else(|error| panic!("{error:#}"))
 }
--- a/crates/cluster-emulator/src/trace.rs
+++ b/crates/cluster-emulator/src/trace.rs
@@ -14,7 +14,7 @@
 
 mod lines;
 
-use crate::real::{Pair, WAIT};
+use crate::real::{Pair, REPLAY_WAIT};
 use cluster_model::file;
 use cluster_model::scenario::{Event, Scenario};
 use fault_proxy::{Fault, LastActivity};
@@ -160,7 +160,7 @@
             let sooner =
                 matches!(timed.event, Event::Links(..) | Event::Partition(..) | Event::IsolateBuilding(..));
             let at = u64::try_from(*at).unwrap_or(0).min(scenario.length);
-            timed.at = at.saturating_sub(if sooner { WAIT / 2 } else { 0 });
+            timed.at = at.saturating_sub(if sooner { REPLAY_WAIT / 2 } else { 0 });
         }
         scenario
     }
@@ -207,10 +207,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::stage::Post;
+    use crate::backend::MachineRole;
     use fault_proxy::{Direction, Directions, Place};
 
-    const GATEWAY: Post = Post::Gateway(0);
+    const GATEWAY: MachineRole = MachineRole::Gateway(0);
 
     /// A trace with each fault, each kind of place and each word to a process.
     fn all() -> RunTrace {
@@ -229,7 +229,7 @@
             LastActivity::Connecting(3),
             LastActivity::Passed(Place { connection: 2, way: Direction::Answers, bytes: 4711 }),
         ];
-        let ends = [Post::Counter, Post::Host(4), Post::Gateway(0)];
+        let ends = [MachineRole::Counter, MachineRole::Host(4), MachineRole::Gateway(0)];
         let line = |(n, fault): (usize, &Fault)| LinkLine {
             at: n as i64 * 1_000 - 2_000,
             link: ((GATEWAY, ends[n % 3]), 10_000 + n as u16),
