--- a/crates/api-gateway/tests/crash.rs
+++ b/crates/api-gateway/tests/crash.rs
@@ -19,7 +19,7 @@
                 let death = CrashScenario { point: Some(point), nth, counter_silent: cut };
                 let played = death.run(Path::new(env!("CARGO_BIN_EXE_api-gateway")), 1).unwrap();
                 assert_eq!(played.crashed.len(), 1, "{death:?}");
-                assert_eq!(played.verdict.breaches, [], "{death:?}");
+                assert_eq!(played.verdict.violations, [], "{death:?}");
                 assert_eq!(played.history.findings, [], "{death:?}");
                 assert_eq!(played.errors, [""; 0], "{death:?}");
             });
--- a/crates/cluster-emulator/examples/crash_sweep.rs
+++ b/crates/cluster-emulator/examples/crash_sweep.rs
@@ -65,7 +65,7 @@
         Err(error) => return (format!("| {name} | {counter} | {error:#} |"), false),
     };
     let verdict = &played.verdict;
-    let broken: Vec<String> = verdict.breaches.iter().map(|breach| breach.text.clone()).collect();
+    let broken: Vec<String> = verdict.violations.iter().map(|breach| breach.text.clone()).collect();
     let broken = broken.into_iter().chain(played.history.findings.iter().map(ToString::to_string));
     let mut wrong: Vec<String> = broken.chain(played.errors.iter().cloned()).collect();
     if death.point.is_some() == played.crashed.is_empty() {
@@ -83,7 +83,7 @@
         unanswered,
         sum(|second| second.late),
         verdict.share_served * 100.0,
-        verdict.worth,
+        verdict.weighted_score,
         if wrong.is_empty() { "kept".into() } else { format!("{} broken", wrong.len()) },
     );
     (line, wrong.is_empty())
--- a/crates/cluster-emulator/src/crash_scenario.rs
+++ b/crates/cluster-emulator/src/crash_scenario.rs
@@ -60,7 +60,7 @@
         let mut too_slow = String::new();
         for _ in 0..MAX_RUNS {
             let outcome = self.run_once(program, seed)?;
-            let passed = outcome.verdict.breaches.is_empty() && outcome.history.findings.is_empty();
+            let passed = outcome.verdict.violations.is_empty() && outcome.history.findings.is_empty();
             match outcome.too_slow.clone().filter(|_| !passed) {
                 None => return Ok(outcome),
                 Some(reason) => too_slow = reason,
--- a/crates/cluster-emulator/src/main.rs
+++ b/crates/cluster-emulator/src/main.rs
@@ -179,7 +179,7 @@
     if line.real {
         write_trace(line, &outcome, replay.as_ref())?;
     }
-    let kept = outcome.verdict.breaches.is_empty() && outcome.history.findings.is_empty();
+    let kept = outcome.verdict.violations.is_empty() && outcome.history.findings.is_empty();
     Ok(kept && outcome.errors.is_empty() && outcome.too_slow.is_none())
 }
 
--- a/crates/cluster-emulator/src/real/links.rs
+++ b/crates/cluster-emulator/src/real/links.rs
@@ -5,8 +5,8 @@
 use crate::trace::{LinkLine, LinkName, RunTrace};
 use cluster_model::scenario::{LinkDirection, LinkFault, Site};
 use fault_proxy::{
-    Entry, Fault, FaultId, Last, LinkId, LinkSet, LinkSpec, Messages, Moment, Place, Plan, Settings, Way,
-    What, Who,
+    ConnectionSelector, Directions, Entry, EventKind, Fault, FaultId, Framing, LastActivity, LinkId, LinkSet,
+    LinkSpec, Place, Plan, Settings, Trigger,
 };
 use runtime::{Span, Time};
 use std::collections::btree_map::{BTreeMap, Entry as Slot};
@@ -47,7 +47,7 @@
     /// Number of requested faults over the limit.
     unrecorded: usize,
     /// Faults of the earlier run that have not started yet, in order for each link.
-    replay: BTreeMap<LinkName, VecDeque<(Fault, Last)>>,
+    replay: BTreeMap<LinkName, VecDeque<(Fault, LastActivity)>>,
 }
 
 /// A requested link fault.
@@ -70,16 +70,18 @@
     }
 
     /// Returns the start of a fault requested now: at once, or at its position in the earlier run.
-    fn moment(&mut self, name: LinkName, fault: &Fault) -> Moment {
+    fn moment(&mut self, name: LinkName, fault: &Fault) -> Trigger {
         let before = self.replay.get_mut(&name).and_then(VecDeque::pop_front);
         // A fault that differs from the earlier run has no position.
         let after = before.filter(|(before, _)| before == fault).map(|(_, after)| after);
         let moment = match after {
-            None | Some(Last::Nothing) => return AT_ONCE,
-            Some(Last::Connecting(n)) => Moment::Connection(n),
-            Some(Last::Passed(Place { connection, way, bytes })) => Moment::Bytes { connection, way, bytes },
+            None | Some(LastActivity::Nothing) => return AT_ONCE,
+            Some(LastActivity::Connecting(n)) => Trigger::Connection(n),
+            Some(LastActivity::Passed(Place { connection, way, bytes })) => {
+                Trigger::Bytes { connection, way, bytes }
+            }
         };
-        Moment::Within { moment: Box::new(moment), wait: Duration::from_nanos(REPLAY_WAIT) }
+        Trigger::Within { moment: Box::new(moment), wait: Duration::from_nanos(REPLAY_WAIT) }
     }
 }
 
@@ -106,7 +108,7 @@
             return Ok(*address);
         }
         let name = format!("{:?} to {:?}", pair.0, pair.1);
-        let spec = LinkSpec::to(&name, target).messages(Messages::None);
+        let spec = LinkSpec::to(&name, target).messages(Framing::None);
         let (link, address) = self.set.add(spec).map_err(io::Error::other)?;
         state.links.insert((pair, target), (link, address));
         let name = (pair, target.port());
@@ -139,7 +141,7 @@
             _ => network.client,
         };
         let jitter = Duration::from_nanos((one_way as f64 * network.jitter) as u64);
-        Some(Fault::Delay { way: Way::Both, base: Duration::from_nanos(one_way), jitter })
+        Some(Fault::Delay { way: Directions::Both, base: Duration::from_nanos(one_way), jitter })
     }
 
     fn building(&self, role: MachineRole) -> Option<u32> {
@@ -177,7 +179,11 @@
         for (link, name) in matching {
             if refusing {
                 if let Slot::Vacant(entry) = state.refusing.entry(link) {
-                    entry.insert(self.set.begin(link, Who::Every, Fault::Refuse).map_err(io::Error::other)?);
+                    entry.insert(
+                        self.set
+                            .begin(link, ConnectionSelector::Every, Fault::Refuse)
+                            .map_err(io::Error::other)?,
+                    );
                     state.note(RequestedFault {
                         link,
                         name,
@@ -199,7 +205,7 @@
         let pairs: Vec<Pair> = both.filter(|(a, b)| a != b).collect();
         let span = Some(Duration::from_nanos(span));
         if !reset {
-            self.begin(&pairs, &Fault::Cut { way: Way::Both }, span)?;
+            self.begin(&pairs, &Fault::Cut { way: Directions::Both }, span)?;
             return self.begin(&pairs, &Fault::Unanswered, span);
         }
         self.begin(&pairs, &Fault::Reset, None)?;
@@ -254,7 +260,7 @@
         }
         let mut lines = Vec::new();
         for event in trace.events() {
-            let What::Began { fault, after, .. } = &event.what else { continue };
+            let EventKind::Began { fault, after, .. } = &event.what else { continue };
             let Some(requested) = open.get_mut(&event.link) else { continue };
             // A fault that waits for its position may start after a later one.
             let Some(at) = requested.iter().position(|requested| requested.fault == *fault) else { continue };
@@ -277,11 +283,11 @@
 }
 
 /// A time in the past, which starts a fault at once.
-const AT_ONCE: Moment = Moment::At(Duration::ZERO);
+const AT_ONCE: Trigger = Trigger::At(Duration::ZERO);
 
 /// Returns a plan entry for all connections of a link.
-fn entry(link: LinkId, when: Moment, fault: Fault, lasts: Option<Duration>) -> Entry {
-    Entry { link, when, who: Who::Every, fault: Some(fault), lasts }
+fn entry(link: LinkId, when: Trigger, fault: Fault, lasts: Option<Duration>) -> Entry {
+    Entry { link, when, who: ConnectionSelector::Every, fault: Some(fault), lasts }
 }
 
 /// Records a fault requested by the scenario and returns its plan entry.
@@ -296,11 +302,11 @@
     entry(link, when, fault, lasts)
 }
 
-fn way(way: LinkDirection) -> Way {
+fn way(way: LinkDirection) -> Directions {
     match way {
-        LinkDirection::Both => Way::Both,
-        LinkDirection::FromInitiator => Way::Calls,
-        LinkDirection::ToInitiator => Way::Answers,
+        LinkDirection::Both => Directions::Both,
+        LinkDirection::FromInitiator => Directions::Calls,
+        LinkDirection::ToInitiator => Directions::Answers,
     }
 }
 
@@ -310,11 +316,11 @@
         LinkFault::Hold(held) => Fault::Hold { way: way(*held) },
         LinkFault::Blackhole(cut) => Fault::Cut { way: way(*cut) },
         LinkFault::Delay(from, to) => Fault::Delay {
-            way: Way::Both,
+            way: Directions::Both,
             base: Duration::from_nanos(*from),
             jitter: Duration::from_nanos(to.saturating_sub(*from)),
         },
-        LinkFault::RateLimit(rate) => Fault::Rate { way: Way::Both, bytes_per_s: (rate * KIB) as u64 },
+        LinkFault::RateLimit(rate) => Fault::Rate { way: Directions::Both, bytes_per_s: (rate * KIB) as u64 },
         LinkFault::Reset | LinkFault::Flap(_) => return None,
     })
 }
